--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -7,6 +7,7 @@
 //! goes out as whole-state messages that its own holder hat reads too.
 
 pub mod estimate;
+pub mod event;
 pub mod fleet;
 pub mod image;
 pub mod job;
@@ -31,12 +32,14 @@
 mod renter;
 mod seats;
 
-use crate::cloud::{CloudCall, CloudReply};
+use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
 use crate::peer::{self, Frame, MachineView, WantedTask, Wants};
-use crate::state::{Bucket, StateCall, StateReply, WRITE_SHARE};
+use crate::state::{Bucket, StateCall, WRITE_SHARE};
 use crate::time::Micros;
 use crate::wire::{JobStage, MachineType};
+pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
+
 use fleet::Fleet;
 use image::ImageIndex;
 use job::{Job, StoredStage};
@@ -50,130 +53,6 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// A request that awaits its answer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
-
-/// A call to an outside system.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-
-/// What became of direct commands.
-#[derive(Debug, Clone, PartialEq)]
-pub enum DirectReply {
-    /// The worker answered.
-    Answered {
-        /// Status.
-        status: u16,
-        /// Body.
-        body: Vec<u8>,
-    },
-    /// Surely not executed.
-    NotSent,
-    /// May have been executed, or may still be.
-    Unknown,
-}
-
-/// The end of a call.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
-    /// The state service's.
-    State(StateReply),
-    /// The cloud's.
-    Cloud(CloudReply),
-    /// A worker's.
-    Direct(DirectReply),
-}
-
-/// Something that happened.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Event {
-    /// A user, worker or prober asks.
-    Http {
-        /// Goes with the answer.
-        ticket: Ticket,
-        /// Method.
-        method: String,
-        /// Path with its query.
-        path: String,
-        /// Body.
-        body: Vec<u8>,
-    },
-    /// A call ended.
-    Reply {
-        /// The call.
-        id: CallId,
-        /// How.
-        reply: Reply,
-    },
-    /// A peer sent a frame.
-    Peer {
-        /// Number of the member.
-        from: usize,
-        /// The frame.
-        frame: Box<Frame>,
-    },
-    /// A new connection to a peer stands: it has heard nothing on it yet.
-    PeerUp(usize),
-    /// The connection to a peer is gone.
-    PeerDown(usize),
-    /// Time has passed.
-    Tick,
-}
-
-/// Something to be done.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
-    /// Answer a request.
-    Respond {
-        /// The request.
-        ticket: Ticket,
-        /// Status.
-        status: u16,
-        /// Seconds after which to ask again.
-        retry_after: Option<u64>,
-        /// JSON.
-        body: Vec<u8>,
-    },
-    /// Call the state service.
-    State {
-        /// Goes with the reply.
-        id: CallId,
-        /// The call.
-        call: StateCall,
-    },
-    /// Call the cloud.
-    Cloud {
-        /// Goes with the reply.
-        id: CallId,
-        /// The call.
-        call: CloudCall,
-    },
-    /// Send direct commands to a worker.
-    Direct {
-        /// Goes with the reply.
-        id: CallId,
-        /// The worker.
-        address: SocketAddrV4,
-        /// JSON.
-        body: Vec<u8>,
-    },
-    /// Ask a worker for its report, ordering nothing and showing no token.
-    Inspect {
-        /// Goes with the reply, which is a worker's.
-        id: CallId,
-        /// The worker.
-        address: SocketAddrV4,
-    },
-    /// Send a frame to a peer.
-    Peer {
-        /// Number of the member.
-        to: usize,
-        /// The frame; one for several peers is written only once.
-        frame: Rc<Frame>,
-    },
-}
-
 /// Tasks by job and number.
 type TaskSet = BTreeSet<(String, u32)>;
 
