--- /dev/null
+++ b/src/controller/op.rs
@@ -0,0 +1,64 @@
+//! What the calls under way to the state service, the cloud and workers are for.
+
+use super::accept::Arrival;
+use super::event::Ticket;
+use super::machine::Key;
+use super::questions::Asked;
+use crate::time::Micros;
+use crate::wire::JobSpec;
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Which changes a watch follows.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Watch {
+    Jobs,
+    Holds,
+    Quotas,
+}
+
+/// What a call was for.
+#[derive(Debug, Clone)]
+pub(super) enum Op {
+    Grant { sent: Micros },
+    Extend { sent: Micros, epoch: u64 },
+    ListHolds,
+    ListTerms,
+    Follow(Watch),
+    FollowStart(Watch),
+    Look { sent: Micros },
+    Take { seat: usize, term: u64, epoch: u64 },
+    Release { seat: usize },
+    Load { seat: usize, term: u64 },
+    LoadJob { seat: usize, term: u64, job: String },
+    Accept { list: Vec<Arrival>, seat: usize, term: u64, bundle: Option<String> },
+    Gather { number: u64, job: String },
+    StoreUpstream { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
+    ReadUpstream { job: String, number: u32 },
+    Chain { ticket: Ticket, status: u16, job: String, sent: Micros },
+    Cascade { job: String, seat: usize, tasks: u32 },
+    DropBundle { key: String, term: u64 },
+    StoreBundle { key: String, term: u64, jobs: Vec<(String, u64)> },
+    ReadBundle { key: String, term: u64 },
+    SubmitRead { ticket: Ticket, job: String, sent: Micros, otherwise: (u16, Option<u64>, Vec<u8>) },
+    Poll { tickets: Vec<Ticket>, job: String, sent: Micros },
+    Check { jobs: Asked, sent: Micros },
+    ReadUnknown { job: String },
+    CancelRead { ticket: Ticket, job: String, tries: u32 },
+    CancelWrite { ticket: Ticket, job: String, seat: usize, tasks: u32, tries: u32 },
+    Store { job: String, term: u64, parts: Vec<(usize, u64)>, done: bool, drops: Vec<usize> },
+    Recheck { job: String, term: u64 },
+    RecheckParts { job: String, term: u64, read: BTreeMap<usize, (u64, u64)> },
+    QuotaList,
+    QuotaRead { team: String },
+    QuotaWrite { team: String, value: Value },
+    Direct { machine: String, starts: Vec<Key>, term: u64 },
+    Inspect,
+    Types,
+    StoreTypes,
+    StoredTypes,
+    Rent { term: u64 },
+    Return { names: Vec<String> },
+    ListMachines { asked: Micros, term: u64 },
+}
