--- /dev/null
+++ b/src/controller/frames.rs
@@ -0,0 +1,294 @@
+//! Frames from and to the other controllers: what they say is taken in, and what
+//! has changed here is told to them.
+
+use super::fleet;
+use super::{Controller, Effect, Watch};
+use crate::peer::{self, Frame, Wants};
+use crate::time::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// Between news of jobs' progress.
+const PROGRESS_EVERY: Micros = Micros::millis(400);
+/// How often a peer is told that something of it was missed.
+const MISSED_EVERY: Micros = Micros::secs(1);
+/// A peer that has been silent for longer does not count as alive.
+const PEER_SILENT: Micros = Micros::secs(3);
+
+/// Another controller, as heard.
+#[derive(Debug, Clone, Default)]
+pub(super) struct PeerInfo {
+    pub(super) heard: Option<Micros>,
+    pub(super) well_since: Option<Micros>,
+    pub(super) state_ok: bool,
+    pub(super) run: u64,
+    pub(super) demand: Vec<peer::Demand>,
+    pub(super) needs: Vec<peer::QuotaNeed>,
+    /// It gives its seats up, since it and its workers do not hear each other.
+    pub(super) cut_off: bool,
+    /// Machines of others' seats that report to it, by seat.
+    pub(super) strays: BTreeMap<usize, u32>,
+    /// Number of its last frame.
+    pub(super) number: u64,
+    /// A frame of it was lost, and it has not told all since.
+    pub(super) behind: bool,
+    /// Revision of the state service up to which it has heard of jobs.
+    pub(super) watched: u64,
+}
+
+impl Controller {
+    pub(super) fn peer_alive(&self, member: usize) -> bool {
+        self.peers
+            .get(&member)
+            .and_then(|p| p.heard)
+            .is_some_and(|at| self.now.since(at) < PEER_SILENT)
+    }
+
+    pub(super) fn peer_frame(&mut self, from: usize, frame: Frame) {
+        let now = self.now;
+        let Some(info) = self.peers.get_mut(&from) else {
+            return;
+        };
+        let next = info.run == frame.run && info.number + 1 == frame.number;
+        info.number = frame.number;
+        info.behind = !frame.full && (info.behind || !next);
+        if !frame.full && !next {
+            // What was lost is not known, so nothing follows from what the rest
+            // does not name.
+            for s in 0..self.seats.len() {
+                if self.holder(s) == Some(from) {
+                    self.wants[s].complete = 0;
+                }
+            }
+        }
+        let Some(info) = self.peers.get_mut(&from) else {
+            return;
+        };
+        if info.run != frame.run {
+            info.run = frame.run;
+            info.well_since = None;
+        }
+        info.cut_off = frame.cut_off;
+        info.watched = frame.watched;
+        if info.heard.is_none_or(|at| now.since(at) > PEER_SILENT)
+            || !frame.state_ok
+            || frame.cut_off
+        {
+            info.well_since = None;
+        }
+        info.heard = Some(now);
+        info.state_ok = frame.state_ok;
+        if !frame.state_ok {
+            // It cannot act: what it said that it needs must hold up nobody.
+            info.demand.clear();
+            info.needs.clear();
+            info.strays.clear();
+        }
+        if frame.state_ok && !frame.cut_off {
+            info.well_since.get_or_insert(now);
+        }
+        if frame.has_demand {
+            let strays = frame.strays.iter().map(|s| (s.seat as usize, s.machines));
+            info.strays = strays.collect();
+            info.demand = frame.demand;
+            info.needs = frame.needs;
+        }
+        for h in &frame.held {
+            let Some(seat) = self.seats.get_mut(h.seat as usize) else {
+                continue;
+            };
+            if h.term > seat.term {
+                // Not yet heard from the watch: only the term is taken over,
+                // the holder's mark comes with the watch.
+                seat.term = h.term;
+                if seat.mine.as_ref().is_some_and(|m| m.term < h.term) {
+                    self.lose_seat(h.seat as usize, "a peer holds it under a higher term");
+                }
+            }
+        }
+        for w in frame.wants {
+            match w.read() {
+                Some(w) => self.hear_wants(w),
+                None => log::warn!("wants of tasks without a job from peer {from}"),
+            }
+        }
+        for v in frame.views {
+            self.see_view(v);
+        }
+        for p in frame.progress {
+            self.progress.insert(p.job, (p.done, p.running));
+        }
+        for job in frame.cancelled {
+            // Answers that were read before the cancellation must not go out now.
+            self.hear_cancelled(&job);
+        }
+        for machine in frame.gone {
+            self.machine_gone(&machine);
+        }
+        for p in frame.pressing {
+            self.hear_pressing(&p.job, p.rank, Micros(p.due_us));
+        }
+        if frame.rents {
+            self.set_draining(frame.draining.into_iter().collect());
+        }
+        for t in frame.preempt {
+            self.give_way(&t);
+        }
+        for h in frame.hints {
+            self.hear_hint(h);
+        }
+        if frame.missed.contains(&(self.me as u32)) {
+            self.sync_peers.insert(from);
+        }
+    }
+
+    pub(super) fn send_frames(&mut self, mut frame: Frame) {
+        let acting = self.acting();
+        // For display alone, and counted anew for every job: now and then will do.
+        if self.now >= self.progress_at {
+            self.progress_at = self.now + PROGRESS_EVERY;
+            for job in std::mem::take(&mut self.dirty_progress) {
+                if let Some(j) = self.jobs.get(&job) {
+                    let (done, running) = (j.done(), j.running());
+                    if self.progress.get(&job) != Some(&(done, running)) {
+                        self.progress.insert(job.clone(), (done, running));
+                        frame.progress.push(peer::Progress { job, done, running });
+                    }
+                }
+            }
+        }
+        frame.cancelled = std::mem::take(&mut self.note_cancelled);
+        frame.gone = std::mem::take(&mut self.note_gone);
+        frame.preempt = std::mem::take(&mut self.note_preempt);
+        frame.pressing = std::mem::take(&mut self.pipelines.news);
+        if self.now >= self.missed_at {
+            let behind = self.peers.iter().filter(|(_, p)| p.behind);
+            frame.missed = behind.map(|(n, _)| *n as u32).collect();
+            if !frame.missed.is_empty() {
+                self.missed_at = self.now + MISSED_EVERY;
+            }
+        }
+        let beat = self.now >= self.beat_at;
+        let idle = frame == Frame::default() && !std::mem::take(&mut self.finals.acknowledge);
+        if beat || self.now >= self.demand_at {
+            self.demand_at = self.now + Micros::millis(400);
+            if acting {
+                frame.has_demand = true;
+                frame.demand = self.demand();
+                frame.needs = self.quota_needs();
+                frame.strays = self.strays();
+            }
+        }
+        if idle && !beat && self.sync_peers.is_empty() {
+            return;
+        }
+        if beat {
+            self.beat_at = self.now + Micros::millis(800);
+            let again = self.retell_cancelled();
+            frame.cancelled.extend(again);
+        }
+        frame.watched = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        self.frames += 1;
+        frame.number = self.frames;
+        frame.member.clone_from(&self.member);
+        frame.run = self.run;
+        frame.state_ok = acting;
+        frame.cut_off = self.reach.cut_off();
+        if acting {
+            for (n, seat) in self.seats.iter().enumerate() {
+                if let Some(m) = &seat.mine {
+                    frame.held.push(peer::HeldSeat { seat: n as u32, term: m.term });
+                }
+            }
+            if self.my_term(fleet::RENTING_SEAT).is_some() {
+                frame.rents = true;
+                frame.draining = self.fleet.draining.keys().cloned().collect();
+                self.set_draining(frame.draining.iter().cloned().collect());
+            }
+        }
+        let frame = Rc::new(frame);
+        let sync = std::mem::take(&mut self.sync_peers);
+        let peers: Vec<usize> = self.peers.keys().copied().collect();
+        for to in peers {
+            let frame = if sync.contains(&to) && acting {
+                Rc::new(self.full_frame((*frame).clone()))
+            } else {
+                Rc::clone(&frame)
+            };
+            self.out.push(Effect::Peer { to, frame });
+        }
+        if !acting {
+            // Nothing could be said yet; the new connections still need all of it.
+            self.sync_peers = sync;
+        }
+    }
+
+    pub(super) fn set_draining(&mut self, draining: BTreeSet<String>) {
+        let old = std::mem::replace(&mut self.draining, draining);
+        let changed: Vec<String> = old.symmetric_difference(&self.draining).cloned().collect();
+        self.dirty_slots.extend(changed);
+    }
+
+    /// Everything that a peer must know which has heard nothing so far.
+    pub(super) fn full_frame(&self, mut frame: Frame) -> Frame {
+        frame.full = true;
+        frame.wants.clear();
+        for seat in 0..self.seats.len() {
+            let heard = &self.wants[seat];
+            if !self.runs(seat) || self.my_term(seat) != Some(heard.term) || heard.complete == 0 {
+                continue;
+            }
+            let wanted = heard.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
+            let wants = Wants {
+                seat,
+                term: heard.term,
+                seq: heard.seq,
+                complete: true,
+                // Terms machine by machine: one that nothing has been wanted on
+                // since its seat moved would hold up all others of the seat.
+                machines: wanted
+                    .map(|(name, m)| (name.clone(), m.known, m.tasks.clone()))
+                    .collect(),
+                terms: Vec::new(),
+                knows: heard.knows.clone(),
+            };
+            frame.wants.push(wants.to_message());
+        }
+        frame.views = self.posts.keys().filter_map(|m| self.views.get(m)).cloned().collect();
+        frame.progress = self
+            .jobs
+            .iter()
+            .map(|(id, j)| peer::Progress { job: id.clone(), done: j.done(), running: j.running() })
+            .collect();
+        frame.hints = self
+            .views
+            .values()
+            .filter(|v| !self.posts.contains_key(&v.machine) && !v.address.is_empty())
+            .map(|v| peer::Hint {
+                machine: v.machine.clone(),
+                session: v.session,
+                address: v.address.clone(),
+            })
+            .collect();
+        frame.gone = self.gone.iter().rev().take(500).cloned().collect();
+        frame
+    }
+
+    /// A seat has a new term: what is wanted on its machines is said anew, with
+    /// all that was concluded under the earlier one.
+    pub(super) fn tell_terms(&mut self) {
+        for h in 0..self.seats.len() {
+            if self.seats[h].term > self.told_terms[h] {
+                self.told_terms[h] = self.seats[h].term;
+                self.untold = true;
+                let there: Vec<(usize, Rc<str>)> = self
+                    .by_machine
+                    .keys()
+                    .filter(|(_, m)| self.seat_of_machine(m) == h)
+                    .cloned()
+                    .collect();
+                self.dirty_wants.extend(there);
+            }
+        }
+    }
+}
