--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,6 +24,7 @@
 mod finals;
 mod frames;
 mod holder;
+mod known;
 mod op;
 mod owner;
 mod pipeline;
@@ -33,26 +34,28 @@
 mod reach;
 mod renter;
 mod seats;
+mod status;
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
 use crate::peer::{self, Frame, MachineView, WantedTask};
 use crate::state::{Bucket, StateCall, WRITE_SHARE};
 use crate::time::Micros;
-use crate::wire::{JobStage, MachineType};
+use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
 use fleet::Fleet;
 use frames::PeerInfo;
 use image::ImageIndex;
-use job::{Job, StoredStage};
+use job::Job;
+use known::Known;
 use machine::{Key, Post};
 use op::{Op, Watch};
 use quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use seat::{Lease, Seat};
-use serde_json::Value;
+use status::Counts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -85,34 +88,6 @@
     tasks: Vec<WantedTask>,
 }
 
-/// What is known of a job's stage from the state service.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Known {
-    stage: StoredStage,
-    seat: usize,
-    tasks: u32,
-    /// Version of its key that says so; it changes once, with the final stage.
-    mark: u64,
-}
-
-/// Counters for the status page.
-#[derive(Debug, Clone, Default)]
-struct Counts {
-    accepted: u64,
-    refused: u64,
-    done: u64,
-    cancelled: u64,
-    placed: u64,
-    image_hits: u64,
-    failed: u64,
-    lost: u64,
-    preempted: u64,
-    reports: u64,
-    bad_reports: u64,
-}
-
-/// Jobs whose final stage is remembered in memory; older ones are read again.
-const KNOWN_JOBS: usize = 40_000;
 /// How often the log tells of refused requests.
 const REFUSALS_EVERY: Micros = Micros::secs(10);
 /// All of a controller's state.
@@ -562,139 +537,4 @@
         let (hold, _) = self.seats[seat].hold.as_ref()?;
         self.member_number(&hold.member)
     }
-
-    fn note_known(&mut self, job: &str, known: Known) {
-        match self.known.insert(job.to_string(), known) {
-            // A stage that is final stays: an answer read earlier may come later.
-            Some(old) if old.stage != StoredStage::Accepted => {
-                self.known.insert(job.to_string(), old);
-                self.finals.correct(job, known.mark);
-                return;
-            }
-            Some(_) => {}
-            None => self.known_order.push_back(job.to_string()),
-        }
-        if known.stage != StoredStage::Accepted {
-            self.finals.add(self.now, job, known.mark);
-            self.pipelines.over(job);
-        }
-        if known.stage == StoredStage::Cancelled {
-            self.stop_on_machines(job);
-        }
-        while self.known_order.len() > KNOWN_JOBS {
-            if let Some(old) = self.known_order.pop_front() {
-                self.known.remove(&old);
-                self.progress.remove(&old);
-            }
-        }
-    }
-
-    /// For the status page.
-    pub fn status(&self, now: Micros) -> Value {
-        let seats: Vec<Value> = self
-            .seats
-            .iter()
-            .enumerate()
-            .map(|(n, s)| {
-                serde_json::json!({
-                    "seat": n,
-                    "holder": s.hold.as_ref().map(|(h, _)| &h.member),
-                    "term": s.term,
-                    "mine": s.mine.is_some(),
-                    "loaded": s.mine.as_ref().is_some_and(|m| m.loaded),
-                })
-            })
-            .collect();
-        let machines: Vec<Value> = self
-            .views
-            .values()
-            .map(|v| {
-                serde_json::json!({
-                    "machine": v.machine, "type": v.machine_type, "zone": v.zone,
-                    "spot": v.spot, "known": v.known, "healthy": v.healthy,
-                    "tasks": v.tasks.len(),
-                })
-            })
-            .collect();
-        let c = &self.counts;
-        serde_json::json!({
-            "member": self.member,
-            "lease_valid": self.lease.valid(now),
-            "seats": seats,
-            "jobs": self.jobs.len(),
-            "jobs_that_need_others": self.jobs.values().filter(|j| j.waiting).count(),
-            "tasks_waiting": self.jobs.values().map(|j| u64::from(j.pending())).sum::<u64>(),
-            "machines": machines,
-            "rented": self.fleet.stages(),
-            "image_entries": self.images.len(),
-            "counts": {
-                "accepted": c.accepted, "refused": c.refused, "done": c.done,
-                "cancelled": c.cancelled, "placed": c.placed, "image_hits": c.image_hits,
-                "failed": c.failed, "lost": c.lost, "preempted": c.preempted,
-                "reports": c.reports, "bad_reports": c.bad_reports,
-            },
-        })
-    }
-
-    /// Tells the log how many tasks wait for what.
-    fn log_waiting(&self) {
-        if !log::log_enabled!(log::Level::Debug) {
-            return;
-        }
-        let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled && !j.over && j.pending() > 0) {
-            *counts.entry((&j.spec.class, &j.spec.team, j.waits)).or_default() += j.pending();
-        }
-        for ((class, team, reason), tasks) in counts {
-            log::debug!("{tasks} tasks of {class}, team {team}, wait: {reason}");
-        }
-    }
-
-    /// The queue as plain text: in order of service, each with why it waits.
-    pub fn queue_page(&self, _now: Micros) -> String {
-        use std::fmt::Write;
-        let mut page = String::from("job class team priority waiting running done reason\n");
-        for (_, id) in self.queue_order() {
-            if let Some(j) = self.jobs.get(&id) {
-                // Writing into a String cannot fail.
-                let _ = writeln!(
-                    page,
-                    "{id} {} {} {:?} {} {} {} {}",
-                    j.spec.class,
-                    j.spec.team,
-                    j.spec.priority,
-                    j.pending(),
-                    j.running(),
-                    j.done(),
-                    j.waits
-                );
-            }
-        }
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.waiting && !j.cancelled && !j.over) {
-            let needs: Vec<&str> = j.upstream.iter().map(String::as_str).collect();
-            let _ = writeln!(
-                page,
-                "{id} {} {} {:?} {} 0 0 needs {}",
-                j.spec.class,
-                j.spec.team,
-                j.spec.priority,
-                j.pending(),
-                needs.join(" ")
-            );
-        }
-        page
-    }
-
-    /// Number of seats held, for tests and the log.
-    pub fn seats_held(&self) -> usize {
-        self.seats.iter().filter(|s| s.mine.is_some()).count()
-    }
-
-    fn stage_word(stage: StoredStage) -> JobStage {
-        match stage {
-            StoredStage::Accepted => JobStage::Queued,
-            StoredStage::Done => JobStage::Done,
-            StoredStage::Cancelled => JobStage::Cancelled,
-        }
-    }
 }
