--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -2,16 +2,13 @@
 //! has changed here is told to them.
 
 use super::fleet;
+use super::timers::{DEMAND_EVERY, HEARTBEAT_EVERY, MISSED_EVERY, PROGRESS_EVERY};
 use super::{Controller, Effect, Watch};
 use crate::peer::{self, Frame, Wants};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Between news of jobs' progress.
-const PROGRESS_EVERY: Micros = Micros::millis(400);
-/// How often a peer is told that something of it was missed.
-const MISSED_EVERY: Micros = Micros::secs(1);
 /// A peer that has been silent for longer does not count as alive.
 const PEER_SILENT: Micros = Micros::secs(3);
 
@@ -145,8 +142,8 @@
     pub(super) fn send_frames(&mut self, mut frame: Frame) {
         let acting = self.acting();
         // For display alone, and counted anew for every job: now and then will do.
-        if self.now >= self.progress_at {
-            self.progress_at = self.now + PROGRESS_EVERY;
+        if self.now >= self.timers.progress {
+            self.timers.progress = self.now + PROGRESS_EVERY;
             for job in std::mem::take(&mut self.dirty_progress) {
                 if let Some(j) = self.jobs.get(&job) {
                     let (done, running) = (j.done(), j.running());
@@ -161,17 +158,17 @@
         frame.gone = std::mem::take(&mut self.note_gone);
         frame.preempt = std::mem::take(&mut self.note_preempt);
         frame.pressing = std::mem::take(&mut self.pipelines.news);
-        if self.now >= self.missed_at {
+        if self.now >= self.timers.missed_frames {
             let behind = self.peers.iter().filter(|(_, p)| p.behind);
             frame.missed = behind.map(|(n, _)| *n as u32).collect();
             if !frame.missed.is_empty() {
-                self.missed_at = self.now + MISSED_EVERY;
+                self.timers.missed_frames = self.now + MISSED_EVERY;
             }
         }
-        let beat = self.now >= self.beat_at;
+        let beat = self.now >= self.timers.heartbeat;
         let idle = frame == Frame::default() && !std::mem::take(&mut self.finals.acknowledge);
-        if beat || self.now >= self.demand_at {
-            self.demand_at = self.now + Micros::millis(400);
+        if beat || self.now >= self.timers.demand {
+            self.timers.demand = self.now + DEMAND_EVERY;
             if acting {
                 frame.has_demand = true;
                 frame.demand = self.demand();
@@ -183,7 +180,7 @@
             return;
         }
         if beat {
-            self.beat_at = self.now + Micros::millis(800);
+            self.timers.heartbeat = self.now + HEARTBEAT_EVERY;
             let again = self.retell_cancelled();
             frame.cancelled.extend(again);
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -35,6 +35,7 @@
 mod renter;
 mod seats;
 mod status;
+mod timers;
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
@@ -59,6 +60,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
+use timers::Timers;
 
 /// Tasks by job and number.
 type TaskSet = BTreeSet<(String, u32)>;
@@ -88,8 +90,6 @@
     tasks: Vec<WantedTask>,
 }
 
-/// How often the log tells of refused requests.
-const REFUSALS_EVERY: Micros = Micros::secs(10);
 /// All of a controller's state.
 pub struct Controller {
     member: String,
@@ -169,7 +169,6 @@
     counts: Counts,
     /// Requests refused since the log last told of it, by status and reason.
     refusals: BTreeMap<(u16, String), u64>,
-    refusals_at: Micros,
     /// What the last health check was told: why this node takes no requests.
     told_health: Option<Option<&'static str>>,
     /// When this process last might act.
@@ -193,8 +192,6 @@
     finals: finals::Finals,
     cancels: cancel::Cancels,
     note_gone: Vec<String>,
-    /// When peers of whom something was missed were last told so.
-    missed_at: Micros,
     /// Number of the last frame.
     frames: u64,
     note_preempt: Vec<peer::Preempt>,
@@ -209,13 +206,7 @@
     may_give: BTreeMap<String, f64>,
     /// CPUs that may still be claimed by stopping others within a guarantee.
     may_claim: BTreeMap<String, f64>,
-    guarantees_at: Micros,
-    beat_at: Micros,
-    tend_at: Micros,
-    demand_at: Micros,
-    progress_at: Micros,
-    remind_at: Micros,
-    quota_at: Micros,
+    timers: Timers,
 }
 
 impl Controller {
@@ -303,7 +294,6 @@
             fleet: Fleet::default(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
-            refusals_at: Micros::ZERO,
             told_health: None,
             acted_at: Micros::ZERO,
             was_acting: false,
@@ -320,7 +310,6 @@
             finals: finals::Finals::default(),
             cancels: cancel::Cancels::default(),
             note_gone: Vec::new(),
-            missed_at: Micros::ZERO,
             frames: 0,
             note_preempt: Vec::new(),
             asked: BTreeMap::new(),
@@ -330,13 +319,7 @@
             placed_at: Micros::ZERO,
             may_give: BTreeMap::new(),
             may_claim: BTreeMap::new(),
-            guarantees_at: Micros::ZERO,
-            beat_at: Micros::ZERO,
-            tend_at: Micros::ZERO,
-            demand_at: Micros::ZERO,
-            progress_at: Micros::ZERO,
-            remind_at: Micros::ZERO,
-            quota_at: Micros::ZERO,
+            timers: Timers::default(),
             options,
         }
     }
@@ -426,14 +409,14 @@
         self.tend_unknown();
         self.tend_pipelines();
         self.send_hellos();
-        if self.now >= self.tend_at {
-            self.tend_at = self.now + Micros::millis(250);
+        if self.now >= self.timers.upkeep {
+            self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
             self.tend_posts();
             self.tend_jobs();
             self.remind_of_unseen();
             self.tend_asked();
-            if self.now >= self.guarantees_at {
-                self.guarantees_at = self.now + Micros::secs(1);
+            if self.now >= self.timers.guarantees {
+                self.timers.guarantees = self.now + timers::GUARANTEES_EVERY;
                 self.tend_guarantees();
                 self.raise_starved();
                 self.reserve_for_large();
@@ -441,12 +424,12 @@
             self.count_unseen();
             self.place_wanted = true;
         }
-        if self.now >= self.quota_at {
-            self.quota_at = self.now + Micros::millis(300);
+        if self.now >= self.timers.quotas {
+            self.timers.quotas = self.now + timers::QUOTAS_EVERY;
             self.tend_quotas();
         }
-        if self.now >= self.refusals_at {
-            self.refusals_at = self.now + REFUSALS_EVERY;
+        if self.now >= self.timers.refusals {
+            self.timers.refusals = self.now + timers::REFUSALS_EVERY;
             self.log_refusals();
             self.log_waiting();
         }
@@ -479,7 +462,7 @@
             }
             self.store_dirty();
             self.send_frames(frame);
-        } else if self.now >= self.beat_at || !self.note_cancelled.is_empty() {
+        } else if self.now >= self.timers.heartbeat || !self.note_cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
         self.tell_settled();
--- a/src/controller/owner.rs
+++ b/src/controller/owner.rs
@@ -334,10 +334,10 @@
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
     pub(super) fn remind_of_unseen(&mut self) {
-        if !self.acting() || self.now < self.remind_at {
+        if !self.acting() || self.now < self.timers.reminder {
             return;
         }
-        self.remind_at = self.now + REMIND;
+        self.timers.reminder = self.now + REMIND;
         let wall = self.wall();
         let unseen = |p: &Placement| p.seen.is_none() && wall.since(p.at) > REMIND;
         let mut machines: Vec<(usize, Rc<str>)> = Vec::new();
--- /dev/null
+++ b/src/controller/timers.rs
@@ -0,0 +1,43 @@
+//! When the controller's periodic work is due, and how often.
+
+use crate::time::Micros;
+
+/// Between rounds of upkeep over machines and jobs.
+pub(super) const UPKEEP_EVERY: Micros = Micros::millis(250);
+/// Between recomputations of what teams may claim within their guarantees.
+pub(super) const GUARANTEES_EVERY: Micros = Micros::secs(1);
+/// Between looks at the division of the teams' limits.
+pub(super) const QUOTAS_EVERY: Micros = Micros::millis(300);
+/// Between log lines about refused requests.
+pub(super) const REFUSALS_EVERY: Micros = Micros::secs(10);
+/// Between frames to peers while nothing changes.
+pub(super) const HEARTBEAT_EVERY: Micros = Micros::millis(800);
+/// Between frames that carry this process's waiting tasks.
+pub(super) const DEMAND_EVERY: Micros = Micros::millis(400);
+/// Between frames that carry jobs' progress.
+pub(super) const PROGRESS_EVERY: Micros = Micros::millis(400);
+/// How often a peer is told that a frame of it was missed.
+pub(super) const MISSED_EVERY: Micros = Micros::secs(1);
+
+/// When each kind of periodic work is due next.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Timers {
+    /// A frame to every peer, even if nothing has changed.
+    pub(super) heartbeat: Micros,
+    /// Upkeep of machines, jobs and requests to make room.
+    pub(super) upkeep: Micros,
+    /// Waiting tasks and lacking limits, told to peers.
+    pub(super) demand: Micros,
+    /// Jobs' progress, told to peers.
+    pub(super) progress: Micros,
+    /// Repetition of what is wanted of tasks that nobody has seen.
+    pub(super) reminder: Micros,
+    /// Division of the teams' limits.
+    pub(super) quotas: Micros,
+    /// Claims within the teams' guarantees.
+    pub(super) guarantees: Micros,
+    /// Log lines about refused requests.
+    pub(super) refusals: Micros,
+    /// Word to peers of whom a frame was missed.
+    pub(super) missed_frames: Micros,
+}
