--- a/src/controller/accept.rs
+++ b/src/controller/accept.rs
@@ -258,7 +258,7 @@
             if job.waiting {
                 self.pipelines.wait(&spec.id);
             }
-            self.dirty_jobs.insert(spec.id.clone());
+            self.changes.jobs.insert(spec.id.clone());
             self.jobs.insert(spec.id.clone(), job);
             self.place_wanted = true;
         }
--- a/src/controller/bundle.rs
+++ b/src/controller/bundle.rs
@@ -66,7 +66,7 @@
             return false;
         }
         for (id, _) in &changed {
-            self.dirty_jobs.remove(id);
+            self.changes.jobs.remove(id);
             if let Some(job) = self.jobs.get_mut(id) {
                 job.busy = true;
                 job.lazy_since = None;
@@ -105,7 +105,7 @@
         for (id, _) in &jobs {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.busy = false;
-                self.dirty_jobs.insert(id.clone());
+                self.changes.jobs.insert(id.clone());
             }
         }
         match reply {
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -78,7 +78,7 @@
         };
         let machines = self.posts.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
         let machines: Vec<String> = machines.collect();
-        self.dirty_posts.extend(machines);
+        self.changes.machines.extend(machines);
     }
 
     /// A machine has a task of a job of which nothing is known here: it may have
@@ -120,7 +120,7 @@
     /// A cancellation was confirmed here: peers are told now, and again until each
     /// is known to have heard.
     pub(super) fn tell_cancelled(&mut self, id: &str, mark: u64) {
-        self.note_cancelled.push(id.to_string());
+        self.changes.cancelled.push(id.to_string());
         let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
         self.cancels.retold.insert(id.to_string(), (mark, until));
     }
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -135,7 +135,7 @@
             self.hear_hint(h);
         }
         if frame.missed.contains(&(self.me as u32)) {
-            self.sync_peers.insert(from);
+            self.changes.peers_to_sync.insert(from);
         }
     }
 
@@ -144,7 +144,7 @@
         // For display alone, and counted anew for every job: now and then will do.
         if self.now >= self.timers.progress {
             self.timers.progress = self.now + PROGRESS_EVERY;
-            for job in std::mem::take(&mut self.dirty_progress) {
+            for job in std::mem::take(&mut self.changes.progress) {
                 if let Some(j) = self.jobs.get(&job) {
                     let (done, running) = (j.done(), j.running());
                     if self.progress.get(&job) != Some(&(done, running)) {
@@ -154,9 +154,9 @@
                 }
             }
         }
-        frame.cancelled = std::mem::take(&mut self.note_cancelled);
-        frame.gone = std::mem::take(&mut self.note_gone);
-        frame.preempt = std::mem::take(&mut self.note_preempt);
+        frame.cancelled = std::mem::take(&mut self.changes.cancelled);
+        frame.gone = std::mem::take(&mut self.changes.terminated);
+        frame.preempt = std::mem::take(&mut self.changes.preemptions);
         frame.pressing = std::mem::take(&mut self.pipelines.news);
         if self.now >= self.timers.missed_frames {
             let behind = self.peers.iter().filter(|(_, p)| p.behind);
@@ -176,7 +176,7 @@
                 frame.strays = self.strays();
             }
         }
-        if idle && !beat && self.sync_peers.is_empty() {
+        if idle && !beat && self.changes.peers_to_sync.is_empty() {
             return;
         }
         if beat {
@@ -204,7 +204,7 @@
             }
         }
         let frame = Rc::new(frame);
-        let sync = std::mem::take(&mut self.sync_peers);
+        let sync = std::mem::take(&mut self.changes.peers_to_sync);
         let peers: Vec<usize> = self.peers.keys().copied().collect();
         for to in peers {
             let frame = if sync.contains(&to) && acting {
@@ -216,7 +216,7 @@
         }
         if !acting {
             // Nothing could be said yet; the new connections still need all of it.
-            self.sync_peers = sync;
+            self.changes.peers_to_sync = sync;
         }
     }
 
@@ -277,14 +277,14 @@
         for h in 0..self.seats.len() {
             if self.seats[h].term > self.told_terms[h] {
                 self.told_terms[h] = self.seats[h].term;
-                self.untold = true;
+                self.changes.known_terms = true;
                 let there: Vec<(usize, Rc<str>)> = self
                     .by_machine
                     .keys()
                     .filter(|(_, m)| self.seat_of_machine(m) == h)
                     .cloned()
                     .collect();
-                self.dirty_wants.extend(there);
+                self.changes.desired.extend(there);
             }
         }
     }
--- a/src/controller/holder.rs
+++ b/src/controller/holder.rs
@@ -115,7 +115,7 @@
         let known = post.known;
         self.note_outcomes(&machine, outcomes);
         let commands = if known { self.commands(&machine, Way::Answer) } else { Vec::new() };
-        self.dirty_posts.insert(machine);
+        self.changes.machines.insert(machine);
         let body = serde_json::to_vec(&ReportReply { token: term, commands }).unwrap_or_default();
         self.out.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
@@ -239,7 +239,7 @@
         }
         self.posts.entry(machine.to_string()).or_default();
         self.push(machine);
-        self.dirty_posts.insert(machine.to_string());
+        self.changes.machines.insert(machine.to_string());
     }
 
     /// Whether everything that the job's seat wants on machines of a seat has been
@@ -526,7 +526,7 @@
             self.note_outcomes(machine, outcomes);
         }
         self.push(machine);
-        self.dirty_posts.insert(machine.to_string());
+        self.changes.machines.insert(machine.to_string());
     }
 
     /// Looks for machines that have been silent for longer than a lease.
@@ -564,7 +564,7 @@
                 }
             }
         }
-        self.dirty_posts.extend(changed);
+        self.changes.machines.extend(changed);
         for (machine, session, address) in deaf {
             self.ask(&machine, session, address);
         }
@@ -588,7 +588,7 @@
 
     /// Sends the views that have changed, to the own owner hat first.
     pub(super) fn send_views(&mut self, frame: &mut Frame) {
-        for machine in std::mem::take(&mut self.dirty_posts) {
+        for machine in std::mem::take(&mut self.changes.machines) {
             let s = self.seat_of_machine(&machine);
             let Some(term) = self.my_term(s) else {
                 continue;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,6 +21,7 @@
 mod api;
 mod bundle;
 pub mod cancel;
+mod changes;
 mod finals;
 mod frames;
 mod holder;
@@ -45,6 +46,7 @@
 use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
+use changes::PendingChanges;
 use fleet::Fleet;
 use frames::PeerInfo;
 use image::ImageIndex;
@@ -179,25 +181,14 @@
     seq: u64,
     /// Terms of the seats that own seats' wants have taken into account.
     told_terms: Vec<u64>,
-    dirty_jobs: BTreeSet<String>,
-    dirty_wants: BTreeSet<(usize, Rc<str>)>,
-    /// Own seats that must say which terms they know, if nothing else.
-    untold: bool,
-    complete_wants: BTreeSet<usize>,
-    dirty_posts: BTreeSet<String>,
-    dirty_progress: BTreeSet<String>,
-    note_cancelled: Vec<String>,
     pipelines: pipeline::Pipelines,
     /// Final stages that peers may not have heard of yet, and who is to be told.
     finals: finals::Finals,
     cancels: cancel::Cancels,
-    note_gone: Vec<String>,
     /// Number of the last frame.
     frames: u64,
-    note_preempt: Vec<peer::Preempt>,
     /// Tasks of other seats that were asked to make room, and when.
     asked: BTreeMap<Key, (Micros, Rc<str>)>,
-    sync_peers: BTreeSet<usize>,
     place_wanted: bool,
     /// Placements that nothing has been seen of, as last counted.
     unseen: usize,
@@ -207,6 +198,7 @@
     /// CPUs that may still be claimed by stopping others within a guarantee.
     may_claim: BTreeMap<String, f64>,
     timers: Timers,
+    changes: PendingChanges,
 }
 
 impl Controller {
@@ -299,27 +291,18 @@
             was_acting: false,
             seq: 0,
             told_terms: vec![0; count],
-            dirty_jobs: BTreeSet::new(),
-            dirty_wants: BTreeSet::new(),
-            untold: false,
-            complete_wants: BTreeSet::new(),
-            dirty_posts: BTreeSet::new(),
-            dirty_progress: BTreeSet::new(),
-            note_cancelled: Vec::new(),
             pipelines: pipeline::Pipelines::default(),
             finals: finals::Finals::default(),
             cancels: cancel::Cancels::default(),
-            note_gone: Vec::new(),
             frames: 0,
-            note_preempt: Vec::new(),
             asked: BTreeMap::new(),
-            sync_peers: BTreeSet::new(),
             place_wanted: false,
             unseen: 0,
             placed_at: Micros::ZERO,
             may_give: BTreeMap::new(),
             may_claim: BTreeMap::new(),
             timers: Timers::default(),
+            changes: PendingChanges::default(),
             options,
         }
     }
@@ -341,10 +324,10 @@
             }
             Event::Peer { from, frame } => self.peer_frame(from, *frame),
             Event::PeerUp(peer) => {
-                self.sync_peers.insert(peer);
+                self.changes.peers_to_sync.insert(peer);
             }
             Event::PeerDown(peer) => {
-                self.sync_peers.remove(&peer);
+                self.changes.peers_to_sync.remove(&peer);
             }
             Event::Tick => self.tick(),
         }
@@ -450,10 +433,10 @@
             // Wants may change views, and views may end tasks; what is left
             // after a few rounds waits for the next turn.
             for _ in 0..3 {
-                if self.dirty_wants.is_empty()
-                    && self.complete_wants.is_empty()
-                    && self.dirty_posts.is_empty()
-                    && !self.untold
+                if self.changes.desired.is_empty()
+                    && self.changes.complete_desired.is_empty()
+                    && self.changes.machines.is_empty()
+                    && !self.changes.known_terms
                 {
                     break;
                 }
@@ -462,7 +445,7 @@
             }
             self.store_dirty();
             self.send_frames(frame);
-        } else if self.now >= self.timers.heartbeat || !self.note_cancelled.is_empty() {
+        } else if self.now >= self.timers.heartbeat || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
         self.tell_settled();
--- a/src/controller/owner.rs
+++ b/src/controller/owner.rs
@@ -114,7 +114,7 @@
                             log::debug!("task {id}/{index} runs on {machine} after {took} ms");
                             job.refused = 0;
                         }
-                        self.dirty_progress.insert(id.to_string());
+                        self.changes.progress.insert(id.to_string());
                     }
                     None
                 }
@@ -178,7 +178,7 @@
         let machine = Rc::clone(&p.machine);
         let s = job.seat;
         self.touch_slot(&machine);
-        self.dirty_wants.insert((s, machine));
+        self.changes.desired.insert((s, machine));
     }
 
     /// Asks for a task to be stopped.
@@ -196,7 +196,7 @@
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
         self.touch_slot(&machine);
-        self.dirty_wants.insert((s, machine));
+        self.changes.desired.insert((s, machine));
     }
 
     /// One of our tasks is to make room for a more urgent one.
@@ -230,7 +230,7 @@
         for index in placed {
             self.stop_task(id, index, Micros::ZERO);
         }
-        self.dirty_jobs.insert(id.to_string());
+        self.changes.jobs.insert(id.to_string());
     }
 
     /// A job's user has cancelled it: on some node, perhaps this one.
@@ -259,7 +259,7 @@
         self.posts.remove(machine);
         self.views.remove(machine);
         self.touch_slot(machine);
-        self.dirty_posts.remove(machine);
+        self.changes.machines.remove(machine);
         self.fleet.forget(machine);
         for s in 0..self.seats.len() {
             self.judge_machine(s, machine);
@@ -304,9 +304,9 @@
         }
         job.lazy_since.get_or_insert(now);
         let s = job.seat;
-        self.dirty_jobs.insert(id.to_string());
-        self.dirty_progress.insert(id.to_string());
-        self.dirty_wants.insert((s, Rc::clone(&machine)));
+        self.changes.jobs.insert(id.to_string());
+        self.changes.progress.insert(id.to_string());
+        self.changes.desired.insert((s, Rc::clone(&machine)));
         self.touch_slot(&machine);
         self.place_wanted = true;
     }
@@ -345,7 +345,7 @@
             let placed = job.parts.iter().flat_map(|part| part.placed.values());
             machines.extend(placed.filter(|p| unseen(p)).map(|p| (job.seat, p.machine.clone())));
         }
-        self.dirty_wants.extend(machines);
+        self.changes.desired.extend(machines);
     }
 
     /// Reads again how a job stands in the store.
@@ -371,14 +371,14 @@
         if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
             self.drop_bundle();
         }
-        if self.dirty_jobs.is_empty() || self.stores >= STORES || !self.acting() {
+        if self.changes.jobs.is_empty() || self.stores >= STORES || !self.acting() {
             return;
         }
         let now = self.now;
         let level = self.puts.level(now);
         let accepting = self.accept_reserve();
         let mut order: Vec<(Haste, u32, Micros, String)> = Vec::new();
-        for id in &self.dirty_jobs {
+        for id in &self.changes.jobs {
             let Some(job) = self.jobs.get(id) else {
                 order.push((Haste::Now, 0, Micros::ZERO, id.clone()));
                 continue;
@@ -408,7 +408,7 @@
     fn store(&mut self, id: &str, haste: Haste) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
-            self.dirty_jobs.remove(id);
+            self.changes.jobs.remove(id);
             return;
         };
         let s = job.seat;
@@ -440,7 +440,7 @@
             }
             if job.booked() > 0 {
                 self.refresh_job_wants(id);
-                self.dirty_jobs.remove(id);
+                self.changes.jobs.remove(id);
                 return;
             }
             job.over = true;
@@ -508,7 +508,7 @@
             }
             if parts.is_empty() {
                 if !rest {
-                    self.dirty_jobs.remove(id);
+                    self.changes.jobs.remove(id);
                 }
                 return;
             }
@@ -516,7 +516,7 @@
         job.busy = true;
         job.lazy_since = rest.then(|| job.lazy_since.unwrap_or(now));
         if !rest {
-            self.dirty_jobs.remove(id);
+            self.changes.jobs.remove(id);
         }
         self.stores += 1;
         let op = Op::Store { job: id.to_string(), term, parts, done, drops };
@@ -532,7 +532,7 @@
     }
 
     fn forget_job(&mut self, id: &str) {
-        self.dirty_jobs.remove(id);
+        self.changes.jobs.remove(id);
         self.refresh_job_wants(id);
         self.acceptance.unbundle(id);
         if let Some(job) = self.jobs.remove(id) {
@@ -549,7 +549,7 @@
                         self.by_machine.remove(&key);
                     }
                 }
-                self.dirty_wants.insert(key);
+                self.changes.desired.insert(key);
             }
         }
     }
@@ -565,7 +565,7 @@
             .filter(|((s, _), tasks)| *s == seat && tasks.iter().any(|(j, _)| j == id))
             .map(|(k, _)| k.clone())
             .collect();
-        self.dirty_wants.extend(keys);
+        self.changes.desired.extend(keys);
     }
 
     pub(super) fn store_reply(&mut self, op: Op, reply: StateReply) {
@@ -588,7 +588,7 @@
             return;
         }
         job.busy = false;
-        self.dirty_jobs.insert(id.clone());
+        self.changes.jobs.insert(id.clone());
         match (op, reply) {
             (Op::Store { parts, done, drops, .. }, StateReply::Applied(mark)) => {
                 self.stored(&id, mark, &parts, done, &drops);
@@ -743,7 +743,7 @@
         }
         for (machine, index) in touched {
             self.unlink(id, index, &machine);
-            self.dirty_wants.insert((s, machine));
+            self.changes.desired.insert((s, machine));
         }
     }
 
@@ -819,17 +819,17 @@
     /// hat first.
     pub(super) fn send_wants(&mut self, frame: &mut Frame) {
         let mut changed: BTreeMap<usize, (bool, Vec<Rc<str>>)> = BTreeMap::new();
-        for s in std::mem::take(&mut self.complete_wants) {
+        for s in std::mem::take(&mut self.changes.complete_desired) {
             let all = self.by_machine.keys().filter(|(seat, _)| *seat == s);
             changed.insert(s, (true, all.map(|(_, m)| Rc::clone(m)).collect()));
         }
-        for (s, m) in std::mem::take(&mut self.dirty_wants) {
+        for (s, m) in std::mem::take(&mut self.changes.desired) {
             let (complete, machines) = changed.entry(s).or_default();
             if !*complete {
                 machines.push(m);
             }
         }
-        if std::mem::take(&mut self.untold) {
+        if std::mem::take(&mut self.changes.known_terms) {
             for s in 0..self.seats.len() {
                 changed.entry(s).or_default();
             }
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -286,7 +286,7 @@
     /// Parts with placements that are not stored yet, of jobs that are as urgent: the
     /// others are written after them and hold nothing up.
     fn waiting_parts(&self, rank: u32) -> usize {
-        let dirty = self.dirty_jobs.iter().filter_map(|id| self.jobs.get(id));
+        let dirty = self.changes.jobs.iter().filter_map(|id| self.jobs.get(id));
         dirty.filter(|j| j.rank() <= rank).map(Job::fresh_parts).sum()
     }
 
@@ -526,9 +526,9 @@
                 list.push(at);
             }
             self.images.note(now, &spec.image, &machine, session);
-            self.dirty_wants.insert((s, Rc::clone(&machine)));
+            self.changes.desired.insert((s, Rc::clone(&machine)));
             self.by_machine.entry((s, machine)).or_default().insert((id.to_string(), index));
-            self.dirty_jobs.insert(id.to_string());
+            self.changes.jobs.insert(id.to_string());
         };
         pass.seats.insert(key, used);
         if let Some(j) = self.jobs.get_mut(id) {
@@ -655,7 +655,7 @@
         } else {
             let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
             self.asked.insert(key, (self.now, Rc::clone(machine)));
-            self.note_preempt.push(p);
+            self.changes.preemptions.push(p);
         }
     }
 
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -210,7 +210,7 @@
             (Op::Return { names }, CloudReply::Returned) => {
                 // By now the machines and everything on them are gone.
                 for name in names {
-                    self.note_gone.push(name.clone());
+                    self.changes.terminated.push(name.clone());
                     self.machine_gone(&name);
                     self.fleet.forget(&name);
                 }
@@ -235,7 +235,7 @@
         }
         self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
         self.place_wanted = true;
-        self.dirty_posts.extend(self.posts.keys().cloned());
+        self.changes.machines.extend(self.posts.keys().cloned());
     }
 
     /// Writes the types down, once a holding of the renting seat: a process that
@@ -343,7 +343,7 @@
         gone.extend(failed(&list));
         for name in gone {
             if !self.gone.contains(&name) {
-                self.note_gone.push(name.clone());
+                self.changes.terminated.push(name.clone());
                 self.machine_gone(&name);
             }
         }
--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -231,11 +231,11 @@
         self.jobs.retain(|_, j| j.seat != s);
         self.by_machine.retain(|(seat, _), _| *seat != s);
         self.lose_bundles(s);
-        self.dirty_wants.retain(|(seat, _)| *seat != s);
-        self.complete_wants.remove(&s);
+        self.changes.desired.retain(|(seat, _)| *seat != s);
+        self.changes.complete_desired.remove(&s);
         let seats = self.seats.len();
         self.posts.retain(|m, _| seat::seat_of_machine(m, seats) != s);
-        self.dirty_posts.retain(|m| seat::seat_of_machine(m, seats) != s);
+        self.changes.machines.retain(|m| seat::seat_of_machine(m, seats) != s);
         if s == super::fleet::RENTING_SEAT {
             self.fleet = super::fleet::Fleet::default();
         }
@@ -278,7 +278,7 @@
             .collect();
         for m in machines {
             self.posts.entry(m.clone()).or_default();
-            self.dirty_posts.insert(m);
+            self.changes.machines.insert(m);
         }
         // Where they are is known from the views of the earlier holder, or
         // from a peer that had heard them.
@@ -683,8 +683,8 @@
                         .insert((id.clone(), *index));
                 }
             }
-            self.dirty_jobs.insert(id.clone());
-            self.dirty_progress.insert(id.clone());
+            self.changes.jobs.insert(id.clone());
+            self.changes.progress.insert(id.clone());
             self.jobs.insert(id, job);
         }
         let first = match &mut self.seats[s].mine {
@@ -693,7 +693,7 @@
         };
         info!("seat {s} term {}: {count} unfinished jobs read", l.term);
         // The whole of the seat's wants: whatever it does not name is not wanted.
-        self.complete_wants.insert(s);
+        self.changes.complete_desired.insert(s);
         let machines: Vec<String> = self
             .by_machine
             .keys()
