--- a/src/controller/accept.rs
+++ b/src/controller/admission.rs
@@ -1,8 +1,8 @@
 //! Accepting jobs: one transaction of `j/REF` and `w/S/REF/0` for each.
 //!
 //! Where more come than this node's share of changes can take one by one, those
-//! that wait are accepted together: an `j/REF` each, and one key, a *bundle*, with
-//! all their descriptions. What is written of them later: see [`super::bundle`].
+//! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
+//! all their descriptions. What is written of them later: see [`super::batch`].
 
 use super::job::{self, Job, StoredStage};
 use super::pipeline::Fate;
@@ -16,19 +16,19 @@
 use std::rc::Rc;
 
 /// How long after a submission others are expected.
-const ACCEPTING: Micros = Micros::millis(500);
-/// Changes that an acceptance by itself makes.
-pub(super) const ACCEPT_PUTS: usize = 2;
+const ADMITTING: Micros = Micros::millis(500);
+/// Changes that an admission of one job makes.
+pub(super) const ADMISSION_PUTS: usize = 2;
 /// A submission that has waited for longer is answered, to be sent again.
 const GIVEN_UP: Micros = Micros::millis(2_500);
 /// Bytes of a value that is full: some are left for what surrounds the list.
 const FULL: f64 = 0.95;
-/// Bytes that a job takes in a bundle beside its description, at most.
+/// Bytes that a job takes in a batch beside its description, at most.
 const PART_BYTES: f64 = 100.0;
 
 /// A submission on its way to the state service.
 #[derive(Debug, Clone)]
-pub(super) struct Arrival {
+pub(super) struct Submission {
     pub ticket: Ticket,
     pub spec: Rc<JobSpec>,
     /// Time of day at which it came.
@@ -40,7 +40,7 @@
 
 /// Descriptions of jobs accepted together.
 #[derive(Debug, Clone)]
-pub(super) struct Bundle {
+pub(super) struct Batch {
     pub seat: usize,
     pub mark: u64,
     /// Jobs whose description stands nowhere else.
@@ -49,17 +49,17 @@
     pub busy: bool,
 }
 
-/// Submissions that wait, and the bundles that are still needed.
+/// Submissions that wait, and the batches that are still needed.
 #[derive(Debug, Default)]
-pub(super) struct Acceptance {
-    waiting: Vec<Arrival>,
-    pub bundles: BTreeMap<String, Bundle>,
-    /// Where a job's description is, if in a bundle.
-    pub bundled: BTreeMap<String, String>,
+pub(super) struct Admission {
+    waiting: Vec<Submission>,
+    pub batches: BTreeMap<String, Batch>,
+    /// Where a job's description is, if in a batch.
+    pub batched: BTreeMap<String, String>,
     count: u64,
 }
 
-impl Acceptance {
+impl Admission {
     /// Submissions that wait for their turn.
     pub fn len(&self) -> usize {
         self.waiting.len()
@@ -71,87 +71,87 @@
     }
 
     /// A job's description stands on its own, or the job is over.
-    pub fn unbundle(&mut self, id: &str) {
-        if let Some(key) = self.bundled.remove(id)
-            && let Some(b) = self.bundles.get_mut(&key)
+    pub fn unbatch(&mut self, id: &str) {
+        if let Some(key) = self.batched.remove(id)
+            && let Some(b) = self.batches.get_mut(&key)
         {
             b.jobs.remove(id);
         }
     }
 
-    /// Takes in a bundle that was read or written.
-    pub fn bundle(&mut self, key: &str, seat: usize, mark: u64, jobs: BTreeSet<String>) {
+    /// Takes in a batch that was read or written.
+    pub fn batch(&mut self, key: &str, seat: usize, mark: u64, jobs: BTreeSet<String>) {
         for id in &jobs {
-            self.bundled.insert(id.clone(), key.to_string());
+            self.batched.insert(id.clone(), key.to_string());
         }
-        self.bundles.entry(key.to_string()).or_insert(Bundle { seat, mark, jobs, busy: false });
+        self.batches.entry(key.to_string()).or_insert(Batch { seat, mark, jobs, busy: false });
     }
 
     /// Forgets what belonged to a seat that is lost.
     fn forget_seat(&mut self, s: usize) {
-        self.bundles.retain(|_, b| b.seat != s);
-        let kept = &self.bundles;
-        self.bundled.retain(|_, key| kept.contains_key(key));
+        self.batches.retain(|_, b| b.seat != s);
+        let kept = &self.batches;
+        self.batched.retain(|_, key| kept.contains_key(key));
     }
 }
 
 impl Controller {
     /// Puts a submission that can be accepted among those that wait.
-    pub(super) fn arrive(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
-        self.accepting_until = self.now + ACCEPTING;
-        let arrival = Arrival { ticket, spec, accepted: self.wall(), came: self.now, size };
-        self.acceptance.waiting.push(arrival);
+    pub(super) fn queue_submission(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+        self.admitting_until = self.now + ADMITTING;
+        let arrival = Submission { ticket, spec, accepted: self.wall(), came: self.now, size };
+        self.admission.waiting.push(arrival);
     }
 
     /// True while submissions wait for their share of changes.
     pub fn accepting(&self) -> bool {
-        self.acceptance.len() > 0
+        self.admission.len() > 0
     }
 
-    /// Changes that others leave to acceptances: while submissions come, their
+    /// Changes that others leave to admissions: while submissions come, their
     /// users wait for them.
-    pub(super) fn accept_reserve(&self) -> f64 {
-        if self.now < self.accepting_until { self.puts.burst() / 2.0 } else { 0.0 }
+    pub(super) fn admission_reserve(&self) -> f64 {
+        if self.now < self.admitting_until { self.puts.burst() / 2.0 } else { 0.0 }
     }
 
     /// Sends waiting submissions to the state service: one by one while there is
     /// plenty of this node's share, together where there is not.
-    pub(super) fn accept_waiting(&mut self) {
-        while self.acceptance.len() > 0 {
+    pub(super) fn admit_waiting(&mut self) {
+        while self.admission.len() > 0 {
             let seat = self.accepting_seat();
             let mine = seat.and_then(|s| Some((s, self.seats[s].mine.clone()?)));
             let Some((s, mine)) = mine else {
                 return self.refuse_waiting("no seat is held");
             };
-            let waiting = self.acceptance.len();
+            let waiting = self.admission.len();
             let level = self.puts.level(self.now);
-            let plenty = level >= (waiting * ACCEPT_PUTS) as f64 + self.puts.burst() / 2.0;
-            let count = if plenty { 1 } else { self.bundle_size() };
-            let puts = if count == 1 { ACCEPT_PUTS } else { count + 1 };
+            let plenty = level >= (waiting * ADMISSION_PUTS) as f64 + self.puts.burst() / 2.0;
+            let count = if plenty { 1 } else { self.batch_size() };
+            let puts = if count == 1 { ADMISSION_PUTS } else { count + 1 };
             // No more than what writes of tasks leave: waiting for more, it would
             // wait for ever behind them.
-            if level < (puts as f64).min(1.0 + self.accept_reserve()) {
+            if level < (puts as f64).min(1.0 + self.admission_reserve()) {
                 return;
             }
-            let list: Vec<Arrival> = self.acceptance.waiting.drain(..count).collect();
-            self.accept(s, &mine, list);
+            let list: Vec<Submission> = self.admission.waiting.drain(..count).collect();
+            self.admit(s, &mine, list);
         }
     }
 
     /// How many of those that wait fit in one transaction and one value.
-    fn bundle_size(&self) -> usize {
+    fn batch_size(&self) -> usize {
         let state = &self.settings.state;
         let mut left = state.value_kb * 1024.0 * FULL;
         let share = (self.puts.burst() / 2.0) as usize;
-        let most = state.txn_ops.saturating_sub(1).min(share).clamp(1, self.acceptance.len());
-        let fits = |a: &&Arrival| {
+        let most = state.txn_ops.saturating_sub(1).min(share).clamp(1, self.admission.len());
+        let fits = |a: &&Submission| {
             left -= a.size as f64 + PART_BYTES;
             left > 0.0
         };
-        self.acceptance.waiting[..most].iter().take_while(fits).count().max(1)
+        self.admission.waiting[..most].iter().take_while(fits).count().max(1)
     }
 
-    fn accept(&mut self, s: usize, mine: &seat::Mine, list: Vec<Arrival>) {
+    fn admit(&mut self, s: usize, mine: &seat::Mine, list: Vec<Submission>) {
         let mut txn = Txn {
             conditions: vec![Condition { key: seat::hold_key(s), version: mine.mark }],
             writes: Vec::new(),
@@ -166,29 +166,29 @@
             job.parts[0].version = 1;
             values.push(job.encode_part(0));
         }
-        let bundle = (list.len() > 1).then(|| {
-            self.acceptance.count += 1;
-            job::bundle_key(s, mine.term, self.acceptance.count)
+        let batch = (list.len() > 1).then(|| {
+            self.admission.count += 1;
+            job::batch_key(s, mine.term, self.admission.count)
         });
-        let (key, value) = match (&bundle, values.pop()) {
+        let (key, value) = match (&batch, values.pop()) {
             (None, Some(one)) => (job::part_key(s, &list[0].spec.id, 0), one),
             (Some(key), Some(last)) => {
                 values.push(last);
-                (key.clone(), job::encode_bundle(values))
+                (key.clone(), job::encode_batch(values))
             }
             (_, None) => return,
         };
         txn.conditions.push(Condition { key: key.clone(), version: 0 });
         txn.writes.push(Write::Put { key, value, lease: None });
-        self.state(Op::Accept { list, seat: s, term: mine.term, bundle }, StateCall::Txn(txn));
+        self.state(Op::Admit { list, seat: s, term: mine.term, batch }, StateCall::Txn(txn));
     }
 
-    pub(super) fn accept_reply(
+    pub(super) fn admission_reply(
         &mut self,
-        list: Vec<Arrival>,
+        list: Vec<Submission>,
         s: usize,
         term: u64,
-        bundle: Option<String>,
+        batch: Option<String>,
         reply: StateReply,
     ) {
         self.submissions = self.submissions.saturating_sub(list.len());
@@ -196,12 +196,12 @@
             StateReply::Applied(mark) => {
                 // The seat may have been lost meanwhile; whoever has it reads the jobs.
                 let held = self.seats[s].mine.as_ref().is_some_and(|m| m.term == term);
-                if let Some(key) = bundle.as_ref().filter(|_| held) {
+                if let Some(key) = batch.as_ref().filter(|_| held) {
                     let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
-                    self.acceptance.bundle(key, s, mark, jobs);
+                    self.admission.batch(key, s, mark, jobs);
                 }
                 for a in list {
-                    self.accepted(a, s, mark, held, bundle.is_some());
+                    self.accepted(a, s, mark, held, batch.is_some());
                 }
             }
             StateReply::Conflict(failed) => {
@@ -211,10 +211,10 @@
                 }
                 for a in list {
                     let known = failed.contains(&job::job_key(&a.spec.id));
-                    if !lost && !known && bundle.is_some() && self.acting() {
+                    if !lost && !known && batch.is_some() && self.acting() {
                         // Another of them was known already; this one is not.
                         self.submissions += 1;
-                        self.acceptance.waiting.push(a);
+                        self.admission.waiting.push(a);
                         continue;
                     }
                     let otherwise = Refusal::new("undecided");
@@ -235,7 +235,7 @@
         }
     }
 
-    fn accepted(&mut self, a: Arrival, s: usize, mark: u64, held: bool, bundled: bool) {
+    fn accepted(&mut self, a: Submission, s: usize, mark: u64, held: bool, batched: bool) {
         let spec = a.spec;
         info!(
             "job {} accepted: {} tasks of {}, team {}",
@@ -251,9 +251,9 @@
         if held && !self.jobs.contains_key(&spec.id) {
             let mut job = Job::new(Rc::clone(&spec), s, mark, a.accepted, self.part_size);
             let part = &mut job.parts[0];
-            // In a bundle it has no key of its own yet.
+            // In a batch it has no key of its own yet.
             (part.version, part.stored) = (1, 1);
-            part.mark = if bundled { 0 } else { mark };
+            part.mark = if batched { 0 } else { mark };
             job.cancelled = cancelled;
             if job.waiting {
                 self.pipelines.wait(&spec.id);
@@ -279,10 +279,10 @@
             return self.refuse_waiting("state service away");
         }
         let now = self.now;
-        let over = |a: &Arrival| now.since(a.came) > GIVEN_UP;
+        let over = |a: &Submission| now.since(a.came) > GIVEN_UP;
         let (late, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.acceptance.waiting).into_iter().partition(over);
-        self.acceptance.waiting = rest;
+            std::mem::take(&mut self.admission.waiting).into_iter().partition(over);
+        self.admission.waiting = rest;
         for a in late {
             self.submissions = self.submissions.saturating_sub(1);
             self.later(a.ticket, 429, "too many submissions wait");
@@ -290,21 +290,21 @@
     }
 
     fn refuse_waiting(&mut self, why: &str) {
-        for a in std::mem::take(&mut self.acceptance.waiting) {
+        for a in std::mem::take(&mut self.admission.waiting) {
             self.submissions = self.submissions.saturating_sub(1);
             self.later(a.ticket, 503, why);
         }
     }
 
     /// A seat is lost, and what it had accepted is another's to remember.
-    pub(super) fn lose_bundles(&mut self, s: usize) {
-        self.acceptance.forget_seat(s);
+    pub(super) fn forget_batches(&mut self, s: usize) {
+        self.admission.forget_seat(s);
     }
 
-    /// Removes a bundle that no job needs any more, when nothing urgent waits.
-    pub(super) fn drop_bundle(&mut self) {
-        let idle = |b: &Bundle| b.jobs.is_empty() && !b.busy;
-        let found = self.acceptance.bundles.iter_mut().find(|(_, b)| idle(b));
+    /// Removes a batch that no job needs any more, when nothing urgent waits.
+    pub(super) fn drop_batch(&mut self) {
+        let idle = |b: &Batch| b.jobs.is_empty() && !b.busy;
+        let found = self.admission.batches.iter_mut().find(|(_, b)| idle(b));
         let Some((key, b)) = found else {
             return;
         };
@@ -319,26 +319,26 @@
             ],
             writes: vec![Write::Delete { key: key.clone() }],
         };
-        let op = Op::DropBundle { key: key.clone(), term: mine.term };
+        let op = Op::DropBatch { key: key.clone(), term: mine.term };
         self.state(op, StateCall::Txn(txn));
     }
 
-    pub(super) fn bundle_reply(&mut self, key: &str, term: u64, reply: StateReply) {
-        let Some(b) = self.acceptance.bundles.get_mut(key) else {
+    pub(super) fn batch_reply(&mut self, key: &str, term: u64, reply: StateReply) {
+        let Some(b) = self.admission.batches.get_mut(key) else {
             return;
         };
         b.busy = false;
         let s = b.seat;
         match reply {
             StateReply::Applied(_) => {
-                self.acceptance.bundles.remove(key);
+                self.admission.batches.remove(key);
             }
             StateReply::Conflict(failed) if failed.contains(&seat::hold_key(s)) => {
                 self.suspect_seat(s, term);
             }
             // An earlier try was applied after all.
             StateReply::Conflict(_) => {
-                self.acceptance.bundles.remove(key);
+                self.admission.batches.remove(key);
             }
             _ => {}
         }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,6 +1,6 @@
 //! What users and workers ask: routing, submissions, polls, cancellations.
 
-use super::accept::ACCEPT_PUTS;
+use super::admission::ADMISSION_PUTS;
 use super::job::{self, JobRecord, StoredStage};
 use super::pipeline::Fate;
 use super::{Controller, Effect, Known, Op, Ticket, seat};
@@ -159,7 +159,7 @@
         if self.accepting_seat().is_none() {
             return self.later(ticket, 503, "no seat is held");
         }
-        if self.acceptance.holds(&spec.id) {
+        if self.admission.holds(&spec.id) {
             return self.later(ticket, 503, "undecided");
         }
         let queued: usize = self.jobs.values().map(|j| j.spec.tasks as usize).sum();
@@ -183,14 +183,14 @@
             return self.gather(ticket, Rc::new(spec), size);
         }
         self.submissions += 1;
-        self.arrive(ticket, Rc::new(spec), size);
+        self.queue_submission(ticket, Rc::new(spec), size);
     }
 
     /// Submissions that may wait for the store: no more than it can take while
     /// their users still listen.
     fn most_submissions(&self) -> usize {
         let share = self.puts.burst();
-        let in_time = share * LISTENS_S / ACCEPT_PUTS as f64;
+        let in_time = share * LISTENS_S / ADMISSION_PUTS as f64;
         self.options.waiting_submissions.min((in_time as usize).max(2))
     }
 
@@ -294,8 +294,8 @@
 
     pub(super) fn api_reply(&mut self, op: Op, reply: StateReply) {
         match op {
-            Op::Accept { list, seat, term, bundle } => {
-                self.accept_reply(list, seat, term, bundle, reply);
+            Op::Admit { list, seat, term, batch } => {
+                self.admission_reply(list, seat, term, batch, reply);
             }
             Op::SubmitRead { ticket, job, sent, otherwise } => match self.read_record(&job, &reply)
             {
@@ -316,7 +316,7 @@
                 None => self.later(ticket, 503, "state service away"),
             },
             Op::Poll { tickets, job, sent } => self.poll_read(tickets, &job, sent, &reply),
-            Op::Check { jobs, sent } => self.checked(jobs, sent, reply),
+            Op::CompareStages { jobs, sent } => self.stages_compared(jobs, sent, reply),
             Op::CancelRead { ticket, job, tries } => match self.read_record(&job, &reply) {
                 // It is cancelled already with one that it needs.
                 Some(Some((known, _))) if matches!(self.fate_of(&job), Fate::Cancelled { .. }) => {
--- a/src/controller/bundle.rs
+++ b/src/controller/batch.rs
@@ -1,9 +1,9 @@
 //! Jobs of a task or two that were accepted together stay together.
 //!
-//! Their bundle is rewritten whole when something of them is placed or ends:
+//! Their batch is rewritten whole when something of them is placed or ends:
 //! thousands of single tasks would otherwise take a change each for their keys,
 //! one more for each placement and one to remove them. Larger jobs move to keys of
-//! their own with their first change; those count before the bundle. The bundle is
+//! their own with their first change; those count before the batch. The batch is
 //! removed once no job needs it.
 
 use super::job::{self, Job};
@@ -13,37 +13,37 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Whether what is written of a job goes into the bundle that it came in.
-    pub(super) fn stays_bundled(&self, id: &str) -> bool {
+    /// Whether what is written of a job goes into the batch that it came in.
+    pub(super) fn stays_batched(&self, id: &str) -> bool {
         let small = |j: &Job| {
-            j.spec.tasks <= job::BUNDLED_TASKS && !j.cancelled && !j.over && !j.complete()
+            j.spec.tasks <= job::BATCHED_TASKS && !j.cancelled && !j.over && !j.complete()
         };
-        self.acceptance.bundled.contains_key(id) && self.jobs.get(id).is_some_and(small)
+        self.admission.batched.contains_key(id) && self.jobs.get(id).is_some_and(small)
     }
 
-    /// Writes a job's bundle with all that has changed of its jobs; false if the
+    /// Writes a job's batch with all that has changed of its jobs; false if the
     /// job is to have a key of its own after all.
-    pub(super) fn store_bundle(&mut self, id: &str) -> bool {
-        let Some(key) = self.acceptance.bundled.get(id).cloned() else {
+    pub(super) fn store_batch(&mut self, id: &str) -> bool {
+        let Some(key) = self.admission.batched.get(id).cloned() else {
             return false;
         };
-        let Some(bundle) = self.acceptance.bundles.get(&key) else {
+        let Some(batch) = self.admission.batches.get(&key) else {
             return false;
         };
-        if bundle.busy {
+        if batch.busy {
             return true;
         }
-        let s = bundle.seat;
+        let s = batch.seat;
         let Some(mine) = self.seats[s].mine.as_ref() else {
             return true;
         };
         let term = mine.term;
         let mut conditions = vec![
             Condition { key: seat::hold_key(s), version: mine.mark },
-            Condition { key: key.clone(), version: bundle.mark },
+            Condition { key: key.clone(), version: batch.mark },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
-        let known = bundle.jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
+        let known = batch.jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
         // What is over is said by its record.
         for (id, job) in known.filter(|(_, j)| !j.over) {
             let part = &job.parts[0];
@@ -58,7 +58,7 @@
                 values.push(job.encode_part(0));
             }
         }
-        let value = job::encode_bundle(values);
+        let value = job::encode_batch(values);
         let most = self.settings.state.value_kb * 1024.0;
         // It may be of a time with larger limits.
         let conditions_fit = conditions.len() <= 4 * self.settings.state.txn_ops;
@@ -72,17 +72,17 @@
                 job.lazy_since = None;
             }
         }
-        if let Some(bundle) = self.acceptance.bundles.get_mut(&key) {
-            bundle.busy = true;
+        if let Some(batch) = self.admission.batches.get_mut(&key) {
+            batch.busy = true;
         }
         self.stores += 1;
         let writes = vec![Write::Put { key: key.clone(), value, lease: None }];
-        let op = Op::StoreBundle { key, term, jobs: changed };
+        let op = Op::StoreBatch { key, term, jobs: changed };
         self.state(op, StateCall::Txn(Txn { conditions, writes }));
         true
     }
 
-    pub(super) fn bundle_stored(
+    pub(super) fn batch_stored(
         &mut self,
         key: &str,
         term: u64,
@@ -90,17 +90,17 @@
         reply: StateReply,
     ) {
         self.stores = self.stores.saturating_sub(1);
-        let Some(bundle) = self.acceptance.bundles.get_mut(key) else {
+        let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        let s = bundle.seat;
+        let s = batch.seat;
         // A reply to an earlier holding of the seat says nothing about this one.
         if self.seats[s].mine.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
-        bundle.busy = false;
+        batch.busy = false;
         if let StateReply::Applied(mark) = reply {
-            bundle.mark = mark;
+            batch.mark = mark;
         }
         for (id, _) in &jobs {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -124,39 +124,39 @@
                     self.recheck(id);
                 }
                 if failed.iter().any(|k| k == key) {
-                    self.read_bundle(key, term);
+                    self.read_batch(key, term);
                 }
             }
             // It may have been applied, or may be later: what is stored decides,
-            // and a late one fails on the bundle's mark.
-            _ => self.read_bundle(key, term),
+            // and a late one fails on the batch's mark.
+            _ => self.read_batch(key, term),
         }
     }
 
-    fn read_bundle(&mut self, key: &str, term: u64) {
-        if let Some(bundle) = self.acceptance.bundles.get_mut(key) {
-            bundle.busy = true;
-            let op = Op::ReadBundle { key: key.to_string(), term };
+    fn read_batch(&mut self, key: &str, term: u64) {
+        if let Some(batch) = self.admission.batches.get_mut(key) {
+            batch.busy = true;
+            let op = Op::ReadBatch { key: key.to_string(), term };
             self.state(op, StateCall::Get(key.to_string()));
         }
     }
 
-    pub(super) fn bundle_read(&mut self, key: &str, term: u64, reply: StateReply) {
-        let Some(bundle) = self.acceptance.bundles.get_mut(key) else {
+    pub(super) fn batch_read(&mut self, key: &str, term: u64, reply: StateReply) {
+        let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        if self.seats[bundle.seat].mine.as_ref().is_none_or(|m| m.term != term) {
+        if self.seats[batch.seat].mine.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
-        bundle.busy = false;
+        batch.busy = false;
         // Unread, the next write fails on its mark and leads here again.
         let StateReply::Value(Some(item)) = reply else {
             return;
         };
-        bundle.mark = item.version;
+        batch.mark = item.version;
         let version = |(id, v): (String, serde_json::Value)| Some((id, v.get("v")?.as_u64()?));
         let stored: BTreeMap<String, u64> =
-            job::decode_bundle(&item.value).into_iter().filter_map(version).collect();
+            job::decode_batch(&item.value).into_iter().filter_map(version).collect();
         for (id, version) in stored {
             let applied = self.jobs.get(&id).is_some_and(|j| {
                 let part = &j.parts[0];
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -166,7 +166,8 @@
             }
         }
         let beat = self.now >= self.timers.heartbeat;
-        let idle = frame == Frame::default() && !std::mem::take(&mut self.finals.acknowledge);
+        let idle =
+            frame == Frame::default() && !std::mem::take(&mut self.terminal_states.acknowledge);
         if beat || self.now >= self.timers.demand {
             self.timers.demand = self.now + DEMAND_EVERY;
             if acting {
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -68,26 +68,26 @@
 
 /// Key of descriptions of jobs that were accepted together. The term and the
 /// number make it unique; jobs' ids never begin like it.
-pub fn bundle_key(seat: usize, term: u64, number: u64) -> String {
+pub fn batch_key(seat: usize, term: u64, number: u64) -> String {
     format!("w/{seat}/_{term}-{number}/0")
 }
 
-/// Whether a name in a key under `w/S/` is a bundle's instead of a job's.
-pub fn is_bundle(name: &str) -> bool {
+/// Whether a name in a key under `w/S/` is a batch's instead of a job's.
+pub fn is_batch(name: &str) -> bool {
     name.starts_with('_')
 }
 
-/// Jobs of so few tasks stay in their bundle: rewritten whole, it says more with
+/// Jobs of so few tasks stay in their batch: rewritten whole, it says more with
 /// one change than a key for each.
-pub const BUNDLED_TASKS: u32 = 2;
+pub const BATCHED_TASKS: u32 = 2;
 
-/// The value of a bundle: part 0 of each of its jobs, as it would stand alone.
-pub fn encode_bundle(parts: Vec<Value>) -> Value {
+/// The value of a batch: part 0 of each of its jobs, as it would stand alone.
+pub fn encode_batch(parts: Vec<Value>) -> Value {
     serde_json::json!({ "jobs": parts })
 }
 
-/// The jobs of a bundle with their part 0; what cannot be read is left out.
-pub fn decode_bundle(value: &Value) -> Vec<(String, Value)> {
+/// The jobs of a batch with their part 0; what cannot be read is left out.
+pub fn decode_batch(value: &Value) -> Vec<(String, Value)> {
     let parts = value.get("jobs").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
     let read = |v: &Value| Some((StoredPart::deserialize(v).ok()?.s?.id, v.clone()));
     parts.iter().filter_map(read).collect()
--- a/src/controller/known.rs
+++ b/src/controller/known.rs
@@ -4,7 +4,7 @@
 use super::job::StoredStage;
 use crate::wire::JobStage;
 
-/// Jobs whose final stage is remembered in memory; older ones are read again.
+/// Jobs whose terminal state is remembered in memory; older ones are read again.
 const KNOWN_JOBS: usize = 40_000;
 
 /// What is known of a job's stage from the state service.
@@ -13,7 +13,7 @@
     pub(super) stage: StoredStage,
     pub(super) seat: usize,
     pub(super) tasks: u32,
-    /// Version of its key that says so; it changes once, with the final stage.
+    /// Version of its key that says so; it changes once, with the terminal state.
     pub(super) mark: u64,
 }
 
@@ -23,14 +23,14 @@
             // A stage that is final stays: an answer read earlier may come later.
             Some(old) if old.stage != StoredStage::Accepted => {
                 self.known.insert(job.to_string(), old);
-                self.finals.correct(job, known.mark);
+                self.terminal_states.correct(job, known.mark);
                 return;
             }
             Some(_) => {}
             None => self.known_order.push_back(job.to_string()),
         }
         if known.stage != StoredStage::Accepted {
-            self.finals.add(self.now, job, known.mark);
+            self.terminal_states.add(self.now, job, known.mark);
             self.pipelines.over(job);
         }
         if known.stage == StoredStage::Cancelled {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -17,12 +17,11 @@
 pub mod seat;
 pub mod slots;
 
-mod accept;
+mod admission;
 mod api;
-mod bundle;
+mod batch;
 pub mod cancel;
 mod changes;
-mod finals;
 mod frames;
 mod holder;
 mod known;
@@ -30,12 +29,13 @@
 mod owner;
 mod pipeline;
 mod placer;
-mod questions;
 mod quotas;
 mod reach;
 mod renter;
 mod seats;
 mod status;
+mod status_queries;
+mod terminal_states;
 mod timers;
 
 use crate::cloud::CloudCall;
@@ -130,10 +130,10 @@
     /// that are larger than it will later.
     larger: Option<job::PartSize>,
     submissions: usize,
-    questions: questions::Questions,
-    acceptance: accept::Acceptance,
+    status_queries: status_queries::StatusQueries,
+    admission: admission::Admission,
     /// Submissions came a moment ago: more may, and writes leave them a share.
-    accepting_until: Micros,
+    admitting_until: Micros,
 
     wants: Vec<HeardWants>,
     slots: slots::Slots,
@@ -183,7 +183,7 @@
     told_terms: Vec<u64>,
     pipelines: pipeline::Pipelines,
     /// Final stages that peers may not have heard of yet, and who is to be told.
-    finals: finals::Finals,
+    terminal_states: terminal_states::TerminalStates,
     cancels: cancel::Cancels,
     /// Number of the last frame.
     frames: u64,
@@ -255,9 +255,9 @@
             larger: (config.settings.state.value_kb_now > config.settings.state.value_kb)
                 .then(|| job::PartSize::new(config.settings.state.value_kb_now)),
             submissions: 0,
-            questions: questions::Questions::new(&config.settings.state, count),
-            acceptance: accept::Acceptance::default(),
-            accepting_until: Micros::ZERO,
+            status_queries: status_queries::StatusQueries::new(&config.settings.state, count),
+            admission: admission::Admission::default(),
+            admitting_until: Micros::ZERO,
             wants: vec![HeardWants::default(); count],
             slots: slots::Slots::default(),
             dirty_slots: BTreeSet::new(),
@@ -292,7 +292,7 @@
             seq: 0,
             told_terms: vec![0; count],
             pipelines: pipeline::Pipelines::default(),
-            finals: finals::Finals::default(),
+            terminal_states: terminal_states::TerminalStates::default(),
             cancels: cancel::Cancels::default(),
             frames: 0,
             asked: BTreeMap::new(),
@@ -337,10 +337,10 @@
     fn reply(&mut self, op: Op, reply: Reply) {
         match reply {
             Reply::State(r) => match op {
-                Op::Accept { .. }
+                Op::Admit { .. }
                 | Op::SubmitRead { .. }
                 | Op::Poll { .. }
-                | Op::Check { .. }
+                | Op::CompareStages { .. }
                 | Op::CancelRead { .. }
                 | Op::CancelWrite { .. } => self.api_reply(op, r),
                 Op::Store { .. } | Op::Recheck { .. } | Op::RecheckParts { .. } => {
@@ -357,9 +357,9 @@
                 }
                 Op::Cascade { job, seat, tasks } => self.cascaded(&job, seat, tasks, &r),
                 Op::StoreTypes | Op::StoredTypes => self.types_reply(op, r),
-                Op::StoreBundle { key, term, jobs } => self.bundle_stored(&key, term, jobs, r),
-                Op::ReadBundle { key, term } => self.bundle_read(&key, term, r),
-                Op::DropBundle { key, term } => self.bundle_reply(&key, term, r),
+                Op::StoreBatch { key, term, jobs } => self.batch_stored(&key, term, jobs, r),
+                Op::ReadBatch { key, term } => self.batch_read(&key, term, r),
+                Op::DropBatch { key, term } => self.batch_reply(&key, term, r),
                 Op::QuotaList | Op::QuotaRead { .. } | Op::QuotaWrite { .. } => {
                     self.quota_reply(op, r)
                 }
@@ -388,7 +388,7 @@
         self.tend_reach();
         self.tend_seats();
         self.tend_waiting();
-        self.tend_questions();
+        self.maintain_status_queries();
         self.tend_unknown();
         self.tend_pipelines();
         self.send_hellos();
@@ -423,9 +423,9 @@
     /// wants, views, and one frame for each peer.
     pub fn flush(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
-        self.ask_together();
+        self.send_status_comparisons();
         if self.acting() {
-            self.accept_waiting();
+            self.admit_waiting();
             self.tell_terms();
             self.place();
             self.store_dirty();
@@ -448,7 +448,7 @@
         } else if self.now >= self.timers.heartbeat || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
-        self.tell_settled();
+        self.answer_settled();
         out.append(&mut self.out);
     }
 
@@ -462,7 +462,7 @@
     fn state(&mut self, op: Op, call: StateCall) {
         self.puts.level(self.now);
         self.puts.take(call.puts() as f64);
-        self.questions.note_call(self.now, &call);
+        self.status_queries.note_call(self.now, &call);
         let id = self.call_id(op);
         self.out.push(Effect::State { id, call });
     }
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -1,9 +1,9 @@
 //! What the calls under way to the state service, the cloud and workers are for.
 
-use super::accept::Arrival;
+use super::admission::Submission;
 use super::event::Ticket;
 use super::machine::Key;
-use super::questions::Asked;
+use super::status_queries::QueriedJobs;
 use crate::time::Micros;
 use crate::wire::JobSpec;
 use serde_json::Value;
@@ -32,18 +32,18 @@
     Release { seat: usize },
     Load { seat: usize, term: u64 },
     LoadJob { seat: usize, term: u64, job: String },
-    Accept { list: Vec<Arrival>, seat: usize, term: u64, bundle: Option<String> },
+    Admit { list: Vec<Submission>, seat: usize, term: u64, batch: Option<String> },
     Gather { number: u64, job: String },
     StoreUpstream { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
     ReadUpstream { job: String, number: u32 },
     Chain { ticket: Ticket, status: u16, job: String, sent: Micros },
     Cascade { job: String, seat: usize, tasks: u32 },
-    DropBundle { key: String, term: u64 },
-    StoreBundle { key: String, term: u64, jobs: Vec<(String, u64)> },
-    ReadBundle { key: String, term: u64 },
+    DropBatch { key: String, term: u64 },
+    StoreBatch { key: String, term: u64, jobs: Vec<(String, u64)> },
+    ReadBatch { key: String, term: u64 },
     SubmitRead { ticket: Ticket, job: String, sent: Micros, otherwise: (u16, Option<u64>, Vec<u8>) },
     Poll { tickets: Vec<Ticket>, job: String, sent: Micros },
-    Check { jobs: Asked, sent: Micros },
+    CompareStages { jobs: QueriedJobs, sent: Micros },
     ReadUnknown { job: String },
     CancelRead { ticket: Ticket, job: String, tries: u32 },
     CancelWrite { ticket: Ticket, job: String, seat: usize, tasks: u32, tries: u32 },
--- a/src/controller/owner.rs
+++ b/src/controller/owner.rs
@@ -369,14 +369,14 @@
     /// together, and only from a share that is not needed for the others.
     pub(super) fn store_dirty(&mut self) {
         if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
-            self.drop_bundle();
+            self.drop_batch();
         }
         if self.changes.jobs.is_empty() || self.stores >= STORES || !self.acting() {
             return;
         }
         let now = self.now;
         let level = self.puts.level(now);
-        let accepting = self.accept_reserve();
+        let accepting = self.admission_reserve();
         let mut order: Vec<(Haste, u32, Micros, String)> = Vec::new();
         for id in &self.changes.jobs {
             let Some(job) = self.jobs.get(id) else {
@@ -421,7 +421,7 @@
             return;
         };
         let (hold, term) = (mine.mark, mine.term);
-        if self.stays_bundled(id) && self.store_bundle(id) {
+        if self.stays_batched(id) && self.store_batch(id) {
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else {
@@ -534,7 +534,7 @@
     fn forget_job(&mut self, id: &str) {
         self.changes.jobs.remove(id);
         self.refresh_job_wants(id);
-        self.acceptance.unbundle(id);
+        self.admission.unbatch(id);
         if let Some(job) = self.jobs.remove(id) {
             let machines: Vec<(usize, Rc<str>)> = self
                 .by_machine
@@ -695,7 +695,7 @@
         }
     }
 
-    /// Changes are stored: they may now be acted on. The mark is 0 in a bundle.
+    /// Changes are stored: they may now be acted on. The mark is 0 in a batch.
     pub(super) fn stored(
         &mut self,
         id: &str,
@@ -724,9 +724,9 @@
         for n in drops {
             job.parts[*n].mark = 0;
         }
-        // Without a mark it was written in the bundle, where it stays.
+        // Without a mark it was written in the batch, where it stays.
         if mark > 0 && parts.iter().any(|(n, _)| *n == 0) {
-            self.acceptance.unbundle(id);
+            self.admission.unbatch(id);
         }
         if done {
             info!("job {id} done: {} tasks", job.spec.tasks);
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -162,7 +162,7 @@
             match stage(id) {
                 None => unknown.push(id.clone()),
                 Some(StoredStage::Done) => {}
-                Some(StoredStage::Cancelled) if self.finals.settled(id) => {
+                Some(StoredStage::Cancelled) if self.terminal_states.settled(id) => {
                     return Fate::Cancelled { settled: true };
                 }
                 Some(StoredStage::Cancelled) => cancelled = true,
@@ -335,7 +335,7 @@
         let lists = self.upstream_lists(&spec.upstream);
         if from + 1 >= lists.len() {
             self.submissions += 1;
-            return self.arrive(ticket, spec, size);
+            return self.queue_submission(ticket, spec, size);
         }
         let mine = self.accepting_seat().and_then(|s| Some((s, self.seats[s].mine.as_ref()?.mark)));
         let Some((s, mark)) = mine else {
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -291,7 +291,7 @@
     }
 
     /// Counts the placements of which nothing has been seen on their machines yet.
-    /// They wait in a small buffer, too: a guest's 25,000 tiny tasks, all placed at
+    /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
     /// once, took nearly all of the memory at every node.
     pub(super) fn count_unseen(&mut self) {
         let placed = self.jobs.values().flat_map(|j| &j.parts).flat_map(|p| p.placed.values());
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -136,7 +136,7 @@
     /// The more urgent goes first, equals share what is free. What is neither
     /// used nor needed for work as urgent as the others' goes back. A seat that
     /// asks at all asks for one of `seats` equal parts, as far as that is free: a
-    /// change for every job that comes would take writes from their acceptances.
+    /// change for every job that comes would take writes from their admissions.
     pub fn wanted(
         &self,
         seat: usize,
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -88,7 +88,7 @@
         }
         let mark = self.seats[s].mine.as_ref().map_or(0, |m| m.mark);
         let (waits, used) = (self.seat_waits(s, team), self.seat_usage(s, team));
-        let (seats, reserve) = (self.seats.len(), self.accept_reserve());
+        let (seats, reserve) = (self.seats.len(), self.admission_reserve());
         let all: Vec<&QuotaNeed> = self
             .peers
             .iter()
@@ -116,7 +116,7 @@
         let Some(value) = q.with_grant(s, wanted) else {
             return;
         };
-        // Acceptances go first: grants that move with every job that comes would
+        // Admissions go first: grants that move with every job that comes would
         // take their changes.
         if self.puts.level(self.now) < 1.0 + reserve {
             return;
--- a/src/controller/reach.rs
+++ b/src/controller/reach.rs
@@ -25,7 +25,7 @@
 const SETTLED: Micros = Micros::secs(8);
 /// A gap in this node's own time: it stood still, and its silence proves nothing.
 const GAP: Micros = Micros::secs(1);
-/// Between questions to workers while cut off, and how many are asked.
+/// Between status queries to workers while cut off, and how many are asked.
 const ASK_EVERY: Micros = Micros::secs(2);
 const ASKED: usize = 4;
 /// Times that the pause before seats come back is doubled at most.
--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -34,8 +34,8 @@
     /// Asked for before changes may have been missed: read again.
     stale: BTreeSet<String>,
     records: BTreeMap<String, (Option<JobRecord>, u64)>,
-    /// Descriptions from bundles: key and version of the bundle, and part 0.
-    bundled: BTreeMap<String, (String, u64, Value)>,
+    /// Descriptions from batches: key and version of the batch, and part 0.
+    batched: BTreeMap<String, (String, u64, Value)>,
 }
 
 /// A watch.
@@ -230,7 +230,7 @@
         self.loads.remove(&s);
         self.jobs.retain(|_, j| j.seat != s);
         self.by_machine.retain(|(seat, _), _| *seat != s);
-        self.lose_bundles(s);
+        self.forget_batches(s);
         self.changes.desired.retain(|(seat, _)| *seat != s);
         self.changes.complete_desired.remove(&s);
         let seats = self.seats.len();
@@ -501,9 +501,10 @@
         if s >= self.seats.len() || !self.runs(s) || self.jobs.contains_key(id) {
             return;
         }
-        let under_way = self.ops.values().any(
-            |op| matches!(op, Op::Accept { list, .. } if list.iter().any(|a| a.spec.id == id)),
-        );
+        let under_way = self
+            .ops
+            .values()
+            .any(|op| matches!(op, Op::Admit { list, .. } if list.iter().any(|a| a.spec.id == id)));
         if under_way {
             return;
         }
@@ -569,15 +570,15 @@
             }
             return;
         };
-        let (mut new, mut bundled) = (Vec::new(), Vec::new());
+        let (mut new, mut batched) = (Vec::new(), Vec::new());
         for i in &items {
             let Some((id, part)) = job::parse_part_key(&i.key) else {
                 continue;
             };
-            if job::is_bundle(id) {
-                let jobs = job::decode_bundle(&i.value).into_iter();
+            if job::is_batch(id) {
+                let jobs = job::decode_batch(&i.value).into_iter();
                 let unknown = jobs.filter(|(id, _)| !known(id, self));
-                bundled.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
+                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
             } else if !known(id, self) {
                 new.push((id.to_string(), part, i.clone()));
             }
@@ -592,9 +593,9 @@
             l.todo.insert(id.clone());
             l.parts.entry(id).or_default().insert(part, (item.value, item.version));
         }
-        for (id, found) in bundled {
+        for (id, found) in batched {
             l.todo.insert(id.clone());
-            l.bundled.insert(id, found);
+            l.batched.insert(id, found);
         }
         self.tend_load(s);
     }
@@ -628,17 +629,17 @@
             return;
         };
         // A job's own part 0 is newer than what it was accepted with.
-        let mut bundles: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
-        for (id, (key, version, value)) in l.bundled {
-            let jobs = bundles.entry((key, version)).or_default();
+        let mut batches: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
+        for (id, (key, version, value)) in l.batched {
+            let jobs = batches.entry((key, version)).or_default();
             let parts = l.parts.entry(id.clone()).or_default();
             if let Entry::Vacant(first) = parts.entry(0) {
                 first.insert((value, 0));
                 jobs.insert(id);
             }
         }
-        for ((key, version), jobs) in bundles {
-            self.acceptance.bundle(&key, s, version, jobs);
+        for ((key, version), jobs) in batches {
+            self.admission.batch(&key, s, version, jobs);
         }
         let mut count = 0;
         for (id, parts) in l.parts {
@@ -647,7 +648,7 @@
             }
             let Some((Some(record), mark)) = l.records.remove(&id) else {
                 warn!("tasks of job {id} without a record");
-                self.acceptance.unbundle(&id);
+                self.admission.unbatch(&id);
                 continue;
             };
             self.pipelines.note(&id, &record);
--- a/src/controller/questions.rs
+++ b/src/controller/status_queries.rs
@@ -1,7 +1,7 @@
-//! Questions about jobs.
+//! Status queries about jobs.
 //!
 //! What is final is answered from memory. Otherwise only the state service knows
-//! whether some node has said more by now, so every question is followed by a
+//! whether some node has said more by now, so every status query is followed by a
 //! look at it. While there is plenty of this node's share of requests each reads
 //! its job's key; in a storm those that wait are put together: one transaction
 //! that changes nothing and compares the versions of all their keys.
@@ -17,23 +17,23 @@
 use std::ops::Bound;
 
 /// Comparisons under way at once.
-const CHECKS: usize = 2;
+const COMPARISONS: usize = 2;
 /// Conditions that a transaction may have for each change that it might make.
 const CONDITIONS: usize = 4;
 /// Bytes of a transaction that conditions may take, and those of one beside its key.
-const CHECK_BYTES: usize = 48 * 1024;
+const COMPARISON_BYTES: usize = 48 * 1024;
 const CONDITION_BYTES: usize = 40;
-/// Questions that may wait; more are told to come back.
+/// Status queries that may wait; more are told to come back.
 const MOST_WAITING: usize = 2_000;
 /// A stage that is not final, or that a job is not there, is told only if the call
 /// that shows it was sent no longer ago.
 pub(super) const FRESH: Micros = Micros::millis(600);
-/// A question that has waited for longer is answered while its user listens.
+/// A status query that has waited for longer is answered while its user listens.
 const LISTENS: Micros = Micros::millis(1_600);
 
-/// Questions about one job.
+/// Status queries about one job.
 #[derive(Debug, Clone)]
-pub(super) struct Asking {
+pub(super) struct StatusQuery {
     /// Version of its key that is known.
     mark: u64,
     /// Who asks, and since when.
@@ -41,13 +41,13 @@
 }
 
 /// Jobs asked about together.
-pub(super) type Asked = BTreeMap<String, Asking>;
+pub(super) type QueriedJobs = BTreeMap<String, StatusQuery>;
 
-/// Questions that wait for a comparison.
+/// Status queries that wait for a comparison.
 #[derive(Debug)]
-pub(super) struct Questions {
-    waiting: Asked,
-    /// Questions in `waiting`.
+pub(super) struct StatusQueries {
+    waiting: QueriedJobs,
+    /// Status queries in `waiting`.
     count: usize,
     /// The job last asked about: the next ones have their turn after it.
     last: String,
@@ -56,11 +56,11 @@
     calls: Bucket,
 }
 
-impl Questions {
-    pub fn new(state: &config::StateLimits, nodes: usize) -> Questions {
+impl StatusQueries {
+    pub fn new(state: &config::StateLimits, nodes: usize) -> StatusQueries {
         let share = state.rps * CALL_SHARE / nodes.max(1) as f64;
-        Questions {
-            waiting: Asked::new(),
+        StatusQueries {
+            waiting: QueriedJobs::new(),
             count: 0,
             last: String::new(),
             under_way: 0,
@@ -77,7 +77,7 @@
     }
 
     /// The next job that is asked about.
-    fn next(&mut self) -> Option<(String, Asking)> {
+    fn next(&mut self) -> Option<(String, StatusQuery)> {
         let after = (Bound::Excluded(self.last.as_str()), Bound::Unbounded);
         let next = self.waiting.range::<str, _>(after).next().or(self.waiting.iter().next());
         self.last = next?.0.clone();
@@ -86,7 +86,7 @@
         Some(found)
     }
 
-    /// Whether a question may have a request of its own.
+    /// Whether a status query may have a request of its own.
     fn plenty(&mut self, now: Micros) -> bool {
         self.count == 0 && self.calls.level(now) > self.calls.burst() / 2.0
     }
@@ -105,13 +105,13 @@
             return self.tell(ticket, 200, id, known);
         }
         match known.filter(|k| k.mark > 0) {
-            Some(known) if !self.questions.plenty(now) => {
-                if self.questions.count >= MOST_WAITING {
+            Some(known) if !self.status_queries.plenty(now) => {
+                if self.status_queries.count >= MOST_WAITING {
                     return self.later(ticket, 429, "too many questions wait");
                 }
-                self.questions.count += 1;
-                let asked = self.questions.waiting.entry(id.to_string());
-                let asked = asked.or_insert(Asking { mark: known.mark, who: Vec::new() });
+                self.status_queries.count += 1;
+                let asked = self.status_queries.waiting.entry(id.to_string());
+                let asked = asked.or_insert(StatusQuery { mark: known.mark, who: Vec::new() });
                 asked.who.push((ticket, now));
             }
             _ => self.read_job(vec![ticket], id),
@@ -123,17 +123,17 @@
         self.state(op, StateCall::Get(job::job_key(id)));
     }
 
-    /// Sends comparisons for the questions that wait.
-    pub(super) fn ask_together(&mut self) {
-        while self.questions.count > 0
-            && self.questions.under_way < CHECKS
-            && self.questions.calls.level(self.now) >= 1.0
+    /// Sends comparisons for the status queries that wait.
+    pub(super) fn send_status_comparisons(&mut self) {
+        while self.status_queries.count > 0
+            && self.status_queries.under_way < COMPARISONS
+            && self.status_queries.calls.level(self.now) >= 1.0
         {
             let most = (self.settings.state.txn_ops * CONDITIONS).max(1);
-            let mut left = CHECK_BYTES;
-            let mut jobs = Asked::new();
+            let mut left = COMPARISON_BYTES;
+            let mut jobs = QueriedJobs::new();
             while jobs.len() < most
-                && let Some((id, asked)) = self.questions.next()
+                && let Some((id, asked)) = self.status_queries.next()
             {
                 left = left.saturating_sub(id.len() + CONDITION_BYTES);
                 jobs.insert(id, asked);
@@ -141,19 +141,19 @@
                     break;
                 }
             }
-            let condition = |(id, asked): (&String, &Asking)| Condition {
+            let condition = |(id, asked): (&String, &StatusQuery)| Condition {
                 key: job::job_key(id),
                 version: asked.mark,
             };
             let conditions = jobs.iter().map(condition).collect();
-            self.questions.under_way += 1;
+            self.status_queries.under_way += 1;
             let txn = Txn { conditions, writes: Vec::new() };
-            self.state(Op::Check { jobs, sent: self.now }, StateCall::Txn(txn));
+            self.state(Op::CompareStages { jobs, sent: self.now }, StateCall::Txn(txn));
         }
     }
 
-    pub(super) fn checked(&mut self, jobs: Asked, sent: Micros, reply: StateReply) {
-        self.questions.under_way = self.questions.under_way.saturating_sub(1);
+    pub(super) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: StateReply) {
+        self.status_queries.under_way = self.status_queries.under_way.saturating_sub(1);
         let failed = match reply {
             StateReply::Applied(_) => Vec::new(),
             StateReply::Conflict(failed) => failed,
@@ -162,7 +162,7 @@
                 return tickets.for_each(|(t, _)| self.later(t, 503, "state service away"));
             }
         };
-        for (id, Asking { mark, who: asked }) in jobs {
+        for (id, StatusQuery { mark, who: asked }) in jobs {
             // What is known by now may be newer than the comparison.
             let known = self.known.get(&id).copied();
             match known {
@@ -179,9 +179,9 @@
                 // Whether all that differ are named is not said: the others are
                 // compared once more.
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
-                    self.questions.count += asked.len();
-                    let again = self.questions.waiting.entry(id);
-                    again.or_insert(Asking { mark, who: Vec::new() }).who.extend(asked);
+                    self.status_queries.count += asked.len();
+                    let again = self.status_queries.waiting.entry(id);
+                    again.or_insert(StatusQuery { mark, who: Vec::new() }).who.extend(asked);
                 }
                 _ => self.read_job(asked.into_iter().map(|(t, _)| t).collect(), &id),
             }
@@ -224,18 +224,18 @@
         }
     }
 
-    /// Answers questions that have waited for as long as their users listen.
-    pub(super) fn tend_questions(&mut self) {
-        if self.questions.count == 0 {
+    /// Answers status queries that have waited for as long as their users listen.
+    pub(super) fn maintain_status_queries(&mut self) {
+        if self.status_queries.count == 0 {
             return;
         }
         let now = self.now;
         let mut late = Vec::new();
-        self.questions.waiting.retain(|_, Asking { who, .. }| {
+        self.status_queries.waiting.retain(|_, StatusQuery { who, .. }| {
             late.extend(who.extract_if(.., |(_, came)| now.since(*came) > LISTENS));
             !who.is_empty()
         });
-        self.questions.count -= late.len();
+        self.status_queries.count -= late.len();
         for (ticket, _) in late {
             self.later(ticket, 503, "too many questions wait");
         }
--- a/src/controller/finals.rs
+++ b/src/controller/terminal_states.rs
@@ -2,13 +2,13 @@
 //!
 //! Users may ask all nodes at the same moment. A node that has read a job's key just
 //! before its last change would answer with an older stage after another node has
-//! told the final one. So a final stage is told once every peer has heard of it, by
+//! told the final one. So a terminal state is told once every peer has heard of it, by
 //! the revision up to which it has followed the jobs; or, where a peer does not say
 //! so, once whatever it may have read before is too old for it to be told.
 
 use super::job::StoredStage;
 use super::pipeline::Fate;
-use super::questions::FRESH;
+use super::status_queries::FRESH;
 use super::{Controller, Known, Ticket};
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// Final stages that were learnt a moment ago.
 #[derive(Debug, Default)]
-pub(super) struct Finals {
+pub(super) struct TerminalStates {
     /// When each was learnt here, and the revision that made it so.
     unsettled: BTreeMap<String, (Micros, u64)>,
     /// Who is to be told of them.
@@ -30,7 +30,7 @@
     pub acknowledge: bool,
 }
 
-impl Finals {
+impl TerminalStates {
     /// A job was found to be over.
     pub fn add(&mut self, now: Micros, job: &str, mark: u64) {
         self.acknowledge = true;
@@ -43,7 +43,7 @@
         !self.unsettled.contains_key(job)
     }
 
-    /// The revision of a final stage that a peer had told without it.
+    /// The revision of a terminal state that a peer had told without it.
     pub fn correct(&mut self, job: &str, mark: u64) {
         if let Some((_, known)) = self.unsettled.get_mut(job)
             && *known == UNKNOWN
@@ -59,8 +59,8 @@
     /// Tells a user how a job stands: at once, unless the stage is final and a peer
     /// might still tell an older one.
     pub(super) fn tell(&mut self, ticket: Ticket, status: u16, id: &str, known: Known) {
-        if known.stage != StoredStage::Accepted && !self.finals.settled(id) {
-            self.finals.waiting.push((ticket, id.to_string()));
+        if known.stage != StoredStage::Accepted && !self.terminal_states.settled(id) {
+            self.terminal_states.waiting.push((ticket, id.to_string()));
             return;
         }
         if known.stage == StoredStage::Accepted {
@@ -72,7 +72,7 @@
                     return self.later(ticket, 503, "the jobs that it needs are being read");
                 }
                 Fate::Cancelled { settled: false } => {
-                    self.finals.waiting.push((ticket, id.to_string()));
+                    self.terminal_states.waiting.push((ticket, id.to_string()));
                     return;
                 }
                 Fate::Cancelled { settled: true } => {
@@ -86,17 +86,18 @@
         self.respond(ticket, status, None, &answer);
     }
 
-    /// Answers those who wait for final stages that every peer has heard of by now.
-    pub(super) fn tell_settled(&mut self) {
-        if self.finals.unsettled.is_empty() {
+    /// Answers those who wait for terminal states that every peer has heard of by now.
+    pub(super) fn answer_settled(&mut self) {
+        if self.terminal_states.unsettled.is_empty() {
             return;
         }
         let now = self.now;
         let heard = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
         let settled = |at: Micros, mark: u64| mark <= heard || now.since(at) >= SETTLED;
-        self.finals.unsettled.retain(|_, (at, mark)| !settled(*at, *mark));
-        let unsettled = &self.finals.unsettled;
-        let ready = self.finals.waiting.extract_if(.., |(_, id)| !unsettled.contains_key(id));
+        self.terminal_states.unsettled.retain(|_, (at, mark)| !settled(*at, *mark));
+        let unsettled = &self.terminal_states.unsettled;
+        let ready =
+            self.terminal_states.waiting.extract_if(.., |(_, id)| !unsettled.contains_key(id));
         for (ticket, id) in ready.collect::<Vec<_>>() {
             match self.known.get(&id).copied() {
                 Some(known) => self.tell(ticket, 200, &id, known),
--- a/tests/rehearsal/store.rs
+++ b/tests/rehearsal/store.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the state service.
 
-use millethold::controller::job::{StoredPlacement, decode_bundle, is_bundle, stored_placements};
+use millethold::controller::job::{StoredPlacement, decode_batch, is_batch, stored_placements};
 use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
 use millethold::wire::{Change, Item, Write};
@@ -223,7 +223,7 @@
 fn parts(key: &str, value: &Value) -> Vec<(String, Value)> {
     match key.strip_prefix("w/").and_then(|k| k.split('/').nth(1)) {
         None => Vec::new(),
-        Some(name) if is_bundle(name) => decode_bundle(value),
+        Some(name) if is_batch(name) => decode_batch(value),
         Some(job) => vec![(job.to_string(), value.clone())],
     }
 }
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -1020,7 +1020,7 @@
 
 #[test]
 fn bundles() {
-    use millethold::controller::job::{bundle_key, decode_bundle, encode_bundle, is_bundle};
+    use millethold::controller::job::{batch_key, decode_batch, encode_batch, is_batch};
     let size = PartSize { tasks: 5, bytes: 1_000, described: false };
     let job = |id: &str| {
         let mut body = body();
@@ -1031,12 +1031,12 @@
         j
     };
     let jobs = [job("j-000001"), job("j-000002")];
-    let value = encode_bundle(jobs.iter().map(|j| j.encode_part(0)).collect());
-    let key = bundle_key(1, 9, 4);
+    let value = encode_batch(jobs.iter().map(|j| j.encode_part(0)).collect());
+    let key = batch_key(1, 9, 4);
     let (name, part) = job::parse_part_key(&key).expect("a key under w/");
-    assert!(is_bundle(name) && part == 0, "{key}");
-    assert!(!is_bundle("j-000001"), "a job's id");
-    let back = decode_bundle(&value);
+    assert!(is_batch(name) && part == 0, "{key}");
+    assert!(!is_batch("j-000001"), "a job's id");
+    let back = decode_batch(&value);
     assert_eq!(
         back.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(),
         ["j-000001", "j-000002"]
@@ -1052,7 +1052,7 @@
     }
     let strange = [json!(null), json!({}), json!({"jobs": 3}), json!({"jobs": [1, {"v": 1}]})];
     for value in strange {
-        assert!(decode_bundle(&value).is_empty(), "{value}");
+        assert!(decode_batch(&value).is_empty(), "{value}");
     }
 }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -2,7 +2,7 @@
 //! wrote it: this one reads it, and writes the same where no job needs another.
 
 use millethold::controller::job::{
-    self, Job, JobRecord, PartSize, StoredStage, decode_bundle, encode_bundle,
+    self, Job, JobRecord, PartSize, StoredStage, decode_batch, encode_batch,
 };
 use millethold::peer::{self, Pressing};
 use millethold::time::Micros;
@@ -56,8 +56,8 @@
     job.end(5, true);
     assert_eq!(job.encode_part(0), part());
     let bundle = json!({ "jobs": [part()] });
-    assert_eq!(encode_bundle(vec![job.encode_part(0)]), bundle);
-    assert_eq!(decode_bundle(&bundle)[0].0, "j-000412");
+    assert_eq!(encode_batch(vec![job.encode_part(0)]), bundle);
+    assert_eq!(decode_batch(&bundle)[0].0, "j-000412");
 
     let table = [
         (StoredStage::Accepted, r#"{"s":2,"g":"a","n":16}"#),
