--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -355,7 +355,7 @@
                     info!("job {job} cancelled by its user");
                     let known = Known { stage: StoredStage::Cancelled, seat, tasks, mark };
                     self.note_known(&job, known);
-                    self.tell_cancelled(&job, mark);
+                    self.announce_cancelled(&job, mark);
                     self.job_cancelled(&job);
                     self.tell(ticket, 200, &job, known);
                 }
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -25,12 +25,12 @@
 /// Unknown jobs remembered at most; others are found again by their next report.
 const MOST_UNKNOWN: usize = 1_000;
 /// Cancellations repeated to peers in one frame, at most.
-const MOST_RETOLD: usize = 200;
+const MOST_REPEATED: usize = 200;
 
 /// How long after a confirmed cancellation a worker's report may still be answered
 /// by a controller that does not know of it: what a cancellation has, less the
 /// worker's own lease, which the last such answer begins anew.
-pub fn unheard_for(workers: &Workers) -> Micros {
+pub fn unanswered_limit(workers: &Workers) -> Micros {
     let lease = Micros::from_secs_f64(workers.lease_s).stretched(super::seat::DRIFT);
     Micros::from_secs_f64(workers.cancel_s).since(lease + MARGIN)
 }
@@ -39,7 +39,7 @@
 /// service refuses goes on for as long, and cannot hear of cancellations. The
 /// second value is false where no usable lease is short enough.
 pub fn fitting_lease(wished: Micros, workers: &Workers) -> (Micros, bool) {
-    let most = unheard_for(workers);
+    let most = unanswered_limit(workers);
     (wished.min(most.max(SHORTEST_LEASE)), most >= SHORTEST_LEASE)
 }
 
@@ -52,15 +52,15 @@
     read_at: Micros,
     /// Cancellations confirmed here that some peer has not heard for certain, with
     /// the revision of each and until when they are repeated.
-    retold: BTreeMap<String, (u64, Micros)>,
+    repeated: BTreeMap<String, (u64, Micros)>,
 }
 
 impl Controller {
     /// Whether every cancellation that was confirmed long enough ago has been heard.
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
-    pub(super) fn hears_cancellations(&self) -> bool {
-        let most = unheard_for(&self.settings.workers).max(self.options.seat_lease);
+    pub(super) fn cancellations_up_to_date(&self) -> bool {
+        let most = unanswered_limit(&self.settings.workers).max(self.options.seat_lease);
         let most = most.min(Micros(2 * self.options.seat_lease.0));
         let heard = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.heard());
         self.now.since(heard) <= most
@@ -119,22 +119,22 @@
 
     /// A cancellation was confirmed here: peers are told now, and again until each
     /// is known to have heard.
-    pub(super) fn tell_cancelled(&mut self, id: &str, mark: u64) {
+    pub(super) fn announce_cancelled(&mut self, id: &str, mark: u64) {
         self.changes.cancelled.push(id.to_string());
         let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
-        self.cancels.retold.insert(id.to_string(), (mark, until));
+        self.cancels.repeated.insert(id.to_string(), (mark, until));
     }
 
     /// Cancellations to be told once more.
-    pub(super) fn retell_cancelled(&mut self) -> Vec<String> {
+    pub(super) fn cancellations_to_repeat(&mut self) -> Vec<String> {
         let now = self.now;
         let heard = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
-        self.cancels.retold.retain(|_, (mark, until)| *mark > heard && now < *until);
-        self.cancels.retold.keys().take(MOST_RETOLD).cloned().collect()
+        self.cancels.repeated.retain(|_, (mark, until)| *mark > heard && now < *until);
+        self.cancels.repeated.keys().take(MOST_REPEATED).cloned().collect()
     }
 
     /// A peer says that it has confirmed a cancellation.
-    pub(super) fn hear_cancelled(&mut self, id: &str) {
+    pub(super) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
         let known = match self.known.get(id).copied() {
             Some(known) => Known { stage: cancelled, mark: 0, ..known },
--- a/src/controller/reach.rs
+++ b/src/controller/connectivity.rs
@@ -15,43 +15,43 @@
 use std::collections::BTreeMap;
 
 /// How long a report to the wrong node counts as a sign that its own is away.
-const STRAY: Micros = Micros::secs(6);
+const MISDIRECTED_FOR: Micros = Micros::secs(6);
 /// How long the signs of a cut must last: a redirected worker is heard sooner.
 const SURE: Micros = Micros::millis(1_200);
 /// The same where some workers are still heard: longer than late reports, which
 /// all come at once when a cut ends, count as signs.
 const SURE_OF_PART: Micros = Micros::secs(10);
-/// After a take its machines are on their way here; strays are no sign yet.
+/// After a take its machines are on their way here; misdirected reports are no sign yet.
 const SETTLED: Micros = Micros::secs(8);
 /// A gap in this node's own time: it stood still, and its silence proves nothing.
 const GAP: Micros = Micros::secs(1);
-/// Between status queries to workers while cut off, and how many are asked.
-const ASK_EVERY: Micros = Micros::secs(2);
-const ASKED: usize = 4;
+/// Between probes of workers while cut off, and how many are asked.
+const PROBE_EVERY: Micros = Micros::secs(2);
+const PROBED: usize = 4;
 /// Times that the pause before seats come back is doubled at most.
 const DOUBLINGS: u32 = 3;
 
 /// What is known of the way between this node and the workers.
 #[derive(Debug, Default)]
-pub(super) struct Reach {
+pub(super) struct Connectivity {
     /// When a worker of an own seat last reported or answered.
-    heard: Micros,
+    last_contact: Micros,
     /// Machines of others' seats that reported here, and when.
-    strays: BTreeMap<String, Micros>,
+    misdirected: BTreeMap<String, Micros>,
     /// Since when the signs of a cut are there.
     suspected: Option<Micros>,
     /// When this was last looked at.
-    tended: Micros,
+    checked_at: Micros,
     /// Seats are being given up, or were, and are not to come back yet.
     cut: bool,
     /// When a worker answered again.
     back: Option<Micros>,
     /// Cuts so far.
     cuts: u32,
-    ask_at: Micros,
+    probe_at: Micros,
 }
 
-impl Reach {
+impl Connectivity {
     /// Whether this node gives its seats up.
     pub fn cut_off(&self) -> bool {
         self.cut
@@ -59,24 +59,24 @@
 
     /// A worker of an own seat was heard.
     pub fn hear(&mut self, now: Micros) {
-        self.heard = now;
+        self.last_contact = now;
     }
 
     /// A machine of somebody else's seat reported here.
-    pub fn stray(&mut self, now: Micros, machine: &str) {
-        self.strays.insert(machine.to_string(), now);
+    pub fn note_misdirected(&mut self, now: Micros, machine: &str) {
+        self.misdirected.insert(machine.to_string(), now);
     }
 }
 
 /// Whether the signs of a cut are there, and how long they must last: of `machines`
 /// that a seat knows, so many turn to a peer, and any, or none, are heard here.
-pub fn signs(machines: usize, strays: u32, silent: bool) -> Option<Micros> {
-    let strays = strays as usize;
+pub fn signs(machines: usize, misdirected: u32, silent: bool) -> Option<Micros> {
+    let misdirected = misdirected as usize;
     if machines == 0 {
         None
-    } else if silent && strays >= machines.min(2) {
+    } else if silent && misdirected >= machines.min(2) {
         Some(SURE)
-    } else if strays * 2 > machines && machines > 2 {
+    } else if misdirected * 2 > machines && machines > 2 {
         Some(SURE_OF_PART)
     } else {
         None
@@ -94,9 +94,9 @@
 
 impl Controller {
     /// Machines of others' seats that report here, for those who hold them.
-    pub(super) fn strays(&self) -> Vec<Strays> {
+    pub(super) fn misdirected(&self) -> Vec<Strays> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-        for m in self.reach.strays.keys() {
+        for m in self.connectivity.misdirected.keys() {
             *counts.entry(self.seat_of_machine(m)).or_insert(0) += 1;
         }
         counts.into_iter().map(|(s, machines)| Strays { seat: s as u32, machines }).collect()
@@ -104,25 +104,25 @@
 
     /// Gives seats up while their machines cannot reach this node, and looks
     /// whether they can again.
-    pub(super) fn tend_reach(&mut self) {
+    pub(super) fn check_connectivity(&mut self) {
         let now = self.now;
-        let gap = now.since(self.reach.tended);
+        let gap = now.since(self.connectivity.checked_at);
         if gap < Micros::millis(250) {
             return;
         }
-        self.reach.tended = now;
-        self.reach.strays.retain(|_, at| now.since(*at) < STRAY);
+        self.connectivity.checked_at = now;
+        self.connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_FOR);
         if gap > GAP {
             // What has come meanwhile is not read yet.
-            self.reach.heard = now;
-            self.reach.suspected = None;
+            self.connectivity.last_contact = now;
+            self.connectivity.suspected = None;
             return;
         }
-        if self.reach.cut {
+        if self.connectivity.cut {
             return self.look_for_workers();
         }
         if !self.acting() {
-            self.reach.suspected = None;
+            self.connectivity.suspected = None;
             return;
         }
         let mut known = vec![0_usize; self.seats.len()];
@@ -131,7 +131,8 @@
             known[super::seat::seat_of_machine(m, self.seats.len())] += 1;
             all += 1;
         }
-        let silent = now.since(self.reach.heard) > silence(all, self.settings.workers.report_s);
+        let silent = now.since(self.connectivity.last_contact)
+            > silence(all, self.settings.workers.report_s);
         let found = (0..self.seats.len())
             .filter(|s| {
                 let mine = self.seats[*s].mine.as_ref();
@@ -139,22 +140,22 @@
             })
             .filter_map(|s| {
                 let alive = self.peers.iter().filter(|(n, p)| self.peer_alive(**n) && !p.cut_off);
-                let strays = alive.filter_map(|(_, p)| p.strays.get(&s)).max().copied();
-                signs(known[s], strays.unwrap_or(0), silent)
+                let misdirected = alive.filter_map(|(_, p)| p.misdirected.get(&s)).max().copied();
+                signs(known[s], misdirected.unwrap_or(0), silent)
             })
             .min();
         let Some(lasting) = found else {
-            self.reach.suspected = None;
+            self.connectivity.suspected = None;
             return;
         };
-        if now.since(*self.reach.suspected.get_or_insert(now)) < lasting {
+        if now.since(*self.connectivity.suspected.get_or_insert(now)) < lasting {
             return;
         }
         info!("the workers do not reach this node; its seats are given up");
-        self.reach.suspected = None;
-        self.reach.cut = true;
-        self.reach.back = None;
-        self.reach.cuts += 1;
+        self.connectivity.suspected = None;
+        self.connectivity.cut = true;
+        self.connectivity.back = None;
+        self.connectivity.cuts += 1;
         self.give_up_seats();
     }
 
@@ -173,23 +174,23 @@
             // Also what was taken meanwhile because nobody else was there.
             self.give_up_seats();
         }
-        if let Some(at) = self.reach.back {
-            let doublings = (self.reach.cuts.max(1) - 1).min(DOUBLINGS);
+        if let Some(at) = self.connectivity.back {
+            let doublings = (self.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
             let pause = Micros(self.options.hand_back.0 * ((1 << doublings) - 1));
             if now.since(at) >= pause {
                 info!("workers answer again; seats may come back");
-                self.reach.cut = false;
-                self.reach.heard = now;
+                self.connectivity.cut = false;
+                self.connectivity.last_contact = now;
             }
             return;
         }
-        if now < self.reach.ask_at {
+        if now < self.connectivity.probe_at {
             return;
         }
-        self.reach.ask_at = now + ASK_EVERY;
+        self.connectivity.probe_at = now + PROBE_EVERY;
         let there = self.views.values().filter(|v| v.healthy);
         let addresses = there.filter_map(|v| v.address.parse().ok());
-        for address in addresses.sample(&mut self.rng, ASKED) {
+        for address in addresses.sample(&mut self.rng, PROBED) {
             let id = self.call_id(Op::Inspect);
             self.out.push(Effect::Inspect { id, address });
         }
@@ -197,7 +198,7 @@
 
     pub(super) fn inspected(&mut self, reply: &DirectReply) {
         if matches!(reply, DirectReply::Answered { status: 200, .. }) {
-            self.reach.back.get_or_insert(self.now);
+            self.connectivity.back.get_or_insert(self.now);
         }
     }
 }
--- a/src/controller/fleet.rs
+++ b/src/controller/fleet.rs
@@ -198,7 +198,7 @@
 
 impl Fleet {
     /// Takes in a complete list that was asked for at `asked`. Returns the
-    /// machines that are surely gone: listed before, and missing from a list
+    /// machines that are surely terminated: listed before, and missing from a list
     /// that is newer for certain, the lag being at most twice its nominal value.
     pub fn take_list(
         &mut self,
@@ -224,7 +224,7 @@
             entry.listed.get_or_insert(now);
         }
         let sure = Micros(lag.0 * 2) + Micros::millis(500);
-        let gone: Vec<String> = self
+        let terminated: Vec<String> = self
             .machines
             .iter()
             .filter(|(name, m)| {
@@ -232,13 +232,13 @@
             })
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &gone {
+        for name in &terminated {
             self.forget(name);
         }
-        gone
+        terminated
     }
 
-    /// Forgets a machine that is gone.
+    /// Forgets a machine that is terminated.
     pub fn forget(&mut self, name: &str) {
         self.machines.remove(name);
         self.draining.remove(name);
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -24,7 +24,7 @@
     /// It gives its seats up, since it and its workers do not hear each other.
     pub(super) cut_off: bool,
     /// Machines of others' seats that report to it, by seat.
-    pub(super) strays: BTreeMap<usize, u32>,
+    pub(super) misdirected: BTreeMap<usize, u32>,
     /// Number of its last frame.
     pub(super) number: u64,
     /// A frame of it was lost, and it has not told all since.
@@ -54,7 +54,7 @@
             // does not name.
             for s in 0..self.seats.len() {
                 if self.holder(s) == Some(from) {
-                    self.wants[s].complete = 0;
+                    self.desired[s].complete = 0;
                 }
             }
         }
@@ -79,14 +79,14 @@
             // It cannot act: what it said that it needs must hold up nobody.
             info.demand.clear();
             info.needs.clear();
-            info.strays.clear();
+            info.misdirected.clear();
         }
         if frame.state_ok && !frame.cut_off {
             info.well_since.get_or_insert(now);
         }
         if frame.has_demand {
-            let strays = frame.strays.iter().map(|s| (s.seat as usize, s.machines));
-            info.strays = strays.collect();
+            let misdirected = frame.strays.iter().map(|s| (s.seat as usize, s.machines));
+            info.misdirected = misdirected.collect();
             info.demand = frame.demand;
             info.needs = frame.needs;
         }
@@ -105,22 +105,22 @@
         }
         for w in frame.wants {
             match w.read() {
-                Some(w) => self.hear_wants(w),
-                None => log::warn!("wants of tasks without a job from peer {from}"),
+                Some(w) => self.apply_desired_state(w),
+                None => log::warn!("desired tasks without a job from peer {from}"),
             }
         }
         for v in frame.views {
-            self.see_view(v);
+            self.apply_view(v);
         }
         for p in frame.progress {
             self.progress.insert(p.job, (p.done, p.running));
         }
         for job in frame.cancelled {
             // Answers that were read before the cancellation must not go out now.
-            self.hear_cancelled(&job);
+            self.apply_peer_cancellation(&job);
         }
         for machine in frame.gone {
-            self.machine_gone(&machine);
+            self.machine_terminated(&machine);
         }
         for p in frame.pressing {
             self.hear_pressing(&p.job, p.rank, Micros(p.due_us));
@@ -129,10 +129,10 @@
             self.set_draining(frame.draining.into_iter().collect());
         }
         for t in frame.preempt {
-            self.give_way(&t);
+            self.preempt_task(&t);
         }
         for h in frame.hints {
-            self.hear_hint(h);
+            self.apply_hint(h);
         }
         if frame.missed.contains(&(self.me as u32)) {
             self.changes.peers_to_sync.insert(from);
@@ -174,7 +174,7 @@
                 frame.has_demand = true;
                 frame.demand = self.demand();
                 frame.needs = self.quota_needs();
-                frame.strays = self.strays();
+                frame.strays = self.misdirected();
             }
         }
         if idle && !beat && self.changes.peers_to_sync.is_empty() {
@@ -182,7 +182,7 @@
         }
         if beat {
             self.timers.heartbeat = self.now + HEARTBEAT_EVERY;
-            let again = self.retell_cancelled();
+            let again = self.cancellations_to_repeat();
             frame.cancelled.extend(again);
         }
         frame.watched = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
@@ -191,7 +191,7 @@
         frame.member.clone_from(&self.member);
         frame.run = self.run;
         frame.state_ok = acting;
-        frame.cut_off = self.reach.cut_off();
+        frame.cut_off = self.connectivity.cut_off();
         if acting {
             for (n, seat) in self.seats.iter().enumerate() {
                 if let Some(m) = &seat.mine {
@@ -232,12 +232,12 @@
         frame.full = true;
         frame.wants.clear();
         for seat in 0..self.seats.len() {
-            let heard = &self.wants[seat];
+            let heard = &self.desired[seat];
             if !self.runs(seat) || self.my_term(seat) != Some(heard.term) || heard.complete == 0 {
                 continue;
             }
             let wanted = heard.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
-            let wants = Wants {
+            let desired = Wants {
                 seat,
                 term: heard.term,
                 seq: heard.seq,
@@ -250,7 +250,7 @@
                 terms: Vec::new(),
                 knows: heard.knows.clone(),
             };
-            frame.wants.push(wants.to_message());
+            frame.wants.push(desired.to_message());
         }
         frame.views = self.posts.keys().filter_map(|m| self.views.get(m)).cloned().collect();
         frame.progress = self
@@ -268,16 +268,16 @@
                 address: v.address.clone(),
             })
             .collect();
-        frame.gone = self.gone.iter().rev().take(500).cloned().collect();
+        frame.gone = self.terminated.iter().rev().take(500).cloned().collect();
         frame
     }
 
     /// A seat has a new term: what is wanted on its machines is said anew, with
     /// all that was concluded under the earlier one.
-    pub(super) fn tell_terms(&mut self) {
+    pub(super) fn announce_terms(&mut self) {
         for h in 0..self.seats.len() {
-            if self.seats[h].term > self.told_terms[h] {
-                self.told_terms[h] = self.seats[h].term;
+            if self.seats[h].term > self.announced_terms[h] {
+                self.announced_terms[h] = self.seats[h].term;
                 self.changes.known_terms = true;
                 let there: Vec<(usize, Rc<str>)> = self
                     .by_machine
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -188,7 +188,7 @@
     pub zone: Rc<str>,
     /// It is to be stopped, with this time to save.
     pub stop: Option<Micros>,
-    /// Number of the wants message that asked for the stop.
+    /// Number of the desired-state message that asked for the stop.
     pub stop_seq: Option<u64>,
     /// How it was last seen.
     pub seen: Option<Seen>,
@@ -394,7 +394,7 @@
     pub run_times: Vec<Micros>,
     /// Their median, once there are a few.
     pub usual: Option<Micros>,
-    /// What wants last said of it.
+    /// What the desired state last said of it.
     pub shape: Option<Rc<Shape>>,
 }
 
@@ -695,7 +695,7 @@
         Some(attempt)
     }
 
-    /// Ends a task's attempt, in memory. The attempt stays among the wants,
+    /// Ends a task's attempt, in memory. The attempt stays in the desired state,
     /// and so uncleared, until the end is stored.
     pub fn end(&mut self, index: u32, done: bool) -> Option<Placement> {
         let part = self.part_of(index)?;
--- a/src/controller/owner.rs
+++ b/src/controller/job_manager.rs
@@ -25,12 +25,12 @@
 const OVERDUE: Micros = Micros::secs(10);
 /// How long ends of tasks may wait for others to be written with.
 const LAZY: Micros = Micros::millis(2_500);
-/// How often wants are said again of tasks that have not been seen for as long.
+/// How often the desired state is repeated for tasks that have not been seen for as long.
 const REMIND: Micros = Micros::secs(8);
 
 /// How urgently a job's changes are to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Haste {
+pub(super) enum WriteUrgency {
     /// Starts, or the end of a whole job, wait for it.
     Now,
     /// Ends of tasks, and what is left of jobs that are over.
@@ -41,7 +41,7 @@
 
 impl Controller {
     /// Looks at all tasks of a seat on a machine.
-    pub(super) fn judge_machine(&mut self, s: usize, machine: &str) {
+    pub(super) fn evaluate_machine(&mut self, s: usize, machine: &str) {
         if !self.runs(s) {
             return;
         }
@@ -49,21 +49,21 @@
             return;
         };
         for (job, index) in &tasks {
-            self.judge(job, *index);
+            self.evaluate_task(job, *index);
         }
     }
 
     /// Looks at all own tasks: what was heard while this process might not act has
     /// been taken in, and nobody has drawn its conclusions.
-    pub(super) fn judge_all(&mut self) {
+    pub(super) fn evaluate_all(&mut self) {
         let all: Vec<(usize, Rc<str>)> = self.by_machine.keys().cloned().collect();
         for (s, machine) in all {
-            self.judge_machine(s, &machine);
+            self.evaluate_machine(s, &machine);
         }
     }
 
     /// Works out what became of a task from what its machine's seat says.
-    fn judge(&mut self, id: &str, index: u32) {
+    fn evaluate_task(&mut self, id: &str, index: u32) {
         let Some(term) = self.jobs.get(id).and_then(|j| self.my_term(j.seat)) else {
             return;
         };
@@ -79,7 +79,7 @@
             return;
         };
         let machine = Rc::clone(&p.machine);
-        if self.gone.contains(&*machine) {
+        if self.terminated.contains(&*machine) {
             self.counts.lost += 1;
             return self.end_task(id, index, Seen::Stopped);
         }
@@ -132,13 +132,13 @@
         };
         match ended {
             Some(seen) => self.end_task(id, index, seen),
-            None => self.mind_notice(id, index),
+            None => self.handle_spot_notice(id, index),
         }
     }
 
     /// A spot machine is about to be taken: tasks that can save do so, tasks
     /// that cannot end in time move at once, the others may still end.
-    fn mind_notice(&mut self, id: &str, index: u32) {
+    fn handle_spot_notice(&mut self, id: &str, index: u32) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -200,7 +200,7 @@
     }
 
     /// One of our tasks is to make room for a more urgent one.
-    pub(super) fn give_way(&mut self, t: &Preempt) {
+    pub(super) fn preempt_task(&mut self, t: &Preempt) {
         let Some(job) = self.jobs.get_mut(&t.job) else {
             return;
         };
@@ -246,15 +246,15 @@
         }
     }
 
-    /// A machine is known to be gone, with everything on it.
-    pub(super) fn machine_gone(&mut self, machine: &str) {
-        if !self.gone.insert(machine.to_string()) {
+    /// A machine is known to be terminated, with everything on it.
+    pub(super) fn machine_terminated(&mut self, machine: &str) {
+        if !self.terminated.insert(machine.to_string()) {
             return;
         }
         info!("machine {machine} is gone");
-        while self.gone.len() > 5_000 {
+        while self.terminated.len() > 5_000 {
             // Names rise with time, so the first is the oldest.
-            self.gone.pop_first();
+            self.terminated.pop_first();
         }
         self.posts.remove(machine);
         self.views.remove(machine);
@@ -262,7 +262,7 @@
         self.changes.machines.remove(machine);
         self.fleet.forget(machine);
         for s in 0..self.seats.len() {
-            self.judge_machine(s, machine);
+            self.evaluate_machine(s, machine);
         }
         self.place_wanted = true;
     }
@@ -325,7 +325,7 @@
             .collect();
         for m in noticed {
             for s in 0..self.seats.len() {
-                self.judge_machine(s, &m);
+                self.evaluate_machine(s, &m);
             }
         }
     }
@@ -333,7 +333,7 @@
     /// Says again what is wanted of tasks that nobody has seen for long. Messages
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
-    pub(super) fn remind_of_unseen(&mut self) {
+    pub(super) fn repeat_unobserved(&mut self) {
         if !self.acting() || self.now < self.timers.reminder {
             return;
         }
@@ -377,35 +377,35 @@
         let now = self.now;
         let level = self.puts.level(now);
         let accepting = self.admission_reserve();
-        let mut order: Vec<(Haste, u32, Micros, String)> = Vec::new();
+        let mut order: Vec<(WriteUrgency, u32, Micros, String)> = Vec::new();
         for id in &self.changes.jobs {
             let Some(job) = self.jobs.get(id) else {
-                order.push((Haste::Now, 0, Micros::ZERO, id.clone()));
+                order.push((WriteUrgency::Now, 0, Micros::ZERO, id.clone()));
                 continue;
             };
             if !job.busy {
-                let haste = job.haste(now);
-                if haste != Haste::None {
-                    order.push((haste, job.rank(), job.accepted, id.clone()));
+                let urgency = job.urgency(now);
+                if urgency != WriteUrgency::None {
+                    order.push((urgency, job.rank(), job.accepted, id.clone()));
                 }
             }
         }
         order.sort();
-        for (haste, _, _, id) in order {
+        for (urgency, _, _, id) in order {
             // What waits here joins the next write; in the queue of calls it
             // would be written as it was.
-            let least = match haste {
-                Haste::Now => 1.0 + accepting,
+            let least = match urgency {
+                WriteUrgency::Now => 1.0 + accepting,
                 _ => 1.0 + accepting + self.puts.burst() / 2.0,
             };
             if self.stores >= STORES || level.min(self.puts.level(now)) < least {
                 return;
             }
-            self.store(&id, haste);
+            self.store(&id, urgency);
         }
     }
 
-    fn store(&mut self, id: &str, haste: Haste) {
+    fn store(&mut self, id: &str, urgency: WriteUrgency) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
             self.changes.jobs.remove(id);
@@ -439,7 +439,7 @@
                 part.releasing.clear();
             }
             if job.booked() > 0 {
-                self.refresh_job_wants(id);
+                self.refresh_desired_state(id);
                 self.changes.jobs.remove(id);
                 return;
             }
@@ -480,7 +480,7 @@
             }
         } else {
             txn.conditions.push(Condition { key: record, version: job.mark });
-            let fresh = haste == Haste::Now && job.fresh_parts() > 0;
+            let fresh = urgency == WriteUrgency::Now && job.fresh_parts() > 0;
             let changed = |p: &job::Part| p.version > p.stored;
             let mut order: Vec<usize> = Vec::new();
             for (n, part) in job.parts.iter().enumerate().filter(|(_, p)| changed(p)) {
@@ -533,7 +533,7 @@
 
     fn forget_job(&mut self, id: &str) {
         self.changes.jobs.remove(id);
-        self.refresh_job_wants(id);
+        self.refresh_desired_state(id);
         self.admission.unbatch(id);
         if let Some(job) = self.jobs.remove(id) {
             let machines: Vec<(usize, Rc<str>)> = self
@@ -554,8 +554,8 @@
         }
     }
 
-    /// Marks the wants of every machine that has tasks of the job.
-    fn refresh_job_wants(&mut self, id: &str) {
+    /// Marks the desired state of every machine that has tasks of the job.
+    fn refresh_desired_state(&mut self, id: &str) {
         let Some(seat) = self.jobs.get(id).map(|j| j.seat) else {
             return;
         };
@@ -771,7 +771,7 @@
     }
 
     /// What a seat wants on a machine, by what is stored.
-    fn wants_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<WantedTask> {
+    fn desired_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<WantedTask> {
         let Some(tasks) = self.by_machine.get(&(s, Rc::clone(machine))).cloned() else {
             return Vec::new();
         };
@@ -815,9 +815,9 @@
         list
     }
 
-    /// Sends what has changed in the wants of own seats, to the own holder
-    /// hat first.
-    pub(super) fn send_wants(&mut self, frame: &mut Frame) {
+    /// Sends what has changed in the desired state of own seats, to the own machine
+    /// manager first.
+    pub(super) fn send_desired_state(&mut self, frame: &mut Frame) {
         let mut changed: BTreeMap<usize, (bool, Vec<Rc<str>>)> = BTreeMap::new();
         for s in std::mem::take(&mut self.changes.complete_desired) {
             let all = self.by_machine.keys().filter(|(seat, _)| *seat == s);
@@ -841,12 +841,12 @@
             self.seq += 1;
             let seq = self.seq;
             let machines =
-                machines.iter().map(|m| (m.to_string(), 0, self.wants_on(s, m, seq))).collect();
+                machines.iter().map(|m| (m.to_string(), 0, self.desired_on(s, m, seq))).collect();
             let terms: Vec<u64> = self.seats.iter().map(|s| s.term).collect();
             let knows = terms.clone();
-            let wants = Wants { seat: s, term, seq, complete, machines, terms, knows };
-            frame.wants.push(wants.to_message());
-            self.hear_wants(wants);
+            let desired = Wants { seat: s, term, seq, complete, machines, terms, knows };
+            frame.wants.push(desired.to_message());
+            self.apply_desired_state(desired);
         }
     }
 
@@ -855,9 +855,9 @@
     }
 
     /// Takes in a view of a machine.
-    pub(super) fn see_view(&mut self, view: MachineView) {
+    pub(super) fn apply_view(&mut self, view: MachineView) {
         let h = self.seat_of_machine(&view.machine);
-        if self.gone.contains(&view.machine) || view.term < self.seats[h].term {
+        if self.terminated.contains(&view.machine) || view.term < self.seats[h].term {
             return;
         }
         if let Some(old) = self.views.get(&view.machine)
@@ -872,7 +872,7 @@
             let there = old.is_some_and(|old| old.tasks.contains(t));
             if !there && matches!(t.seen(), Seen::Running | Seen::Saving | Seen::Done) {
                 let image = self
-                    .wants
+                    .desired
                     .iter()
                     .filter_map(|w| w.machines.get(&view.machine))
                     .flat_map(|m| &m.tasks)
@@ -887,7 +887,7 @@
         self.views.insert(machine.clone(), view);
         self.touch_slot(&machine);
         for s in 0..self.seats.len() {
-            self.judge_machine(s, &machine);
+            self.evaluate_machine(s, &machine);
         }
         self.place_wanted = true;
     }
@@ -928,20 +928,20 @@
         }
     }
 
-    fn haste(&self, now: Micros) -> Haste {
+    fn urgency(&self, now: Micros) -> WriteUrgency {
         if self.cancelled && !self.over {
-            return if self.booked() > 0 { Haste::Now } else { Haste::Later };
+            return if self.booked() > 0 { WriteUrgency::Now } else { WriteUrgency::Later };
         }
         if self.over {
-            return Haste::Later;
+            return WriteUrgency::Later;
         }
         if self.complete() || self.fresh_parts() > 0 {
-            return Haste::Now;
+            return WriteUrgency::Now;
         }
         match self.lazy_since.map(|at| now.since(at)) {
-            Some(waited) if waited < LAZY => Haste::None,
-            Some(waited) if waited > OVERDUE => Haste::Now,
-            _ => Haste::Later,
+            Some(waited) if waited < LAZY => WriteUrgency::None,
+            Some(waited) if waited > OVERDUE => WriteUrgency::Now,
+            _ => WriteUrgency::Later,
         }
     }
 
--- a/src/controller/machine.rs
+++ b/src/controller/machine.rs
@@ -225,7 +225,7 @@
     /// An answered report is no proof that the answer was heard. A session that
     /// ended although reports were answered a moment ago proves the contrary;
     /// such a machine begins one session after the other, and always looks free.
-    pub fn judge_hearing(&mut self, now: Micros, before: u64, lease: Micros) {
+    pub fn judge_connectivity(&mut self, now: Micros, before: u64, lease: Micros) {
         if self.session > before {
             let lately = self.answered.is_some_and(|at| now.since(at) < Micros(lease.0 / 2));
             self.deaf |= before > 0 && lately;
@@ -311,7 +311,7 @@
 ///
 /// What is not written down yet could run beside another attempt that nobody
 /// remembers. What an earlier holder had refused its owner may have given up
-/// and begun elsewhere: the wants must have been said knowing of this term, for
+/// and begun elsewhere: the desired state must have been told knowing of this term, for
 /// then they say so.
 pub fn may_start(task: &WantedTask, known: u64, term: u64) -> bool {
     task.phase() == Phase::Wanted && task.stop_ms.is_none() && known >= term
--- a/src/controller/holder.rs
+++ b/src/controller/machine_manager.rs
@@ -5,7 +5,7 @@
 use super::machine::{self, Key, Outcome};
 use super::quota::EPS;
 use super::seat::DRIFT;
-use super::{Controller, DirectReply, Effect, HeardWants, MachineHeard, Op, Ticket};
+use super::{Controller, DesiredOnMachine, DesiredState, DirectReply, Effect, Op, Ticket};
 use crate::peer::{Frame, Heard, Hint, MachineView, Phase, Seen, WantedTask, Wants};
 use crate::time::Micros;
 use crate::wire::{Command, DirectCommands, Refusal, Report, ReportReply, ReportTo};
@@ -25,7 +25,7 @@
 const JOB_ELSEWHERE: usize = 2;
 const MAX_FAILING: usize = 2_000;
 /// Machines asked in one turn how they stand, so that a take starves nobody.
-const HELLOS: usize = 16;
+const PROBES_PER_TURN: usize = 16;
 /// Hints kept at most.
 const MAX_HINTS: usize = 10_000;
 /// Longest names that fit a stored placement.
@@ -40,7 +40,7 @@
     Direct,
 }
 
-impl HeardWants {
+impl DesiredState {
     /// Adds tasks to the sums of what teams use, or takes them away.
     fn count(&mut self, tasks: &[WantedTask], sign: f64) {
         for t in tasks.iter().filter(|t| t.phase() != Phase::Over) {
@@ -80,24 +80,24 @@
             let away = Refusal::new("seat not held here");
             return match self.holder(s) {
                 Some(h) if h != self.me => {
-                    self.reach.stray(self.now, &report.machine);
+                    self.connectivity.note_misdirected(self.now, &report.machine);
                     let member = self.members[h].clone();
                     self.respond(ticket, 421, None, &ReportTo { member: &member })
                 }
                 _ => self.respond(ticket, 503, Some(1), &away),
             };
         };
-        if !self.hears_cancellations() {
+        if !self.cancellations_up_to_date() {
             // Its answer would keep tasks alive whose users were told that they
             // are cancelled.
             let lags = Refusal::new("cancellations are not heard");
             return self.respond(ticket, 503, Some(1), &lags);
         }
-        if report.token > term || self.gone.contains(&report.machine) {
+        if report.token > term || self.terminated.contains(&report.machine) {
             return self.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
         }
         let now = self.now;
-        self.reach.hear(now);
+        self.connectivity.hear(now);
         let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
         let machine = report.machine.clone();
         let post = self.posts.entry(machine.clone()).or_default();
@@ -110,7 +110,7 @@
             // answer would claim a lease that has been declared over.
             return self.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
         };
-        post.judge_hearing(now, before, lease);
+        post.judge_connectivity(now, before, lease);
         post.answered = Some(now);
         let known = post.known;
         self.note_outcomes(&machine, outcomes);
@@ -169,12 +169,12 @@
     }
 
     /// Takes in what a seat wants on machines.
-    pub(super) fn hear_wants(&mut self, message: Wants) {
+    pub(super) fn apply_desired_state(&mut self, message: Wants) {
         let s = message.seat;
-        if s >= self.wants.len() || message.term < self.seats[s].term {
+        if s >= self.desired.len() || message.term < self.seats[s].term {
             return;
         }
-        let heard = &mut self.wants[s];
+        let heard = &mut self.desired[s];
         // After a gap the whole is told again, under its old number if nothing of it has
         // changed: dropped as old, all later changes of it would be, too.
         let again = message.complete
@@ -205,7 +205,7 @@
         let now = self.now;
         for (machine, known, tasks) in message.machines {
             touched.insert(machine.clone());
-            let heard = &mut self.wants[s];
+            let heard = &mut self.desired[s];
             let old = heard.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
             for t in &tasks {
                 // What was wanted before has been noted.
@@ -221,20 +221,22 @@
                 0 => message.terms.get(h).copied().unwrap_or(0),
                 known => known,
             };
-            let new = MachineHeard { seq: message.seq, known, tasks };
+            let new = DesiredOnMachine { seq: message.seq, known, tasks };
             if let Some(old) = heard.machines.insert(machine, new) {
                 heard.count(&old.tasks, -1.0);
             }
         }
         for machine in touched {
-            self.wants_changed(&machine);
+            self.desired_state_changed(&machine);
         }
     }
 
-    fn wants_changed(&mut self, machine: &str) {
+    fn desired_state_changed(&mut self, machine: &str) {
         self.place_wanted = true;
         self.touch_slot(machine);
-        if self.my_term(self.seat_of_machine(machine)).is_none() || self.gone.contains(machine) {
+        if self.my_term(self.seat_of_machine(machine)).is_none()
+            || self.terminated.contains(machine)
+        {
             return;
         }
         self.posts.entry(machine.to_string()).or_default();
@@ -243,19 +245,19 @@
     }
 
     /// Whether everything that the job's seat wants on machines of a seat has been
-    /// heard: only then does a task's absence from the wants mean that it is not
+    /// heard: only then does a task's absence from the desired state mean that it is not
     /// wanted. What was heard before the machine's seat changed hands is no longer
     /// all: its owner may have had more begun there through the earlier holder.
-    fn heard_all(&self, job: &str, at: usize) -> bool {
+    fn knows_all_desired(&self, job: &str, at: usize) -> bool {
         let term = self.seats[at].term;
         let heard = |s: usize| {
-            let w = &self.wants[s];
+            let w = &self.desired[s];
             let knows = w.knows.get(at).copied().unwrap_or(0);
             w.complete > 0 && w.term == self.seats[s].term && knows >= term
         };
         match self.known.get(job) {
-            Some(k) if k.seat < self.wants.len() => heard(k.seat),
-            _ => (0..self.wants.len()).all(heard),
+            Some(k) if k.seat < self.desired.len() => heard(k.seat),
+            _ => (0..self.desired.len()).all(heard),
         }
     }
 
@@ -268,8 +270,8 @@
         };
         // All is decided by what is wanted and what is there; a machine has few
         // tasks, and this is worked out at every report.
-        let wants = || self.wants.iter().filter_map(|w| w.machines.get(machine));
-        let is_wanted = |k: &Key| wants().any(|m| m.tasks.iter().any(|t| k.names(t)));
+        let desired = || self.desired.iter().filter_map(|w| w.machines.get(machine));
+        let is_wanted = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
         let known = &self.known;
         let cancelled = |k: &str| known.get(k).is_some_and(|k| k.stage == StoredStage::Cancelled);
         let here = post.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| &k.job);
@@ -280,12 +282,12 @@
             .chain(post.sent.keys())
             .chain(&post.refused)
             .chain(&post.waiting)
-            .filter(|k| !is_wanted(k) && self.heard_all(&k.job, at))
+            .filter(|k| !is_wanted(k) && self.knows_all_desired(&k.job, at))
             .cloned()
             .collect();
         let size = self.types.get(&post.machine_type).map(|t| [t.cpus, t.gpus, t.memory_gb]);
         let mut wanted: Vec<(&WantedTask, bool)> = Vec::new();
-        for m in self.wants.iter().filter_map(|w| w.machines.get(machine)) {
+        for m in self.desired.iter().filter_map(|w| w.machines.get(machine)) {
             let may = |t: &WantedTask| machine::may_start(t, m.known, term) && !cancelled(&t.job);
             wanted.extend(m.tasks.iter().map(|t| (t, may(t))));
         }
@@ -349,7 +351,7 @@
                         *f -= a;
                     }
                 }
-                // How much it takes is not known: nothing is added until it is gone.
+                // How much it takes is not known: nothing is added until it has ended.
                 None => strange = true,
             }
         }
@@ -437,10 +439,10 @@
     }
 
     /// A peer tells where a machine was when it last knew of it.
-    pub(super) fn hear_hint(&mut self, hint: Hint) {
+    pub(super) fn apply_hint(&mut self, hint: Hint) {
         let known = self.posts.get(&hint.machine).is_some_and(|p| p.heard.is_some());
         if known
-            || self.gone.contains(&hint.machine)
+            || self.terminated.contains(&hint.machine)
             || hint.machine.len() > MAX_NAME
             || self.hints.len() >= MAX_HINTS
         {
@@ -448,20 +450,20 @@
         }
         if let Ok(address) = hint.address.parse() {
             self.hints.insert(hint.machine.clone(), (hint.session, address));
-            self.hellos.insert(hint.machine);
+            self.probes.insert(hint.machine);
         }
     }
 
     /// Asks machines of a seat that was just taken how they stand, by commands
     /// that order nothing. They would report within their period only, and a
     /// second time under the new term before anything may be sent to them.
-    pub(super) fn send_hellos(&mut self) {
+    pub(super) fn send_probes(&mut self) {
         if !self.acting() {
             return;
         }
         let mut sent = 0;
-        while sent < HELLOS
-            && let Some(machine) = self.hellos.pop_first()
+        while sent < PROBES_PER_TURN
+            && let Some(machine) = self.probes.pop_first()
         {
             let s = self.seat_of_machine(&machine);
             if self.my_term(s).is_none() {
@@ -471,7 +473,7 @@
             let Some((session, address)) = self.hints.remove(&machine) else {
                 continue;
             };
-            if self.gone.contains(&machine) {
+            if self.terminated.contains(&machine) {
                 continue;
             }
             let post = self.posts.entry(machine.clone()).or_default();
@@ -586,7 +588,7 @@
         self.out.push(Effect::Direct { id, address, body });
     }
 
-    /// Sends the views that have changed, to the own owner hat first.
+    /// Sends the views that have changed, to the own job manager first.
     pub(super) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let s = self.seat_of_machine(&machine);
@@ -616,7 +618,7 @@
             post.view_seq += 1;
             view.seq = post.view_seq;
             frame.views.push(view.clone());
-            self.see_view(view);
+            self.apply_view(view);
         }
     }
 
@@ -645,7 +647,7 @@
         }
         let faulty = post.sick_since.is_some_and(|at| now.since(at) > SICK_FOR);
         let heard = self
-            .wants
+            .desired
             .iter()
             .enumerate()
             .filter(|(_, w)| w.complete > 0)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,10 +1,10 @@
 //! The controller: (now, event) in, effects out. No I/O, no clock, ordered
 //! maps and a seeded generator, so that a run can be repeated exactly.
 //!
-//! A process wears up to three hats, each in a module of its own: it answers
-//! users ([`api`]), runs the jobs of its seats ([`owner`], [`placer`]) and
-//! commands the machines of its seats ([`holder`]). What it wants on machines
-//! goes out as whole-state messages that its own holder hat reads too.
+//! A process has up to three roles, each in a module of its own: it answers
+//! users ([`api`]), runs the jobs of its seats ([`job_manager`], [`placer`]) and
+//! commands the machines of its seats ([`machine_manager`]). What it wants on machines
+//! goes out as whole-state messages that its own machine manager reads too.
 
 pub mod estimate;
 pub mod event;
@@ -22,15 +22,15 @@
 mod batch;
 pub mod cancel;
 mod changes;
+mod connectivity;
 mod frames;
-mod holder;
+mod job_manager;
 mod known;
+mod machine_manager;
 mod op;
-mod owner;
 mod pipeline;
 mod placer;
 mod quotas;
-mod reach;
 mod renter;
 mod seats;
 mod status;
@@ -67,9 +67,9 @@
 /// Tasks by job and number.
 type TaskSet = BTreeSet<(String, u32)>;
 
-/// Wants of a seat, as heard.
+/// Desired state of a seat, as received.
 #[derive(Debug, Clone, Default)]
-struct HeardWants {
+struct DesiredState {
     term: u64,
     /// Newest message of the term.
     seq: u64,
@@ -77,14 +77,14 @@
     complete: u64,
     /// Terms of all seats that its sender knew with the newest message.
     knows: Vec<u64>,
-    machines: BTreeMap<String, MachineHeard>,
+    machines: BTreeMap<String, DesiredOnMachine>,
     /// What the tasks use, by team.
     usage: BTreeMap<String, quota::Amount>,
 }
 
-/// What a seat wants on one machine, as heard.
+/// What a seat wants on one machine, as received.
 #[derive(Debug, Clone, Default)]
-struct MachineHeard {
+struct DesiredOnMachine {
     /// Number of the message.
     seq: u64,
     /// Term of the machine's seat that the sender knew.
@@ -135,7 +135,7 @@
     /// Submissions came a moment ago: more may, and writes leave them a share.
     admitting_until: Micros,
 
-    wants: Vec<HeardWants>,
+    desired: Vec<DesiredState>,
     slots: slots::Slots,
     /// Machines to look at again before the next placement.
     dirty_slots: BTreeSet<String>,
@@ -148,13 +148,13 @@
     stores: usize,
     views: BTreeMap<String, MachineView>,
     posts: BTreeMap<String, Post>,
-    gone: BTreeSet<String>,
+    terminated: BTreeSet<String>,
     /// Machines of own seats on which a job failed, a few of each.
     failing: BTreeMap<String, BTreeSet<String>>,
     /// Where machines were last known to be that have not been heard here.
     hints: BTreeMap<String, (u64, SocketAddrV4)>,
     /// Machines of own seats to be asked how they stand.
-    hellos: BTreeSet<String>,
+    probes: BTreeSet<String>,
     /// Machines kept free of small tasks until a large one fits.
     reserved: BTreeSet<Rc<str>>,
     draining: BTreeSet<String>,
@@ -166,7 +166,7 @@
     own_needs: Vec<peer::QuotaNeed>,
     peers: BTreeMap<usize, PeerInfo>,
     /// Whether the workers and this node hear each other.
-    reach: reach::Reach,
+    connectivity: connectivity::Connectivity,
     fleet: Fleet,
     counts: Counts,
     /// Requests refused since the log last told of it, by status and reason.
@@ -179,8 +179,8 @@
     was_acting: bool,
 
     seq: u64,
-    /// Terms of the seats that own seats' wants have taken into account.
-    told_terms: Vec<u64>,
+    /// Terms of the seats that own seats' desired state has taken into account.
+    announced_terms: Vec<u64>,
     pipelines: pipeline::Pipelines,
     /// Final stages that peers may not have heard of yet, and who is to be told.
     terminal_states: terminal_states::TerminalStates,
@@ -258,7 +258,7 @@
             status_queries: status_queries::StatusQueries::new(&config.settings.state, count),
             admission: admission::Admission::default(),
             admitting_until: Micros::ZERO,
-            wants: vec![HeardWants::default(); count],
+            desired: vec![DesiredState::default(); count],
             slots: slots::Slots::default(),
             dirty_slots: BTreeSet::new(),
             commanded: vec![false; count],
@@ -270,10 +270,10 @@
             stores: 0,
             views: BTreeMap::new(),
             posts: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            terminated: BTreeSet::new(),
             failing: BTreeMap::new(),
             hints: BTreeMap::new(),
-            hellos: BTreeSet::new(),
+            probes: BTreeSet::new(),
             reserved: BTreeSet::new(),
             draining: BTreeSet::new(),
             estimates: estimate::Estimates::default(),
@@ -282,7 +282,7 @@
             quotas_read: false,
             own_needs: Vec::new(),
             peers,
-            reach: reach::Reach::default(),
+            connectivity: connectivity::Connectivity::default(),
             fleet: Fleet::default(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
@@ -290,7 +290,7 @@
             acted_at: Micros::ZERO,
             was_acting: false,
             seq: 0,
-            told_terms: vec![0; count],
+            announced_terms: vec![0; count],
             pipelines: pipeline::Pipelines::default(),
             terminal_states: terminal_states::TerminalStates::default(),
             cancels: cancel::Cancels::default(),
@@ -379,25 +379,25 @@
     fn tick(&mut self) {
         if self.acting() {
             if !std::mem::replace(&mut self.was_acting, true) {
-                self.judge_all();
+                self.evaluate_all();
             }
             self.acted_at = self.now;
         } else {
             self.was_acting = false;
         }
-        self.tend_reach();
+        self.check_connectivity();
         self.tend_seats();
         self.tend_waiting();
         self.maintain_status_queries();
         self.tend_unknown();
         self.tend_pipelines();
-        self.send_hellos();
+        self.send_probes();
         if self.now >= self.timers.upkeep {
             self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
             self.tend_posts();
             self.tend_jobs();
-            self.remind_of_unseen();
-            self.tend_asked();
+            self.repeat_unobserved();
+            self.expire_preemption_requests();
             if self.now >= self.timers.guarantees {
                 self.timers.guarantees = self.now + timers::GUARANTEES_EVERY;
                 self.tend_guarantees();
@@ -420,17 +420,17 @@
     }
 
     /// Works off what has changed since the last call: placements, writes,
-    /// wants, views, and one frame for each peer.
+    /// desired state, views, and one frame for each peer.
     pub fn flush(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
         self.send_status_comparisons();
         if self.acting() {
             self.admit_waiting();
-            self.tell_terms();
+            self.announce_terms();
             self.place();
             self.store_dirty();
             let mut frame = Frame::default();
-            // Wants may change views, and views may end tasks; what is left
+            // Desired state may change views, and views may end tasks; what is left
             // after a few rounds waits for the next turn.
             for _ in 0..3 {
                 if self.changes.desired.is_empty()
@@ -440,7 +440,7 @@
                 {
                     break;
                 }
-                self.send_wants(&mut frame);
+                self.send_desired_state(&mut frame);
                 self.send_views(&mut frame);
             }
             self.store_dirty();
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -210,7 +210,7 @@
     /// none of them is cancelled by the store either. Its own stage would say nothing
     /// of that until its seat's holder has written it.
     pub(super) fn tell_waiting(&mut self, ticket: Ticket, status: u16, id: &str, known: Known) {
-        if !self.hears_cancellations() {
+        if !self.cancellations_up_to_date() {
             return self.later(ticket, 503, "cancellations are not heard");
         }
         let most = (self.settings.state.txn_ops * CONDITIONS).max(2) - 1;
@@ -480,7 +480,7 @@
                 info!("job {id} cancelled with one that it needs");
                 let known = Known { stage: StoredStage::Cancelled, seat, tasks, mark: *mark };
                 self.note_known(id, known);
-                self.tell_cancelled(id, *mark);
+                self.announce_cancelled(id, *mark);
                 self.job_cancelled(id);
             }
             // Perhaps applied, or its user was faster: what is stored decides.
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -3,8 +3,8 @@
 use super::Controller;
 use super::fleet::fits;
 use super::job::Job;
+use super::job_manager::expected_s;
 use super::machine::Key;
-use super::owner::expected_s;
 use super::place;
 use super::quota::{Amount, EPS};
 use super::slots::{Booked, PoolKey, Slot};
@@ -100,7 +100,7 @@
             || v.notice_ms.is_some()
             || v.term != self.seats[h].term
             || self.draining.contains(name)
-            || self.gone.contains(name)
+            || self.terminated.contains(name)
         {
             return None;
         }
@@ -113,7 +113,7 @@
                 t.attempt == attempt && t.index == index && t.job == job && t.seen().over()
             })
         };
-        for (s, w) in self.wants.iter().enumerate() {
+        for (s, w) in self.desired.iter().enumerate() {
             if self.has_jobs_of(s) {
                 continue;
             }
@@ -133,7 +133,8 @@
                     job: t.job.clone(),
                     index: t.index,
                     attempt: t.attempt,
-                    stopping: t.stop_ms.is_some() || self.was_asked(&t.job, t.index, t.attempt),
+                    stopping: t.stop_ms.is_some()
+                        || self.asked_to_make_room(&t.job, t.index, t.attempt),
                     placed: Micros::secs(t.placed_s),
                     checkpoint_s: t.checkpoint_s,
                     expected_s: t.expected_s,
@@ -208,7 +209,7 @@
                     self.views.keys().filter(|m| self.seat_of_machine(m) == h).cloned().collect();
                 self.dirty_slots.extend(theirs);
                 // What it wants is read from another place from now on.
-                let wanted: Vec<String> = self.wants[h].machines.keys().cloned().collect();
+                let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
                 self.dirty_slots.extend(wanted);
             }
         }
@@ -651,7 +652,7 @@
         log::debug!("task {}/{} makes room", b.job, b.index);
         let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
         if self.jobs.contains_key(&p.job) {
-            self.give_way(&p);
+            self.preempt_task(&p);
         } else {
             let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
             self.asked.insert(key, (self.now, Rc::clone(machine)));
@@ -766,7 +767,7 @@
     }
 
     /// Lets go of requests to make room that nobody has heeded.
-    pub(super) fn tend_asked(&mut self) {
+    pub(super) fn expire_preemption_requests(&mut self) {
         let now = self.now;
         let mut stale = Vec::new();
         self.asked.retain(|_, (at, machine)| {
@@ -783,7 +784,7 @@
 
     /// Whether another seat's task was asked to make room a moment ago. Asked
     /// again, it would be counted on twice; and its seat may be out of reach.
-    fn was_asked(&self, job: &str, index: u32, attempt: u64) -> bool {
+    fn asked_to_make_room(&self, job: &str, index: u32, attempt: u64) -> bool {
         let key = Key { job: job.to_string(), index, attempt };
         self.asked.get(&key).is_some_and(|(at, _)| self.now.since(*at) < ASKED)
     }
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -150,7 +150,7 @@
         let mut coming = q.free()[0];
         let (mut total, mut ours) = (0.0, 0.0);
         let mut victims: Vec<(f64, Preempt, f64)> = Vec::new();
-        for (n, w) in self.wants.iter().enumerate() {
+        for (n, w) in self.desired.iter().enumerate() {
             for m in w.machines.values() {
                 let counts = |t: &&WantedTask| t.team == team && t.phase() != Phase::Over;
                 for t in m.tasks.iter().filter(counts) {
@@ -174,7 +174,7 @@
             }
         }
         // What other seats hold unused comes back by itself.
-        let used: f64 = self.wants.iter().filter_map(|w| w.usage.get(team)).map(|u| u[0]).sum();
+        let used: f64 = self.desired.iter().filter_map(|w| w.usage.get(team)).map(|u| u[0]).sum();
         let unused = (q.limit[0] - used - coming).max(0.0);
         let missing = urgent - coming - unused;
         if missing <= EPS || total <= EPS {
@@ -187,7 +187,7 @@
                 return;
             }
             part -= cpus;
-            self.give_way(&task);
+            self.preempt_task(&task);
         }
     }
 
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -211,7 +211,7 @@
                 // By now the machines and everything on them are gone.
                 for name in names {
                     self.changes.terminated.push(name.clone());
-                    self.machine_gone(&name);
+                    self.machine_terminated(&name);
                     self.fleet.forget(&name);
                 }
             }
@@ -337,14 +337,14 @@
             return self.cloud(op, CloudCall::List { after: Some(after) });
         }
         // Failed machines stay listed until they are deleted.
-        list.retain(|m| m.stage == MachineStage::Failed || !self.gone.contains(&m.name));
+        list.retain(|m| m.stage == MachineStage::Failed || !self.terminated.contains(&m.name));
         let lag = Micros::from_secs_f64(self.settings.cloud.list_lag_s);
-        let mut gone = self.fleet.take_list(now, asked, &list, lag);
-        gone.extend(failed(&list));
-        for name in gone {
-            if !self.gone.contains(&name) {
+        let mut terminated = self.fleet.take_list(now, asked, &list, lag);
+        terminated.extend(failed(&list));
+        for name in terminated {
+            if !self.terminated.contains(&name) {
                 self.changes.terminated.push(name.clone());
-                self.machine_gone(&name);
+                self.machine_terminated(&name);
             }
         }
     }
--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -131,7 +131,7 @@
     /// on: reports are answered only once it is known what was cancelled meanwhile.
     fn look_beside_watch(&mut self) {
         let now = self.now;
-        if !self.acting() || self.hears_cancellations() {
+        if !self.acting() || self.cancellations_up_to_date() {
             return;
         }
         let Some(f) = self.follow.get_mut(&Watch::Jobs).filter(|f| now >= f.look_at) else {
@@ -183,7 +183,7 @@
                 base + Micros::millis(rank as u64 * 250)
             };
             // One who cannot hear its workers leaves it to anybody else.
-            let wait = if self.reach.cut_off() { wait + Micros::secs(5) } else { wait };
+            let wait = if self.connectivity.cut_off() { wait + Micros::secs(5) } else { wait };
             if self.now.since(seat.free_since) < wait {
                 return;
             }
@@ -266,10 +266,10 @@
         };
         seat.hold = Some((hold, mark));
         self.loads.insert(s, Loading { term, ..Loading::default() });
-        // Machines that some seat wants things of: each is unknown until it
+        // Machines that some seat wants tasks on: each is unknown until it
         // reports under the new term, or has been silent for a whole lease.
         let machines: BTreeSet<String> = self
-            .wants
+            .desired
             .iter()
             .flat_map(|w| w.machines.iter())
             .filter(|(_, m)| !m.tasks.is_empty())
@@ -289,7 +289,7 @@
         }
         let ours: Vec<String> =
             self.hints.keys().filter(|m| self.seat_of_machine(m) == s).cloned().collect();
-        self.hellos.extend(ours);
+        self.probes.extend(ours);
     }
 
     pub(super) fn seat_reply(&mut self, op: Op, reply: StateReply) {
@@ -693,7 +693,7 @@
             _ => return,
         };
         info!("seat {s} term {}: {count} unfinished jobs read", l.term);
-        // The whole of the seat's wants: whatever it does not name is not wanted.
+        // The whole of the seat's desired state: whatever it does not name is not wanted.
         self.changes.complete_desired.insert(s);
         let machines: Vec<String> = self
             .by_machine
@@ -712,7 +712,7 @@
         }
         for m in machines {
             self.touch_slot(&m);
-            self.judge_machine(s, &m);
+            self.evaluate_machine(s, &m);
         }
         if first {
             self.place_wanted = true;
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -353,7 +353,11 @@
     ];
     for (lease_s, cancel_s, wished, unheard_s, used, safe) in table {
         let workers = Workers { report_s: 3.0, lease_s, cancel_s };
-        assert_eq!(cancel::unheard_for(&workers).as_millis() / 1_000, unheard_s, "{workers:?}");
+        assert_eq!(
+            cancel::unanswered_limit(&workers).as_millis() / 1_000,
+            unheard_s,
+            "{workers:?}"
+        );
         let (lease, fits) = cancel::fitting_lease(Micros::millis(wished), &workers);
         assert_eq!((lease.as_millis(), fits), (used, safe), "{workers:?}, {wished} ms wished");
     }
@@ -457,23 +461,23 @@
     // for twice its lease shows that it hears again.
     let mut post = Post::default();
     post.take_report(now, &report(1, 1, 4, &[]), 4, true);
-    post.judge_hearing(now, 0, lease);
+    post.judge_connectivity(now, 0, lease);
     assert!(!post.deaf, "the first session says nothing");
     post.answered = Some(now);
     post.take_report(now + lease, &report(2, 1, 4, &[]), 4, true);
-    post.judge_hearing(now + lease, 1, lease);
+    post.judge_connectivity(now + lease, 1, lease);
     assert!(!post.deaf, "nothing was answered for long: it was away");
     post.answered = Some(now + lease);
     post.take_report(now + lease + Micros(9), &report(3, 1, 4, &[]), 4, true);
-    post.judge_hearing(now + lease + Micros(9), 2, lease);
+    post.judge_connectivity(now + lease + Micros(9), 2, lease);
     assert!(post.deaf);
     let later = now + lease + lease;
     post.take_report(later, &report(3, 2, 4, &[]), 4, true);
-    post.judge_hearing(later, 3, lease);
+    post.judge_connectivity(later, 3, lease);
     assert!(post.deaf, "a session that has not lasted yet");
     let lasted = later + lease + lease;
     post.take_report(lasted, &report(3, 3, 4, &[]), 4, true);
-    post.judge_hearing(lasted, 3, lease);
+    post.judge_connectivity(lasted, 3, lease);
     assert!(!post.deaf);
     post.deaf = true;
     post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
