--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -274,7 +274,7 @@
 
     /// Answers submissions that have waited for too long, or that nothing can
     /// be done for: their users are told when to come back.
-    pub(super) fn tend_waiting(&mut self) {
+    pub(super) fn expire_submissions(&mut self) {
         if !self.acting() {
             return self.refuse_waiting("state service away");
         }
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -4,7 +4,7 @@
 //! get through: the controllers are out of each other's reach, or the owner is
 //! gone and nobody can take its seat while the state service is away. Whoever
 //! answers a machine's reports keeps its tasks alive, so that one acts on what it
-//! knows itself, and answers only while it is sure to hear of cancellations.
+//! knows itself, and answers only while it is sure to learn of cancellations.
 
 use super::job::StoredStage;
 use super::machine::{self, Key};
@@ -36,7 +36,7 @@
 }
 
 /// The state lease to use where `wished` is too long: a holder that the state
-/// service refuses goes on for as long, and cannot hear of cancellations. The
+/// service refuses goes on for as long, and cannot learn of cancellations. The
 /// second value is false where no usable lease is short enough.
 pub fn fitting_lease(wished: Micros, workers: &Workers) -> (Micros, bool) {
     let most = unanswered_limit(workers);
@@ -50,20 +50,20 @@
     unknown: BTreeSet<String>,
     reading: usize,
     read_at: Micros,
-    /// Cancellations confirmed here that some peer has not heard for certain, with
+    /// Cancellations confirmed here that some peer does not know for certain, with
     /// the revision of each and until when they are repeated.
     repeated: BTreeMap<String, (u64, Micros)>,
 }
 
 impl Controller {
-    /// Whether every cancellation that was confirmed long enough ago has been heard.
+    /// Whether every cancellation that was confirmed long enough ago is known here.
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
     pub(super) fn cancellations_up_to_date(&self) -> bool {
         let most = unanswered_limit(&self.settings.workers).max(self.options.seat_lease);
         let most = most.min(Micros(2 * self.options.seat_lease.0));
-        let heard = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.heard());
-        self.now.since(heard) <= most
+        let watched = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
+        self.now.since(watched) <= most
     }
 
     /// A job was found to be cancelled: its tasks on own machines are stopped at
@@ -71,12 +71,13 @@
     pub(super) fn stop_on_machines(&mut self, id: &str) {
         let first = Key { job: id.to_string(), index: 0, attempt: 0 };
         let has = |keys: Option<&Key>| keys.is_some_and(|k| k.job == id);
-        let there = |p: &machine::Post| {
+        let there = |p: &machine::ManagedMachine| {
             has(p.tasks.range(&first..).next().map(|(k, _)| k))
                 || has(p.sent.range(&first..).next().map(|(k, _)| k))
                 || has(p.waiting.range(&first..).next())
         };
-        let machines = self.posts.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
+        let machines =
+            self.managed_machines.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
         let machines: Vec<String> = machines.collect();
         self.changes.machines.extend(machines);
     }
@@ -97,7 +98,7 @@
     }
 
     /// Reads unknown jobs, a few at a time.
-    pub(super) fn tend_unknown(&mut self) {
+    pub(super) fn read_unknown_jobs(&mut self) {
         if !self.acting() || self.cancels.reading >= READS || self.now < self.cancels.read_at {
             return;
         }
@@ -118,7 +119,7 @@
     }
 
     /// A cancellation was confirmed here: peers are told now, and again until each
-    /// is known to have heard.
+    /// is known to have received it.
     pub(super) fn announce_cancelled(&mut self, id: &str, mark: u64) {
         self.changes.cancelled.push(id.to_string());
         let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
@@ -128,8 +129,8 @@
     /// Cancellations to be told once more.
     pub(super) fn cancellations_to_repeat(&mut self) -> Vec<String> {
         let now = self.now;
-        let heard = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
-        self.cancels.repeated.retain(|_, (mark, until)| *mark > heard && now < *until);
+        let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
+        self.cancels.repeated.retain(|_, (mark, until)| *mark > watched && now < *until);
         self.cancels.repeated.keys().take(MOST_REPEATED).cloned().collect()
     }
 
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -1,10 +1,10 @@
-//! Whether the workers and this node hear each other.
+//! Whether the workers and this node can reach each other.
 //!
 //! A node that is cut off from its workers alone keeps its state lease and so
 //! its seats; its machines would run out their leases with all that is on them.
-//! Silence heard by one who hears nobody is no evidence against machines: if at
-//! the same time machines of its seats turn to a peer, which is heard, the node
-//! gives its seats up to those who can hear them. It is given none back until a
+//! Silence observed by one that nobody reaches is no evidence against machines: if at
+//! the same time machines of its seats turn to a peer and reach it, the node
+//! gives its seats up to those who can be reached. It is given none back until a
 //! worker answers it, and later each time, since a cut may be one-way.
 
 use super::{Controller, DirectReply, Effect, Op};
@@ -16,9 +16,9 @@
 
 /// How long a report to the wrong node counts as a sign that its own is away.
 const MISDIRECTED_FOR: Micros = Micros::secs(6);
-/// How long the signs of a cut must last: a redirected worker is heard sooner.
+/// How long the signs of a cut must last: a redirected worker reports sooner.
 const SURE: Micros = Micros::millis(1_200);
-/// The same where some workers are still heard: longer than late reports, which
+/// The same where some workers still report: longer than late reports, which
 /// all come at once when a cut ends, count as signs.
 const SURE_OF_PART: Micros = Micros::secs(10);
 /// After a take its machines are on their way here; misdirected reports are no sign yet.
@@ -57,7 +57,7 @@
         self.cut
     }
 
-    /// A worker of an own seat was heard.
+    /// A worker of an own seat reported or answered.
     pub fn hear(&mut self, now: Micros) {
         self.last_contact = now;
     }
@@ -69,7 +69,7 @@
 }
 
 /// Whether the signs of a cut are there, and how long they must last: of `machines`
-/// that a seat knows, so many turn to a peer, and any, or none, are heard here.
+/// that a seat knows, so many turn to a peer, and any, or none, report here.
 pub fn signs(machines: usize, misdirected: u32, silent: bool) -> Option<Micros> {
     let misdirected = misdirected as usize;
     if machines == 0 {
@@ -127,7 +127,7 @@
         }
         let mut known = vec![0_usize; self.seats.len()];
         let mut all = 0;
-        for (m, _) in self.posts.iter().filter(|(_, p)| p.session > p.over_through) {
+        for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.session > p.over_through) {
             known[super::seat::seat_of_machine(m, self.seats.len())] += 1;
             all += 1;
         }
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -72,7 +72,7 @@
         /// The frame.
         frame: Box<Frame>,
     },
-    /// A new connection to a peer stands: it has heard nothing on it yet.
+    /// A new connection to a peer stands: nothing was received on it yet.
     PeerUp(usize),
     /// The connection to a peer is gone.
     PeerDown(usize),
--- a/src/controller/fleet.rs
+++ b/src/controller/fleet.rs
@@ -29,7 +29,7 @@
     pub stage: MachineStage,
     /// When it was rented, as far as known.
     pub since: Micros,
-    /// When it was first seen in a list.
+    /// When it was first listed.
     pub listed: Option<Micros>,
     /// Since when it has had nothing to do.
     pub idle_since: Option<Micros>,
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -12,16 +12,16 @@
 /// A peer that has been silent for longer does not count as alive.
 const PEER_SILENT: Micros = Micros::secs(3);
 
-/// Another controller, as heard.
+/// Another controller, by what its frames say.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerInfo {
-    pub(super) heard: Option<Micros>,
+    pub(super) last_frame: Option<Micros>,
     pub(super) well_since: Option<Micros>,
     pub(super) state_ok: bool,
     pub(super) run: u64,
     pub(super) demand: Vec<peer::Demand>,
     pub(super) needs: Vec<peer::QuotaNeed>,
-    /// It gives its seats up, since it and its workers do not hear each other.
+    /// It gives its seats up, since it and its workers cannot reach each other.
     pub(super) cut_off: bool,
     /// Machines of others' seats that report to it, by seat.
     pub(super) misdirected: BTreeMap<usize, u32>,
@@ -29,7 +29,7 @@
     pub(super) number: u64,
     /// A frame of it was lost, and it has not told all since.
     pub(super) behind: bool,
-    /// Revision of the state service up to which it has heard of jobs.
+    /// Revision of the state service up to which it has followed the jobs.
     pub(super) watched: u64,
 }
 
@@ -37,7 +37,7 @@
     pub(super) fn peer_alive(&self, member: usize) -> bool {
         self.peers
             .get(&member)
-            .and_then(|p| p.heard)
+            .and_then(|p| p.last_frame)
             .is_some_and(|at| self.now.since(at) < PEER_SILENT)
     }
 
@@ -67,13 +67,13 @@
         }
         info.cut_off = frame.cut_off;
         info.watched = frame.watched;
-        if info.heard.is_none_or(|at| now.since(at) > PEER_SILENT)
+        if info.last_frame.is_none_or(|at| now.since(at) > PEER_SILENT)
             || !frame.state_ok
             || frame.cut_off
         {
             info.well_since = None;
         }
-        info.heard = Some(now);
+        info.last_frame = Some(now);
         info.state_ok = frame.state_ok;
         if !frame.state_ok {
             // It cannot act: what it said that it needs must hold up nobody.
@@ -95,7 +95,7 @@
                 continue;
             };
             if h.term > seat.term {
-                // Not yet heard from the watch: only the term is taken over,
+                // Not yet received from the watch: only the term is taken over,
                 // the holder's mark comes with the watch.
                 seat.term = h.term;
                 if seat.mine.as_ref().is_some_and(|m| m.term < h.term) {
@@ -227,20 +227,21 @@
         self.dirty_slots.extend(changed);
     }
 
-    /// Everything that a peer must know which has heard nothing so far.
+    /// Everything that a peer must know which has received nothing so far.
     pub(super) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         frame.wants.clear();
         for seat in 0..self.seats.len() {
-            let heard = &self.desired[seat];
-            if !self.runs(seat) || self.my_term(seat) != Some(heard.term) || heard.complete == 0 {
+            let desired = &self.desired[seat];
+            if !self.runs(seat) || self.my_term(seat) != Some(desired.term) || desired.complete == 0
+            {
                 continue;
             }
-            let wanted = heard.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
+            let wanted = desired.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
             let desired = Wants {
                 seat,
-                term: heard.term,
-                seq: heard.seq,
+                term: desired.term,
+                seq: desired.seq,
                 complete: true,
                 // Terms machine by machine: one that nothing has been wanted on
                 // since its seat moved would hold up all others of the seat.
@@ -248,11 +249,12 @@
                     .map(|(name, m)| (name.clone(), m.known, m.tasks.clone()))
                     .collect(),
                 terms: Vec::new(),
-                knows: heard.knows.clone(),
+                knows: desired.knows.clone(),
             };
             frame.wants.push(desired.to_message());
         }
-        frame.views = self.posts.keys().filter_map(|m| self.views.get(m)).cloned().collect();
+        frame.views =
+            self.managed_machines.keys().filter_map(|m| self.views.get(m)).cloned().collect();
         frame.progress = self
             .jobs
             .iter()
@@ -261,7 +263,7 @@
         frame.hints = self
             .views
             .values()
-            .filter(|v| !self.posts.contains_key(&v.machine) && !v.address.is_empty())
+            .filter(|v| !self.managed_machines.contains_key(&v.machine) && !v.address.is_empty())
             .map(|v| peer::Hint {
                 machine: v.machine.clone(),
                 session: v.session,
--- a/src/controller/image.rs
+++ b/src/controller/image.rs
@@ -1,4 +1,4 @@
-//! Which machines hold which images, as far as this controller has heard.
+//! Which machines hold which images, as far as this controller knows.
 //!
 //! Kept in memory only: a lost entry costs one fetch. Entries belong to a
 //! machine's session, so that a machine that began anew stops matching.
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -190,7 +190,7 @@
     pub stop: Option<Micros>,
     /// Number of the desired-state message that asked for the stop.
     pub stop_seq: Option<u64>,
-    /// How it was last seen.
+    /// Its state as last observed.
     pub seen: Option<Seen>,
     /// Since when it runs.
     pub running_since: Option<Micros>,
@@ -580,7 +580,7 @@
         self.parts.iter().map(|p| p.done.len() as u32).sum()
     }
 
-    /// Tasks seen running.
+    /// Tasks observed running.
     pub fn running(&self) -> u32 {
         let runs = |p: &&Placement| matches!(p.seen, Some(Seen::Running | Seen::Saving));
         self.parts.iter().map(|p| p.placed.values().filter(runs).count() as u32).sum()
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -25,7 +25,7 @@
 const OVERDUE: Micros = Micros::secs(10);
 /// How long ends of tasks may wait for others to be written with.
 const LAZY: Micros = Micros::millis(2_500);
-/// How often the desired state is repeated for tasks that have not been seen for as long.
+/// How often the desired state is repeated for tasks of which no machine has reported for as long.
 const REMIND: Micros = Micros::secs(8);
 
 /// How urgently a job's changes are to be written.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Looks at all own tasks: what was heard while this process might not act has
+    /// Looks at all own tasks: what was received while this process might not act has
     /// been taken in, and nobody has drawn its conclusions.
     pub(super) fn evaluate_all(&mut self) {
         let all: Vec<(usize, Rc<str>)> = self.by_machine.keys().cloned().collect();
@@ -119,7 +119,7 @@
                     None
                 }
                 // Absence proves something only once the machine's seat has
-                // heard that the task is not wanted: until then it may be
+                // learnt that the task is not wanted: until then it may be
                 // about to send the start.
                 None => {
                     let heard = view.heard.iter().find(|h| h.seat as usize == s);
@@ -256,7 +256,7 @@
             // Names rise with time, so the first is the oldest.
             self.terminated.pop_first();
         }
-        self.posts.remove(machine);
+        self.managed_machines.remove(machine);
         self.views.remove(machine);
         self.touch_slot(machine);
         self.changes.machines.remove(machine);
@@ -312,7 +312,7 @@
     }
 
     /// Times out what waits for nothing else.
-    pub(super) fn tend_jobs(&mut self) {
+    pub(super) fn check_spot_notices(&mut self) {
         if !self.acting() {
             return;
         }
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Says again what is wanted of tasks that nobody has seen for long. Messages
+    /// Says again what is wanted of tasks that no machine has reported for long. Messages
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
     pub(super) fn repeat_unobserved(&mut self) {
@@ -339,11 +339,12 @@
         }
         self.timers.reminder = self.now + REMIND;
         let wall = self.wall();
-        let unseen = |p: &Placement| p.seen.is_none() && wall.since(p.at) > REMIND;
+        let unobserved = |p: &Placement| p.seen.is_none() && wall.since(p.at) > REMIND;
         let mut machines: Vec<(usize, Rc<str>)> = Vec::new();
         for job in self.jobs.values() {
             let placed = job.parts.iter().flat_map(|part| part.placed.values());
-            machines.extend(placed.filter(|p| unseen(p)).map(|p| (job.seat, p.machine.clone())));
+            machines
+                .extend(placed.filter(|p| unobserved(p)).map(|p| (job.seat, p.machine.clone())));
         }
         self.changes.desired.extend(machines);
     }
--- a/src/controller/machine.rs
+++ b/src/controller/machine.rs
@@ -71,7 +71,7 @@
 
 /// A machine, as its seat knows it under the present term.
 #[derive(Debug, Clone, Default)]
-pub struct Post {
+pub struct ManagedMachine {
     /// Session of the newest report, 0 before the first.
     pub session: u64,
     /// Number of the newest message of that session.
@@ -85,7 +85,7 @@
     /// When a report was last answered with 200.
     pub answered: Option<Micros>,
     /// When a report last arrived.
-    pub heard: Option<Micros>,
+    pub last_report: Option<Micros>,
     /// Tasks in the newest report.
     pub tasks: BTreeMap<Key, Seen>,
     /// Starts that were sent and not reported yet.
@@ -106,28 +106,28 @@
     /// Address for direct commands.
     pub address: Option<SocketAddrV4>,
     /// When the cloud takes it.
-    pub taken_at: Option<Micros>,
+    pub reclaimed_at: Option<Micros>,
     /// Jobs whose tasks failed here since the last success, and how many.
     pub failed_jobs: BTreeMap<String, u32>,
-    /// Since when its failures make it seem sick.
-    pub sick_since: Option<Micros>,
+    /// Since when its failures make it seem faulty.
+    pub failing_since: Option<Micros>,
     /// Order of views.
     pub view_seq: u64,
     /// After a direct command that failed, none before this.
     pub direct_after: Micros,
     /// Tasks whose stop was sent directly; reports repeat it if need be.
-    pub pushed: BTreeSet<Key>,
-    /// Its reports arrive, but nothing shows that it hears what it is told.
-    pub deaf: bool,
-    /// When its present session was first heard of.
-    pub session_at: Micros,
+    pub stops_sent: BTreeSet<Key>,
+    /// Its reports arrive, but nothing shows that it receives its answers.
+    pub unresponsive: bool,
+    /// When its present session was first reported.
+    pub session_since: Micros,
     /// Direct commands under way.
     pub direct_busy: bool,
     /// It counted as reporting in time when its view was last made.
     pub fresh: bool,
 }
 
-impl Post {
+impl ManagedMachine {
     /// Forgets what belonged to a session that is over.
     fn end_session(&mut self) {
         self.tasks.clear();
@@ -135,7 +135,7 @@
         self.late.clear();
         self.refused.clear();
         self.waiting.clear();
-        self.pushed.clear();
+        self.stops_sent.clear();
         self.seq = 0;
     }
 
@@ -161,20 +161,20 @@
         if report.session > self.session {
             self.end_session();
             self.session = report.session;
-            self.session_at = now;
+            self.session_since = now;
             // The worker has begun a new session, so the earlier ones are over.
             self.over_through = self.over_through.max(report.session - 1);
             self.known = false;
         }
         self.seq = report.seq;
-        self.heard = Some(now);
+        self.last_report = Some(now);
         self.vanished = false;
         self.machine_type.clone_from(&report.machine_type);
         self.zone.clone_from(&report.zone);
         self.spot = report.spot;
         self.address = report.address.parse().ok();
-        self.taken_at = report.notice_s.map(|s| now + Micros::from_secs_f64(s));
-        // A report that has not seen this term's token may be followed by
+        self.reclaimed_at = report.notice_s.map(|s| now + Micros::from_secs_f64(s));
+        // A report that does not carry this term's token may be followed by
         // commands of an earlier holder: its list proves no absence.
         if report.token < term {
             return Some(Vec::new());
@@ -199,7 +199,7 @@
             }
             if let Some(s) = self.sent.remove(&key) {
                 // It has what it was told to start.
-                self.deaf = false;
+                self.unresponsive = false;
                 if s.late || s.direct > 0 {
                     self.late.insert(key.clone());
                 }
@@ -210,7 +210,7 @@
         }
         self.tasks = tasks;
         self.late.retain(|k| self.tasks.contains_key(k));
-        self.pushed.retain(|k| self.tasks.contains_key(k));
+        self.stops_sent.retain(|k| self.tasks.contains_key(k));
         if answerable {
             for s in self.sent.values_mut() {
                 s.answered = false;
@@ -219,29 +219,29 @@
         Some(outcomes)
     }
 
-    /// Judges, after a report was taken in, whether the machine hears anything;
+    /// Judges, after a report was taken in, whether the machine receives answers;
     /// `before` is the session known until then.
     ///
-    /// An answered report is no proof that the answer was heard. A session that
+    /// An answered report is no proof that the answer was received. A session that
     /// ended although reports were answered a moment ago proves the contrary;
     /// such a machine begins one session after the other, and always looks free.
     pub fn judge_connectivity(&mut self, now: Micros, before: u64, lease: Micros) {
         if self.session > before {
             let lately = self.answered.is_some_and(|at| now.since(at) < Micros(lease.0 / 2));
-            self.deaf |= before > 0 && lately;
-        } else if now.since(self.session_at) > Micros(lease.0 * 2) {
-            // A session that lasts has heard answers. Twice the lease, since
+            self.unresponsive |= before > 0 && lately;
+        } else if now.since(self.session_since) > Micros(lease.0 * 2) {
+            // A session that lasts has received answers. Twice the lease, since
             // what arrives may have been sent long ago.
-            self.deaf = false;
+            self.unresponsive = false;
         }
     }
 
     /// Silence for longer than any lease: what ran there is gone. `base` is the
     /// last moment at which anybody may have answered a report. A session that was
-    /// heard of later, in the answer to a direct command, began at most a moment
+    /// reported later, in the answer to a direct command, began at most a moment
     /// before and has its own full lease.
-    pub fn tend(&mut self, now: Micros, base: Micros, lease: Micros) -> bool {
-        if now <= base.max(self.session_at) + lease {
+    pub fn expire_session(&mut self, now: Micros, base: Micros, lease: Micros) -> bool {
+        if now <= base.max(self.session_since) + lease {
             return false;
         }
         if self.session > self.over_through {
@@ -257,16 +257,16 @@
         false
     }
 
-    /// Whether it is heard, and its reports are answered: a machine that only direct
+    /// Whether it reports, and its reports are answered: a machine that only direct
     /// commands reach loses all it is given when its lease ends. `base` as for
-    /// [`Post::tend`].
+    /// [`ManagedMachine::expire_session`].
     pub fn in_time(&self, now: Micros, base: Micros, silent: Micros) -> bool {
-        let heard = self.heard.is_some_and(|at| now.since(at) < silent);
-        heard && now.since(base) < silent
+        let last_report = self.last_report.is_some_and(|at| now.since(at) < silent);
+        last_report && now.since(base) < silent
     }
 
     /// Tasks for the view.
-    pub fn seen_tasks(&self) -> Vec<SeenTask> {
+    pub fn observed_tasks(&self) -> Vec<SeenTask> {
         let seen = |k: &Key, s: Seen| SeenTask {
             job: k.job.clone(),
             index: k.index,
--- a/src/controller/machine_manager.rs
+++ b/src/controller/machine_manager.rs
@@ -18,9 +18,9 @@
 /// Failures in a row, of jobs that complete elsewhere, or of so many jobs that fail
 /// nowhere else, after which a machine is set aside.
 const MACHINE_FAULTY: u32 = 3;
-/// How long it must seem sick before it is returned: a job with a mistake shows as
+/// How long its tasks must keep failing before it is returned: a job with a mistake shows as
 /// such once it has failed elsewhere, too.
-const SICK_FOR: Micros = Micros::secs(5);
+const FAILING_FOR: Micros = Micros::secs(5);
 /// Machines remembered of each failing job, and failing jobs, at most.
 const JOB_ELSEWHERE: usize = 2;
 const MAX_FAILING: usize = 2_000;
@@ -100,19 +100,19 @@
         self.connectivity.hear(now);
         let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
         let machine = report.machine.clone();
-        let post = self.posts.entry(machine.clone()).or_default();
-        if post.session == 0 {
+        let managed = self.managed_machines.entry(machine.clone()).or_default();
+        if managed.session == 0 {
             info!("machine {machine} reports: {} in {}", report.machine_type, report.zone);
         }
-        let before = post.session;
-        let Some(outcomes) = post.take_report(now, &report, term, true) else {
+        let before = managed.session;
+        let Some(outcomes) = managed.take_report(now, &report, term, true) else {
             // Overtaken on its way: the worker has long given it up, and an
             // answer would claim a lease that has been declared over.
             return self.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
         };
-        post.judge_connectivity(now, before, lease);
-        post.answered = Some(now);
-        let known = post.known;
+        managed.judge_connectivity(now, before, lease);
+        managed.answered = Some(now);
+        let known = managed.known;
         self.note_outcomes(&machine, outcomes);
         let commands = if known { self.commands(&machine, Way::Answer) } else { Vec::new() };
         self.changes.machines.insert(machine);
@@ -124,13 +124,13 @@
         for o in outcomes {
             match o {
                 Outcome::Done(_) => {
-                    if let Some(post) = self.posts.get_mut(machine) {
-                        post.failed_jobs.clear();
+                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                        managed.failed_jobs.clear();
                     }
                 }
                 Outcome::Failed(key) => {
-                    if let Some(post) = self.posts.get_mut(machine) {
-                        *post.failed_jobs.entry(key.job.clone()).or_insert(0) += 1;
+                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                        *managed.failed_jobs.entry(key.job.clone()).or_insert(0) += 1;
                     }
                     self.note_failing(key.job, machine);
                 }
@@ -156,13 +156,13 @@
     /// Whether a machine's failures since its last success are its own: of jobs
     /// that complete elsewhere, or of several that fail nowhere else. A job with a
     /// mistake fails everywhere and says nothing of its machines.
-    fn seems_sick(&self, post: &machine::Post) -> bool {
-        if post.failed_jobs.is_empty() {
+    fn seems_faulty(&self, managed: &machine::ManagedMachine) -> bool {
+        if managed.failed_jobs.is_empty() {
             return false;
         }
         let completes = |job: &str| self.progress.get(job).is_some_and(|(done, _)| *done > 0);
         let elsewhere = |job: &str| self.failing.get(job).is_some_and(|m| m.len() > 1);
-        let jobs = &post.failed_jobs;
+        let jobs = &managed.failed_jobs;
         let good: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
         let only_here = jobs.keys().filter(|j| completes(j) || !elsewhere(j)).count();
         good >= MACHINE_FAULTY || only_here >= MACHINE_FAULTY as usize
@@ -174,39 +174,39 @@
         if s >= self.desired.len() || message.term < self.seats[s].term {
             return;
         }
-        let heard = &mut self.desired[s];
+        let current = &mut self.desired[s];
         // After a gap the whole is told again, under its old number if nothing of it has
         // changed: dropped as old, all later changes of it would be, too.
         let again = message.complete
-            && heard.complete == 0
-            && (message.term, message.seq) == (heard.term, heard.seq);
-        if !again && (message.term, message.seq) <= (heard.term, heard.seq) {
+            && current.complete == 0
+            && (message.term, message.seq) == (current.term, current.seq);
+        if !again && (message.term, message.seq) <= (current.term, current.seq) {
             return;
         }
-        if message.term > heard.term {
+        if message.term > current.term {
             // Starts asked for under the older term are dropped here; what
             // runs stays until the new holder has said all it wants.
-            heard.term = message.term;
-            heard.complete = 0;
+            current.term = message.term;
+            current.complete = 0;
         }
-        if !message.complete && heard.complete == 0 {
-            // Changes to a whole that has not been heard; its number is not
+        if !message.complete && current.complete == 0 {
+            // Changes to a whole that has not been current; its number is not
             // taken over, or the whole would seem to be known already.
             return;
         }
-        heard.seq = message.seq;
-        heard.knows.clone_from(&message.knows);
+        current.seq = message.seq;
+        current.knows.clone_from(&message.knows);
         let mut touched: BTreeSet<String> = BTreeSet::new();
         if message.complete {
-            heard.complete = message.seq;
-            heard.usage.clear();
-            touched.extend(std::mem::take(&mut heard.machines).into_keys());
+            current.complete = message.seq;
+            current.usage.clear();
+            touched.extend(std::mem::take(&mut current.machines).into_keys());
         }
         let now = self.now;
         for (machine, known, tasks) in message.machines {
             touched.insert(machine.clone());
-            let heard = &mut self.desired[s];
-            let old = heard.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
+            let current = &mut self.desired[s];
+            let old = current.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
             for t in &tasks {
                 // What was wanted before has been noted.
                 let there =
@@ -215,15 +215,15 @@
                     self.images.note(now, &t.image, &machine, t.session);
                 }
             }
-            heard.count(&tasks, 1.0);
+            current.count(&tasks, 1.0);
             let h = super::seat::seat_of_machine(&machine, self.seats.len());
             let known = match known {
                 0 => message.terms.get(h).copied().unwrap_or(0),
                 known => known,
             };
             let new = DesiredOnMachine { seq: message.seq, known, tasks };
-            if let Some(old) = heard.machines.insert(machine, new) {
-                heard.count(&old.tasks, -1.0);
+            if let Some(old) = current.machines.insert(machine, new) {
+                current.count(&old.tasks, -1.0);
             }
         }
         for machine in touched {
@@ -239,25 +239,25 @@
         {
             return;
         }
-        self.posts.entry(machine.to_string()).or_default();
+        self.managed_machines.entry(machine.to_string()).or_default();
         self.push(machine);
         self.changes.machines.insert(machine.to_string());
     }
 
     /// Whether everything that the job's seat wants on machines of a seat has been
-    /// heard: only then does a task's absence from the desired state mean that it is not
-    /// wanted. What was heard before the machine's seat changed hands is no longer
+    /// received: only then does a task's absence from the desired state mean that it is not
+    /// wanted. What was received before the machine's seat changed hands is no longer
     /// all: its owner may have had more begun there through the earlier holder.
     fn knows_all_desired(&self, job: &str, at: usize) -> bool {
         let term = self.seats[at].term;
-        let heard = |s: usize| {
+        let complete = |s: usize| {
             let w = &self.desired[s];
             let knows = w.knows.get(at).copied().unwrap_or(0);
             w.complete > 0 && w.term == self.seats[s].term && knows >= term
         };
         match self.known.get(job) {
-            Some(k) if k.seat < self.desired.len() => heard(k.seat),
-            _ => (0..self.desired.len()).all(heard),
+            Some(k) if k.seat < self.desired.len() => complete(k.seat),
+            _ => (0..self.desired.len()).all(complete),
         }
     }
 
@@ -265,7 +265,7 @@
     fn commands(&mut self, machine: &str, way: Way) -> Vec<Command> {
         let at = self.seat_of_machine(machine);
         let term = self.seats[at].term;
-        let Some(post) = self.posts.get(machine) else {
+        let Some(managed) = self.managed_machines.get(machine) else {
             return Vec::new();
         };
         // All is decided by what is wanted and what is there; a machine has few
@@ -274,37 +274,37 @@
         let is_wanted = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
         let known = &self.known;
         let cancelled = |k: &str| known.get(k).is_some_and(|k| k.stage == StoredStage::Cancelled);
-        let here = post.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| &k.job);
+        let here = managed.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| &k.job);
         let unknown: Vec<String> = here.filter(|j| !known.contains_key(*j)).cloned().collect();
-        let unwanted: BTreeSet<Key> = post
+        let unwanted: BTreeSet<Key> = managed
             .tasks
             .keys()
-            .chain(post.sent.keys())
-            .chain(&post.refused)
-            .chain(&post.waiting)
+            .chain(managed.sent.keys())
+            .chain(&managed.refused)
+            .chain(&managed.waiting)
             .filter(|k| !is_wanted(k) && self.knows_all_desired(&k.job, at))
             .cloned()
             .collect();
-        let size = self.types.get(&post.machine_type).map(|t| [t.cpus, t.gpus, t.memory_gb]);
+        let size = self.types.get(&managed.machine_type).map(|t| [t.cpus, t.gpus, t.memory_gb]);
         let mut wanted: Vec<(&WantedTask, bool)> = Vec::new();
         for m in self.desired.iter().filter_map(|w| w.machines.get(machine)) {
             let may = |t: &WantedTask| machine::may_start(t, m.known, term) && !cancelled(&t.job);
             wanted.extend(m.tasks.iter().map(|t| (t, may(t))));
         }
         let find = |k: &Key| wanted.iter().find(|(w, _)| k.names(w)).copied();
-        let Some(post) = self.posts.get_mut(machine) else {
+        let Some(managed) = self.managed_machines.get_mut(machine) else {
             return Vec::new();
         };
         let mut commands = Vec::new();
-        for (key, seen) in &post.tasks {
+        for (key, seen) in &managed.tasks {
             match find(key).map(|(w, _)| w) {
                 Some(w) => {
-                    // Its owner may be out of reach, or not have heard yet.
+                    // Its owner may be disconnected, or not know yet.
                     let stop_ms = if cancelled(&key.job) { Some(0) } else { w.stop_ms };
                     if let Some(ms) = stop_ms
                         && !seen.over()
                         && (*seen != Seen::Saving || ms == 0)
-                        && (way == Way::Answer || post.pushed.insert(key.clone()))
+                        && (way == Way::Answer || managed.stops_sent.insert(key.clone()))
                     {
                         commands.push(machine::stop(key, Micros::millis(ms)));
                     }
@@ -312,7 +312,7 @@
                 None if unwanted.contains(key) => {
                     if seen.over() {
                         // A start of it that may still arrive would run it anew.
-                        if way == Way::Answer && !post.late.contains(key) {
+                        if way == Way::Answer && !managed.late.contains(key) {
                             commands.push(machine::forget(key));
                         }
                     } else if way == Way::Answer {
@@ -322,7 +322,7 @@
                 }
                 None if cancelled(&key.job)
                     && !seen.over()
-                    && (way == Way::Answer || post.pushed.insert(key.clone())) =>
+                    && (way == Way::Answer || managed.stops_sent.insert(key.clone())) =>
                 {
                     commands.push(machine::stop(key, Micros::ZERO));
                 }
@@ -334,16 +334,16 @@
         let dropped = |key: &Key| {
             unwanted.contains(key) || find(key).is_some_and(|(_, startable)| !startable)
         };
-        post.sent.retain(|key, sent| sent.open() || !dropped(key));
-        post.refused.retain(|key| !unwanted.contains(key));
-        post.waiting.retain(|key| !dropped(key));
+        managed.sent.retain(|key, sent| sent.open() || !dropped(key));
+        managed.refused.retain(|key| !unwanted.contains(key));
+        managed.waiting.retain(|key| !dropped(key));
 
         let amount = |w: &WantedTask| [w.cpus, w.gpus, w.memory_gb];
         let mut free = size.unwrap_or_default();
         let mut freeing = false;
         let mut strange = size.is_none();
-        let present = post.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| k);
-        for key in present.chain(post.sent.keys()) {
+        let present = managed.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| k);
+        for key in present.chain(managed.sent.keys()) {
             match find(key).map(|(w, _)| w) {
                 Some(w) => {
                     freeing |= w.stop_ms.is_some();
@@ -357,31 +357,31 @@
         }
         let mut starts: Vec<(Key, &WantedTask)> = wanted
             .iter()
-            .filter(|(w, startable)| *startable && w.session == post.session)
+            .filter(|(w, startable)| *startable && w.session == managed.session)
             .map(|(w, _)| (Key::of(w), *w))
-            .filter(|(k, _)| !post.tasks.contains_key(k) && !post.refused.contains(k))
+            .filter(|(k, _)| !managed.tasks.contains_key(k) && !managed.refused.contains(k))
             .collect();
         starts.sort_by(|a, b| a.1.rank.cmp(&b.1.rank).then_with(|| a.0.cmp(&b.0)));
         for (key, w) in &starts {
-            if !post.sent.contains_key(key) {
+            if !managed.sent.contains_key(key) {
                 let fits = free.iter().zip(amount(w)).all(|(f, a)| *f + EPS >= a);
                 if strange || (!fits && freeing) {
-                    post.waiting.insert(key.clone());
+                    managed.waiting.insert(key.clone());
                     continue;
                 }
                 if !fits {
                     debug!("machine {machine}: no room for {}", key.task());
-                    post.waiting.remove(key);
-                    post.refused.insert(key.clone());
+                    managed.waiting.remove(key);
+                    managed.refused.insert(key.clone());
                     continue;
                 }
                 for (f, a) in free.iter_mut().zip(amount(w)) {
                     *f -= a;
                 }
-                post.waiting.remove(key);
-                post.sent.insert(key.clone(), machine::Sent::default());
+                managed.waiting.remove(key);
+                managed.sent.insert(key.clone(), machine::Sent::default());
             }
-            let Some(sent) = post.sent.get_mut(key) else {
+            let Some(sent) = managed.sent.get_mut(key) else {
                 continue;
             };
             match way {
@@ -407,15 +407,15 @@
         let Some(term) = self.my_term(s) else {
             return;
         };
-        let Some(post) = self.posts.get(machine) else {
+        let Some(managed) = self.managed_machines.get(machine) else {
             return;
         };
         // A worker that is silent is not waited for with further connections.
-        let quiet = post.heard.is_none_or(|at| self.now.since(at) > self.silent());
-        if !post.known || post.direct_busy || quiet || self.now < post.direct_after {
+        let quiet = managed.last_report.is_none_or(|at| self.now.since(at) > self.silent());
+        if !managed.known || managed.direct_busy || quiet || self.now < managed.direct_after {
             return;
         }
-        let (Some(address), session) = (post.address, post.session) else {
+        let (Some(address), session) = (managed.address, managed.session) else {
             return;
         };
         let commands = self.commands(machine, Way::Direct);
@@ -429,8 +429,8 @@
                 _ => None,
             })
             .collect();
-        if let Some(post) = self.posts.get_mut(machine) {
-            post.direct_busy = true;
+        if let Some(managed) = self.managed_machines.get_mut(machine) {
+            managed.direct_busy = true;
         }
         let body = DirectCommands { token: term, session, commands };
         let body = serde_json::to_vec(&body).unwrap_or_default();
@@ -440,7 +440,8 @@
 
     /// A peer tells where a machine was when it last knew of it.
     pub(super) fn apply_hint(&mut self, hint: Hint) {
-        let known = self.posts.get(&hint.machine).is_some_and(|p| p.heard.is_some());
+        let known =
+            self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_report.is_some());
         if known
             || self.terminated.contains(&hint.machine)
             || hint.machine.len() > MAX_NAME
@@ -476,8 +477,8 @@
             if self.terminated.contains(&machine) {
                 continue;
             }
-            let post = self.posts.entry(machine.clone()).or_default();
-            if post.known || post.heard.is_some() || post.direct_busy {
+            let managed = self.managed_machines.entry(machine.clone()).or_default();
+            if managed.known || managed.last_report.is_some() || managed.direct_busy {
                 continue;
             }
             // The session is not taken over: what it is now, its answer says.
@@ -498,7 +499,7 @@
             return;
         }
         let now = self.now;
-        let Some(post) = self.posts.get_mut(machine) else {
+        let Some(managed) = self.managed_machines.get_mut(machine) else {
             return;
         };
         let (executed, body) = match reply {
@@ -507,23 +508,23 @@
             DirectReply::Answered { .. } | DirectReply::Unknown => (None, None),
             DirectReply::NotSent => (Some(false), None),
         };
-        post.direct_ended(starts, executed);
+        managed.direct_ended(starts, executed);
         match executed {
-            Some(true) => post.deaf = false,
+            Some(true) => managed.unresponsive = false,
             Some(false) => {}
-            // Until something shows that it hears, it is given nothing more.
+            // Until something shows that it receives commands, it is given nothing more.
             None => {
                 debug!("machine {machine} did not answer commands");
-                post.deaf = true;
+                managed.unresponsive = true;
             }
         }
         if executed != Some(true) {
             // Its reports carry the commands meanwhile.
-            post.direct_after = now + Micros::secs(5);
+            managed.direct_after = now + Micros::secs(5);
         }
         let report = body.and_then(|b| serde_json::from_slice::<Report>(&b).ok());
         if let Some(report) = report.filter(|r| r.machine == machine && r.token <= term)
-            && let Some(outcomes) = post.take_report(now, &report, term, false)
+            && let Some(outcomes) = managed.take_report(now, &report, term, false)
         {
             self.note_outcomes(machine, outcomes);
         }
@@ -532,55 +533,57 @@
     }
 
     /// Looks for machines that have been silent for longer than a lease.
-    pub(super) fn tend_posts(&mut self) {
+    pub(super) fn expire_machine_sessions(&mut self) {
         if !self.acting() {
             return;
         }
         let (now, lease) = (self.now, self.worker_lease());
         let taken: Vec<Option<Micros>> =
             self.seats.iter().map(|s| s.mine.as_ref().map(|m| m.taken)).collect();
-        let (mut changed, mut deaf) = (Vec::new(), Vec::new());
+        let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
         let silent = self.silent();
         let seats = self.seats.len();
-        for (name, post) in &mut self.posts {
+        for (name, managed) in &mut self.managed_machines {
             let Some(Some(taken)) = taken.get(super::seat::seat_of_machine(name, seats)) else {
                 continue;
             };
-            let base = post.answered.unwrap_or(*taken).max(*taken);
-            if post.tend(now, base, lease) {
+            let base = managed.answered.unwrap_or(*taken).max(*taken);
+            if managed.expire_session(now, base, lease) {
                 info!("machine {name} has been silent for a whole lease");
                 changed.push(name.clone());
             } else {
                 // Health depends on time, and starts may wait for their next try.
-                let fresh = post.in_time(now, base, silent);
-                let unsent = post.sent.values().any(|s| !s.open()) && now >= post.direct_after;
-                if fresh != post.fresh || unsent {
+                let fresh = managed.in_time(now, base, silent);
+                let unsent =
+                    managed.sent.values().any(|s| !s.open()) && now >= managed.direct_after;
+                if fresh != managed.fresh || unsent {
                     changed.push(name.clone());
                 }
-                if post.deaf
+                if managed.unresponsive
                     && fresh
-                    && now >= post.direct_after
-                    && let Some(address) = post.address
+                    && now >= managed.direct_after
+                    && let Some(address) = managed.address
                 {
-                    deaf.push((name.clone(), post.session, address));
+                    unresponsive.push((name.clone(), managed.session, address));
                 }
             }
         }
         self.changes.machines.extend(changed);
-        for (machine, session, address) in deaf {
+        for (machine, session, address) in unresponsive {
             self.ask(&machine, session, address);
         }
     }
 
-    /// Sends commands that order nothing: the answer shows that it hears.
+    /// Sends commands that order nothing: the answer shows that it receives commands.
     fn ask(&mut self, machine: &str, session: u64, address: SocketAddrV4) {
         let Some(term) = self.my_term(self.seat_of_machine(machine)) else {
             return;
         };
-        let Some(post) = self.posts.get_mut(machine).filter(|p| !p.direct_busy) else {
+        let Some(managed) = self.managed_machines.get_mut(machine).filter(|p| !p.direct_busy)
+        else {
             return;
         };
-        post.direct_busy = true;
+        managed.direct_busy = true;
         let body = DirectCommands { token: term, session, commands: Vec::new() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let op = Op::Direct { machine: machine.to_string(), starts: Vec::new(), term };
@@ -595,11 +598,11 @@
             let Some(term) = self.my_term(s) else {
                 continue;
             };
-            if self.posts.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
+            if self.managed_machines.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
                 self.push(&machine);
             }
             let mut view = self.view_of(&machine, term);
-            let Some(post) = self.posts.get_mut(&machine) else {
+            let Some(managed) = self.managed_machines.get_mut(&machine) else {
                 continue;
             };
             if let Some(old) = self.views.get(&machine) {
@@ -615,8 +618,8 @@
                 }
                 view.notice_ms = notice;
             }
-            post.view_seq += 1;
-            view.seq = post.view_seq;
+            managed.view_seq += 1;
+            view.seq = managed.view_seq;
             frame.views.push(view.clone());
             self.apply_view(view);
         }
@@ -630,22 +633,23 @@
     fn view_of(&mut self, machine: &str, term: u64) -> MachineView {
         let silent = self.silent();
         let now = self.now;
-        let sick = self.posts.get(machine).is_some_and(|p| self.seems_sick(p));
+        let failing_tasks =
+            self.managed_machines.get(machine).is_some_and(|p| self.seems_faulty(p));
         let at = self.seat_of_machine(machine);
         let taken = self.seats[at].mine.as_ref().map_or(Micros::ZERO, |m| m.taken);
-        let Some(post) = self.posts.get_mut(machine) else {
+        let Some(managed) = self.managed_machines.get_mut(machine) else {
             return MachineView::default();
         };
-        let base = post.answered.unwrap_or(taken).max(taken);
-        let fresh = post.in_time(now, base, silent);
-        post.fresh = fresh;
-        if !sick {
-            post.sick_since = None;
-        } else if post.sick_since.is_none() {
-            post.sick_since = Some(now);
+        let base = managed.answered.unwrap_or(taken).max(taken);
+        let fresh = managed.in_time(now, base, silent);
+        managed.fresh = fresh;
+        if !failing_tasks {
+            managed.failing_since = None;
+        } else if managed.failing_since.is_none() {
+            managed.failing_since = Some(now);
             warn!("machine {machine} fails what it starts; set aside");
         }
-        let faulty = post.sick_since.is_some_and(|at| now.since(at) > SICK_FOR);
+        let faulty = managed.failing_since.is_some_and(|at| now.since(at) > FAILING_FOR);
         let heard = self
             .desired
             .iter()
@@ -661,17 +665,17 @@
             machine: machine.to_string(),
             term,
             seq: 0,
-            known: post.known,
-            session: post.session,
-            over_through: post.over_through,
-            vanished: post.vanished,
-            machine_type: post.machine_type.clone(),
-            zone: post.zone.clone(),
-            spot: post.spot,
-            address: post.address.map(|a| a.to_string()).unwrap_or_default(),
-            notice_ms: post.taken_at.map(|at| at.since(self.now).as_millis()),
-            healthy: fresh && !sick && !post.deaf,
-            tasks: post.seen_tasks(),
+            known: managed.known,
+            session: managed.session,
+            over_through: managed.over_through,
+            vanished: managed.vanished,
+            machine_type: managed.machine_type.clone(),
+            zone: managed.zone.clone(),
+            spot: managed.spot,
+            address: managed.address.map(|a| a.to_string()).unwrap_or_default(),
+            notice_ms: managed.reclaimed_at.map(|at| at.since(self.now).as_millis()),
+            healthy: fresh && !failing_tasks && !managed.unresponsive,
+            tasks: managed.observed_tasks(),
             heard,
             faulty,
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -52,7 +52,7 @@
 use image::ImageIndex;
 use job::Job;
 use known::Known;
-use machine::{Key, Post};
+use machine::{Key, ManagedMachine};
 use op::{Op, Watch};
 use quota::TeamQuota;
 use rand::SeedableRng;
@@ -147,11 +147,11 @@
     /// Writes of tasks under way.
     stores: usize,
     views: BTreeMap<String, MachineView>,
-    posts: BTreeMap<String, Post>,
+    managed_machines: BTreeMap<String, ManagedMachine>,
     terminated: BTreeSet<String>,
     /// Machines of own seats on which a job failed, a few of each.
     failing: BTreeMap<String, BTreeSet<String>>,
-    /// Where machines were last known to be that have not been heard here.
+    /// Where machines were last known to be that have not reported here.
     hints: BTreeMap<String, (u64, SocketAddrV4)>,
     /// Machines of own seats to be asked how they stand.
     probes: BTreeSet<String>,
@@ -165,7 +165,7 @@
     /// What own seats lacked of teams' limits when last looked at.
     own_needs: Vec<peer::QuotaNeed>,
     peers: BTreeMap<usize, PeerInfo>,
-    /// Whether the workers and this node hear each other.
+    /// Whether the workers and this node can reach each other.
     connectivity: connectivity::Connectivity,
     fleet: Fleet,
     counts: Counts,
@@ -182,7 +182,7 @@
     /// Terms of the seats that own seats' desired state has taken into account.
     announced_terms: Vec<u64>,
     pipelines: pipeline::Pipelines,
-    /// Final stages that peers may not have heard of yet, and who is to be told.
+    /// Final stages that peers may not know of yet, and who is to be told.
     terminal_states: terminal_states::TerminalStates,
     cancels: cancel::Cancels,
     /// Number of the last frame.
@@ -190,8 +190,8 @@
     /// Tasks of other seats that were asked to make room, and when.
     asked: BTreeMap<Key, (Micros, Rc<str>)>,
     place_wanted: bool,
-    /// Placements that nothing has been seen of, as last counted.
-    unseen: usize,
+    /// Placements that no machine has reported yet, as last counted.
+    unobserved: usize,
     placed_at: Micros,
     /// CPUs that may still be stopped of a team's tasks beyond its guarantee.
     may_give: BTreeMap<String, f64>,
@@ -269,7 +269,7 @@
             },
             stores: 0,
             views: BTreeMap::new(),
-            posts: BTreeMap::new(),
+            managed_machines: BTreeMap::new(),
             terminated: BTreeSet::new(),
             failing: BTreeMap::new(),
             hints: BTreeMap::new(),
@@ -297,7 +297,7 @@
             frames: 0,
             asked: BTreeMap::new(),
             place_wanted: false,
-            unseen: 0,
+            unobserved: 0,
             placed_at: Micros::ZERO,
             may_give: BTreeMap::new(),
             may_claim: BTreeMap::new(),
@@ -386,37 +386,37 @@
             self.was_acting = false;
         }
         self.check_connectivity();
-        self.tend_seats();
-        self.tend_waiting();
+        self.maintain_seats();
+        self.expire_submissions();
         self.maintain_status_queries();
-        self.tend_unknown();
+        self.read_unknown_jobs();
         self.tend_pipelines();
         self.send_probes();
         if self.now >= self.timers.upkeep {
             self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
-            self.tend_posts();
-            self.tend_jobs();
+            self.expire_machine_sessions();
+            self.check_spot_notices();
             self.repeat_unobserved();
             self.expire_preemption_requests();
             if self.now >= self.timers.guarantees {
                 self.timers.guarantees = self.now + timers::GUARANTEES_EVERY;
-                self.tend_guarantees();
+                self.refresh_guarantees();
                 self.raise_starved();
                 self.reserve_for_large();
             }
-            self.count_unseen();
+            self.count_unobserved();
             self.place_wanted = true;
         }
         if self.now >= self.timers.quotas {
             self.timers.quotas = self.now + timers::QUOTAS_EVERY;
-            self.tend_quotas();
+            self.maintain_quotas();
         }
         if self.now >= self.timers.refusals {
             self.timers.refusals = self.now + timers::REFUSALS_EVERY;
             self.log_refusals();
             self.log_waiting();
         }
-        self.tend_fleet();
+        self.maintain_fleet();
     }
 
     /// Works off what has changed since the last call: placements, writes,
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -238,7 +238,7 @@
         };
         let unfinished = known.stage == StoredStage::Accepted;
         match reply {
-            // What was heard meanwhile is newer than the comparison.
+            // What was learnt meanwhile is newer than the comparison.
             _ if !unfinished || matches!(self.fate_of(id), Fate::Cancelled { .. }) => {
                 self.tell(ticket, status, id, known);
             }
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -22,12 +22,12 @@
 const SETTLE: Micros = Micros::millis(250);
 /// Placements in one pass.
 const PASS_TASKS: usize = 64;
-/// Placements of which nothing has been seen on their machines, at most: so many, or
+/// Placements that their machines have not reported, at most: so many, or
 /// two for each machine, since whole waves of machines come up at once.
-const MOST_UNSEEN: usize = 1_500;
+const UNOBSERVED_LIMIT: usize = 1_500;
 /// The same for low tasks, or one for every two machines: an array of thousands of
 /// tiny ones would take the processor from submissions and reports.
-const MOST_UNSEEN_LOW: usize = 750;
+const UNOBSERVED_LIMIT_LOW: usize = 750;
 /// Searches in one pass for tasks that make room; each walks the fleet.
 const PASS_SEARCHES: usize = 8;
 
@@ -119,7 +119,7 @@
             }
             let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
             for t in tasks {
-                // Of another session: gone, and its seat will hear of it.
+                // Of another session: gone, and its seat will learn of it.
                 if t.session != v.session
                     || t.phase() == Phase::Over
                     || over(&t.job, t.index, t.attempt)
@@ -183,7 +183,7 @@
         (!strange).then_some((key, slot))
     }
 
-    /// Whether a seat's jobs are known here; else what it was heard to want counts.
+    /// Whether a seat's jobs are known here; else the desired state received from it counts.
     fn has_jobs_of(&self, s: usize) -> bool {
         self.seats[s].mine.as_ref().is_some_and(|m| m.loaded)
     }
@@ -261,7 +261,7 @@
         theirs.sort_by_key(Demand::turn);
         for (turn, id) in order {
             let (_, rank) = turn;
-            let full = self.unseen >= self.most_unseen(rank)
+            let full = self.unobserved >= self.unobserved_limit(rank)
                 || self.waiting_parts(rank) >= self.part_backlog();
             if full {
                 // Those behind it may be more urgent, if beyond their guarantee.
@@ -291,21 +291,21 @@
         dirty.filter(|j| j.rank() <= rank).map(Job::fresh_parts).sum()
     }
 
-    /// Counts the placements of which nothing has been seen on their machines yet.
+    /// Counts the placements that their machines have not reported yet.
     /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
     /// once, took nearly all of the memory at every node.
-    pub(super) fn count_unseen(&mut self) {
+    pub(super) fn count_unobserved(&mut self) {
         let placed = self.jobs.values().flat_map(|j| &j.parts).flat_map(|p| p.placed.values());
-        self.unseen = placed.filter(|p| p.seen.is_none() && p.stop.is_none()).count();
+        self.unobserved = placed.filter(|p| p.seen.is_none() && p.stop.is_none()).count();
     }
 
     /// The more urgent, the more: an array of low tasks that fills its part of the
     /// buffer must not keep urgent ones out.
-    fn most_unseen(&self, rank: u32) -> usize {
+    fn unobserved_limit(&self, rank: u32) -> usize {
         let machines = self.views.len();
         match rank {
-            0..=2 => MOST_UNSEEN.max(2 * machines) * (4 - rank as usize),
-            _ => MOST_UNSEEN_LOW.max(machines / 2),
+            0..=2 => UNOBSERVED_LIMIT.max(2 * machines) * (4 - rank as usize),
+            _ => UNOBSERVED_LIMIT_LOW.max(machines / 2),
         }
     }
 
@@ -376,7 +376,7 @@
             if (0..2).any(|r| need[r] > 0.0 && used[r] + need[r] > grant[r] + EPS) {
                 break "the team's limit";
             }
-            if pass.left == 0 || self.unseen >= self.most_unseen(rank) {
+            if pass.left == 0 || self.unobserved >= self.unobserved_limit(rank) {
                 break "the next pass";
             }
             let suits = |m: &Slot| {
@@ -497,7 +497,7 @@
             };
             let rank = job.rank();
             pass.left -= 1;
-            self.unseen += 1;
+            self.unobserved += 1;
             self.counts.placed += 1;
             self.counts.image_hits += u64::from(hit);
             log::debug!("task {id}/{index} attempt {attempt} goes to {machine}");
@@ -664,7 +664,7 @@
     /// guarantees: this node's part of what teams use beyond theirs, and of what
     /// others lack. All nodes stopping the whole of it would stop it several
     /// times over, and then the other way round.
-    pub(super) fn tend_guarantees(&mut self) {
+    pub(super) fn refresh_guarantees(&mut self) {
         if !self.acting() {
             return;
         }
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -62,7 +62,7 @@
             .min()
     }
 
-    pub(super) fn tend_quotas(&mut self) {
+    pub(super) fn maintain_quotas(&mut self) {
         if !self.acting() {
             return;
         }
@@ -77,12 +77,12 @@
             self.quotas.iter().filter(|(_, q)| q.limited()).map(|(t, _)| t.clone()).collect();
         for team in teams {
             for s in 0..self.seats.len() {
-                self.tend_quota(&team, s, &own);
+                self.maintain_quota(&team, s, &own);
             }
         }
     }
 
-    fn tend_quota(&mut self, team: &str, s: usize, own: &[QuotaNeed]) {
+    fn maintain_quota(&mut self, team: &str, s: usize, own: &[QuotaNeed]) {
         if !self.runs(s) {
             return;
         }
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -35,7 +35,7 @@
 const REPLACED: usize = 4;
 
 impl Controller {
-    pub(super) fn tend_fleet(&mut self) {
+    pub(super) fn maintain_fleet(&mut self) {
         let now = self.now;
         // Every node needs the types, the renting one also their prices.
         let wait = if self.types.is_empty() { Micros::millis(700) } else { TYPES_EVERY };
@@ -235,7 +235,7 @@
         }
         self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
         self.place_wanted = true;
-        self.changes.machines.extend(self.posts.keys().cloned());
+        self.changes.machines.extend(self.managed_machines.keys().cloned());
     }
 
     /// Writes the types down, once a holding of the renting seat: a process that
--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -47,7 +47,7 @@
     /// When the call that is under way was sent.
     sent: Micros,
     /// When the last call that was answered had been sent.
-    heard: Micros,
+    caught_up_at: Micros,
     /// When changes were last looked at beside the watch.
     look_at: Micros,
 }
@@ -57,12 +57,12 @@
     /// look may cross.
     fn took(&mut self, revision: u64, sent: Micros) {
         self.after = Some(self.after.unwrap_or(0).max(revision));
-        self.heard = self.heard.max(sent);
+        self.caught_up_at = self.caught_up_at.max(sent);
     }
 
     /// All that had changed by then is known.
-    pub(super) fn heard(&self) -> Micros {
-        self.heard
+    pub(super) fn caught_up_at(&self) -> Micros {
+        self.caught_up_at
     }
 
     /// Revision up to which changes are known, 0 for none.
@@ -80,7 +80,7 @@
 }
 
 impl Controller {
-    pub(super) fn tend_seats(&mut self) {
+    pub(super) fn maintain_seats(&mut self) {
         let now = self.now;
         let ttl = self.options.seat_lease;
         if !self.lease.busy && now >= self.lease.renew_at {
@@ -121,10 +121,10 @@
         self.look_beside_watch();
         if self.seats_read && self.lease.valid(now + Micros::millis(500)) {
             for s in 0..self.seats.len() {
-                self.tend_seat(s);
+                self.maintain_seat(s);
             }
         }
-        self.tend_loads();
+        self.continue_loads();
     }
 
     /// After an outage the lease is good at once, while the watch that was open waits
@@ -146,7 +146,7 @@
         self.state(Op::Look { sent: now }, call);
     }
 
-    fn tend_seat(&mut self, s: usize) {
+    fn maintain_seat(&mut self, s: usize) {
         let seat = &self.seats[s];
         if seat.busy {
             return;
@@ -172,7 +172,7 @@
         };
         if mark == 0 {
             // Its home takes it at once; others leave it time, longer while
-            // the home is seen to be well, and not all at the same moment.
+            // the home is observed to be well, and not all at the same moment.
             let wait = if s == self.me {
                 Micros::ZERO
             } else {
@@ -182,7 +182,7 @@
                 let base = if home_well { Micros::millis(2_000) } else { Micros::millis(200) };
                 base + Micros::millis(rank as u64 * 250)
             };
-            // One who cannot hear its workers leaves it to anybody else.
+            // One who cannot reach its workers leaves it to anybody else.
             let wait = if self.connectivity.cut_off() { wait + Micros::secs(5) } else { wait };
             if self.now.since(seat.free_since) < wait {
                 return;
@@ -234,7 +234,7 @@
         self.changes.desired.retain(|(seat, _)| *seat != s);
         self.changes.complete_desired.remove(&s);
         let seats = self.seats.len();
-        self.posts.retain(|m, _| seat::seat_of_machine(m, seats) != s);
+        self.managed_machines.retain(|m, _| seat::seat_of_machine(m, seats) != s);
         self.changes.machines.retain(|m| seat::seat_of_machine(m, seats) != s);
         if s == super::fleet::RENTING_SEAT {
             self.fleet = super::fleet::Fleet::default();
@@ -277,11 +277,11 @@
             .filter(|m| self.seat_of_machine(m) == s)
             .collect();
         for m in machines {
-            self.posts.entry(m.clone()).or_default();
+            self.managed_machines.entry(m.clone()).or_default();
             self.changes.machines.insert(m);
         }
         // Where they are is known from the views of the earlier holder, or
-        // from a peer that had heard them.
+        // from a peer that had received them.
         for v in self.views.values().filter(|v| !v.address.is_empty()) {
             if let Ok(address) = v.address.parse() {
                 self.hints.entry(v.machine.clone()).or_insert((v.session, address));
@@ -518,7 +518,7 @@
         loading.listed = false;
     }
 
-    fn tend_loads(&mut self) {
+    fn continue_loads(&mut self) {
         // What changes after a record was read comes by the watch, which must stand.
         let watched = self.follow.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
         if !self.acting() || !watched {
@@ -526,11 +526,11 @@
         }
         let seats: Vec<usize> = self.loads.keys().copied().collect();
         for s in seats {
-            self.tend_load(s);
+            self.continue_load(s);
         }
     }
 
-    fn tend_load(&mut self, s: usize) {
+    fn continue_load(&mut self, s: usize) {
         let now = self.now;
         let Some(l) = self.loads.get_mut(&s) else {
             return;
@@ -597,7 +597,7 @@
             l.todo.insert(id.clone());
             l.batched.insert(id, found);
         }
-        self.tend_load(s);
+        self.continue_load(s);
     }
 
     fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: StateReply) {
@@ -621,7 +621,7 @@
                 return;
             }
         }
-        self.tend_load(s);
+        self.continue_load(s);
     }
 
     fn loaded(&mut self, s: usize) {
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -2,7 +2,7 @@
 //!
 //! Users may ask all nodes at the same moment. A node that has read a job's key just
 //! before its last change would answer with an older stage after another node has
-//! told the final one. So a terminal state is told once every peer has heard of it, by
+//! told the final one. So a terminal state is told once every peer knows of it, by
 //! the revision up to which it has followed the jobs; or, where a peer does not say
 //! so, once whatever it may have read before is too old for it to be told.
 
@@ -26,7 +26,7 @@
     unsettled: BTreeMap<String, (Micros, u64)>,
     /// Who is to be told of them.
     waiting: Vec<(Ticket, String)>,
-    /// Peers are to hear that this process has followed the jobs further.
+    /// Peers are to be told that this process has followed the jobs further.
     pub acknowledge: bool,
 }
 
@@ -38,7 +38,7 @@
         self.unsettled.insert(job.to_string(), (now, mark));
     }
 
-    /// Whether every peer has heard that a job is over, or has had the time to.
+    /// Whether every peer knows that a job is over, or has had the time to.
     pub fn settled(&self, job: &str) -> bool {
         !self.unsettled.contains_key(job)
     }
@@ -86,14 +86,14 @@
         self.respond(ticket, status, None, &answer);
     }
 
-    /// Answers those who wait for terminal states that every peer has heard of by now.
+    /// Answers those who wait for terminal states that every peer knows of by now.
     pub(super) fn answer_settled(&mut self) {
         if self.terminal_states.unsettled.is_empty() {
             return;
         }
         let now = self.now;
-        let heard = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
-        let settled = |at: Micros, mark: u64| mark <= heard || now.since(at) >= SETTLED;
+        let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
+        let settled = |at: Micros, mark: u64| mark <= watched || now.since(at) >= SETTLED;
         self.terminal_states.unsettled.retain(|_, (at, mark)| !settled(*at, *mark));
         let unsettled = &self.terminal_states.unsettled;
         let ready =
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -30,7 +30,7 @@
     pub(super) demand: Micros,
     /// Jobs' progress, told to peers.
     pub(super) progress: Micros,
-    /// Repetition of what is wanted of tasks that nobody has seen.
+    /// Repetition of what is wanted of tasks that no machine has reported.
     pub(super) reminder: Micros,
     /// Division of the teams' limits.
     pub(super) quotas: Micros,
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -6,7 +6,7 @@
 use millethold::controller::fleet::{self, Fleet, Room};
 use millethold::controller::image::ImageIndex;
 use millethold::controller::job::{self, Job, PartSize};
-use millethold::controller::machine::{Key, Post, Sent, may_start};
+use millethold::controller::machine::{Key, ManagedMachine, Sent, may_start};
 use millethold::controller::place;
 use millethold::controller::quota::{self, Need, TeamQuota};
 use millethold::controller::seat::{self, Hold, Lease, Seat};
@@ -393,7 +393,7 @@
 #[test]
 fn reports_and_what_they_prove() {
     let now = Micros::secs(50);
-    let mut post = Post::default();
+    let mut post = ManagedMachine::default();
     // A report that has not seen the term proves nothing; the next one does.
     assert!(post.take_report(now, &report(1, 1, 3, &[]), 4, true).is_some());
     assert!(!post.known);
@@ -435,54 +435,54 @@
     // Silence for a lease, and not less, ends the session; its reports, come
     // late, are not answered any more.
     let lease = Micros::secs(12);
-    assert!(!post.tend(now + lease, now, lease));
-    assert!(post.tend(now + lease + Micros(1), now, lease));
+    assert!(!post.expire_session(now + lease, now, lease));
+    assert!(post.expire_session(now + lease + Micros(1), now, lease));
     assert_eq!((post.over_through, post.known), (2, false));
     assert!(post.take_report(now, &report(2, 2, 4, &[]), 4, true).is_none());
     // A session that only a direct command's answer told of has a lease of its own,
     // though no report was answered for long: what it was given still runs.
-    let mut mute = Post::default();
+    let mut mute = ManagedMachine::default();
     mute.take_report(now, &report(1, 1, 4, &[]), 4, true);
     let heard = now + lease + Micros::secs(3);
     assert!(mute.take_report(heard, &report(2, 1, 4, &[]), 4, false).is_some());
-    assert!(!mute.tend(heard + lease, now, lease), "its lease may still run");
-    assert!(mute.tend(heard + lease + Micros(1), now, lease));
+    assert!(!mute.expire_session(heard + lease, now, lease), "its lease may still run");
+    assert!(mute.expire_session(heard + lease + Micros(1), now, lease));
     // Nothing new is put where reports are not answered, however well it hears.
     let silent = Micros::secs(5);
     for (base, want) in [(heard, true), (now, false)] {
         assert_eq!(mute.in_time(heard + Micros::secs(1), base, silent), want, "{base:?}");
     }
-    let mut never = Post::default();
-    assert!(!never.tend(now + lease, now, lease) && !never.vanished);
-    assert!(never.tend(now + lease + Micros(1), now, lease) && never.vanished);
+    let mut never = ManagedMachine::default();
+    assert!(!never.expire_session(now + lease, now, lease) && !never.vanished);
+    assert!(never.expire_session(now + lease + Micros(1), now, lease) && never.vanished);
 
     // Sessions that end although reports are answered: it hears nothing. An
     // answered direct command, a start that it has, or a session that lasts
     // for twice its lease shows that it hears again.
-    let mut post = Post::default();
+    let mut post = ManagedMachine::default();
     post.take_report(now, &report(1, 1, 4, &[]), 4, true);
     post.judge_connectivity(now, 0, lease);
-    assert!(!post.deaf, "the first session says nothing");
+    assert!(!post.unresponsive, "the first session says nothing");
     post.answered = Some(now);
     post.take_report(now + lease, &report(2, 1, 4, &[]), 4, true);
     post.judge_connectivity(now + lease, 1, lease);
-    assert!(!post.deaf, "nothing was answered for long: it was away");
+    assert!(!post.unresponsive, "nothing was answered for long: it was away");
     post.answered = Some(now + lease);
     post.take_report(now + lease + Micros(9), &report(3, 1, 4, &[]), 4, true);
     post.judge_connectivity(now + lease + Micros(9), 2, lease);
-    assert!(post.deaf);
+    assert!(post.unresponsive);
     let later = now + lease + lease;
     post.take_report(later, &report(3, 2, 4, &[]), 4, true);
     post.judge_connectivity(later, 3, lease);
-    assert!(post.deaf, "a session that has not lasted yet");
+    assert!(post.unresponsive, "a session that has not lasted yet");
     let lasted = later + lease + lease;
     post.take_report(lasted, &report(3, 3, 4, &[]), 4, true);
     post.judge_connectivity(lasted, 3, lease);
-    assert!(!post.deaf);
-    post.deaf = true;
+    assert!(!post.unresponsive);
+    post.unresponsive = true;
     post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
     post.take_report(lasted, &report(3, 4, 4, &[(1, TaskState::Running, None)]), 4, true);
-    assert!(!post.deaf, "it has what it was told to start");
+    assert!(!post.unresponsive, "it has what it was told to start");
 
     let table = [
         (TaskState::Fetching, None, Seen::Fetching),
@@ -496,7 +496,7 @@
         (TaskState::Exited, None, Seen::Failed),
     ];
     for (state, cause, want) in table {
-        let mut post = Post::default();
+        let mut post = ManagedMachine::default();
         post.take_report(now, &report(1, 1, 4, &[(1, state, cause)]), 4, true);
         assert_eq!(post.tasks[&key(1)], want, "{state:?} {cause:?}");
     }
