--- /dev/null
+++ b/src/controller/desired_tracking.rs
@@ -0,0 +1,137 @@
+//! What was received of the seats' desired state: which tasks each of them wants on
+//! which machine, and how much of that is known here.
+
+use super::{Controller, quota};
+use crate::peer::{Phase, WantedTask, Wants};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Desired state of a seat, as received.
+#[derive(Debug, Clone, Default)]
+pub(super) struct DesiredState {
+    pub(super) term: u64,
+    /// Newest message of the term.
+    pub(super) seq: u64,
+    /// Newest message that named all machines; 0: none yet in this term.
+    pub(super) complete: u64,
+    /// Terms of all seats that its sender knew with the newest message.
+    pub(super) knows: Vec<u64>,
+    pub(super) machines: BTreeMap<String, DesiredOnMachine>,
+    /// What the tasks use, by team.
+    pub(super) usage: BTreeMap<String, quota::Amount>,
+}
+
+/// What a seat wants on one machine, as received.
+#[derive(Debug, Clone, Default)]
+pub(super) struct DesiredOnMachine {
+    /// Number of the message.
+    pub(super) seq: u64,
+    /// Term of the machine's seat that the sender knew.
+    pub(super) known: u64,
+    pub(super) tasks: Vec<WantedTask>,
+}
+
+impl DesiredState {
+    /// Adds tasks to the sums of what teams use, or takes them away.
+    pub(super) fn count(&mut self, tasks: &[WantedTask], sign: f64) {
+        for t in tasks.iter().filter(|t| t.phase() != Phase::Over) {
+            let u = self.usage.entry(t.team.clone()).or_default();
+            u[0] += sign * t.cpus;
+            u[1] += sign * t.gpus;
+        }
+    }
+}
+
+impl Controller {
+    /// Takes in what a seat wants on machines.
+    pub(super) fn apply_desired_state(&mut self, message: Wants) {
+        let s = message.seat;
+        if s >= self.desired.len() || message.term < self.seats[s].term {
+            return;
+        }
+        let current = &mut self.desired[s];
+        // After a gap the whole is told again, under its old number if nothing of it has
+        // changed: dropped as old, all later changes of it would be, too.
+        let again = message.complete
+            && current.complete == 0
+            && (message.term, message.seq) == (current.term, current.seq);
+        if !again && (message.term, message.seq) <= (current.term, current.seq) {
+            return;
+        }
+        if message.term > current.term {
+            // Starts asked for under the older term are dropped here; what
+            // runs stays until the new holder has said all it wants.
+            current.term = message.term;
+            current.complete = 0;
+        }
+        if !message.complete && current.complete == 0 {
+            // Changes to a whole that has not been current; its number is not
+            // taken over, or the whole would seem to be known already.
+            return;
+        }
+        current.seq = message.seq;
+        current.knows.clone_from(&message.knows);
+        let mut touched: BTreeSet<String> = BTreeSet::new();
+        if message.complete {
+            current.complete = message.seq;
+            current.usage.clear();
+            touched.extend(std::mem::take(&mut current.machines).into_keys());
+        }
+        let now = self.now;
+        for (machine, known, tasks) in message.machines {
+            touched.insert(machine.clone());
+            let current = &mut self.desired[s];
+            let old = current.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
+            for t in &tasks {
+                // What was wanted before has been noted.
+                let there =
+                    |o: &WantedTask| o.attempt == t.attempt && o.index == t.index && o.job == t.job;
+                if t.stop_ms.is_none() && !old.iter().any(there) {
+                    self.images.note(now, &t.image, &machine, t.session);
+                }
+            }
+            current.count(&tasks, 1.0);
+            let h = super::seat::seat_of_machine(&machine, self.seats.len());
+            let known = match known {
+                0 => message.terms.get(h).copied().unwrap_or(0),
+                known => known,
+            };
+            let new = DesiredOnMachine { seq: message.seq, known, tasks };
+            if let Some(old) = current.machines.insert(machine, new) {
+                current.count(&old.tasks, -1.0);
+            }
+        }
+        for machine in touched {
+            self.desired_state_changed(&machine);
+        }
+    }
+
+    fn desired_state_changed(&mut self, machine: &str) {
+        self.place_wanted = true;
+        self.touch_slot(machine);
+        if self.my_term(self.seat_of_machine(machine)).is_none()
+            || self.terminated.contains(machine)
+        {
+            return;
+        }
+        self.managed_machines.entry(machine.to_string()).or_default();
+        self.push(machine);
+        self.changes.machines.insert(machine.to_string());
+    }
+
+    /// Whether everything that the job's seat wants on machines of a seat has been
+    /// received: only then does a task's absence from the desired state mean that it is not
+    /// wanted. What was received before the machine's seat changed hands is no longer
+    /// all: its owner may have had more begun there through the earlier holder.
+    pub(super) fn knows_all_desired(&self, job: &str, at: usize) -> bool {
+        let term = self.seats[at].term;
+        let complete = |s: usize| {
+            let w = &self.desired[s];
+            let knows = w.knows.get(at).copied().unwrap_or(0);
+            w.complete > 0 && w.term == self.seats[s].term && knows >= term
+        };
+        match self.known.get(job) {
+            Some(k) if k.seat < self.desired.len() => complete(k.seat),
+            _ => (0..self.desired.len()).all(complete),
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/job_writer.rs
@@ -0,0 +1,463 @@
+//! What is written down of own jobs: which changes go into which transaction, and
+//! what follows from the state service's answers.
+
+use super::job::{self, Job, JobRecord, StoredStage};
+use super::seat;
+use super::{Controller, Known, Op};
+use crate::state::{StateCall, StateReply};
+use crate::time::Micros;
+use crate::wire::{Condition, Txn, Write};
+use log::{info, warn};
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Parts in one transaction: with 8 KiB values more would pass 64 KiB, and one
+/// large job's would hold up all others.
+const PARTS_PER_TXN: usize = 4;
+/// Writes of tasks under way at once. What changes meanwhile is written together.
+const STORES: usize = 3;
+/// Ends of tasks that have waited for longer are written like starts.
+const OVERDUE: Micros = Micros::secs(10);
+/// How long ends of tasks may wait for others to be written with.
+const LAZY: Micros = Micros::millis(2_500);
+
+/// How urgently a job's changes are to be written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum WriteUrgency {
+    /// Starts, or the end of a whole job, wait for it.
+    Now,
+    /// Ends of tasks, and what is left of jobs that are over.
+    Later,
+    /// Not yet.
+    None,
+}
+
+impl Controller {
+    /// Reads again how a job stands in the store.
+    pub(super) fn recheck(&mut self, id: &str) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.busy {
+            return;
+        }
+        let Some(term) = self.seats[job.seat].mine.as_ref().map(|m| m.term) else {
+            return;
+        };
+        job.busy = true;
+        let op = Op::Recheck { job: id.to_string(), term };
+        self.state(op, StateCall::Get(job::job_key(id)));
+    }
+
+    /// Begins transactions for jobs with changes: starts that wait for their
+    /// write and ends of whole jobs first, by rank; what nobody waits for later,
+    /// together, and only from a share that is not needed for the others.
+    pub(super) fn store_dirty(&mut self) {
+        if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
+            self.drop_batch();
+        }
+        if self.changes.jobs.is_empty() || self.stores >= STORES || !self.acting() {
+            return;
+        }
+        let now = self.now;
+        let level = self.puts.level(now);
+        let accepting = self.admission_reserve();
+        let mut order: Vec<(WriteUrgency, u32, Micros, String)> = Vec::new();
+        for id in &self.changes.jobs {
+            let Some(job) = self.jobs.get(id) else {
+                order.push((WriteUrgency::Now, 0, Micros::ZERO, id.clone()));
+                continue;
+            };
+            if !job.busy {
+                let urgency = job.urgency(now);
+                if urgency != WriteUrgency::None {
+                    order.push((urgency, job.rank(), job.accepted, id.clone()));
+                }
+            }
+        }
+        order.sort();
+        for (urgency, _, _, id) in order {
+            // What waits here joins the next write; in the queue of calls it
+            // would be written as it was.
+            let least = match urgency {
+                WriteUrgency::Now => 1.0 + accepting,
+                _ => 1.0 + accepting + self.puts.burst() / 2.0,
+            };
+            if self.stores >= STORES || level.min(self.puts.level(now)) < least {
+                return;
+            }
+            self.store(&id, urgency);
+        }
+    }
+
+    fn store(&mut self, id: &str, urgency: WriteUrgency) {
+        let now = self.now;
+        let Some(job) = self.jobs.get_mut(id) else {
+            self.changes.jobs.remove(id);
+            return;
+        };
+        let s = job.seat;
+        if job.busy {
+            return;
+        }
+        // A seat that is being handed over waits for its writes, so none begins.
+        let ready = |m: &&super::seat::Mine| m.loaded && !m.releasing;
+        let Some(mine) = self.seats[s].mine.as_ref().filter(ready) else {
+            return;
+        };
+        let (hold, term) = (mine.mark, mine.term);
+        if self.stays_batched(id) && self.store_batch(id) {
+            return;
+        }
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let most = self.settings.state.txn_ops.min(PARTS_PER_TXN);
+        // What is larger is refused once the state service has its new limits.
+        let limit =
+            self.larger.map_or(self.settings.state.value_kb, |_| self.settings.state.value_kb_now);
+        let limit = (limit * 1024.0) as usize;
+        let lowered = self.settings.state.next.is_some();
+        if job.cancelled && !job.over {
+            // Its ends need not be stored: nothing of it is ever started again.
+            for part in &mut job.parts {
+                part.releasing.clear();
+            }
+            if job.booked() > 0 {
+                self.refresh_desired_state(id);
+                self.changes.jobs.remove(id);
+                return;
+            }
+            job.over = true;
+        }
+        let mut txn = Txn {
+            conditions: vec![Condition { key: seat::hold_key(s), version: hold }],
+            writes: Vec::new(),
+        };
+        let record = job::job_key(id);
+        let (mut parts, mut drops, mut done) = (Vec::new(), Vec::new(), false);
+        let mut rest = false;
+        if !job.over && job.complete() {
+            done = true;
+            let value = JobRecord {
+                seat: s,
+                stage: StoredStage::Done,
+                tasks: job.spec.tasks,
+                upstream: Vec::new(),
+                more: 0,
+            };
+            txn.conditions.push(Condition { key: record.clone(), version: job.mark });
+            txn.writes.push(Write::Put { key: record, value: json!(value), lease: None });
+            // Its parts are dropped later, when nothing urgent waits.
+            rest = true;
+        } else if job.over {
+            for (n, part) in job.parts.iter().enumerate().rev() {
+                if part.mark > 0 && txn.writes.len() < most {
+                    drops.push(n);
+                    let key = job::part_key(s, id, n);
+                    txn.conditions.push(Condition { key: key.clone(), version: part.mark });
+                    txn.writes.push(Write::Delete { key });
+                }
+            }
+            if drops.is_empty() {
+                self.forget_job(id);
+                return;
+            }
+        } else {
+            txn.conditions.push(Condition { key: record, version: job.mark });
+            let fresh = urgency == WriteUrgency::Now && job.fresh_parts() > 0;
+            let changed = |p: &job::Part| p.version > p.stored;
+            let mut order: Vec<usize> = Vec::new();
+            for (n, part) in job.parts.iter().enumerate().filter(|(_, p)| changed(p)) {
+                if !fresh || part.fresh() || part.mostly_ended() {
+                    order.push(n);
+                } else {
+                    rest = true;
+                }
+            }
+            order.sort_by_key(|n| !job.parts[*n].fresh());
+            rest |= order.len() > most;
+            for n in order.into_iter().take(most) {
+                let part = &job.parts[n];
+                let key = job::part_key(s, id, n);
+                let value = job.encode_part(n);
+                if lowered && value.to_string().len() > limit {
+                    // Of a time with larger values: nothing more is placed in it, and
+                    // it is written once enough of it has ended.
+                    log::debug!("part {n} of job {id} is too large to be written yet");
+                    continue;
+                }
+                parts.push((n, part.version));
+                txn.conditions.push(Condition { key: key.clone(), version: part.mark });
+                txn.writes.push(Write::Put { key, value, lease: None });
+            }
+            if parts.is_empty() {
+                if !rest {
+                    self.changes.jobs.remove(id);
+                }
+                return;
+            }
+        }
+        job.busy = true;
+        job.lazy_since = rest.then(|| job.lazy_since.unwrap_or(now));
+        if !rest {
+            self.changes.jobs.remove(id);
+        }
+        self.stores += 1;
+        let op = Op::Store { job: id.to_string(), term, parts, done, drops };
+        self.state(op, StateCall::Txn(txn));
+    }
+
+    /// The state service refuses values that it took before: it has its new limits.
+    fn limits_lowered(&mut self) {
+        info!("the state service takes only smaller values from now on");
+        self.larger = None;
+        let size = self.part_size;
+        self.jobs.values_mut().for_each(|j| j.fit(size, None));
+    }
+
+    fn forget_job(&mut self, id: &str) {
+        self.changes.jobs.remove(id);
+        self.refresh_desired_state(id);
+        self.admission.unbatch(id);
+        if let Some(job) = self.jobs.remove(id) {
+            let machines: Vec<(usize, Rc<str>)> = self
+                .by_machine
+                .iter()
+                .filter(|((s, _), tasks)| *s == job.seat && tasks.iter().any(|(j, _)| j == id))
+                .map(|(k, _)| k.clone())
+                .collect();
+            for key in machines {
+                if let Some(tasks) = self.by_machine.get_mut(&key) {
+                    tasks.retain(|(j, _)| j != id);
+                    if tasks.is_empty() {
+                        self.by_machine.remove(&key);
+                    }
+                }
+                self.changes.desired.insert(key);
+            }
+        }
+    }
+
+    pub(super) fn store_reply(&mut self, op: Op, reply: StateReply) {
+        if matches!(op, Op::Store { .. }) {
+            self.stores = self.stores.saturating_sub(1);
+        }
+        let (Op::Store { job: id, term, .. }
+        | Op::Recheck { job: id, term }
+        | Op::RecheckParts { job: id, term, .. }) = &op
+        else {
+            return;
+        };
+        let id = id.clone();
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let s = job.seat;
+        // A reply to an earlier holding of the seat says nothing about this one.
+        if self.seats[s].mine.as_ref().is_none_or(|m| m.term != *term) {
+            return;
+        }
+        job.busy = false;
+        self.changes.jobs.insert(id.clone());
+        match (op, reply) {
+            (Op::Store { parts, done, drops, .. }, StateReply::Applied(mark)) => {
+                self.stored(&id, mark, &parts, done, &drops);
+            }
+            (Op::Store { term, .. }, StateReply::Conflict(failed)) => {
+                if failed.contains(&seat::hold_key(s)) {
+                    self.suspect_seat(s, term);
+                } else {
+                    self.recheck(&id);
+                }
+            }
+            (Op::Store { .. }, StateReply::Refused) => {}
+            (Op::Store { .. }, StateReply::Invalid) if self.larger.is_some() => {
+                self.limits_lowered();
+                self.recheck(&id);
+            }
+            // It may have been applied, or may be later: what is stored decides,
+            // and a late one fails on the parts' marks.
+            (Op::Store { .. }, _) => self.recheck(&id),
+            (Op::Recheck { term, .. }, StateReply::Value(Some(item))) => {
+                let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
+                    warn!("unreadable record of job {id}");
+                    return;
+                };
+                let mark = item.version;
+                let known = Known { stage: r.stage, seat: r.seat, tasks: r.tasks, mark };
+                self.pipelines.note(&id, &r);
+                self.note_known(&id, known);
+                match r.stage {
+                    StoredStage::Cancelled => self.job_cancelled(&id),
+                    StoredStage::Done => {
+                        if let Some(job) = self.jobs.get_mut(&id) {
+                            job.over = true;
+                        }
+                    }
+                    StoredStage::Accepted => {}
+                }
+                if let Some(job) = self.jobs.get_mut(&id) {
+                    job.mark = item.version;
+                    job.busy = true;
+                    let op = Op::RecheckParts { job: id.clone(), term, read: BTreeMap::new() };
+                    let prefix = format!("w/{s}/{id}/");
+                    self.state(op, StateCall::List { prefix, after: None });
+                }
+            }
+            (Op::RecheckParts { term, mut read, .. }, StateReply::Page { items, more, .. }) => {
+                for item in &items {
+                    if let Some((_, n)) = job::parse_part_key(&item.key) {
+                        let v = item.value.get("v").and_then(serde_json::Value::as_u64);
+                        read.insert(n, (v.unwrap_or(0), item.version));
+                    }
+                }
+                match items.last().filter(|_| more) {
+                    // A mark missed on a further page would fail every write.
+                    Some(last) => {
+                        if let Some(job) = self.jobs.get_mut(&id) {
+                            job.busy = true;
+                        }
+                        let after = Some(last.key.clone());
+                        let op = Op::RecheckParts { job: id.clone(), term, read };
+                        let prefix = format!("w/{s}/{id}/");
+                        self.state(op, StateCall::List { prefix, after });
+                    }
+                    None => self.parts_read(&id, &read),
+                }
+            }
+            (Op::Recheck { .. } | Op::RecheckParts { .. }, _) => self.recheck_later(&id),
+            _ => {}
+        }
+    }
+
+    /// A recheck failed. The job's next write would fail on its marks and so
+    /// lead here again; nothing is lost by trying that.
+    fn recheck_later(&mut self, id: &str) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.not_before = job.not_before.max(self.now + Micros::millis(200));
+        }
+    }
+
+    /// Takes in the stored versions and marks of all of a job's parts.
+    fn parts_read(&mut self, id: &str, stored: &BTreeMap<usize, (u64, u64)>) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let mut applied: Vec<(usize, u64)> = Vec::new();
+        let mut marks: Vec<(usize, u64)> = Vec::new();
+        for (n, part) in job.parts.iter_mut().enumerate() {
+            match stored.get(&n) {
+                Some((v, mark)) => {
+                    marks.push((n, *mark));
+                    if *v > part.stored && *v <= part.version {
+                        applied.push((n, *v));
+                    }
+                }
+                None => part.mark = 0,
+            }
+        }
+        for (n, mark) in marks {
+            job.parts[n].mark = mark;
+        }
+        for (n, v) in applied {
+            let mark = self.jobs.get(id).map_or(0, |j| j.parts[n].mark);
+            self.stored(id, mark, &[(n, v)], false, &[]);
+        }
+    }
+
+    /// Changes are stored: they may now be acted on. The mark is 0 in a batch.
+    pub(super) fn stored(
+        &mut self,
+        id: &str,
+        mark: u64,
+        parts: &[(usize, u64)],
+        done: bool,
+        drops: &[usize],
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let s = job.seat;
+        let mut touched: Vec<(Rc<str>, u32)> = Vec::new();
+        for (n, version) in parts {
+            let part = &mut job.parts[*n];
+            let before = part.stored;
+            part.stored = (*version).max(before);
+            part.mark = mark;
+            let fresh = part.placed.iter().filter(|(_, p)| p.version > before);
+            touched.extend(fresh.map(|(i, p)| (Rc::clone(&p.machine), *i)));
+            let stored = part.stored;
+            let ended = part.releasing.iter().filter(|(v, _, _)| *v <= stored);
+            touched.extend(ended.map(|(_, i, p)| (Rc::clone(&p.machine), *i)));
+            part.releasing.retain(|(v, _, _)| *v > stored);
+        }
+        for n in drops {
+            job.parts[*n].mark = 0;
+        }
+        // Without a mark it was written in the batch, where it stays.
+        if mark > 0 && parts.iter().any(|(n, _)| *n == 0) {
+            self.admission.unbatch(id);
+        }
+        if done {
+            info!("job {id} done: {} tasks", job.spec.tasks);
+            job.over = true;
+            self.counts.done += 1;
+            for part in &mut job.parts {
+                for (_, i, p) in part.releasing.drain(..) {
+                    touched.push((p.machine, i));
+                }
+            }
+            let tasks = job.spec.tasks;
+            let known = Known { stage: StoredStage::Done, seat: s, tasks, mark };
+            self.note_known(id, known);
+        }
+        for (machine, index) in touched {
+            self.unlink(id, index, &machine);
+            self.changes.desired.insert((s, machine));
+        }
+    }
+
+    /// Removes a task from its machine's list once nothing of it is left there.
+    fn unlink(&mut self, id: &str, index: u32, machine: &Rc<str>) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let s = job.seat;
+        let Some(part) = job.part_of(index) else {
+            return;
+        };
+        let here = part.placed.get(&index).is_some_and(|p| p.machine == *machine)
+            || part.releasing.iter().any(|(_, i, p)| *i == index && p.machine == *machine);
+        if here {
+            return;
+        }
+        let key = (s, Rc::clone(machine));
+        if let Some(tasks) = self.by_machine.get_mut(&key) {
+            tasks.remove(&(id.to_string(), index));
+            if tasks.is_empty() {
+                self.by_machine.remove(&key);
+            }
+        }
+    }
+}
+
+impl Job {
+    fn urgency(&self, now: Micros) -> WriteUrgency {
+        if self.cancelled && !self.over {
+            return if self.booked() > 0 { WriteUrgency::Now } else { WriteUrgency::Later };
+        }
+        if self.over {
+            return WriteUrgency::Later;
+        }
+        if self.complete() || self.fresh_parts() > 0 {
+            return WriteUrgency::Now;
+        }
+        match self.lazy_since.map(|at| now.since(at)) {
+            Some(waited) if waited < LAZY => WriteUrgency::None,
+            Some(waited) if waited > OVERDUE => WriteUrgency::Now,
+            _ => WriteUrgency::Later,
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/machine_reports.rs
@@ -0,0 +1,142 @@
+//! Reports of the machines of own seats: what they say is taken in and answered.
+
+use super::job::StoredStage;
+use super::machine::{self, Outcome};
+use super::machine_commands::Way;
+use super::seat::DRIFT;
+use super::{Controller, Effect, Ticket};
+use crate::time::Micros;
+use crate::wire::{Refusal, Report, ReportReply, ReportTo};
+use log::{debug, info};
+
+/// Added to a worker's lease before its tasks count as gone.
+const LEASE_MARGIN: Micros = Micros::millis(1_000);
+/// Failures in a row, of jobs that complete elsewhere, or of so many jobs that fail
+/// nowhere else, after which a machine is set aside.
+const MACHINE_FAULTY: u32 = 3;
+/// How long its tasks must keep failing before it is returned: a job with a mistake shows as
+/// such once it has failed elsewhere, too.
+pub(super) const FAILING_FOR: Micros = Micros::secs(5);
+/// Machines remembered of each failing job, and failing jobs, at most.
+const JOB_ELSEWHERE: usize = 2;
+const MAX_FAILING: usize = 2_000;
+/// Longest names that fit a stored placement.
+pub(super) const MAX_NAME: usize = 40;
+
+impl Controller {
+    /// Until when a worker may go on after its last answered report.
+    pub(super) fn worker_lease(&self) -> Micros {
+        Micros::from_secs_f64(self.settings.workers.lease_s).stretched(DRIFT) + LEASE_MARGIN
+    }
+
+    pub(super) fn report(&mut self, ticket: Ticket, body: &[u8]) {
+        let report: Report = match serde_json::from_slice(body) {
+            Ok(r) => r,
+            Err(e) => {
+                self.counts.bad_reports += 1;
+                debug!("malformed report: {e}");
+                return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
+            }
+        };
+        if report.machine.is_empty()
+            || report.machine.len() > MAX_NAME
+            || report.zone.len() > MAX_NAME
+            || report.session == 0
+        {
+            self.counts.bad_reports += 1;
+            return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
+        }
+        self.counts.reports += 1;
+        let s = self.seat_of_machine(&report.machine);
+        let Some(term) = self.my_term(s) else {
+            let away = Refusal::new("seat not held here");
+            return match self.holder(s) {
+                Some(h) if h != self.me => {
+                    self.connectivity.note_misdirected(self.now, &report.machine);
+                    let member = self.members[h].clone();
+                    self.respond(ticket, 421, None, &ReportTo { member: &member })
+                }
+                _ => self.respond(ticket, 503, Some(1), &away),
+            };
+        };
+        if !self.cancellations_up_to_date() {
+            // Its answer would keep tasks alive whose users were told that they
+            // are cancelled.
+            let lags = Refusal::new("cancellations are not heard");
+            return self.respond(ticket, 503, Some(1), &lags);
+        }
+        if report.token > term || self.terminated.contains(&report.machine) {
+            return self.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
+        }
+        let now = self.now;
+        self.connectivity.hear(now);
+        let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
+        let machine = report.machine.clone();
+        let managed = self.managed_machines.entry(machine.clone()).or_default();
+        if managed.session == 0 {
+            info!("machine {machine} reports: {} in {}", report.machine_type, report.zone);
+        }
+        let before = managed.session;
+        let Some(outcomes) = managed.take_report(now, &report, term, true) else {
+            // Overtaken on its way: the worker has long given it up, and an
+            // answer would claim a lease that has been declared over.
+            return self.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
+        };
+        managed.judge_connectivity(now, before, lease);
+        managed.answered = Some(now);
+        let known = managed.known;
+        self.note_outcomes(&machine, outcomes);
+        let commands = if known { self.commands(&machine, Way::Answer) } else { Vec::new() };
+        self.changes.machines.insert(machine);
+        let body = serde_json::to_vec(&ReportReply { token: term, commands }).unwrap_or_default();
+        self.out.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
+    }
+
+    pub(super) fn note_outcomes(&mut self, machine: &str, outcomes: Vec<Outcome>) {
+        for o in outcomes {
+            match o {
+                Outcome::Done(_) => {
+                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                        managed.failed_jobs.clear();
+                    }
+                }
+                Outcome::Failed(key) => {
+                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                        *managed.failed_jobs.entry(key.job.clone()).or_insert(0) += 1;
+                    }
+                    self.note_failing(key.job, machine);
+                }
+            }
+        }
+    }
+
+    /// Remembers on which machines of own seats a job failed; a few will do.
+    fn note_failing(&mut self, job: String, machine: &str) {
+        if self.failing.len() >= MAX_FAILING {
+            let known = &self.known;
+            let over = |id: &String| known.get(id).is_none_or(|k| k.stage != StoredStage::Accepted);
+            self.failing.retain(|id, _| !over(id));
+        }
+        if self.failing.len() < MAX_FAILING {
+            let machines = self.failing.entry(job).or_default();
+            if machines.len() < JOB_ELSEWHERE {
+                machines.insert(machine.to_string());
+            }
+        }
+    }
+
+    /// Whether a machine's failures since its last success are its own: of jobs
+    /// that complete elsewhere, or of several that fail nowhere else. A job with a
+    /// mistake fails everywhere and says nothing of its machines.
+    pub(super) fn seems_faulty(&self, managed: &machine::ManagedMachine) -> bool {
+        if managed.failed_jobs.is_empty() {
+            return false;
+        }
+        let completes = |job: &str| self.progress.get(job).is_some_and(|(done, _)| *done > 0);
+        let elsewhere = |job: &str| self.failing.get(job).is_some_and(|m| m.len() > 1);
+        let jobs = &managed.failed_jobs;
+        let good: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
+        let only_here = jobs.keys().filter(|j| completes(j) || !elsewhere(j)).count();
+        good >= MACHINE_FAULTY || only_here >= MACHINE_FAULTY as usize
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A process has up to three roles, each in a module of its own: it answers
 //! users ([`api`]), runs the jobs of its seats ([`job_manager`], [`placer`]) and
-//! commands the machines of its seats ([`machine_manager`]). What it wants on machines
-//! goes out as whole-state messages that its own machine manager reads too.
+//! commands the machines of its seats ([`machine_commands`]). What it wants on machines
+//! goes out as whole-state messages that its own machine manager reads, too.
 
 pub mod estimate;
 pub mod event;
@@ -23,30 +23,38 @@
 pub mod cancel;
 mod changes;
 mod connectivity;
+mod desired_state;
+mod desired_tracking;
 mod frames;
 mod job_manager;
+mod job_writer;
 mod known;
-mod machine_manager;
+mod machine_commands;
+mod machine_reports;
+mod machine_views;
 mod op;
 mod pipeline;
 mod placer;
 mod quotas;
 mod renter;
+mod seat_loading;
 mod seats;
 mod status;
 mod status_queries;
 mod terminal_states;
 mod timers;
+mod watches;
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
-use crate::peer::{self, Frame, MachineView, WantedTask};
+use crate::peer::{self, Frame, MachineView};
 use crate::state::{Bucket, StateCall, WRITE_SHARE};
 use crate::time::Micros;
 use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
 use changes::PendingChanges;
+use desired_tracking::DesiredState;
 use fleet::Fleet;
 use frames::PeerInfo;
 use image::ImageIndex;
@@ -67,31 +75,6 @@
 /// Tasks by job and number.
 type TaskSet = BTreeSet<(String, u32)>;
 
-/// Desired state of a seat, as received.
-#[derive(Debug, Clone, Default)]
-struct DesiredState {
-    term: u64,
-    /// Newest message of the term.
-    seq: u64,
-    /// Newest message that named all machines; 0: none yet in this term.
-    complete: u64,
-    /// Terms of all seats that its sender knew with the newest message.
-    knows: Vec<u64>,
-    machines: BTreeMap<String, DesiredOnMachine>,
-    /// What the tasks use, by team.
-    usage: BTreeMap<String, quota::Amount>,
-}
-
-/// What a seat wants on one machine, as received.
-#[derive(Debug, Clone, Default)]
-struct DesiredOnMachine {
-    /// Number of the message.
-    seq: u64,
-    /// Term of the machine's seat that the sender knew.
-    known: u64,
-    tasks: Vec<WantedTask>,
-}
-
 /// All of a controller's state.
 pub struct Controller {
     member: String,
@@ -111,8 +94,8 @@
     seats: Vec<Seat>,
     seats_read: bool,
     seats_reading: bool,
-    loads: BTreeMap<usize, seats::Loading>,
-    follow: BTreeMap<Watch, seats::Following>,
+    loads: BTreeMap<usize, seat_loading::Loading>,
+    follow: BTreeMap<Watch, watches::Following>,
 
     types: BTreeMap<String, MachineType>,
     /// They are being read from the state service, since the cloud is away.
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -1,9 +1,9 @@
 //! The queue of this process's seats, and where its tasks go.
 
 use super::Controller;
+use super::desired_state::expected_s;
 use super::fleet::fits;
 use super::job::Job;
-use super::job_manager::expected_s;
 use super::machine::Key;
 use super::place;
 use super::quota::{Amount, EPS};
--- /dev/null
+++ b/src/controller/seat_loading.rs
@@ -0,0 +1,258 @@
+//! Reading the jobs of a seat after it was taken.
+
+use super::job::{self, Job, JobRecord, StoredStage};
+use super::{Controller, Known, Op, Watch};
+use crate::state::{StateCall, StateReply};
+use crate::time::Micros;
+use log::{info, warn};
+use serde_json::Value;
+use std::collections::btree_map::Entry;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Reads of job records under way at once while a seat is loaded.
+const LOADS: usize = 12;
+
+/// A seat's jobs, being read after a take.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Loading {
+    pub(super) term: u64,
+    pub(super) after: Option<String>,
+    pub(super) listed: bool,
+    pub(super) busy: bool,
+    pub(super) retry: Micros,
+    pub(super) parts: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
+    /// Jobs whose record is still to be read.
+    pub(super) todo: BTreeSet<String>,
+    pub(super) asked: BTreeSet<String>,
+    /// Asked for before changes may have been missed: read again.
+    pub(super) stale: BTreeSet<String>,
+    pub(super) records: BTreeMap<String, (Option<JobRecord>, u64)>,
+    /// Descriptions from batches: key and version of the batch, and part 0.
+    pub(super) batched: BTreeMap<String, (String, u64, Value)>,
+}
+
+impl Controller {
+    /// A job that the store holds and this process does not: its acceptance
+    /// was applied after the answer had been given up.
+    pub(super) fn adopt(&mut self, id: &str, s: usize) {
+        if s >= self.seats.len() || !self.runs(s) || self.jobs.contains_key(id) {
+            return;
+        }
+        let under_way = self
+            .ops
+            .values()
+            .any(|op| matches!(op, Op::Admit { list, .. } if list.iter().any(|a| a.spec.id == id)));
+        if under_way {
+            return;
+        }
+        let Some(term) = self.my_term(s) else {
+            return;
+        };
+        info!("job {id} found in the store");
+        // The whole list again: it is short, and only unknown jobs are taken.
+        let loading = self.loads.entry(s).or_insert_with(|| Loading { term, ..Loading::default() });
+        loading.after = None;
+        loading.listed = false;
+    }
+
+    pub(super) fn continue_loads(&mut self) {
+        // What changes after a record was read comes by the watch, which must stand.
+        let watched = self.follow.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
+        if !self.acting() || !watched {
+            return;
+        }
+        let seats: Vec<usize> = self.loads.keys().copied().collect();
+        for s in seats {
+            self.continue_load(s);
+        }
+    }
+
+    fn continue_load(&mut self, s: usize) {
+        let now = self.now;
+        let Some(l) = self.loads.get_mut(&s) else {
+            return;
+        };
+        if l.busy || now < l.retry {
+            return;
+        }
+        let term = l.term;
+        if !l.listed {
+            l.busy = true;
+            let call = StateCall::List { prefix: format!("w/{s}/"), after: l.after.clone() };
+            return self.state(Op::Load { seat: s, term }, call);
+        }
+        let asked: Vec<String> =
+            l.todo.iter().take(LOADS.saturating_sub(l.asked.len())).cloned().collect();
+        for job in &asked {
+            l.todo.remove(job);
+            l.asked.insert(job.clone());
+        }
+        let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
+        for job in asked {
+            let key = job::job_key(&job);
+            self.state(Op::LoadJob { seat: s, term, job }, StateCall::Get(key));
+        }
+        if finished {
+            self.loaded(s);
+        }
+    }
+
+    pub(super) fn load_reply(&mut self, s: usize, term: u64, reply: StateReply) {
+        let now = self.now;
+        let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
+        let StateReply::Page { items, more, .. } = reply else {
+            if let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) {
+                l.busy = false;
+                l.retry = now + Micros::millis(200);
+            }
+            return;
+        };
+        let (mut new, mut batched) = (Vec::new(), Vec::new());
+        for i in &items {
+            let Some((id, part)) = job::parse_part_key(&i.key) else {
+                continue;
+            };
+            if job::is_batch(id) {
+                let jobs = job::decode_batch(&i.value).into_iter();
+                let unknown = jobs.filter(|(id, _)| !known(id, self));
+                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
+            } else if !known(id, self) {
+                new.push((id.to_string(), part, i.clone()));
+            }
+        }
+        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
+            return;
+        };
+        l.busy = false;
+        l.after = items.last().map(|i| i.key.clone());
+        l.listed = !more || items.is_empty();
+        for (id, part, item) in new {
+            l.todo.insert(id.clone());
+            l.parts.entry(id).or_default().insert(part, (item.value, item.version));
+        }
+        for (id, found) in batched {
+            l.todo.insert(id.clone());
+            l.batched.insert(id, found);
+        }
+        self.continue_load(s);
+    }
+
+    pub(super) fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: StateReply) {
+        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
+            return;
+        };
+        l.asked.remove(job);
+        match reply {
+            _ if l.stale.remove(job) => {
+                l.todo.insert(job.to_string());
+            }
+            StateReply::Value(item) => {
+                let record =
+                    item.as_ref().and_then(|i| serde_json::from_value(i.value.clone()).ok());
+                let mark = item.map_or(0, |i| i.version);
+                l.records.insert(job.to_string(), (record, mark));
+            }
+            _ => {
+                l.todo.insert(job.to_string());
+                l.retry = self.now + Micros::millis(150);
+                return;
+            }
+        }
+        self.continue_load(s);
+    }
+
+    fn loaded(&mut self, s: usize) {
+        let Some(mut l) = self.loads.remove(&s) else {
+            return;
+        };
+        // A job's own part 0 is newer than what it was accepted with.
+        let mut batches: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
+        for (id, (key, version, value)) in l.batched {
+            let jobs = batches.entry((key, version)).or_default();
+            let parts = l.parts.entry(id.clone()).or_default();
+            if let Entry::Vacant(first) = parts.entry(0) {
+                first.insert((value, 0));
+                jobs.insert(id);
+            }
+        }
+        for ((key, version), jobs) in batches {
+            self.admission.batch(&key, s, version, jobs);
+        }
+        let mut count = 0;
+        for (id, parts) in l.parts {
+            if self.jobs.contains_key(&id) {
+                continue;
+            }
+            let Some((Some(record), mark)) = l.records.remove(&id) else {
+                warn!("tasks of job {id} without a record");
+                self.admission.unbatch(&id);
+                continue;
+            };
+            self.pipelines.note(&id, &record);
+            self.note_known(
+                &id,
+                Known { stage: record.stage, seat: record.seat, tasks: record.tasks, mark },
+            );
+            let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
+                warn!("stored tasks of job {id} cannot be read");
+                continue;
+            };
+            job.fit(self.part_size, self.larger);
+            // What was said since its record was read came by the watch.
+            let stage = self.known.get(&id).map_or(record.stage, |k| k.stage);
+            job.cancelled = stage == StoredStage::Cancelled;
+            job.over = stage == StoredStage::Done;
+            job.upstream = record.upstream.as_slice().into();
+            job.waiting = !job.upstream.is_empty() && stage == StoredStage::Accepted;
+            if job.waiting {
+                self.pipelines.wait(&id);
+            }
+            if job.over {
+                // What its parts still name has completed; it must not be
+                // wanted, and so started, again.
+                job.parts.iter_mut().for_each(|p| p.placed.clear());
+            }
+            count += 1;
+            for part in &job.parts {
+                for (index, p) in &part.placed {
+                    self.by_machine
+                        .entry((s, p.machine.clone()))
+                        .or_default()
+                        .insert((id.clone(), *index));
+                }
+            }
+            self.changes.jobs.insert(id.clone());
+            self.changes.progress.insert(id.clone());
+            self.jobs.insert(id, job);
+        }
+        let first = match &mut self.seats[s].mine {
+            Some(m) if m.term == l.term => !std::mem::replace(&mut m.loaded, true),
+            _ => return,
+        };
+        info!("seat {s} term {}: {count} unfinished jobs read", l.term);
+        // The whole of the seat's desired state: whatever it does not name is not wanted.
+        self.changes.complete_desired.insert(s);
+        let machines: Vec<String> = self
+            .by_machine
+            .keys()
+            .filter(|(seat, _)| *seat == s)
+            .map(|(_, m)| m.to_string())
+            .collect();
+        let cancelled: Vec<String> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.seat == s && j.cancelled)
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in cancelled {
+            self.stop_job(&id);
+        }
+        for m in machines {
+            self.touch_slot(&m);
+            self.evaluate_machine(s, &m);
+        }
+        if first {
+            self.place_wanted = true;
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/watches.rs
@@ -0,0 +1,127 @@
+//! Watches of the state service: how this process learns of changes.
+
+use super::job::{JobRecord, StoredStage};
+use super::seat;
+use super::{Controller, Known, Op, Watch};
+use crate::state::StateCall;
+use crate::time::Micros;
+use crate::wire::{Change, Item};
+use log::warn;
+
+/// Between looks at changes beside a watch that has said nothing for long.
+const LOOK_EVERY: Micros = Micros::millis(400);
+
+/// A watch.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Following {
+    pub(super) after: Option<u64>,
+    pub(super) busy: bool,
+    pub(super) retry: Micros,
+    /// When the call that is under way was sent.
+    pub(super) sent: Micros,
+    /// When the last call that was answered had been sent.
+    pub(super) caught_up_at: Micros,
+    /// When changes were last looked at beside the watch.
+    pub(super) look_at: Micros,
+}
+
+pub(super) fn prefix(watch: Watch) -> &'static str {
+    match watch {
+        Watch::Jobs => "j/",
+        Watch::Holds => "hold/",
+        Watch::Quotas => "quota/",
+    }
+}
+
+impl Following {
+    /// Changes up to a revision, asked for at a time, are taken in. A watch and a
+    /// look may cross.
+    pub(super) fn took(&mut self, revision: u64, sent: Micros) {
+        self.after = Some(self.after.unwrap_or(0).max(revision));
+        self.caught_up_at = self.caught_up_at.max(sent);
+    }
+
+    /// All that had changed by then is known.
+    pub(super) fn caught_up_at(&self) -> Micros {
+        self.caught_up_at
+    }
+
+    /// Revision up to which changes are known, 0 for none.
+    pub(super) fn revision(&self) -> u64 {
+        self.after.unwrap_or(0)
+    }
+}
+
+impl Controller {
+    /// After an outage the lease is good at once, while the watch that was open waits
+    /// on: reports are answered only once it is known what was cancelled meanwhile.
+    pub(super) fn look_beside_watch(&mut self) {
+        let now = self.now;
+        if !self.acting() || self.cancellations_up_to_date() {
+            return;
+        }
+        let Some(f) = self.follow.get_mut(&Watch::Jobs).filter(|f| now >= f.look_at) else {
+            return;
+        };
+        let Some(after) = f.after else {
+            return;
+        };
+        f.look_at = now + LOOK_EVERY;
+        let prefix = prefix(Watch::Jobs).to_string();
+        let call = StateCall::Follow { prefix, after, block: Micros::ZERO };
+        self.state(Op::Look { sent: now }, call);
+    }
+
+    pub(super) fn change(&mut self, watch: Watch, change: Change) {
+        let Some(key) = change.put.as_ref().or(change.delete.as_ref()).cloned() else {
+            return;
+        };
+        let item = change.put.is_some().then(|| Item {
+            key: key.clone(),
+            value: change.value,
+            version: change.version,
+        });
+        match watch {
+            Watch::Holds => {
+                let Some(s) = seat::seat_of_key(&key).filter(|s| *s < self.seats.len()) else {
+                    return;
+                };
+                // News older than the own take: the seat has been taken since.
+                if self.seats[s].mine.as_ref().is_some_and(|m| change.version <= m.mark) {
+                    return;
+                }
+                self.see_hold(s, item.as_ref());
+            }
+            Watch::Jobs => {
+                let (Some(item), Some(id)) = (item, key.strip_prefix("j/")) else {
+                    return;
+                };
+                let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
+                    warn!("unreadable record of job {id}");
+                    return;
+                };
+                self.pipelines.note(id, &record);
+                self.note_known(
+                    id,
+                    Known {
+                        stage: record.stage,
+                        seat: record.seat,
+                        tasks: record.tasks,
+                        mark: item.version,
+                    },
+                );
+                match record.stage {
+                    StoredStage::Cancelled => self.job_cancelled(id),
+                    StoredStage::Accepted => self.adopt(id, record.seat),
+                    StoredStage::Done => {}
+                }
+            }
+            Watch::Quotas => {
+                if let Some(team) = key.strip_prefix("quota/") {
+                    let value = item.map(|i| i.value).unwrap_or_default();
+                    self.see_quota(team, &value, change.version);
+                }
+            }
+        }
+    }
+}
