--- /dev/null
+++ b/src/runtime/mod.rs
@@ -0,0 +1,233 @@
+//! The process's only thread: sockets and timers on `calloop`, around the pure
+//! controller. Everything here is bounded and timed.
+//!
+//! - `limits`: how many connections and bytes there may be, and all time limits;
+//! - `socket`: listening and connecting;
+//! - `connection`: accepting, reading, writing and closing;
+//! - `requests`: requests from users, workers and probers;
+//! - `calls`: outgoing calls and their connections;
+//! - `peers`: frames from and to the other controllers;
+//! - `timers`: what is done at every turn of the timer;
+//! - `status`: the pages for people.
+
+mod calls;
+mod connection;
+mod limits;
+mod peers;
+mod requests;
+mod socket;
+mod status;
+mod timers;
+
+pub use connection::drop_written;
+pub use limits::{command_fits, peer_backlog, sender_fits};
+
+use crate::config::{Config, Options};
+use crate::controller::{CallId, Controller, Effect, Event};
+use crate::state::Budget;
+use crate::time::Micros;
+use calloop::generic::Generic;
+use calloop::timer::{TimeoutAction, Timer};
+use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
+use calls::{Call, Destination, Pool};
+use connection::{Connection, ConnectionId};
+use limits::{BUSY_TICK, READ_BUFFER};
+use log::info;
+use peers::{EncodedFrame, PeerLink};
+use requests::{Answer, JSON};
+use status::{Page, Stats};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::io;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// Where the steady clock begins: no point in time is zero.
+const CLOCK_START: Micros = Micros::secs(1);
+
+/// Everything that the loop's callbacks work on.
+pub struct Runtime {
+    handle: LoopHandle<'static, Runtime>,
+    controller: Controller,
+    config: Config,
+    start: Instant,
+    now: Micros,
+    connections: HashMap<ConnectionId, Connection>,
+    next_connection: ConnectionId,
+    /// Connections of users, workers and probers.
+    senders: usize,
+    /// Connections for commands to workers.
+    commanding: usize,
+    /// Those of them that have nothing to do, the one idle for longest first.
+    idle_commands: BTreeSet<(Micros, ConnectionId)>,
+    /// Bytes that may wait for a peer.
+    peer_backlog: usize,
+    last_tick: Micros,
+    /// No call times out before this.
+    timeouts_paused_until: Micros,
+    pools: HashMap<Destination, Pool>,
+    calls: HashMap<CallId, Call>,
+    deadlines: BTreeSet<(Micros, CallId)>,
+    budget: Budget,
+    /// State calls waiting for their share of the rate: reads, and changes,
+    /// which wait longer and must not hold up the reads.
+    throttled: [VecDeque<CallId>; 2],
+    peers: BTreeMap<usize, PeerLink>,
+    /// When slow and idle connections are looked for again.
+    next_sweep: Micros,
+    /// An empty list, kept for its capacity.
+    effects: Vec<Effect>,
+    stats: Stats,
+    /// Pages as last made.
+    pages: BTreeMap<Page, (Micros, Rc<Vec<u8>>)>,
+    /// What has just been read from a socket.
+    buffer: Vec<u8>,
+}
+
+/// Runs the controller until the process is killed.
+pub fn run(config: Config, options: Options, seed: u64) -> io::Result<()> {
+    let mut event_loop: EventLoop<'static, Runtime> =
+        EventLoop::try_new().map_err(io::Error::other)?;
+    let handle = event_loop.handle();
+    let senders = socket::listen(config.bind)?;
+    let peers = socket::listen(config.peer_bind)?;
+    add_listener(&handle, senders, false)?;
+    add_listener(&handle, peers, true)?;
+    add_timer(&handle)?;
+    let mut runtime = Runtime::new(handle, config, options, seed);
+    info!("{} listens on {}", runtime.config.member, runtime.config.bind);
+    event_loop.run(None, &mut runtime, |runtime| runtime.finish_turn()).map_err(io::Error::other)
+}
+
+fn add_listener(
+    handle: &LoopHandle<'static, Runtime>,
+    listener: TcpListener,
+    for_peers: bool,
+) -> io::Result<()> {
+    let source = Generic::new(listener, Interest::READ, Mode::Level);
+    handle
+        .insert_source(source, move |_, listener, runtime: &mut Runtime| {
+            runtime.accept(listener, for_peers);
+            Ok(PostAction::Continue)
+        })
+        .map_err(|e| io::Error::other(e.to_string()))?;
+    Ok(())
+}
+
+fn add_timer(handle: &LoopHandle<'static, Runtime>) -> io::Result<()> {
+    let timer = Timer::from_duration(BUSY_TICK.duration());
+    handle
+        .insert_source(timer, |_, _, runtime: &mut Runtime| {
+            let wait = runtime.tick();
+            TimeoutAction::ToDuration(wait.duration())
+        })
+        .map_err(|e| io::Error::other(e.to_string()))?;
+    Ok(())
+}
+
+/// The time of day, less the point at which the steady clock begins.
+fn time_of_day() -> Micros {
+    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Micros(u64::try_from(since.as_micros()).unwrap_or(0)).since(CLOCK_START)
+}
+
+/// The other controllers by their number among the members.
+fn peer_links(config: &Config) -> BTreeMap<usize, PeerLink> {
+    let members = config.members();
+    config
+        .peers
+        .iter()
+        .filter_map(|peer| {
+            let number = members.iter().position(|member| *member == peer.member)?;
+            Some((number, PeerLink::new(peer.address)))
+        })
+        .collect()
+}
+
+impl Runtime {
+    fn new(
+        handle: LoopHandle<'static, Runtime>,
+        config: Config,
+        options: Options,
+        seed: u64,
+    ) -> Runtime {
+        let state = &config.settings.state;
+        Runtime {
+            handle,
+            controller: Controller::new(&config, options, seed, time_of_day()),
+            start: Instant::now(),
+            now: CLOCK_START,
+            connections: HashMap::new(),
+            next_connection: 1,
+            senders: 0,
+            commanding: 0,
+            idle_commands: BTreeSet::new(),
+            peer_backlog: peer_backlog(config.settings.machine_limits.mem_mb),
+            last_tick: CLOCK_START,
+            timeouts_paused_until: Micros::ZERO,
+            pools: HashMap::new(),
+            calls: HashMap::new(),
+            deadlines: BTreeSet::new(),
+            budget: Budget::new(state.rps, state.write_rps, config.members().len()),
+            throttled: [VecDeque::new(), VecDeque::new()],
+            peers: peer_links(&config),
+            next_sweep: Micros::ZERO,
+            effects: Vec::new(),
+            stats: Stats::new(),
+            pages: BTreeMap::new(),
+            buffer: vec![0; READ_BUFFER],
+            config,
+        }
+    }
+
+    /// Takes the time of what follows from the steady clock.
+    fn read_clock(&mut self) {
+        let elapsed = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX / 8);
+        self.now = Micros(elapsed) + CLOCK_START;
+    }
+
+    /// Hands an event to the controller and carries out what it decides.
+    fn dispatch(&mut self, event: Event) {
+        let mut effects = std::mem::take(&mut self.effects);
+        self.controller.handle(self.now, event, &mut effects);
+        self.perform(effects);
+    }
+
+    fn perform(&mut self, mut effects: Vec<Effect>) {
+        let mut encoded = EncodedFrame::default();
+        for effect in effects.drain(..) {
+            match effect {
+                Effect::Respond { ticket, status, retry_after, body } => {
+                    let answer = Answer {
+                        status,
+                        retry_after,
+                        content_type: JSON,
+                        body: &body,
+                        close: false,
+                    };
+                    self.answer(ticket.0, answer);
+                }
+                Effect::State { id, call } => self.start_state(id, call),
+                Effect::Cloud { id, call } => self.start_cloud(id, call),
+                Effect::Direct { id, address, body } => self.start_commands(id, address, &body),
+                Effect::Inspect { id, address } => self.start_inspect(id, address),
+                Effect::Peer { to, frame } => self.send_frame(to, &frame, &mut encoded),
+            }
+        }
+        if self.effects.capacity() < effects.capacity() && self.effects.is_empty() {
+            self.effects = effects;
+        }
+    }
+
+    /// After every turn of the loop: calls whose share has come, and one frame
+    /// for each peer with all that has changed.
+    fn finish_turn(&mut self) {
+        // The turn may have been long, or the process may have stood still in
+        // it: what follows acts by the clock as it is now.
+        self.read_clock();
+        self.admit_throttled();
+        let mut effects = std::mem::take(&mut self.effects);
+        self.controller.flush(self.now, &mut effects);
+        self.perform(effects);
+    }
+}
--- /dev/null
+++ b/src/runtime/peers.rs
@@ -0,0 +1,176 @@
+//! Connections with the other controllers, and the frames on them.
+
+use super::Runtime;
+use super::connection::{Connection, ConnectionId, Role};
+use super::limits::{CONNECT_TIMEOUT, PEER_RETRY};
+use super::socket::begin_connect;
+use crate::controller::Event;
+use crate::peer::{self, Frame};
+use crate::time::Micros;
+use log::{debug, warn};
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+
+/// Another controller and the connection on which it is told things.
+pub(super) struct PeerLink {
+    pub(super) address: SocketAddrV4,
+    pub(super) connection: Option<ConnectionId>,
+    /// When to try again to connect.
+    pub(super) retry: Micros,
+    /// Its run as last heard; 0 before that.
+    pub(super) run: u64,
+}
+
+impl PeerLink {
+    /// A peer that has not been reached yet.
+    pub(super) fn new(address: SocketAddrV4) -> PeerLink {
+        PeerLink { address, connection: None, retry: Micros::ZERO, run: 0 }
+    }
+}
+
+/// The frame that was encoded last: the same one often goes to several peers.
+#[derive(Default)]
+pub(super) struct EncodedFrame(Option<(Rc<Frame>, Vec<u8>)>);
+
+impl EncodedFrame {
+    /// Appends the bytes of `frame`, encoding it unless it is the last one again.
+    fn append_to(&mut self, out: &mut Vec<u8>, frame: &Rc<Frame>) {
+        match &self.0 {
+            Some((last, bytes)) if Rc::ptr_eq(last, frame) => out.extend_from_slice(bytes),
+            _ => {
+                let mut bytes = Vec::new();
+                peer::write_frame(&mut bytes, frame);
+                out.extend_from_slice(&bytes);
+                self.0 = Some((Rc::clone(frame), bytes));
+            }
+        }
+    }
+}
+
+impl Runtime {
+    /// Takes whole frames from a peer's connection; true once the connection is
+    /// gone, false when the next frame has not arrived in full.
+    pub(super) fn consume_frames(&mut self, id: ConnectionId) -> bool {
+        loop {
+            let Some(connection) = self.connections.get_mut(&id) else {
+                return true;
+            };
+            let Role::PeerIn { member } = connection.role else {
+                return true;
+            };
+            match peer::read_frame(&connection.inbound) {
+                Ok(None) => return false,
+                Ok(Some((frame, used))) => {
+                    connection.inbound.drain(..used);
+                    if !self.accept_frame(id, member, frame) {
+                        return true;
+                    }
+                }
+                Err(peer::BadFrame) => {
+                    warn!("unreadable frame from a peer; connection closed");
+                    self.close(id);
+                    return true;
+                }
+            }
+        }
+    }
+
+    /// Hands a frame to the controller. False, with the connection closed, if it
+    /// comes from nobody who may send on it: `member` is the peer that sent the
+    /// earlier ones.
+    fn accept_frame(&mut self, id: ConnectionId, member: Option<usize>, frame: Frame) -> bool {
+        let number = self.controller.member_number(&frame.member);
+        let known = number.filter(|number| self.peers.contains_key(number));
+        let Some(from) = known.filter(|number| member.is_none_or(|m| m == *number)) else {
+            warn!("frame from unknown member {:?}", frame.member);
+            self.close(id);
+            return false;
+        };
+        if member.is_none() {
+            self.identify_peer(id, from);
+        }
+        self.note_run(from, frame.run);
+        self.dispatch(Event::Peer { from, frame: Box::new(frame) });
+        true
+    }
+
+    /// A connection's first frame has said which peer it comes from. Only the
+    /// newest connection of a peer counts: frames held back on an older one would
+    /// arrive after newer ones.
+    fn identify_peer(&mut self, id: ConnectionId, from: usize) {
+        let role = Role::PeerIn { member: Some(from) };
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.role = role;
+        }
+        let older: Vec<ConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(other, connection)| **other != id && connection.role == role)
+            .map(|(other, _)| *other)
+            .collect();
+        for other in older {
+            self.close(other);
+        }
+    }
+
+    /// Closes the connection to a peer that has started anew: what was sent to
+    /// its earlier run is lost.
+    fn note_run(&mut self, from: usize, run: u64) {
+        let Some(link) = self.peers.get_mut(&from) else {
+            return;
+        };
+        let earlier = std::mem::replace(&mut link.run, run);
+        if earlier != 0
+            && earlier != run
+            && let Some(connection) = link.connection
+        {
+            self.close(connection);
+        }
+    }
+
+    /// Sends a frame, or drops it while the peer is not reached.
+    pub(super) fn send_frame(&mut self, to: usize, frame: &Rc<Frame>, encoded: &mut EncodedFrame) {
+        let Some(id) = self.peers.get(&to).and_then(|link| link.connection) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if !connection.connected {
+            return;
+        }
+        if connection.outbound.len() - connection.written > self.peer_backlog {
+            debug!("peer {to} does not read; connection closed");
+            self.close(id);
+            return;
+        }
+        encoded.append_to(&mut connection.outbound, frame);
+        self.write(id);
+    }
+
+    /// Connects to a peer that is not reached, and gives up an attempt that
+    /// takes too long.
+    pub(super) fn maintain_peer(&mut self, member: usize) {
+        let now = self.now;
+        let Some(link) = self.peers.get(&member) else {
+            return;
+        };
+        match link.connection {
+            Some(id) => {
+                let slow = |c: &Connection| !c.connected && now > c.active + CONNECT_TIMEOUT;
+                if self.connections.get(&id).is_some_and(slow) {
+                    self.close(id);
+                }
+            }
+            None if now >= link.retry => {
+                let opened = begin_connect(link.address)
+                    .and_then(|s| self.add_connection(s, Role::PeerOut { member }, false));
+                if let Some(link) = self.peers.get_mut(&member) {
+                    link.connection = opened.ok();
+                    link.retry = now + PEER_RETRY;
+                }
+            }
+            None => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/runtime/requests.rs
@@ -0,0 +1,114 @@
+//! Requests from users, workers and probers, and the answers to them.
+
+use super::Runtime;
+use super::connection::{ConnectionId, Role, take_front};
+use super::status::Page;
+use crate::controller::{Event, Ticket};
+use crate::http::{self, HttpError};
+use crate::wire;
+
+/// Content type of what programs read.
+pub(super) const JSON: &str = "application/json";
+/// Content type of the page for people.
+const TEXT: &str = "text/plain";
+
+/// An answer to a sender.
+pub(super) struct Answer<'a> {
+    pub(super) status: u16,
+    /// Seconds after which the sender should ask again.
+    pub(super) retry_after: Option<u64>,
+    pub(super) content_type: &'a str,
+    pub(super) body: &'a [u8],
+    /// Close the connection afterwards.
+    pub(super) close: bool,
+}
+
+impl Runtime {
+    /// Takes a request from a sender's connection; true if there was one.
+    pub(super) fn consume_request(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return true;
+        };
+        match http::parse_request(&connection.inbound) {
+            Ok(None) => false,
+            Ok(Some((request, used))) => {
+                take_front(&mut connection.inbound, used);
+                connection.close_after |= request.close;
+                let reports = request.path == wire::path::REPORT;
+                connection.role = Role::Sender { busy: true, since: self.now, reports };
+                self.handle_request(id, request);
+                true
+            }
+            Err(e) => {
+                self.refuse_request(id, e);
+                true
+            }
+        }
+    }
+
+    /// Shows a page, or leaves the request to the controller.
+    fn handle_request(&mut self, id: ConnectionId, request: http::Request) {
+        let (page, content_type) = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/status") => (Page::Status, JSON),
+            ("GET", "/queue") => (Page::Queue, TEXT),
+            _ => {
+                self.dispatch(Event::Http {
+                    ticket: Ticket(id),
+                    method: request.method,
+                    path: request.path,
+                    body: request.body,
+                });
+                return;
+            }
+        };
+        let body = self.page(page);
+        let answer =
+            Answer { status: 200, retry_after: None, content_type, body: &body, close: false };
+        self.answer(id, answer);
+    }
+
+    /// Answers what is no request that this service reads.
+    fn refuse_request(&mut self, id: ConnectionId, error: HttpError) {
+        self.stats.bad_requests += 1;
+        let status = if error == HttpError::TooLarge { 413 } else { 400 };
+        let body = format!("{{\"error\":\"{error}\"}}");
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.role = Role::Sender { busy: true, since: self.now, reports: false };
+        }
+        let answer = Answer {
+            status,
+            retry_after: None,
+            content_type: JSON,
+            body: body.as_bytes(),
+            close: true,
+        };
+        self.answer(id, answer);
+    }
+
+    /// Answers the request that is being decided on this connection.
+    pub(super) fn answer(&mut self, id: ConnectionId, answer: Answer<'_>) {
+        let now = self.now;
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Role::Sender { busy: true, since, reports } = connection.role else {
+            return;
+        };
+        connection.close_after |= answer.close;
+        http::write_answer(
+            &mut connection.outbound,
+            answer.status,
+            answer.retry_after,
+            answer.content_type,
+            answer.body,
+            connection.close_after,
+        );
+        connection.role = Role::Sender { busy: false, since: now, reports };
+        self.stats.record_answer(now.since(since), reports);
+        self.write(id);
+        // A further request may have arrived while this one was being decided.
+        if self.connections.get(&id).is_some_and(|c| !c.inbound.is_empty()) {
+            self.consume(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/runtime/socket.rs
@@ -0,0 +1,35 @@
+//! Sockets that listen and sockets that connect, all without blocking.
+
+use super::limits::LISTEN_BACKLOG;
+use socket2::{Domain, Socket, Type};
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+
+/// Linux says EINPROGRESS for a connection that is under way.
+const IN_PROGRESS: i32 = 115;
+
+/// Listens with an address that a quick restart may use again at once.
+pub(super) fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+    socket.set_reuse_address(true)?;
+    socket.set_nonblocking(true)?;
+    socket
+        .bind(&SocketAddr::V4(address).into())
+        .and_then(|()| socket.listen(LISTEN_BACKLOG))
+        .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))?;
+    Ok(socket.into())
+}
+
+/// Starts to connect; the socket becomes writable once that is done.
+pub(super) fn begin_connect(address: SocketAddrV4) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+    socket.set_nonblocking(true)?;
+    let _ = socket.set_tcp_nodelay(true);
+    match socket.connect(&SocketAddr::V4(address).into()) {
+        Ok(()) => {}
+        Err(e) if e.raw_os_error() == Some(IN_PROGRESS) => {}
+        Err(e) if e.kind() == ErrorKind::WouldBlock => {}
+        Err(e) => return Err(e),
+    }
+    Ok(socket.into())
+}
