--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,11 +1,11 @@
 //! Meetings of troubles: what broke rules most often was two of them at once. Each
 //! row is one such meeting, named after it, and played with a few seeds.
 
-mod rehearsal;
+mod simulation;
 
 use millethold::time::Micros;
-use rehearsal::chance::{chance_meeting, late, peers_of};
-use rehearsal::{CancelNow, Plan, Troubles, World, judge};
+use simulation::chance::{chance_meeting, late, peers_of};
+use simulation::{CancelNow, Plan, Troubles, World, judge};
 
 /// A meeting: its name, what goes wrong, what users hand in, and what the run must have
 /// shown, without which the troubles did not meet.
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,11 +1,11 @@
 //! Pipelines of jobs: what a job needs is done before any task of it starts, and what
 //! needs a cancelled job is cancelled with it. Each row is played with a few seeds.
 
-mod rehearsal;
+mod simulation;
 
 use millethold::time::Micros;
-use rehearsal::chance::chance_meeting;
-use rehearsal::{CancelNow, LateWrites, Plan, Troubles, World, judge};
+use simulation::chance::chance_meeting;
+use simulation::{CancelNow, LateWrites, Plan, Troubles, World, judge};
 
 /// A row: its name, what goes wrong, what users hand in, and what the run must have shown.
 struct Row {
--- /dev/null
+++ b/tests/simulation/controllers.rs
@@ -0,0 +1,220 @@
+//! Controllers: their processes, and what they send.
+
+use super::event::{Node, SimEvent};
+use super::settings::{CONTROLLERS, LOWERED, STATE_RATE, settings};
+use super::worker::Worker;
+use super::world::World;
+use millethold::cloud::{CloudCall, CloudReply};
+use millethold::config::Options;
+use millethold::controller::{CallId, Controller, DirectReply, Effect, Event, Reply};
+use millethold::peer::Frame;
+use millethold::time::Micros;
+use rand::RngExt;
+use std::net::SocketAddrV4;
+
+/// How long the cloud takes to answer, on top of the way.
+const CLOUD_DELAY: Micros = Micros::millis(100);
+/// How long a controller waits for the answer to direct commands.
+const DIRECT_TIMEOUT: Micros = Micros::secs(3);
+/// Time of day at which a controller starts, by its own clock.
+const TIME_OF_DAY: Micros = Micros::secs(1_000_000);
+
+impl World {
+    /// Whether this run of a controller goes on.
+    pub(super) fn alive(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node].as_ref().is_some_and(|n| n.incarnation == incarnation)
+    }
+
+    /// Starts a controller's process.
+    pub(super) fn start(&mut self, node: usize) {
+        let seed = self.rng.random();
+        let incarnation = self.rng.random();
+        if self.troubles.lowered.is_some_and(|(known, _)| self.now >= Micros::secs(known)) {
+            let [writes, reads] =
+                [self.troubles.writes, self.troubles.reads].map(|r| r.unwrap_or(STATE_RATE));
+            let next = format!(
+                "next = {{ value_kb = {:.1}, txn_ops = {} }}",
+                LOWERED.value_kb, LOWERED.operations
+            );
+            self.config[node] = settings(node, writes, reads, &next);
+        }
+        let options = Options::default();
+        let controller = Controller::new(&self.config[node], options, seed, TIME_OF_DAY);
+        self.nodes[node] = Some(Node { controller, incarnation });
+        self.at(self.now, SimEvent::Tick { node, incarnation });
+        for other in (0..CONTROLLERS).filter(|o| *o != node) {
+            for (from, to) in [(node, other), (other, node)] {
+                let link = self.rng.random();
+                let at = self.now + Micros::millis(5);
+                self.at(at, SimEvent::PeerUp { from, to, link });
+            }
+        }
+    }
+
+    /// Ends a controller's process; it comes back later.
+    pub(super) fn crash(&mut self, node: usize) {
+        self.nodes[node] = None;
+        self.watches.retain(|watch| watch.node != node);
+        let wait = self.troubles.back_ms.max(100);
+        let back = self.now + Micros::millis(self.rng.random_range(wait / 2..wait * 2));
+        self.at(back, SimEvent::Start { node });
+    }
+
+    /// Hands an event to a controller, if it is up, and sends what it answers.
+    pub(super) fn feed(&mut self, node: usize, event: Event) {
+        let now = self.now;
+        let mut effects = Vec::new();
+        let Some(n) = self.nodes[node].as_mut() else {
+            return;
+        };
+        n.controller.handle(now, event, &mut effects);
+        n.controller.flush(now, &mut effects);
+        let incarnation = n.incarnation;
+        for effect in effects {
+            self.effect(node, incarnation, effect);
+        }
+    }
+
+    fn effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
+        let at = self.now + self.delay();
+        match effect {
+            Effect::Respond { ticket, status, body, .. } => {
+                let left = self.now;
+                self.at(at, SimEvent::Answer { ticket: ticket.0, left, status, body });
+            }
+            Effect::State { id, call } => {
+                let lose = self.chance(self.troubles.lost);
+                let at = at + self.state_slow();
+                let sent = self.now;
+                self.at(at, SimEvent::State { node, incarnation, id, call, lose, sent });
+            }
+            Effect::Cloud { id, call } => {
+                let reply = self.call_cloud(&call);
+                let event = Event::Reply { id, reply: Reply::Cloud(reply) };
+                self.at(at + CLOUD_DELAY, SimEvent::Node { node, incarnation, event });
+            }
+            Effect::Direct { id, address, body } => {
+                self.send_direct(node, incarnation, id, address, body, at);
+            }
+            Effect::Inspect { id, address } => {
+                let reply = self.inspect(node, address);
+                let event = Event::Reply { id, reply: Reply::Direct(reply) };
+                self.at(at, SimEvent::Node { node, incarnation, event });
+            }
+            Effect::Peer { to, frame } => self.send_frame(node, to, &frame, at),
+        }
+    }
+
+    /// Carries out a call to the cloud, with what it means for the machines.
+    fn call_cloud(&mut self, call: &CloudCall) -> CloudReply {
+        let reply = self.cloud.call(self.now, call);
+        if let CloudReply::Rented(names) = &reply {
+            for name in names.clone() {
+                let zone = self.cloud.zone(&name);
+                let worker = self.workers.len();
+                let boot = match self.troubles.quick_boots {
+                    true => Micros::millis(self.rng.random_range(200..2_000)),
+                    false => Micros::secs(5),
+                };
+                let up = self.now + boot;
+                self.workers.push(Worker::new(name, &zone, false, false, up));
+                self.at(up, SimEvent::Worker { worker });
+            }
+        }
+        if let CloudReply::Returned = reply
+            && let CloudCall::Return(names) = call
+        {
+            for worker in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
+                worker.gone = true;
+            }
+        }
+        reply
+    }
+
+    /// Sends direct commands to a worker: they arrive at `at`, late or not at all.
+    fn send_direct(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        id: CallId,
+        address: SocketAddrV4,
+        body: Vec<u8>,
+        at: Micros,
+    ) {
+        let worker = usize::from(address.port());
+        let held = self.chance(self.troubles.held);
+        let node_cut = self.node_cut(node);
+        let cut = self.worker_cut(worker).or(node_cut.map(|(end, _)| end));
+        let no_answer = SimEvent::Node {
+            node,
+            incarnation,
+            event: Event::Reply { id, reply: Reply::Direct(DirectReply::Unknown) },
+        };
+        let reset = node_cut.is_some_and(|(_, held)| !held);
+        if self.deaf(worker) || self.apart(worker, node) || reset {
+            self.at(self.now + DIRECT_TIMEOUT, no_answer);
+        } else if held || cut.is_some() {
+            let late = Micros::secs(self.rng.random_range(1..20));
+            let at = cut.unwrap_or(self.now) + late;
+            // The answer never comes; the command does.
+            self.at(at, SimEvent::Direct { node, incarnation: 0, id, worker, body });
+            self.at(self.now + DIRECT_TIMEOUT, no_answer);
+        } else {
+            self.at(at, SimEvent::Direct { node, incarnation, id, worker, body });
+        }
+    }
+
+    /// What a question about how a worker stands is answered with.
+    fn inspect(&self, node: usize, address: SocketAddrV4) -> DirectReply {
+        let worker = usize::from(address.port());
+        let away = self.worker_cut(worker).is_some() || self.node_cut(node).is_some();
+        if away || self.workers[worker].gone {
+            DirectReply::Unknown
+        } else {
+            DirectReply::Answered { status: 200, body: Vec::new() }
+        }
+    }
+
+    /// Sends a frame to a peer, after those that were sent before.
+    fn send_frame(&mut self, node: usize, to: usize, frame: &Frame, at: Micros) {
+        self.told += frame.views.len() as u64;
+        self.told += frame.wants.iter().map(|w| w.machines.len() as u64).sum::<u64>();
+        let machines = frame.wants.iter().flat_map(|w| &w.machines);
+        self.named += machines.map(|m| m.tasks.len() as u64).sum::<u64>();
+        if self.chance(self.troubles.dropped) {
+            return;
+        }
+        let Some((link, last)) = self.links.get(&(node, to)).copied() else {
+            return;
+        };
+        let at = at.max(last + Micros(1));
+        self.links.insert((node, to), (link, at));
+        let frame = Box::new(frame.clone());
+        self.at(at, SimEvent::Peer { from: node, link, to, frame });
+    }
+
+    /// A connection from one controller to another is there, if nothing is between.
+    pub(super) fn peer_up(&mut self, from: usize, to: usize, link: u64) {
+        if self.peers_cut(from, to) || self.nodes[to].is_none() {
+            return;
+        }
+        self.links.insert((from, to), (link, self.now));
+        self.feed(from, Event::PeerUp(to));
+    }
+
+    /// A frame arrives, if its connection is still there; or it is held, and
+    /// delivered in order afterwards.
+    pub(super) fn deliver_frame(&mut self, from: usize, link: u64, to: usize, frame: Box<Frame>) {
+        let lost = self.peers_reset(from, to);
+        let current = !lost && self.links.get(&(from, to)).is_some_and(|l| l.0 == link);
+        if !current || self.nodes[to].is_none() {
+            return;
+        }
+        if self.one_way_cut(from, to) || self.peers_cut(from, to) {
+            let at = self.held_frames_until();
+            self.at(at, SimEvent::Peer { from, link, to, frame });
+        } else {
+            self.feed(to, Event::Peer { from, frame });
+        }
+    }
+}
--- /dev/null
+++ b/tests/simulation/machines.rs
@@ -0,0 +1,228 @@
+//! Machines: their turns, their reports and what they are told.
+
+use super::event::{Origin, SimEvent};
+use super::jobs::Plan;
+use super::settings::CONTROLLERS;
+use super::worker::Worker;
+use super::world::World;
+use millethold::controller::{CallId, DirectReply, Event, Reply, Ticket};
+use millethold::time::Micros;
+use rand::RngExt;
+use std::collections::BTreeMap;
+
+/// Between two turns of a worker.
+const TURN: Micros = Micros::millis(250);
+/// Between two turns of a worker that hangs.
+const HUNG_TURN: Micros = Micros::millis(50);
+/// How long a worker waits for the answer to its report.
+const REPORT_TIMEOUT: Micros = Micros::secs(4);
+/// The same where the connection is refused.
+const REFUSED_REPORT: Micros = Micros::millis(200);
+/// Copies of one machine's reports that are kept for the next leader.
+const KEPT_COPIES: usize = 4;
+
+impl World {
+    /// Adds a machine that was rented before the run.
+    pub(super) fn add_worker(&mut self, zone: &str, spot: bool) {
+        let worker = self.workers.len();
+        let name = self.cloud.add(self.now, zone, spot);
+        let sick = self.troubles.sick.contains(&worker);
+        self.workers.push(Worker::new(name, zone, spot, sick, self.now));
+        let wait = Micros::millis(self.rng.random_range(100..2_000));
+        self.at(self.now + wait, SimEvent::Worker { worker });
+    }
+
+    /// The cloud takes a machine.
+    pub(super) fn take_machine(&mut self, worker: usize) {
+        self.cloud.take(self.now, &self.workers[worker].name);
+        self.workers[worker].gone = true;
+    }
+
+    /// Direct commands reach a worker.
+    pub(super) fn direct(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        id: CallId,
+        worker: usize,
+        body: &[u8],
+    ) {
+        if self.workers[worker].gone {
+            return;
+        }
+        if self.hangs(worker) {
+            let at = self.worker_cut(worker).unwrap_or(self.now) + Micros::millis(1);
+            let body = body.to_vec();
+            return self.at(at, SimEvent::Direct { node, incarnation: 0, id, worker, body });
+        }
+        let begun = self.workers[worker].direct(self.now, worker, body);
+        self.note_starts(worker, begun.1);
+        let event = Event::Reply {
+            id,
+            reply: Reply::Direct(DirectReply::Answered { status: begun.0, body: begun.2 }),
+        };
+        let at = self.now + self.delay();
+        self.at(at, SimEvent::Node { node, incarnation, event });
+    }
+
+    /// A worker goes on with its tasks, and reports if it is time.
+    pub(super) fn worker_turn(&mut self, worker: usize) {
+        if self.workers[worker].gone {
+            return;
+        }
+        let now = self.now;
+        if self.hangs(worker) {
+            // It does nothing, but its lease runs out all the same.
+            self.workers[worker].lapse(now);
+            return self.at(now + HUNG_TURN, SimEvent::Worker { worker });
+        }
+        let lengths = self.task_lengths();
+        let completed = self.workers[worker].advance(now, &lengths);
+        for job in self.note_completed(completed) {
+            self.job_ended(worker, &job);
+        }
+        if self.workers[worker].gone {
+            return;
+        }
+        if let Some((sent, report, body, node)) = self.workers[worker].report(now, worker) {
+            self.send_report(worker, node, sent, report, body);
+        }
+        self.at(now + TURN, SimEvent::Worker { worker });
+    }
+
+    /// How long the tasks of each job run: see [`Worker::advance`].
+    fn task_lengths(&self) -> BTreeMap<String, Option<(f64, f64)>> {
+        let length = |plan: &Plan| (!plan.broken).then_some((plan.run_s, plan.longer_s));
+        self.jobs.iter().map(|(id, job)| (id.clone(), length(&job.plan))).collect()
+    }
+
+    /// Notes the tasks that completed; returns the jobs that ended with them.
+    fn note_completed(&mut self, completed: Vec<(String, u32)>) -> Vec<String> {
+        let mut ended = Vec::new();
+        for (id, index) in completed {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.completed.insert(index);
+                let last = job.completed.len() == job.plan.tasks as usize;
+                ended.extend(last.then_some(id));
+            }
+        }
+        ended
+    }
+
+    /// The last task of a job has completed on a worker: the faults that wait for
+    /// this moment happen.
+    fn job_ended(&mut self, worker: usize, job: &str) {
+        let now = self.now;
+        let share = self.troubles.cancel_at_end.filter(|c| self.during(c.0, c.1));
+        if !self.jobs[job].cancel_asked && self.chance(share.map_or(0.0, |c| c.2)) {
+            self.at(now, SimEvent::Cancel(job.to_string()));
+        }
+        let crash = self.troubles.crash_at_end.filter(|c| self.during(c.0, c.1));
+        if let Some((.., share, count)) = crash
+            && self.chance(share)
+        {
+            let first = self.rng.random_range(0..CONTROLLERS);
+            for k in 0..count {
+                let node = (first + k) % CONTROLLERS;
+                if self.nodes[node].is_some() {
+                    self.at(now, SimEvent::Crash { node });
+                }
+            }
+        }
+        let take = self.troubles.take_at_end.filter(|c| self.during(c.0, c.1));
+        if self.chance(take.map_or(0.0, |c| c.2)) {
+            self.take_machine(worker);
+        }
+        self.look_closely(job);
+    }
+
+    /// Sends a report, and perhaps copies of it.
+    fn send_report(
+        &mut self,
+        worker: usize,
+        node: usize,
+        sent: Micros,
+        report: u64,
+        body: Vec<u8>,
+    ) {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.tickets.insert(ticket, Origin::Worker { worker, sent, report });
+        let cut = self.node_cut(node);
+        let away = self.apart(worker, node) || self.mute(worker);
+        let reset = cut.is_some_and(|(_, held)| !held) || away;
+        let timeout = if reset { REFUSED_REPORT } else { REPORT_TIMEOUT };
+        self.at(self.now + timeout, SimEvent::GiveUp { worker, report });
+        let incarnation = self.nodes[node].as_ref().map_or(0, |n| n.incarnation);
+        let at = match self.worker_cut(worker).or(cut.map(|(end, _)| end)) {
+            Some(end) => end + Micros::millis(3),
+            None => self.now + self.delay(),
+        };
+        if self.chance(self.troubles.copies) {
+            let node = self.rng.random_range(0..CONTROLLERS);
+            let late = Micros::millis(self.rng.random_range(500..40_000));
+            let event = self.copy_of_report(&body);
+            self.at(at + late, SimEvent::Copy { node, event });
+        }
+        self.keep_copy(worker, &body);
+        if !reset {
+            let event = report_request(ticket, body);
+            self.at(at, SimEvent::Node { node, incarnation, event });
+        }
+    }
+
+    /// A copy of a report, whose answer nobody awaits.
+    fn copy_of_report(&mut self, body: &[u8]) -> Event {
+        self.next_ticket += 1;
+        let copy = report_request(self.next_ticket, body.to_vec());
+        self.next_ticket += 1;
+        copy
+    }
+
+    /// Keeps a copy of a report for the next leader, by chance.
+    fn keep_copy(&mut self, worker: usize, body: &[u8]) {
+        let keep = self.troubles.for_next.filter(|k| self.during(k.0, k.1));
+        if !self.chance(keep.map_or(0.0, |k| k.2)) {
+            return;
+        }
+        let copy = self.copy_of_report(body);
+        // The newest ones, and the oldest: perhaps of an earlier session.
+        let kept = self.kept.entry(worker).or_default();
+        if kept.len() >= KEPT_COPIES {
+            kept.remove(1);
+        }
+        kept.push(copy);
+    }
+
+    /// A report has got no answer in time: the worker tries the next controller.
+    pub(super) fn worker_gives_up(&mut self, worker: usize, report: u64) {
+        let w = &mut self.workers[worker];
+        if w.in_flight == Some(report) {
+            w.in_flight = None;
+            w.node = (w.node + 1) % CONTROLLERS;
+            w.next_report = self.now + Micros::secs(1);
+        }
+    }
+
+    /// An answer arrives at the worker or the user who asked.
+    pub(super) fn answer(&mut self, ticket: u64, left: Micros, status: u16, body: &[u8]) {
+        match self.tickets.remove(&ticket) {
+            Some(Origin::Worker { worker, sent, report }) => {
+                if self.worker_cut(worker).is_some()
+                    || self.workers[worker].gone
+                    || self.deaf(worker)
+                {
+                    return;
+                }
+                let begun = self.workers[worker].answered(self.now, sent, report, status, body);
+                self.note_starts(worker, begun);
+            }
+            Some(origin) => self.user_answer(origin, left, status, body),
+            None => {}
+        }
+    }
+}
+
+fn report_request(ticket: u64, body: Vec<u8>) -> Event {
+    Event::Http { ticket: Ticket(ticket), method: "POST".into(), path: "/v1/report".into(), body }
+}
--- /dev/null
+++ b/tests/simulation/mod.rs
@@ -0,0 +1,46 @@
+//! A simulation in one process: real controllers against stand-ins of the state
+//! service, the cloud, the workers and the users, on a simulated clock.
+//!
+//! Messages are delayed, lost, held back and repeated, controllers crash; what
+//! the protocol forbids is checked at every step. One seed, one run.
+//!
+//! - `world`: the clock, the queue of events and what each event does;
+//! - `settings`: the controllers' settings;
+//! - `faults`: what goes wrong; `chance`: faults drawn by a seed;
+//! - `network`: delays, and who reaches whom at present;
+//! - `controllers`, `state_service`, `machines`: the messages of each party;
+//! - `store`, `cloud`, `worker`: the stand-ins themselves;
+//! - `jobs`, `users`, `answers`, `odd_requests`: what users hand in and are told;
+//! - `checks`: the rules; `forge`: facts that must break them;
+//! - `outcome`: what a run has shown.
+
+#![allow(dead_code)]
+
+mod answers;
+pub mod chance;
+mod checks;
+mod cloud;
+mod controllers;
+mod event;
+mod faults;
+mod forge;
+mod jobs;
+mod machines;
+mod network;
+mod odd_requests;
+mod outcome;
+mod settings;
+mod state_service;
+mod store;
+mod users;
+mod worker;
+mod world;
+
+#[allow(unused_imports)]
+pub use faults::{CancelNow, LateWrites, Troubles};
+pub use jobs::Plan;
+#[allow(unused_imports)]
+pub use outcome::{judge, until_done};
+#[allow(unused_imports)]
+pub use settings::{CANCEL_S, LEASE_S};
+pub use world::World;
--- a/tests/rehearsal/store.rs
+++ b/tests/simulation/store.rs
@@ -3,9 +3,12 @@
 use millethold::controller::job::{StoredPlacement, decode_bundle, is_bundle, stored_placements};
 use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
-use millethold::wire::{Change, Item, Write};
+use millethold::wire::{Change, Item, Txn, Write};
 use serde_json::Value;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Values of a page; few, so that paging is exercised.
+const PAGE: usize = 5;
 
 #[derive(Default)]
 pub struct Store {
@@ -51,75 +54,13 @@
         }
     }
 
+    /// Carries out a call, except a watch.
     pub fn apply(&mut self, now: Micros, call: &StateCall) -> StateReply {
         self.expire(now);
         match call {
-            StateCall::Get(key) => {
-                StateReply::Value(self.keys.get(key).map(|(value, version, _)| Item {
-                    key: key.clone(),
-                    value: value.clone(),
-                    version: *version,
-                }))
-            }
-            StateCall::List { prefix, after } => {
-                let mut items: Vec<Item> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(prefix) && after.as_ref().is_none_or(|a| *k > a))
-                    .map(|(k, (value, version, _))| Item {
-                        key: k.clone(),
-                        value: value.clone(),
-                        version: *version,
-                    })
-                    .collect();
-                // Small pages, so that paging is exercised.
-                let more = items.len() > 5;
-                items.truncate(5);
-                StateReply::Page { items, more, revision: self.ledger }
-            }
-            StateCall::Txn(txn) => {
-                let failed: Vec<String> = txn
-                    .conditions
-                    .iter()
-                    .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.version)
-                    .map(|c| c.key.clone())
-                    .collect();
-                let dead = txn.writes.iter().any(|w| match w {
-                    Write::Put { lease: Some(l), .. } => !self.leases.contains_key(l),
-                    _ => false,
-                });
-                if dead {
-                    return StateReply::NoLease;
-                }
-                if !failed.is_empty() {
-                    return StateReply::Conflict(failed);
-                }
-                self.ledger += 1;
-                let version = self.ledger;
-                for w in &txn.writes {
-                    match w {
-                        Write::Put { key, value, lease } => {
-                            self.keys.insert(key.clone(), (value.clone(), version, *lease));
-                            self.log.push(Change {
-                                put: Some(key.clone()),
-                                delete: None,
-                                value: value.clone(),
-                                version,
-                            });
-                        }
-                        Write::Delete { key } => {
-                            self.keys.remove(key);
-                            self.log.push(Change {
-                                put: None,
-                                delete: Some(key.clone()),
-                                value: Value::Null,
-                                version,
-                            });
-                        }
-                    }
-                }
-                StateReply::Applied(version)
-            }
+            StateCall::Get(key) => StateReply::Value(self.get(key)),
+            StateCall::List { prefix, after } => self.list(prefix, after.as_ref()),
+            StateCall::Txn(txn) => self.transact(txn),
             StateCall::Grant(ttl) => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + *ttl, *ttl));
@@ -140,6 +81,58 @@
         }
     }
 
+    fn get(&self, key: &str) -> Option<Item> {
+        self.keys.get(key).map(|(value, version, _)| Item {
+            key: key.to_string(),
+            value: value.clone(),
+            version: *version,
+        })
+    }
+
+    fn list(&self, prefix: &str, after: Option<&String>) -> StateReply {
+        let wanted = |key: &String| key.starts_with(prefix) && after.is_none_or(|a| key > a);
+        let keys = self.keys.keys().filter(|key| wanted(key));
+        let mut items: Vec<Item> = keys.filter_map(|key| self.get(key)).collect();
+        let more = items.len() > PAGE;
+        items.truncate(PAGE);
+        StateReply::Page { items, more, revision: self.ledger }
+    }
+
+    fn transact(&mut self, txn: &Txn) -> StateReply {
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
+        let dead = txn.writes.iter().any(|w| match w {
+            Write::Put { lease: Some(l), .. } => !self.leases.contains_key(l),
+            _ => false,
+        });
+        if dead {
+            return StateReply::NoLease;
+        }
+        if !failed.is_empty() {
+            return StateReply::Conflict(failed);
+        }
+        self.ledger += 1;
+        let version = self.ledger;
+        for write in &txn.writes {
+            let change = match write {
+                Write::Put { key, value, lease } => {
+                    self.keys.insert(key.clone(), (value.clone(), version, *lease));
+                    Change { put: Some(key.clone()), delete: None, value: value.clone(), version }
+                }
+                Write::Delete { key } => {
+                    self.keys.remove(key);
+                    Change { put: None, delete: Some(key.clone()), value: Value::Null, version }
+                }
+            };
+            self.log.push(change);
+        }
+        StateReply::Applied(version)
+    }
+
     /// Whether an attempt of a task was ever written down for a machine. The
     /// log is asked, not the keys: the job may be over by now.
     pub fn written(&self, task: &str, machine: &str, attempt: u64) -> bool {
@@ -159,8 +152,7 @@
     pub fn count(&self, prefix: &str) -> (usize, usize) {
         let now = self.keys.keys().filter(|k| k.starts_with(prefix)).count();
         let puts = self.log.iter().filter_map(|c| c.put.as_ref());
-        let ever: std::collections::BTreeSet<&String> =
-            puts.filter(|k| k.starts_with(prefix)).collect();
+        let ever: BTreeSet<&String> = puts.filter(|k| k.starts_with(prefix)).collect();
         (now, ever.len())
     }
 
@@ -177,7 +169,7 @@
 
     /// Attempts that were ever written down for a machine.
     pub fn attempts(&self, machine: &str) -> usize {
-        let mut seen = std::collections::BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for c in &self.log {
             let Some(key) = c.put.as_ref().filter(|k| k.starts_with("w/")) else {
                 continue;
@@ -236,7 +228,7 @@
 
 /// What of a transaction lacks the condition that fences it: tasks and grants
 /// need the mark of the writer's seat, changes of tasks also that of the job.
-pub fn unfenced(txn: &millethold::wire::Txn) -> Vec<String> {
+pub fn unfenced(txn: &Txn) -> Vec<String> {
     let on = |prefix: &str| {
         txn.conditions.iter().any(|c| c.key.starts_with(prefix) && !c.key.is_empty())
     };
@@ -258,7 +250,7 @@
 }
 
 /// What of a transaction is more than the state service takes.
-pub fn too_large(txn: &millethold::wire::Txn, value_kb: f64, ops: usize) -> Option<String> {
+pub fn too_large(txn: &Txn, value_kb: f64, ops: usize) -> Option<String> {
     if txn.writes.len() > ops || txn.conditions.len() > 4 * ops {
         return Some(format!("{} changes, {} conditions", txn.writes.len(), txn.conditions.len()));
     }
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -1,8 +1,8 @@
 //! Three controllers under failures: no rule is broken and the work gets done.
 
-mod rehearsal;
+mod simulation;
 
-use rehearsal::{Plan, Troubles, World, until_done};
+use simulation::{Plan, Troubles, World, until_done};
 
 fn plans() -> Vec<Plan> {
     let mut blue = Plan::new(6, 9, 2.0, 6.0);
