--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -71,17 +71,13 @@
     fn refuse_request(&mut self, id: ConnectionId, error: HttpError) {
         self.stats.bad_requests += 1;
         let status = if error == HttpError::TooLarge { 413 } else { 400 };
-        let body = format!("{{\"error\":\"{error}\"}}");
+        let reason = error.to_string();
+        let body = serde_json::to_vec(&wire::Refusal::new(&reason)).unwrap_or_default();
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.role = Role::Sender { busy: true, since: self.now, reports: false };
         }
-        let answer = Answer {
-            status,
-            retry_after: None,
-            content_type: JSON,
-            body: body.as_bytes(),
-            close: true,
-        };
+        let answer =
+            Answer { status, retry_after: None, content_type: JSON, body: &body, close: true };
         self.answer(id, answer);
     }
 
--- a/src/runtime/status.rs
+++ b/src/runtime/status.rs
@@ -4,7 +4,8 @@
 use super::limits::PAGE_AGE;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
-use serde_json::{Value, json};
+use serde::Serialize;
+use serde_json::json;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -60,14 +61,45 @@
     })
 }
 
-fn latency_summary(histogram: &Histogram<u64>) -> Value {
-    json!({
-        "count": histogram.len(),
-        "p50_us": histogram.value_at_quantile(0.5),
-        "p95_us": histogram.value_at_quantile(0.95),
-        "p99_us": histogram.value_at_quantile(0.99),
-        "max_us": histogram.max(),
-    })
+/// What the status page shows of a histogram, in microseconds.
+#[derive(Serialize)]
+struct LatencySummary {
+    count: u64,
+    p50_us: u64,
+    p95_us: u64,
+    p99_us: u64,
+    max_us: u64,
+}
+
+impl LatencySummary {
+    fn of(histogram: &Histogram<u64>) -> LatencySummary {
+        LatencySummary {
+            count: histogram.len(),
+            p50_us: histogram.value_at_quantile(0.5),
+            p95_us: histogram.value_at_quantile(0.95),
+            p99_us: histogram.value_at_quantile(0.99),
+            max_us: histogram.max(),
+        }
+    }
+}
+
+/// Latencies, by what was answered.
+#[derive(Serialize)]
+struct LatencyPage {
+    answers: LatencySummary,
+    reports: LatencySummary,
+    state_calls: LatencySummary,
+}
+
+/// Connections and what went wrong on them.
+#[derive(Serialize)]
+struct ConnectionsPage {
+    open: usize,
+    senders: usize,
+    commands: usize,
+    refused: u64,
+    bad_requests: u64,
+    state_calls_waiting: usize,
 }
 
 impl Runtime {
@@ -89,19 +121,21 @@
 
     fn status(&mut self) -> Vec<u8> {
         let mut page = self.controller.status(self.now);
-        page["latency"] = json!({
-            "answers": latency_summary(&self.stats.answers),
-            "reports": latency_summary(&self.stats.reports),
-            "state_calls": latency_summary(&self.stats.state_calls),
-        });
-        page["connections"] = json!({
-            "open": self.connections.len(),
-            "senders": self.senders,
-            "commands": self.commanding,
-            "refused": self.stats.refused_connections,
-            "bad_requests": self.stats.bad_requests,
-            "state_calls_waiting": self.throttled.iter().map(VecDeque::len).sum::<usize>(),
-        });
+        let latency = LatencyPage {
+            answers: LatencySummary::of(&self.stats.answers),
+            reports: LatencySummary::of(&self.stats.reports),
+            state_calls: LatencySummary::of(&self.stats.state_calls),
+        };
+        let connections = ConnectionsPage {
+            open: self.connections.len(),
+            senders: self.senders,
+            commands: self.commanding,
+            refused: self.stats.refused_connections,
+            bad_requests: self.stats.bad_requests,
+            state_calls_waiting: self.throttled.iter().map(VecDeque::len).sum(),
+        };
+        page["latency"] = json!(latency);
+        page["connections"] = json!(connections);
         serde_json::to_vec(&page).unwrap_or_default()
     }
 }
--- /dev/null
+++ b/src/wire/state_service.rs
@@ -0,0 +1,131 @@
+//! The state service: keys, transactions, leases and watches.
+
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+
+/// A condition of a transaction.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Condition {
+    /// Key.
+    #[serde(rename = "k")]
+    pub key: String,
+    /// Version that it must have, 0 for none.
+    #[serde(rename = "mark")]
+    pub version: u64,
+}
+
+/// A change in a transaction.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(untagged)]
+pub enum Write {
+    /// Set a key.
+    Put {
+        /// Key.
+        #[serde(rename = "set")]
+        key: String,
+        /// Value.
+        value: Value,
+        /// Lease that the key is attached to.
+        #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
+    },
+    /// Remove a key.
+    Delete {
+        /// Key.
+        #[serde(rename = "drop")]
+        key: String,
+    },
+}
+
+/// A transaction.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Txn {
+    /// All must hold.
+    #[serde(rename = "if")]
+    pub conditions: Vec<Condition>,
+    /// Then these are made.
+    #[serde(rename = "writes")]
+    pub writes: Vec<Write>,
+}
+
+/// A stored value.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Item {
+    /// Key.
+    #[serde(rename = "k")]
+    pub key: String,
+    /// Value.
+    pub value: Value,
+    /// Revision of its last change.
+    #[serde(rename = "mark")]
+    pub version: u64,
+}
+
+/// A page of stored values.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct Items {
+    /// The values, in order of their keys.
+    #[serde(rename = "pairs")]
+    pub items: Vec<Item>,
+    /// Another page follows.
+    #[serde(rename = "hasNext", default)]
+    pub more: bool,
+    /// Revision of the whole store.
+    #[serde(rename = "ledger")]
+    pub revision: u64,
+}
+
+/// A change that a watch tells of.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Change {
+    /// Key that was set.
+    #[serde(rename = "set", default)]
+    pub put: Option<String>,
+    /// Key that was removed.
+    #[serde(rename = "drop", default)]
+    pub delete: Option<String>,
+    /// New value.
+    #[serde(default)]
+    pub value: Value,
+    /// Revision of the change.
+    #[serde(rename = "mark")]
+    pub version: u64,
+}
+
+/// Answer of a watch.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct Changes {
+    /// Revision up to which it is complete.
+    #[serde(rename = "ledger")]
+    pub revision: u64,
+    /// The changes.
+    #[serde(default)]
+    pub events: Vec<Change>,
+}
+
+/// Any answer that carries a revision: a transaction's, or a missing key's.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct Revision {
+    /// The revision.
+    #[serde(rename = "ledger")]
+    pub revision: u64,
+    /// Keys whose condition failed.
+    #[serde(default)]
+    pub failed: Vec<String>,
+}
+
+/// A lease that was granted.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct LeaseGranted {
+    /// Its number.
+    #[serde(rename = "permit")]
+    pub lease: u64,
+}
+
+/// Request for a lease.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct LeaseWanted {
+    /// Time to live.
+    #[serde(rename = "ttlMs")]
+    pub ttl_ms: u64,
+}
--- /dev/null
+++ b/src/wire/workers.rs
@@ -0,0 +1,166 @@
+//! Workers: their reports and the commands to them.
+
+use serde::{Deserialize, Serialize};
+
+/// A task's state on a machine, as reported.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum TaskState {
+    /// Waiting for its image.
+    #[serde(alias = "waiting")]
+    Fetching,
+    /// Running.
+    Running,
+    /// Was told to stop and saves.
+    #[serde(rename = "flushing")]
+    Saving,
+    /// Over; see the cause.
+    #[serde(rename = "ended")]
+    Exited,
+}
+
+/// Why a task ended on a machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Cause {
+    /// Completed.
+    Done,
+    /// Stopped by command.
+    Stopped,
+    /// Failed.
+    Error,
+    /// Start refused for want of room.
+    #[serde(rename = "full")]
+    NoRoom,
+    /// Start refused: there with another attempt.
+    Busy,
+    /// Start refused: no such job or task.
+    #[serde(rename = "no_such")]
+    Unknown,
+    /// A word that this version does not know; handled as a failure.
+    #[serde(other)]
+    Other,
+}
+
+/// One task in a worker's report.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ReportedTask {
+    /// `job/index`.
+    #[serde(rename = "plank")]
+    pub task: String,
+    /// Attempt.
+    #[serde(rename = "try")]
+    pub attempt: u64,
+    /// State.
+    #[serde(rename = "stage")]
+    pub state: TaskState,
+    /// Why it ended.
+    #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
+    pub cause: Option<Cause>,
+}
+
+/// A worker's report.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Report {
+    /// Machine's name.
+    #[serde(rename = "lathe")]
+    pub machine: String,
+    /// Where direct commands go.
+    pub address: String,
+    /// Machine type.
+    #[serde(rename = "bench")]
+    pub machine_type: String,
+    /// Zone.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Spot machine.
+    #[serde(rename = "loaners", default)]
+    pub spot: bool,
+    /// Session.
+    #[serde(rename = "shift")]
+    pub session: u64,
+    /// Order of messages in a session.
+    #[serde(rename = "tally")]
+    pub seq: u64,
+    /// Highest token seen.
+    #[serde(rename = "baton")]
+    pub token: u64,
+    /// Seconds until the cloud takes it.
+    #[serde(rename = "recallS", default)]
+    pub notice_s: Option<f64>,
+    /// Everything on the machine.
+    #[serde(rename = "planks", default)]
+    pub tasks: Vec<ReportedTask>,
+}
+
+/// A command to a worker.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(tag = "verb")]
+pub enum Command {
+    /// Start a task.
+    #[serde(rename = "run")]
+    Start {
+        /// `job/index`.
+        #[serde(rename = "plank")]
+        task: String,
+        /// Attempt.
+        #[serde(rename = "try")]
+        attempt: u64,
+    },
+    /// Stop a task.
+    #[serde(rename = "halt")]
+    Stop {
+        /// `job/index`.
+        #[serde(rename = "plank")]
+        task: String,
+        /// Attempt.
+        #[serde(rename = "try")]
+        attempt: u64,
+        /// Seconds it may take to save.
+        #[serde(rename = "windDownS")]
+        grace_s: f64,
+    },
+    /// Remove an exited task from the reports.
+    #[serde(rename = "clear")]
+    Forget {
+        /// `job/index`.
+        #[serde(rename = "plank")]
+        task: String,
+        /// Attempt.
+        #[serde(rename = "try")]
+        attempt: u64,
+    },
+}
+
+/// Answer to a worker whose machine another node commands.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+pub struct ReportTo<'a> {
+    /// That node.
+    #[serde(rename = "foreman")]
+    pub member: &'a str,
+}
+
+/// Answer to a report.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct ReportReply {
+    /// Token of the seat that answers.
+    #[serde(rename = "baton")]
+    pub token: u64,
+    /// Commands, executed in order.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
+}
+
+/// Direct commands.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct DirectCommands {
+    /// Token of the seat.
+    #[serde(rename = "baton")]
+    pub token: u64,
+    /// Session they are meant for.
+    #[serde(rename = "shift")]
+    pub session: u64,
+    /// Commands, executed in order.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
+}
