--- /dev/null
+++ b/src/peer/frame.rs
@@ -0,0 +1,84 @@
+//! One message between controllers.
+
+use super::{
+    Demand, HeldSeat, Hint, MachineView, Preempt, Pressing, Progress, QuotaNeed, SeatWants, Strays,
+};
+use prost::Message;
+
+/// One message between controllers.
+#[derive(Clone, PartialEq, Message)]
+pub struct Frame {
+    /// Sender.
+    #[prost(string, tag = "1")]
+    pub member: String,
+    /// The sender's run: a number drawn when its process started.
+    #[prost(uint64, tag = "2")]
+    pub run: u64,
+    /// Seats that the sender holds at present, as far as it may act.
+    #[prost(message, repeated, tag = "3")]
+    pub held: Vec<HeldSeat>,
+    /// The sender's state lease is valid.
+    #[prost(bool, tag = "4")]
+    pub state_ok: bool,
+    /// Wants.
+    #[prost(message, repeated, tag = "5")]
+    pub wants: Vec<SeatWants>,
+    /// Machines.
+    #[prost(message, repeated, tag = "6")]
+    pub views: Vec<MachineView>,
+    /// Progress of jobs.
+    #[prost(message, repeated, tag = "7")]
+    pub progress: Vec<Progress>,
+    /// Everything that waits at the sender; replaces what it said before.
+    #[prost(message, repeated, tag = "8")]
+    pub demand: Vec<Demand>,
+    /// True if `demand` and `needs` are meant to be taken.
+    #[prost(bool, tag = "9")]
+    pub has_demand: bool,
+    /// Limits that its seats run into.
+    #[prost(message, repeated, tag = "10")]
+    pub needs: Vec<QuotaNeed>,
+    /// Jobs whose cancellation the sender has confirmed, told again until all
+    /// have heard of them.
+    #[prost(string, repeated, tag = "11")]
+    pub cancelled: Vec<String>,
+    /// Machines that the renting seat knows to be gone.
+    #[prost(string, repeated, tag = "12")]
+    pub gone: Vec<String>,
+    /// Machines that the renting seat is about to return; all of them.
+    #[prost(string, repeated, tag = "13")]
+    pub draining: Vec<String>,
+    /// True if the sender rents and `draining` is meant to be taken.
+    #[prost(bool, tag = "14")]
+    pub rents: bool,
+    /// Tasks of other seats that the sender asks to be stopped for more
+    /// urgent ones.
+    #[prost(message, repeated, tag = "15")]
+    pub preempt: Vec<Preempt>,
+    /// Machines of seats that the sender does not hold, as it last knew them.
+    #[prost(message, repeated, tag = "16")]
+    pub hints: Vec<Hint>,
+    /// Machines of others' seats that report to the sender; taken with `demand`.
+    #[prost(message, repeated, tag = "17")]
+    pub strays: Vec<Strays>,
+    /// The sender and its workers are out of each other's reach: it gives its
+    /// seats up and is to be given none.
+    #[prost(bool, tag = "18")]
+    pub cut_off: bool,
+    /// Members of whom the sender missed something: they are to tell it all.
+    #[prost(uint32, repeated, tag = "19")]
+    pub missed: Vec<u32>,
+    /// Counts the sender's frames, the same for all peers: one that was lost with a
+    /// connection shows as a gap.
+    #[prost(uint64, tag = "20")]
+    pub number: u64,
+    /// It tells everything: what was missed before does not matter any more.
+    #[prost(bool, tag = "21")]
+    pub full: bool,
+    /// Revision of the state service up to which the sender has heard of jobs.
+    #[prost(uint64, tag = "22")]
+    pub watched: u64,
+    /// Jobs that the sender's waiting jobs need.
+    #[prost(message, repeated, tag = "23")]
+    pub pressing: Vec<Pressing>,
+}
--- /dev/null
+++ b/src/peer/mod.rs
@@ -0,0 +1,26 @@
+//! What controllers tell each other, as length-prefixed `prost` frames.
+//!
+//! Everything here is whole-state: a lost frame is made good by the next one
+//! about the same thing, so nothing needs an answer. A gap in a sender's frames is
+//! known by their numbers, and all is asked for anew.
+//!
+//! - `frame`: one message, with all that it may hold;
+//! - `wants`: what a seat wants on machines, its desired state;
+//! - `views`: how machines and their tasks stand, the observed state;
+//! - `demand`: what waits, and what it lacks;
+//! - `seats`: who holds what, and who reported to whom;
+//! - `encoding`: the bytes on a connection.
+
+mod demand;
+mod encoding;
+mod frame;
+mod seats;
+mod views;
+mod wants;
+
+pub use demand::{Demand, Preempt, Pressing, Progress, QuotaNeed};
+pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
+pub use frame::Frame;
+pub use seats::{HeldSeat, Hint, Strays};
+pub use views::{Heard, MachineView, Seen, SeenTask};
+pub use wants::{MachineWants, Phase, SeatWants, Shape, TaskWant, WantedTask, Wants};
--- /dev/null
+++ b/src/peer/seats.rs
@@ -0,0 +1,41 @@
+//! Which seats a controller holds, and what it knows of others' seats.
+
+use prost::Message;
+
+/// A seat as its holder sees it.
+#[derive(Clone, PartialEq, Message)]
+pub struct HeldSeat {
+    /// Number of the seat.
+    #[prost(uint32, tag = "1")]
+    pub seat: u32,
+    /// Its term.
+    #[prost(uint64, tag = "2")]
+    pub term: u64,
+}
+
+/// Where a machine was last known to be, for a controller that may take its
+/// seat without having heard of it.
+#[derive(Clone, PartialEq, Message)]
+pub struct Hint {
+    /// Machine.
+    #[prost(string, tag = "1")]
+    pub machine: String,
+    /// Session.
+    #[prost(uint64, tag = "2")]
+    pub session: u64,
+    /// Address for direct commands.
+    #[prost(string, tag = "3")]
+    pub address: String,
+}
+
+/// Machines of somebody else's seat that reported to the sender lately: their
+/// holder does not answer them.
+#[derive(Clone, PartialEq, Message)]
+pub struct Strays {
+    /// Seat.
+    #[prost(uint32, tag = "1")]
+    pub seat: u32,
+    /// How many machines.
+    #[prost(uint32, tag = "2")]
+    pub machines: u32,
+}
