--- /dev/null
+++ b/tests/tables/fleet.rs
@@ -0,0 +1,138 @@
+//! Machines that are rented and returned, and how long tasks run.
+
+use millethold::controller::estimate::Estimates;
+use millethold::controller::fleet::{self, Fleet, Room};
+use millethold::peer::Demand;
+use millethold::time::Micros;
+use millethold::wire::{ListedMachine, MachineStage, MachineType};
+use std::collections::BTreeMap;
+
+fn listed(name: &str, age_s: f64) -> ListedMachine {
+    ListedMachine {
+        name: name.into(),
+        address: String::new(),
+        machine_type: "t4".into(),
+        zone: "a".into(),
+        spot: false,
+        stage: MachineStage::Running,
+        age_s,
+    }
+}
+
+#[test]
+fn machines_that_leave_the_list() {
+    let lag = Micros::secs(10);
+    let s = Micros::secs;
+    // First listed at 100 s. Asked at, listed again, counted as gone.
+    let table = [
+        (s(110), false, false),
+        (s(120), false, false),
+        (s(121), false, true),
+        (s(121), true, false),
+        (s(500), false, true),
+    ];
+    for (asked, again, want) in table {
+        let mut fleet = Fleet::default();
+        fleet.take_list(s(100), s(99), &[listed("vm-1", 50.0)], lag);
+        let list = if again { vec![listed("vm-1", 70.0)] } else { Vec::new() };
+        let gone = fleet.take_list(asked, asked, &list, lag);
+        assert_eq!(!gone.is_empty(), want, "asked at {asked:?}, listed {again}");
+    }
+    // Rented and never listed: a lagging list says nothing of it.
+    let mut fleet = Fleet::default();
+    fleet.take_list(s(100), s(99), &[listed("vm-1", 5.0)], lag);
+    fleet.machines.get_mut("vm-1").expect("just listed").listed = None;
+    assert!(fleet.take_list(s(400), s(400), &[], lag).is_empty());
+}
+
+#[test]
+fn renting() {
+    let kind = |name: &str, cpus, price, spot_price| MachineType {
+        name: name.into(),
+        cpus,
+        gpus: 0.0,
+        memory_gb: cpus * 4.0,
+        cache_gb: 10.0,
+        fetch_gb_per_s: 1.0,
+        price,
+        spot_price,
+        boot_s: 30.0,
+        zones: vec!["a".into(), "b".into()],
+    };
+    let types: BTreeMap<String, MachineType> =
+        [kind("small", 4.0, 1.0, 0.5), kind("big", 8.0, 2.2, 1.1)]
+            .into_iter()
+            .map(|t| (t.name.clone(), t))
+            .collect();
+    let wait = |tasks, cpus, spot, zone: Option<&str>| Demand {
+        tasks,
+        cpus,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        types: Vec::new(),
+        zone: zone.map(String::from),
+        spot,
+        rank: 2,
+        beyond: false,
+    };
+    let room = |cpus: f64, spot| Room {
+        machine_type: "small".into(),
+        zone: "a".into(),
+        spot,
+        free: [cpus, 0.0, 16.0],
+    };
+    // What waits, what is free, tasks left without room.
+    let table = [
+        (vec![wait(4, 1.0, true, None)], vec![room(4.0, true)], 0),
+        (vec![wait(5, 1.0, true, None)], vec![room(4.0, true)], 1),
+        (vec![wait(4, 1.0, false, None)], vec![room(4.0, true)], 4),
+        (vec![wait(4, 1.0, true, Some("b"))], vec![room(4.0, true)], 4),
+        (vec![wait(2, 1.0, true, None), wait(1, 4.0, true, None)], vec![room(4.0, true)], 2),
+    ];
+    for (demand, mut rooms, want) in table {
+        let left: u32 = fleet::unmet(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
+        assert_eq!(left, want, "{demand:?}");
+    }
+    let mut refused = BTreeMap::new();
+    let now = Micros::secs(9);
+    let ask = |d: Demand, refused: &BTreeMap<fleet::Offer, Micros>| {
+        fleet::next_request(&[d], &types, &BTreeMap::new(), refused, now)
+    };
+    let offer = |t: &str, z: &str, spot| (t.to_string(), z.to_string(), spot);
+    assert_eq!(ask(wait(9, 1.0, true, None), &refused), Some((offer("small", "a", true), 3)));
+    assert_eq!(ask(wait(1, 8.0, false, Some("b")), &refused), Some((offer("big", "b", false), 1)));
+    assert_eq!(ask(wait(1, 9.0, true, None), &refused), None);
+    // Shapes that the same kind serves best are rented for together: 15 and 20.
+    let both = [wait(60, 1.0, true, None), wait(20, 4.0, true, None)];
+    let got = fleet::next_request(&both, &types, &BTreeMap::new(), &refused, now);
+    assert_eq!(got, Some((offer("small", "a", true), 12)), "a third of 35");
+    refused.insert(offer("small", "a", true), now + Micros(1));
+    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some((offer("small", "b", true), 1)));
+    refused.insert(offer("small", "a", true), now);
+    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some((offer("small", "a", true), 1)));
+}
+
+#[test]
+fn estimates() {
+    // Ratios learnt, correction.
+    let table = [
+        (vec![], 1.0),
+        (vec![2.0; 4], 1.0),
+        (vec![2.0; 5], 2.0),
+        (vec![1.0, 1.0, 1.0, 9.0, 9.0], 1.0),
+        (vec![0.001; 9], 0.1),
+    ];
+    for (ratios, want) in table {
+        let mut e = Estimates::default();
+        for r in &ratios {
+            e.learn("c", *r);
+        }
+        assert_eq!(e.correction("c"), want, "{ratios:?}");
+        assert_eq!(e.correction("another"), 1.0);
+    }
+    let mut e = Estimates::default();
+    for r in [vec![1.0; 50], vec![3.0; 50]].concat() {
+        e.learn("c", r);
+    }
+    assert_eq!(e.correction("c"), 3.0, "what is long past does not count");
+}
--- /dev/null
+++ b/tests/tables/jobs.rs
@@ -0,0 +1,171 @@
+//! Jobs and how they are stored.
+
+use super::submission;
+use millethold::controller::job::{
+    self, Job, PartSize, bundle_key, decode_bundle, encode_bundle, is_bundle,
+};
+use millethold::time::Micros;
+use millethold::wire;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+#[test]
+fn stored_jobs() {
+    let spec = wire::parse_job(submission().to_string().as_bytes()).expect("a good submission");
+    let size = PartSize { tasks: 5, bytes: 1_000, described: false };
+    let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
+    assert_eq!((j.parts.len(), j.pending()), (4, 16));
+    let now = Micros::secs(3);
+    assert_eq!(j.put(now, 6, "vm-1", 3, "a"), Some(1));
+    assert_eq!(j.put(now, 6, "vm-2", 3, "a"), None, "placed already");
+    assert_eq!(j.put(now, 7, "vm-1", 3, "a"), Some(2));
+    assert!(j.end(7, false).is_some());
+    assert_eq!(j.put(now, 7, "vm-2", 1, "b"), Some(3), "attempts are never given out twice");
+    assert!(j.end(6, true).is_some());
+    assert!(j.end(6, true).is_none(), "it has ended already");
+    for i in [0, 1, 2, 4] {
+        j.put(now, i, "vm-3", 1, "a");
+        j.end(i, true);
+    }
+    let stored: BTreeMap<usize, (Value, u64)> =
+        [0, 1].into_iter().map(|n| (n, (j.encode_part(n), 20 + n as u64))).collect();
+    // Read with other settings: the stored size of the parts holds.
+    let other = PartSize { tasks: 100, bytes: 1_000, described: false };
+    let back = Job::restore(2, 9, other, &stored).expect("stored parts");
+    assert_eq!((back.done(), back.booked(), back.pending()), (5, 1, 10));
+    assert_eq!(back.accepted, Micros::secs(77));
+    assert_eq!(back.parts[1].placed[&7].attempt, 3);
+    // A later holder knows since when it has been there.
+    assert_eq!((back.parts[1].placed[&7].at, back.parts[1].placed[&7].restored), (now, true));
+    assert_eq!(back.parts[1].attempt, 3);
+    assert!(Job::restore(2, 9, size, &BTreeMap::new()).is_none());
+
+    // Names read back as they were, whatever they look like.
+    let names = ["vm-000231", "vm-231", "7", "", "vm", "a9b", "x99999999999999999999", "vm-0"];
+    let size = PartSize::new(8.0);
+    let mut b = submission();
+    b["planks"] = json!(2_000);
+    let spec = Rc::new(wire::parse_job(b.to_string().as_bytes()).expect("a good submission"));
+    let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
+    for (i, name) in names.into_iter().enumerate() {
+        j.put(now, i as u32, name, 1, "a");
+    }
+    let placed = job::stored_placements(&j.encode_part(0)).expect("a stored part");
+    assert_eq!(placed.iter().map(|p| p.1.as_str()).collect::<Vec<_>>(), names);
+
+    // Every state of a part fits in a value: no more is placed than it holds.
+    let long = "a-machine-whose-name-is-rather-long-";
+    let table = [
+        ("usual", "vm-", 3, "a-zone", 220),
+        ("late in the day", "vm-", 99_999, "a-zone", 180),
+        ("long names", long, 1_000, "a-zone-with-name", 90),
+    ];
+    for (name, head, session, zone, least) in table {
+        let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
+        // Every other task has completed, which is the longest list.
+        for i in (0..size.tasks).step_by(2) {
+            j.put(now, i, "vm-1", 1, "a");
+            j.end(i, true);
+        }
+        let mut placed = 0;
+        while let Some(i) = j.first_pending().filter(|i| *i < size.tasks * 2) {
+            let at = Micros::secs(1_800_000_000 + u64::from(i) * 40);
+            j.put(at, i, &format!("{head}{:06}", 999_999 - i), session, zone);
+            placed += 1;
+        }
+        for n in [0, 1] {
+            let bytes = j.encode_part(n).to_string().len();
+            assert!(bytes + 1_400 * n < 8 * 1024, "{name}: {bytes} bytes in part {n}");
+        }
+        assert!(j.parts[1].placed.len() >= least, "{name}: only {placed} placed");
+    }
+}
+
+#[test]
+fn zones_of_a_job() {
+    // together, apart, tasks, zones taken, zone asked for, allowed.
+    let table = [
+        (false, false, 4, vec![("a", 2)], "b", true),
+        (true, false, 4, vec![("a", 2)], "a", true),
+        (true, false, 4, vec![("a", 2)], "b", false),
+        (true, false, 4, vec![], "b", true),
+        (false, true, 5, vec![("a", 2)], "a", true),
+        (false, true, 5, vec![("a", 3)], "a", false),
+        (false, true, 5, vec![("a", 3)], "b", true),
+        (false, true, 1, vec![], "a", true),
+    ];
+    for (together, apart, tasks, taken, zone, want) in table {
+        let mut b = submission();
+        b["together"] = json!(together);
+        b["apart"] = json!(apart);
+        b["planks"] = json!(tasks);
+        let spec = wire::parse_job(b.to_string().as_bytes()).expect("a good submission");
+        let j = Job::new(
+            Rc::new(spec),
+            0,
+            1,
+            Micros::ZERO,
+            PartSize { tasks: 10, bytes: 1_000, described: false },
+        );
+        let zones: BTreeMap<Rc<str>, u32> = taken.iter().map(|(z, n)| (Rc::from(*z), *n)).collect();
+        assert_eq!(j.zone_allows(&zones, zone), want, "{together} {apart} {taken:?} {zone}");
+    }
+}
+
+#[test]
+fn bundles() {
+    let size = PartSize { tasks: 5, bytes: 1_000, described: false };
+    let job = |id: &str| {
+        let mut body = submission();
+        body["ref"] = json!(id);
+        let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
+        let mut j = Job::new(Rc::new(spec), 1, 0, Micros::secs(77), size);
+        j.parts[0].version = 1;
+        j
+    };
+    let jobs = [job("j-000001"), job("j-000002")];
+    let value = encode_bundle(jobs.iter().map(|j| j.encode_part(0)).collect());
+    let key = bundle_key(1, 9, 4);
+    let (name, part) = job::parse_part_key(&key).expect("a key under w/");
+    assert!(is_bundle(name) && part == 0, "{key}");
+    assert!(!is_bundle("j-000001"), "a job's id");
+    let back = decode_bundle(&value);
+    assert_eq!(
+        back.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(),
+        ["j-000001", "j-000002"]
+    );
+    for (j, (_, part)) in jobs.iter().zip(&back) {
+        let stored = [(0, (part.clone(), 0))].into();
+        let restored = Job::restore(1, 9, size, &stored).expect("a job from a bundle");
+        assert_eq!(restored.spec, j.spec);
+        let first = &restored.parts[0];
+        // Its first change must create its own key, not change one.
+        assert_eq!((first.version, first.stored, first.mark), (1, 1, 0));
+        assert_eq!(restored.accepted, j.accepted);
+    }
+    let strange = [json!(null), json!({}), json!({"jobs": 3}), json!({"jobs": [1, {"v": 1}]})];
+    for value in strange {
+        assert!(decode_bundle(&value).is_empty(), "{value}");
+    }
+}
+
+#[test]
+fn low_work_that_was_raised() {
+    for (urgency, raised, rank) in
+        [("low", false, 3), ("low", true, 2), ("standard", true, 2), ("high", true, 1)]
+    {
+        let mut body = submission();
+        body["urgency"] = json!(urgency);
+        let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
+        let mut j = Job::new(
+            Rc::new(spec),
+            1,
+            0,
+            Micros::ZERO,
+            PartSize { tasks: 5, bytes: 1_000, described: false },
+        );
+        j.raised = raised;
+        assert_eq!(j.rank(), rank, "{urgency}, {raised}");
+    }
+}
--- /dev/null
+++ b/tests/tables/seats.rs
@@ -0,0 +1,90 @@
+//! Seats, their terms and leases.
+
+use millethold::config::Workers;
+use millethold::controller::cancel;
+use millethold::controller::seat::{self, Hold, Lease, Seat};
+use millethold::time::Micros;
+use millethold::wire::{Item, Write};
+use serde_json::json;
+
+#[test]
+fn seats_and_terms() {
+    let item = |member: &str, run, term, version| Item {
+        key: "hold/0".into(),
+        value: json!(Hold { member: member.into(), run, term, lease: 5 }),
+        version,
+    };
+    // What is stored, whether member `a` in run 7 may take it, and on which mark.
+    let table = [
+        (None, Some(0)),
+        (Some(item("b", 3, 4, 40)), None),
+        (Some(item("a", 7, 4, 40)), None),
+        (Some(item("a", 6, 4, 40)), Some(40)),
+    ];
+    for (stored, want) in table {
+        let mut s = Seat::default();
+        s.see_hold(Micros::secs(1), stored.as_ref());
+        assert_eq!(s.takeable("a", 7), want, "{stored:?}");
+    }
+    // What this run gave up stands until the release is carried out, perhaps late: it
+    // is taken anew, on its mark, instead of being acted on under the old term.
+    for (acted, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
+        let mut s = Seat { acted, ..Seat::default() };
+        s.see_hold(Micros::secs(1), Some(&item("a", 7, 4, 40)));
+        assert_eq!(s.takeable("a", 7), want, "acted under term {acted}");
+        assert_eq!(s.takeable("b", 7), None, "nobody else may");
+    }
+    let mut s = Seat::default();
+    s.see_hold(Micros::secs(1), Some(&item("b", 3, 4, 40)));
+    s.see_hold(Micros::secs(9), None);
+    assert_eq!(s.free_since, Micros::secs(9));
+    let (txn, term) = s.take(0, 0, "a", 7, 12);
+    assert_eq!(term, 5, "a term only rises");
+    let versions: Vec<u64> = txn.conditions.iter().map(|c| c.version).collect();
+    assert_eq!(versions, [0, 40], "both keys are conditions");
+    assert!(matches!(&txn.writes[0], Write::Put { lease: Some(12), .. }));
+    assert!(matches!(&txn.writes[1], Write::Put { lease: None, .. }), "the term stays");
+
+    let ttl = Micros::secs(8);
+    let mut lease = Lease { id: Some(1), ..Lease::default() };
+    lease.extended(Micros::secs(100), ttl);
+    assert!(lease.valid(Micros::secs(107)));
+    assert!(!lease.valid(Micros::millis(107_950)), "drift and margin are taken off");
+    lease.extended(Micros::secs(90), ttl);
+    assert!(lease.valid(Micros::secs(107)), "an older answer does not shorten it");
+    lease.lost();
+    assert!(!lease.valid(Micros::secs(101)));
+
+    for seats in 1..6 {
+        let mut count = vec![0; seats];
+        for n in 0..600 {
+            count[seat::seat_of_machine(&format!("vm-{n:06}"), seats)] += 1;
+        }
+        let even = 600 / seats;
+        assert!(count.iter().all(|c| *c > even / 2 && *c < even * 2), "{count:?}");
+    }
+}
+
+/// How long cancellations may be unheard, and the state lease, by the workers' lease
+/// and the time that a cancellation has.
+#[test]
+fn leases_and_cancellations() {
+    // lease_s, cancel_s, wished, whole seconds unheard, lease used, whether it is safe.
+    let table = [
+        (22.0, 52.0, 10_000, 26, 10_000, true),
+        (26.5, 56.5, 10_000, 26, 10_000, true),
+        (45.0, 70.0, 10_000, 21, 10_000, true),
+        (45.0, 70.0, 30_000, 21, 21_954, true),
+        (45.0, 54.0, 10_000, 5, 5_954, true),
+        // Nothing short enough: the shortest that works, and a warning.
+        (45.0, 50.0, 10_000, 1, 2_000, false),
+        (45.0, 40.0, 10_000, 0, 2_000, false),
+        (22.0, 52.0, 1_500, 26, 1_500, true),
+    ];
+    for (lease_s, cancel_s, wished, unheard_s, used, safe) in table {
+        let workers = Workers { report_s: 3.0, lease_s, cancel_s };
+        assert_eq!(cancel::unheard_for(&workers).as_millis() / 1_000, unheard_s, "{workers:?}");
+        let (lease, fits) = cancel::fitting_lease(Micros::millis(wished), &workers);
+        assert_eq!((lease.as_millis(), fits), (used, safe), "{workers:?}, {wished} ms wished");
+    }
+}
--- /dev/null
+++ b/tests/tables/submissions.rs
@@ -0,0 +1,70 @@
+//! Submissions of jobs.
+
+use super::submission;
+use millethold::wire;
+use serde_json::{Value, json};
+
+#[test]
+fn submissions() {
+    let good = wire::parse_job(submission().to_string().as_bytes()).expect("a good submission");
+    assert_eq!(
+        (good.tasks, good.gpus, good.one_zone, good.deadline_s),
+        (16, 1.0, true, Some(900.0))
+    );
+    // Field, value (null: left out), field named in the answer.
+    let table = [
+        ("ref", json!("x-1"), "ref"),
+        ("ref", json!("j-"), "ref"),
+        ("ref", json!("j-12a"), "ref"),
+        ("ref", json!(7), "ref"),
+        ("ref", Value::Null, "ref"),
+        ("grade", Value::Null, "grade"),
+        ("crew", json!(""), "crew"),
+        ("cut", json!("heap"), "cut"),
+        ("cut", Value::Null, "cut"),
+        ("urgency", json!("soon"), "urgency"),
+        ("planks", json!(0), "planks"),
+        ("planks", json!(100_001), "planks"),
+        ("planks", json!(1.5), "planks"),
+        ("planks", json!("3"), "planks"),
+        ("cpus", json!(-1.0), "cpus"),
+        ("cpus", json!("4"), "cpus"),
+        ("cpus", json!(1e300), "cpus"),
+        ("ramGb", Value::Null, "ramGb"),
+        ("pattern", json!(3), "pattern"),
+        ("pullGb", json!(-0.1), "pullGb"),
+        ("benches", json!("g8"), "benches"),
+        ("benches", json!([1]), "benches"),
+        ("yard", json!(1), "yard"),
+        ("together", json!("yes"), "together"),
+        ("expectedS", Value::Null, "expectedS"),
+        ("dueS", json!(-5), "dueS"),
+        ("gpus", Value::Null, "gpus"),
+        ("together", Value::Null, "together"),
+        ("apart", Value::Null, "apart"),
+        ("loaners", Value::Null, "loaners"),
+        ("notchS", Value::Null, "notchS"),
+        ("stackS", Value::Null, "stackS"),
+    ];
+    for (field, value, named) in table {
+        let mut b = submission();
+        b[field] = value.clone();
+        let bad = wire::parse_job(b.to_string().as_bytes()).expect_err(field);
+        assert_eq!(bad.field, named, "{field} = {value}");
+        // The id is kept, so that a known job's repeat can be told from it.
+        assert_eq!(bad.id.is_some(), named != "ref", "{field} = {value}");
+    }
+    for field in ["benches", "yard", "dueS"] {
+        let mut b = submission();
+        b[field] = Value::Null;
+        assert!(wire::parse_job(b.to_string().as_bytes()).is_ok(), "{field} may be null");
+        b.as_object_mut().expect("an object").remove(field);
+        assert!(wire::parse_job(b.to_string().as_bytes()).is_ok(), "{field} may be left out");
+    }
+    for text in ["", "{", "[]", "3", "\"x\"", "nul", "\u{0}"] {
+        assert_eq!(wire::parse_job(text.as_bytes()).expect_err(text).field, "");
+    }
+    let mut b = submission();
+    b["surprise"] = json!({"of": "a later version"});
+    assert!(wire::parse_job(b.to_string().as_bytes()).is_ok());
+}
