--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -1,86 +1,21 @@
 //! Lease, seats and watches: how this process learns what it may do.
 
-use super::job::{self, Job, JobRecord, StoredStage};
 use super::seat::{self, Mine, Seat};
-use super::{Controller, Known, Op, Watch};
+use super::seat_loading::Loading;
+use super::watches::prefix;
+use super::{Controller, Op, Watch};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
-use crate::wire::{Change, Item};
+use crate::wire::Item;
 use log::{info, warn};
 use rand::RngExt;
-use serde_json::Value;
-use std::collections::btree_map::Entry;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// How long a watch waits for changes.
 const BLOCK: Micros = Micros::secs(20);
-/// Between looks at changes beside a watch that has said nothing for long.
-const LOOK_EVERY: Micros = Micros::millis(400);
-/// Reads of job records under way at once while a seat is loaded.
-const LOADS: usize = 12;
-
-/// A seat's jobs, being read after a take.
-#[derive(Debug, Clone, Default)]
-pub(super) struct Loading {
-    term: u64,
-    after: Option<String>,
-    listed: bool,
-    busy: bool,
-    retry: Micros,
-    parts: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
-    /// Jobs whose record is still to be read.
-    todo: BTreeSet<String>,
-    asked: BTreeSet<String>,
-    /// Asked for before changes may have been missed: read again.
-    stale: BTreeSet<String>,
-    records: BTreeMap<String, (Option<JobRecord>, u64)>,
-    /// Descriptions from batches: key and version of the batch, and part 0.
-    batched: BTreeMap<String, (String, u64, Value)>,
-}
-
-/// A watch.
-#[derive(Debug, Clone, Default)]
-pub(super) struct Following {
-    after: Option<u64>,
-    busy: bool,
-    retry: Micros,
-    /// When the call that is under way was sent.
-    sent: Micros,
-    /// When the last call that was answered had been sent.
-    heard: Micros,
-    /// When changes were last looked at beside the watch.
-    look_at: Micros,
-}
-
-impl Following {
-    /// Changes up to a revision, asked for at a time, are taken in. A watch and a
-    /// look may cross.
-    fn took(&mut self, revision: u64, sent: Micros) {
-        self.after = Some(self.after.unwrap_or(0).max(revision));
-        self.heard = self.heard.max(sent);
-    }
-
-    /// All that had changed by then is known.
-    pub(super) fn heard(&self) -> Micros {
-        self.heard
-    }
-
-    /// Revision up to which changes are known, 0 for none.
-    pub(super) fn revision(&self) -> u64 {
-        self.after.unwrap_or(0)
-    }
-}
-
-fn prefix(watch: Watch) -> &'static str {
-    match watch {
-        Watch::Jobs => "j/",
-        Watch::Holds => "hold/",
-        Watch::Quotas => "quota/",
-    }
-}
 
 impl Controller {
-    pub(super) fn tend_seats(&mut self) {
+    pub(super) fn maintain_seats(&mut self) {
         let now = self.now;
         let ttl = self.options.seat_lease;
         if !self.lease.busy && now >= self.lease.renew_at {
@@ -121,32 +56,13 @@
         self.look_beside_watch();
         if self.seats_read && self.lease.valid(now + Micros::millis(500)) {
             for s in 0..self.seats.len() {
-                self.tend_seat(s);
+                self.maintain_seat(s);
             }
         }
-        self.tend_loads();
+        self.continue_loads();
     }
 
-    /// After an outage the lease is good at once, while the watch that was open waits
-    /// on: reports are answered only once it is known what was cancelled meanwhile.
-    fn look_beside_watch(&mut self) {
-        let now = self.now;
-        if !self.acting() || self.cancellations_up_to_date() {
-            return;
-        }
-        let Some(f) = self.follow.get_mut(&Watch::Jobs).filter(|f| now >= f.look_at) else {
-            return;
-        };
-        let Some(after) = f.after else {
-            return;
-        };
-        f.look_at = now + LOOK_EVERY;
-        let prefix = prefix(Watch::Jobs).to_string();
-        let call = StateCall::Follow { prefix, after, block: Micros::ZERO };
-        self.state(Op::Look { sent: now }, call);
-    }
-
-    fn tend_seat(&mut self, s: usize) {
+    fn maintain_seat(&mut self, s: usize) {
         let seat = &self.seats[s];
         if seat.busy {
             return;
@@ -172,7 +88,7 @@
         };
         if mark == 0 {
             // Its home takes it at once; others leave it time, longer while
-            // the home is seen to be well, and not all at the same moment.
+            // the home is observed to be well, and not all at the same moment.
             let wait = if s == self.me {
                 Micros::ZERO
             } else {
@@ -182,7 +98,7 @@
                 let base = if home_well { Micros::millis(2_000) } else { Micros::millis(200) };
                 base + Micros::millis(rank as u64 * 250)
             };
-            // One who cannot hear its workers leaves it to anybody else.
+            // One who cannot reach its workers leaves it to anybody else.
             let wait = if self.connectivity.cut_off() { wait + Micros::secs(5) } else { wait };
             if self.now.since(seat.free_since) < wait {
                 return;
@@ -234,7 +150,7 @@
         self.changes.desired.retain(|(seat, _)| *seat != s);
         self.changes.complete_desired.remove(&s);
         let seats = self.seats.len();
-        self.posts.retain(|m, _| seat::seat_of_machine(m, seats) != s);
+        self.managed_machines.retain(|m, _| seat::seat_of_machine(m, seats) != s);
         self.changes.machines.retain(|m| seat::seat_of_machine(m, seats) != s);
         if s == super::fleet::RENTING_SEAT {
             self.fleet = super::fleet::Fleet::default();
@@ -277,11 +193,11 @@
             .filter(|m| self.seat_of_machine(m) == s)
             .collect();
         for m in machines {
-            self.posts.entry(m.clone()).or_default();
+            self.managed_machines.entry(m.clone()).or_default();
             self.changes.machines.insert(m);
         }
         // Where they are is known from the views of the earlier holder, or
-        // from a peer that had heard them.
+        // from a peer that had received them.
         for v in self.views.values().filter(|v| !v.address.is_empty()) {
             if let Ok(address) = v.address.parse() {
                 self.hints.entry(v.machine.clone()).or_insert((v.session, address));
@@ -419,7 +335,7 @@
         }
     }
 
-    fn see_hold(&mut self, s: usize, item: Option<&Item>) {
+    pub(super) fn see_hold(&mut self, s: usize, item: Option<&Item>) {
         let now = self.now;
         self.seats[s].see_hold(now, item);
         let seat = &self.seats[s];
@@ -441,281 +357,4 @@
             _ => {}
         }
     }
-
-    fn change(&mut self, watch: Watch, change: Change) {
-        let Some(key) = change.put.as_ref().or(change.delete.as_ref()).cloned() else {
-            return;
-        };
-        let item = change.put.is_some().then(|| Item {
-            key: key.clone(),
-            value: change.value,
-            version: change.version,
-        });
-        match watch {
-            Watch::Holds => {
-                let Some(s) = seat::seat_of_key(&key).filter(|s| *s < self.seats.len()) else {
-                    return;
-                };
-                // News older than the own take: the seat has been taken since.
-                if self.seats[s].mine.as_ref().is_some_and(|m| change.version <= m.mark) {
-                    return;
-                }
-                self.see_hold(s, item.as_ref());
-            }
-            Watch::Jobs => {
-                let (Some(item), Some(id)) = (item, key.strip_prefix("j/")) else {
-                    return;
-                };
-                let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
-                    warn!("unreadable record of job {id}");
-                    return;
-                };
-                self.pipelines.note(id, &record);
-                self.note_known(
-                    id,
-                    Known {
-                        stage: record.stage,
-                        seat: record.seat,
-                        tasks: record.tasks,
-                        mark: item.version,
-                    },
-                );
-                match record.stage {
-                    StoredStage::Cancelled => self.job_cancelled(id),
-                    StoredStage::Accepted => self.adopt(id, record.seat),
-                    StoredStage::Done => {}
-                }
-            }
-            Watch::Quotas => {
-                if let Some(team) = key.strip_prefix("quota/") {
-                    let value = item.map(|i| i.value).unwrap_or_default();
-                    self.see_quota(team, &value, change.version);
-                }
-            }
-        }
-    }
-
-    /// A job that the store holds and this process does not: its acceptance
-    /// was applied after the answer had been given up.
-    pub(super) fn adopt(&mut self, id: &str, s: usize) {
-        if s >= self.seats.len() || !self.runs(s) || self.jobs.contains_key(id) {
-            return;
-        }
-        let under_way = self
-            .ops
-            .values()
-            .any(|op| matches!(op, Op::Admit { list, .. } if list.iter().any(|a| a.spec.id == id)));
-        if under_way {
-            return;
-        }
-        let Some(term) = self.my_term(s) else {
-            return;
-        };
-        info!("job {id} found in the store");
-        // The whole list again: it is short, and only unknown jobs are taken.
-        let loading = self.loads.entry(s).or_insert_with(|| Loading { term, ..Loading::default() });
-        loading.after = None;
-        loading.listed = false;
-    }
-
-    fn tend_loads(&mut self) {
-        // What changes after a record was read comes by the watch, which must stand.
-        let watched = self.follow.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
-        if !self.acting() || !watched {
-            return;
-        }
-        let seats: Vec<usize> = self.loads.keys().copied().collect();
-        for s in seats {
-            self.tend_load(s);
-        }
-    }
-
-    fn tend_load(&mut self, s: usize) {
-        let now = self.now;
-        let Some(l) = self.loads.get_mut(&s) else {
-            return;
-        };
-        if l.busy || now < l.retry {
-            return;
-        }
-        let term = l.term;
-        if !l.listed {
-            l.busy = true;
-            let call = StateCall::List { prefix: format!("w/{s}/"), after: l.after.clone() };
-            return self.state(Op::Load { seat: s, term }, call);
-        }
-        let asked: Vec<String> =
-            l.todo.iter().take(LOADS.saturating_sub(l.asked.len())).cloned().collect();
-        for job in &asked {
-            l.todo.remove(job);
-            l.asked.insert(job.clone());
-        }
-        let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
-        for job in asked {
-            let key = job::job_key(&job);
-            self.state(Op::LoadJob { seat: s, term, job }, StateCall::Get(key));
-        }
-        if finished {
-            self.loaded(s);
-        }
-    }
-
-    fn load_reply(&mut self, s: usize, term: u64, reply: StateReply) {
-        let now = self.now;
-        let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
-        let StateReply::Page { items, more, .. } = reply else {
-            if let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) {
-                l.busy = false;
-                l.retry = now + Micros::millis(200);
-            }
-            return;
-        };
-        let (mut new, mut batched) = (Vec::new(), Vec::new());
-        for i in &items {
-            let Some((id, part)) = job::parse_part_key(&i.key) else {
-                continue;
-            };
-            if job::is_batch(id) {
-                let jobs = job::decode_batch(&i.value).into_iter();
-                let unknown = jobs.filter(|(id, _)| !known(id, self));
-                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
-            } else if !known(id, self) {
-                new.push((id.to_string(), part, i.clone()));
-            }
-        }
-        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
-            return;
-        };
-        l.busy = false;
-        l.after = items.last().map(|i| i.key.clone());
-        l.listed = !more || items.is_empty();
-        for (id, part, item) in new {
-            l.todo.insert(id.clone());
-            l.parts.entry(id).or_default().insert(part, (item.value, item.version));
-        }
-        for (id, found) in batched {
-            l.todo.insert(id.clone());
-            l.batched.insert(id, found);
-        }
-        self.tend_load(s);
-    }
-
-    fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: StateReply) {
-        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
-            return;
-        };
-        l.asked.remove(job);
-        match reply {
-            _ if l.stale.remove(job) => {
-                l.todo.insert(job.to_string());
-            }
-            StateReply::Value(item) => {
-                let record =
-                    item.as_ref().and_then(|i| serde_json::from_value(i.value.clone()).ok());
-                let mark = item.map_or(0, |i| i.version);
-                l.records.insert(job.to_string(), (record, mark));
-            }
-            _ => {
-                l.todo.insert(job.to_string());
-                l.retry = self.now + Micros::millis(150);
-                return;
-            }
-        }
-        self.tend_load(s);
-    }
-
-    fn loaded(&mut self, s: usize) {
-        let Some(mut l) = self.loads.remove(&s) else {
-            return;
-        };
-        // A job's own part 0 is newer than what it was accepted with.
-        let mut batches: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
-        for (id, (key, version, value)) in l.batched {
-            let jobs = batches.entry((key, version)).or_default();
-            let parts = l.parts.entry(id.clone()).or_default();
-            if let Entry::Vacant(first) = parts.entry(0) {
-                first.insert((value, 0));
-                jobs.insert(id);
-            }
-        }
-        for ((key, version), jobs) in batches {
-            self.admission.batch(&key, s, version, jobs);
-        }
-        let mut count = 0;
-        for (id, parts) in l.parts {
-            if self.jobs.contains_key(&id) {
-                continue;
-            }
-            let Some((Some(record), mark)) = l.records.remove(&id) else {
-                warn!("tasks of job {id} without a record");
-                self.admission.unbatch(&id);
-                continue;
-            };
-            self.pipelines.note(&id, &record);
-            self.note_known(
-                &id,
-                Known { stage: record.stage, seat: record.seat, tasks: record.tasks, mark },
-            );
-            let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
-                warn!("stored tasks of job {id} cannot be read");
-                continue;
-            };
-            job.fit(self.part_size, self.larger);
-            // What was said since its record was read came by the watch.
-            let stage = self.known.get(&id).map_or(record.stage, |k| k.stage);
-            job.cancelled = stage == StoredStage::Cancelled;
-            job.over = stage == StoredStage::Done;
-            job.upstream = record.upstream.as_slice().into();
-            job.waiting = !job.upstream.is_empty() && stage == StoredStage::Accepted;
-            if job.waiting {
-                self.pipelines.wait(&id);
-            }
-            if job.over {
-                // What its parts still name has completed; it must not be
-                // wanted, and so started, again.
-                job.parts.iter_mut().for_each(|p| p.placed.clear());
-            }
-            count += 1;
-            for part in &job.parts {
-                for (index, p) in &part.placed {
-                    self.by_machine
-                        .entry((s, p.machine.clone()))
-                        .or_default()
-                        .insert((id.clone(), *index));
-                }
-            }
-            self.changes.jobs.insert(id.clone());
-            self.changes.progress.insert(id.clone());
-            self.jobs.insert(id, job);
-        }
-        let first = match &mut self.seats[s].mine {
-            Some(m) if m.term == l.term => !std::mem::replace(&mut m.loaded, true),
-            _ => return,
-        };
-        info!("seat {s} term {}: {count} unfinished jobs read", l.term);
-        // The whole of the seat's desired state: whatever it does not name is not wanted.
-        self.changes.complete_desired.insert(s);
-        let machines: Vec<String> = self
-            .by_machine
-            .keys()
-            .filter(|(seat, _)| *seat == s)
-            .map(|(_, m)| m.to_string())
-            .collect();
-        let cancelled: Vec<String> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| j.seat == s && j.cancelled)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in cancelled {
-            self.stop_job(&id);
-        }
-        for m in machines {
-            self.touch_slot(&m);
-            self.evaluate_machine(s, &m);
-        }
-        if first {
-            self.place_wanted = true;
-        }
-    }
 }
