--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -6,7 +6,7 @@
 
 use super::job::{self, Job, StoredStage};
 use super::pipeline::Fate;
-use super::{Controller, Known, Op, Ticket, seat};
+use super::{Controller, Known, Op, Ticket, shard};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
@@ -41,7 +41,7 @@
 /// Descriptions of jobs accepted together.
 #[derive(Debug, Clone)]
 pub(super) struct Batch {
-    pub seat: usize,
+    pub shard: usize,
     pub mark: u64,
     /// Jobs whose description stands nowhere else.
     pub jobs: BTreeSet<String>,
@@ -80,16 +80,16 @@
     }
 
     /// Takes in a batch that was read or written.
-    pub fn batch(&mut self, key: &str, seat: usize, mark: u64, jobs: BTreeSet<String>) {
+    pub fn batch(&mut self, key: &str, shard: usize, mark: u64, jobs: BTreeSet<String>) {
         for id in &jobs {
             self.batched.insert(id.clone(), key.to_string());
         }
-        self.batches.entry(key.to_string()).or_insert(Batch { seat, mark, jobs, busy: false });
+        self.batches.entry(key.to_string()).or_insert(Batch { shard, mark, jobs, busy: false });
     }
 
-    /// Forgets what belonged to a seat that is lost.
-    fn forget_seat(&mut self, s: usize) {
-        self.batches.retain(|_, b| b.seat != s);
+    /// Forgets what belonged to a shard that is lost.
+    fn forget_shard(&mut self, s: usize) {
+        self.batches.retain(|_, b| b.shard != s);
         let kept = &self.batches;
         self.batched.retain(|_, key| kept.contains_key(key));
     }
@@ -118,8 +118,8 @@
     /// plenty of this node's share, together where there is not.
     pub(super) fn admit_waiting(&mut self) {
         while self.admission.len() > 0 {
-            let seat = self.accepting_seat();
-            let mine = seat.and_then(|s| Some((s, self.seats[s].mine.clone()?)));
+            let shard = self.admitting_shard();
+            let mine = shard.and_then(|s| Some((s, self.shards[s].mine.clone()?)));
             let Some((s, mine)) = mine else {
                 return self.refuse_waiting("no seat is held");
             };
@@ -151,9 +151,9 @@
         self.admission.waiting[..most].iter().take_while(fits).count().max(1)
     }
 
-    fn admit(&mut self, s: usize, mine: &seat::Mine, list: Vec<Submission>) {
+    fn admit(&mut self, s: usize, mine: &shard::Mine, list: Vec<Submission>) {
         let mut txn = Txn {
-            conditions: vec![Condition { key: seat::hold_key(s), version: mine.mark }],
+            conditions: vec![Condition { key: shard::hold_key(s), version: mine.mark }],
             writes: Vec::new(),
         };
         let mut values: Vec<Value> = Vec::new();
@@ -180,7 +180,7 @@
         };
         txn.conditions.push(Condition { key: key.clone(), version: 0 });
         txn.writes.push(Write::Put { key, value, lease: None });
-        self.state(Op::Admit { list, seat: s, term: mine.term, batch }, StateCall::Txn(txn));
+        self.state(Op::Admit { list, shard: s, term: mine.term, batch }, StateCall::Txn(txn));
     }
 
     pub(super) fn admission_reply(
@@ -194,8 +194,8 @@
         self.submissions = self.submissions.saturating_sub(list.len());
         match reply {
             StateReply::Applied(mark) => {
-                // The seat may have been lost meanwhile; whoever has it reads the jobs.
-                let held = self.seats[s].mine.as_ref().is_some_and(|m| m.term == term);
+                // The shard may have been lost meanwhile; whoever has it reads the jobs.
+                let held = self.shards[s].mine.as_ref().is_some_and(|m| m.term == term);
                 if let Some(key) = batch.as_ref().filter(|_| held) {
                     let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
                     self.admission.batch(key, s, mark, jobs);
@@ -205,9 +205,9 @@
                 }
             }
             StateReply::Conflict(failed) => {
-                let lost = failed.contains(&seat::hold_key(s));
+                let lost = failed.contains(&shard::hold_key(s));
                 if lost {
-                    self.suspect_seat(s, term);
+                    self.suspect_shard(s, term);
                 }
                 for a in list {
                     let known = failed.contains(&job::job_key(&a.spec.id));
@@ -227,7 +227,7 @@
                 for a in list {
                     let known = self.known.get(&a.spec.id).copied();
                     if let Some(k) = known.filter(|k| k.stage == StoredStage::Accepted) {
-                        self.adopt(&a.spec.id, k.seat);
+                        self.adopt(&a.spec.id, k.shard);
                     }
                     self.later(a.ticket, 503, "state service away");
                 }
@@ -245,7 +245,7 @@
         log::debug!("job {} was written {took} ms after it had come", spec.id);
         self.counts.accepted += 1;
         self.pipelines.note_all(&spec.id, &spec.upstream);
-        let known = Known { stage: StoredStage::Accepted, seat: s, tasks: spec.tasks, mark };
+        let known = Known { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, mark };
         self.note_known(&spec.id, known);
         let cancelled = self.known.get(&spec.id).is_some_and(|k| k.stage == StoredStage::Cancelled);
         if held && !self.jobs.contains_key(&spec.id) {
@@ -296,9 +296,9 @@
         }
     }
 
-    /// A seat is lost, and what it had accepted is another's to remember.
+    /// A shard is lost, and what it had accepted is another's to remember.
     pub(super) fn forget_batches(&mut self, s: usize) {
-        self.admission.forget_seat(s);
+        self.admission.forget_shard(s);
     }
 
     /// Removes a batch that no job needs any more, when nothing urgent waits.
@@ -308,13 +308,13 @@
         let Some((key, b)) = found else {
             return;
         };
-        let Some(mine) = self.seats[b.seat].mine.as_ref().filter(|m| m.loaded) else {
+        let Some(mine) = self.shards[b.shard].mine.as_ref().filter(|m| m.loaded) else {
             return;
         };
         b.busy = true;
         let txn = Txn {
             conditions: vec![
-                Condition { key: seat::hold_key(b.seat), version: mine.mark },
+                Condition { key: shard::hold_key(b.shard), version: mine.mark },
                 Condition { key: key.clone(), version: b.mark },
             ],
             writes: vec![Write::Delete { key: key.clone() }],
@@ -328,13 +328,13 @@
             return;
         };
         b.busy = false;
-        let s = b.seat;
+        let s = b.shard;
         match reply {
             StateReply::Applied(_) => {
                 self.admission.batches.remove(key);
             }
-            StateReply::Conflict(failed) if failed.contains(&seat::hold_key(s)) => {
-                self.suspect_seat(s, term);
+            StateReply::Conflict(failed) if failed.contains(&shard::hold_key(s)) => {
+                self.suspect_shard(s, term);
             }
             // An earlier try was applied after all.
             StateReply::Conflict(_) => {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -3,7 +3,7 @@
 use super::admission::ADMISSION_PUTS;
 use super::job::{self, JobRecord, StoredStage};
 use super::pipeline::Fate;
-use super::{Controller, Effect, Known, Op, Ticket, seat};
+use super::{Controller, Effect, Known, Op, Ticket, shard};
 use crate::state::{StateCall, StateReply};
 use crate::wire::{self, Condition, JobAnswer, JobSpec, JobStage, Refusal, Txn, Write, path};
 use log::info;
@@ -94,17 +94,18 @@
             return Some("machine types are not known yet");
         }
         if self.acting() {
-            let runs = (0..self.seats.len()).any(|s| self.runs(s));
+            let runs = (0..self.shards.len()).any(|s| self.runs(s));
             return (!runs).then_some("no seat is held");
         }
         // In an outage the nodes' leases end one after the other, by as much as
         // they renew apart: for so long another's being well proves nothing.
         let others_well = self.peers.iter().any(|(n, p)| self.peer_alive(*n) && p.state_ok);
-        if others_well && self.now.since(self.acted_at) > seat::renew_every(self.options.seat_lease)
+        if others_well
+            && self.now.since(self.acted_at) > shard::renew_every(self.options.state_lease)
         {
             return Some("the state service is away from here alone");
         }
-        let held = self.lease.epoch > 0 && self.seats_read && self.lease.id.is_some();
+        let held = self.lease.epoch > 0 && self.shards_read && self.lease.id.is_some();
         (!held).then_some("no state lease was held")
     }
 
@@ -120,12 +121,12 @@
         }
     }
 
-    /// The seat that accepts new jobs here: the home seat if it is held.
-    pub(super) fn accepting_seat(&self) -> Option<usize> {
+    /// The shard that accepts new jobs here: the home shard if it is held.
+    pub(super) fn admitting_shard(&self) -> Option<usize> {
         if self.runs(self.me) {
             return Some(self.me);
         }
-        (0..self.seats.len()).find(|s| self.runs(*s))
+        (0..self.shards.len()).find(|s| self.runs(*s))
     }
 
     fn submit(&mut self, ticket: Ticket, body: &[u8]) {
@@ -156,7 +157,7 @@
             self.note_refusal(422, reason);
             return self.read_or(ticket, &spec.id, 422, None, &Refusal::new(reason));
         }
-        if self.accepting_seat().is_none() {
+        if self.admitting_shard().is_none() {
             return self.later(ticket, 503, "no seat is held");
         }
         if self.admission.holds(&spec.id) {
@@ -273,7 +274,7 @@
             StateReply::Value(Some(item)) => {
                 let r: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
                 let mark = item.version;
-                let known = Known { stage: r.stage, seat: r.seat, tasks: r.tasks, mark };
+                let known = Known { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
                 self.pipelines.note(job, &r);
                 self.note_known(job, known);
                 // This answer may have been overtaken by a later one.
@@ -282,8 +283,8 @@
                     StoredStage::Cancelled => self.job_cancelled(job),
                     // Its acceptance may have been applied after it was given
                     // up, while a repeat of the submission was under way or
-                    // the seat was being loaded: nobody would run it.
-                    StoredStage::Accepted => self.adopt(job, known.seat),
+                    // the shard was being loaded: nobody would run it.
+                    StoredStage::Accepted => self.adopt(job, known.shard),
                     StoredStage::Done => {}
                 }
                 Some(Some((known, item.version)))
@@ -294,8 +295,8 @@
 
     pub(super) fn api_reply(&mut self, op: Op, reply: StateReply) {
         match op {
-            Op::Admit { list, seat, term, batch } => {
-                self.admission_reply(list, seat, term, batch, reply);
+            Op::Admit { list, shard, term, batch } => {
+                self.admission_reply(list, shard, term, batch, reply);
             }
             Op::SubmitRead { ticket, job, sent, otherwise } => match self.read_record(&job, &reply)
             {
@@ -324,7 +325,7 @@
                 }
                 Some(Some((known, mark))) if known.stage == StoredStage::Accepted => {
                     let record = JobRecord {
-                        seat: known.seat,
+                        shard: known.shard,
                         stage: StoredStage::Cancelled,
                         tasks: known.tasks,
                         upstream: Vec::new(),
@@ -338,7 +339,7 @@
                     let op = Op::CancelWrite {
                         ticket,
                         job,
-                        seat: known.seat,
+                        shard: known.shard,
                         tasks: known.tasks,
                         tries,
                     };
@@ -350,10 +351,10 @@
                 Some(None) => self.respond(ticket, 404, None, &Refusal::new("no such job")),
                 None => self.later(ticket, 503, "state service away"),
             },
-            Op::CancelWrite { ticket, job, seat, tasks, tries } => match reply {
+            Op::CancelWrite { ticket, job, shard, tasks, tries } => match reply {
                 StateReply::Applied(mark) => {
                     info!("job {job} cancelled by its user");
-                    let known = Known { stage: StoredStage::Cancelled, seat, tasks, mark };
+                    let known = Known { stage: StoredStage::Cancelled, shard, tasks, mark };
                     self.note_known(&job, known);
                     self.announce_cancelled(&job, mark);
                     self.job_cancelled(&job);
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -7,7 +7,7 @@
 //! removed once no job needs it.
 
 use super::job::{self, Job};
-use super::{Controller, Op, seat};
+use super::{Controller, Op, shard};
 use crate::state::{StateCall, StateReply};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeMap;
@@ -33,13 +33,13 @@
         if batch.busy {
             return true;
         }
-        let s = batch.seat;
-        let Some(mine) = self.seats[s].mine.as_ref() else {
+        let s = batch.shard;
+        let Some(mine) = self.shards[s].mine.as_ref() else {
             return true;
         };
         let term = mine.term;
         let mut conditions = vec![
-            Condition { key: seat::hold_key(s), version: mine.mark },
+            Condition { key: shard::hold_key(s), version: mine.mark },
             Condition { key: key.clone(), version: batch.mark },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
@@ -93,9 +93,9 @@
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        let s = batch.seat;
-        // A reply to an earlier holding of the seat says nothing about this one.
-        if self.seats[s].mine.as_ref().is_none_or(|m| m.term != term) {
+        let s = batch.shard;
+        // A reply to an earlier holding of the shard says nothing about this one.
+        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
@@ -115,8 +115,8 @@
                 }
             }
             StateReply::Refused => {}
-            StateReply::Conflict(failed) if failed.contains(&seat::hold_key(s)) => {
-                self.suspect_seat(s, term);
+            StateReply::Conflict(failed) if failed.contains(&shard::hold_key(s)) => {
+                self.suspect_shard(s, term);
             }
             StateReply::Conflict(failed) => {
                 let other = |(id, _): &&(String, u64)| failed.contains(&job::job_key(id));
@@ -145,7 +145,7 @@
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        if self.seats[batch.seat].mine.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[batch.shard].mine.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -1,8 +1,8 @@
-//! Cancellations, as the holder of a machine's seat carries them out by itself.
+//! Cancellations, as the holder of a machine's shard carries them out by itself.
 //!
 //! A job's owner stops its tasks by what it wants on machines. Its word may not
 //! get through: the controllers are out of each other's reach, or the owner is
-//! gone and nobody can take its seat while the state service is away. Whoever
+//! gone and nobody can take its shard while the state service is away. Whoever
 //! answers a machine's reports keeps its tasks alive, so that one acts on what it
 //! knows itself, and answers only while it is sure to learn of cancellations.
 
@@ -31,7 +31,7 @@
 /// by a controller that does not know of it: what a cancellation has, less the
 /// worker's own lease, which the last such answer begins anew.
 pub fn unanswered_limit(workers: &Workers) -> Micros {
-    let lease = Micros::from_secs_f64(workers.lease_s).stretched(super::seat::DRIFT);
+    let lease = Micros::from_secs_f64(workers.lease_s).stretched(super::shard::DRIFT);
     Micros::from_secs_f64(workers.cancel_s).since(lease + MARGIN)
 }
 
@@ -60,8 +60,8 @@
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
     pub(super) fn cancellations_up_to_date(&self) -> bool {
-        let most = unanswered_limit(&self.settings.workers).max(self.options.seat_lease);
-        let most = most.min(Micros(2 * self.options.seat_lease.0));
+        let most = unanswered_limit(&self.settings.workers).max(self.options.state_lease);
+        let most = most.min(Micros(2 * self.options.state_lease.0));
         let watched = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
         self.now.since(watched) <= most
     }
@@ -139,8 +139,8 @@
         let cancelled = StoredStage::Cancelled;
         let known = match self.known.get(id).copied() {
             Some(known) => Known { stage: cancelled, mark: 0, ..known },
-            // Which seat runs it does not matter any more.
-            None => Known { stage: cancelled, seat: usize::MAX, tasks: 0, mark: 0 },
+            // Which shard runs it does not matter any more.
+            None => Known { stage: cancelled, shard: usize::MAX, tasks: 0, mark: 0 },
         };
         self.note_known(id, known);
         self.job_cancelled(id);
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -8,13 +8,13 @@
 /// Changes that wait for the next flush.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PendingChanges {
-    /// Jobs of own seats with something to be stored.
+    /// Jobs of own shards with something to be stored.
     pub(super) jobs: BTreeSet<String>,
-    /// Seats and machines on which a seat's desired tasks have changed.
+    /// Shards and machines on which a shard's desired tasks have changed.
     pub(super) desired: BTreeSet<(usize, Rc<str>)>,
-    /// Own seats whose desired tasks are to be told for all machines.
+    /// Own shards whose desired tasks are to be told for all machines.
     pub(super) complete_desired: BTreeSet<usize>,
-    /// Own seats must say which terms they know, if nothing else.
+    /// Own shards must say which terms they know, if nothing else.
     pub(super) known_terms: bool,
     /// Own machines whose view or commands may have changed.
     pub(super) machines: BTreeSet<String>,
@@ -24,7 +24,7 @@
     pub(super) cancelled: Vec<String>,
     /// Machines that were found to be terminated.
     pub(super) terminated: Vec<String>,
-    /// Tasks of other seats that are asked to make room.
+    /// Tasks of other shards that are asked to make room.
     pub(super) preemptions: Vec<Preempt>,
     /// Peers that are to be told everything.
     pub(super) peers_to_sync: BTreeSet<usize>,
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -1,10 +1,10 @@
 //! Whether the workers and this node can reach each other.
 //!
 //! A node that is cut off from its workers alone keeps its state lease and so
-//! its seats; its machines would run out their leases with all that is on them.
+//! its shards; its machines would run out their leases with all that is on them.
 //! Silence observed by one that nobody reaches is no evidence against machines: if at
-//! the same time machines of its seats turn to a peer and reach it, the node
-//! gives its seats up to those who can be reached. It is given none back until a
+//! the same time machines of its shards turn to a peer and reach it, the node
+//! gives its shards up to those who can be reached. It is given none back until a
 //! worker answers it, and later each time, since a cut may be one-way.
 
 use super::{Controller, DirectReply, Effect, Op};
@@ -28,21 +28,21 @@
 /// Between probes of workers while cut off, and how many are asked.
 const PROBE_EVERY: Micros = Micros::secs(2);
 const PROBED: usize = 4;
-/// Times that the pause before seats come back is doubled at most.
+/// Times that the pause before shards come back is doubled at most.
 const DOUBLINGS: u32 = 3;
 
 /// What is known of the way between this node and the workers.
 #[derive(Debug, Default)]
 pub(super) struct Connectivity {
-    /// When a worker of an own seat last reported or answered.
+    /// When a worker of an own shard last reported or answered.
     last_contact: Micros,
-    /// Machines of others' seats that reported here, and when.
+    /// Machines of others' shards that reported here, and when.
     misdirected: BTreeMap<String, Micros>,
     /// Since when the signs of a cut are there.
     suspected: Option<Micros>,
     /// When this was last looked at.
     checked_at: Micros,
-    /// Seats are being given up, or were, and are not to come back yet.
+    /// Shards are being given up, or were, and are not to come back yet.
     cut: bool,
     /// When a worker answered again.
     back: Option<Micros>,
@@ -52,24 +52,24 @@
 }
 
 impl Connectivity {
-    /// Whether this node gives its seats up.
+    /// Whether this node gives its shards up.
     pub fn cut_off(&self) -> bool {
         self.cut
     }
 
-    /// A worker of an own seat reported or answered.
+    /// A worker of an own shard reported or answered.
     pub fn hear(&mut self, now: Micros) {
         self.last_contact = now;
     }
 
-    /// A machine of somebody else's seat reported here.
+    /// A machine of somebody else's shard reported here.
     pub fn note_misdirected(&mut self, now: Micros, machine: &str) {
         self.misdirected.insert(machine.to_string(), now);
     }
 }
 
 /// Whether the signs of a cut are there, and how long they must last: of `machines`
-/// that a seat knows, so many turn to a peer, and any, or none, report here.
+/// that a shard knows, so many turn to a peer, and any, or none, report here.
 pub fn signs(machines: usize, misdirected: u32, silent: bool) -> Option<Micros> {
     let misdirected = misdirected as usize;
     if machines == 0 {
@@ -93,16 +93,16 @@
 }
 
 impl Controller {
-    /// Machines of others' seats that report here, for those who hold them.
+    /// Machines of others' shards that report here, for those who hold them.
     pub(super) fn misdirected(&self) -> Vec<Strays> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for m in self.connectivity.misdirected.keys() {
-            *counts.entry(self.seat_of_machine(m)).or_insert(0) += 1;
+            *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
         }
-        counts.into_iter().map(|(s, machines)| Strays { seat: s as u32, machines }).collect()
+        counts.into_iter().map(|(s, machines)| Strays { shard: s as u32, machines }).collect()
     }
 
-    /// Gives seats up while their machines cannot reach this node, and looks
+    /// Gives shards up while their machines cannot reach this node, and looks
     /// whether they can again.
     pub(super) fn check_connectivity(&mut self) {
         let now = self.now;
@@ -125,17 +125,17 @@
             self.connectivity.suspected = None;
             return;
         }
-        let mut known = vec![0_usize; self.seats.len()];
+        let mut known = vec![0_usize; self.shards.len()];
         let mut all = 0;
         for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.session > p.over_through) {
-            known[super::seat::seat_of_machine(m, self.seats.len())] += 1;
+            known[super::shard::shard_of_machine(m, self.shards.len())] += 1;
             all += 1;
         }
         let silent = now.since(self.connectivity.last_contact)
             > silence(all, self.settings.workers.report_s);
-        let found = (0..self.seats.len())
+        let found = (0..self.shards.len())
             .filter(|s| {
-                let mine = self.seats[*s].mine.as_ref();
+                let mine = self.shards[*s].mine.as_ref();
                 mine.is_some_and(|m| m.loaded && now.since(m.taken) > SETTLED)
             })
             .filter_map(|s| {
@@ -151,34 +151,34 @@
         if now.since(*self.connectivity.suspected.get_or_insert(now)) < lasting {
             return;
         }
-        info!("the workers do not reach this node; its seats are given up");
+        info!("the workers do not reach this node; its shards are given up");
         self.connectivity.suspected = None;
         self.connectivity.cut = true;
         self.connectivity.back = None;
         self.connectivity.cuts += 1;
-        self.give_up_seats();
+        self.give_up_shards();
     }
 
-    fn give_up_seats(&mut self) {
-        for mine in self.seats.iter_mut().filter_map(|s| s.mine.as_mut()) {
+    fn give_up_shards(&mut self) {
+        for mine in self.shards.iter_mut().filter_map(|s| s.mine.as_mut()) {
             mine.releasing = true;
         }
     }
 
     /// Asks a few machines how they are; once one answers, and after a pause
-    /// that grows with every cut, seats may come back.
+    /// that grows with every cut, shards may come back.
     fn look_for_workers(&mut self) {
         let now = self.now;
         let well = |p: &super::PeerInfo| p.state_ok && !p.cut_off;
         if self.peers.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
             // Also what was taken meanwhile because nobody else was there.
-            self.give_up_seats();
+            self.give_up_shards();
         }
         if let Some(at) = self.connectivity.back {
             let doublings = (self.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
             let pause = Micros(self.options.hand_back.0 * ((1 << doublings) - 1));
             if now.since(at) >= pause {
-                info!("workers answer again; seats may come back");
+                info!("workers answer again; shards may come back");
                 self.connectivity.cut = false;
                 self.connectivity.last_contact = now;
             }
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -1,5 +1,5 @@
-//! What own seats want on machines, told to the machines' managers, and what was
-//! received from the other seats.
+//! What own shards want on machines, told to the machines' managers, and what was
+//! received from the other shards.
 
 use super::Controller;
 use super::estimate::Estimates;
@@ -36,26 +36,26 @@
         for job in self.jobs.values() {
             let placed = job.parts.iter().flat_map(|part| part.placed.values());
             machines
-                .extend(placed.filter(|p| unobserved(p)).map(|p| (job.seat, p.machine.clone())));
+                .extend(placed.filter(|p| unobserved(p)).map(|p| (job.shard, p.machine.clone())));
         }
         self.changes.desired.extend(machines);
     }
 
     /// Marks the desired state of every machine that has tasks of the job.
     pub(super) fn refresh_desired_state(&mut self, id: &str) {
-        let Some(seat) = self.jobs.get(id).map(|j| j.seat) else {
+        let Some(shard) = self.jobs.get(id).map(|j| j.shard) else {
             return;
         };
         let keys: Vec<(usize, Rc<str>)> = self
             .by_machine
             .iter()
-            .filter(|((s, _), tasks)| *s == seat && tasks.iter().any(|(j, _)| j == id))
+            .filter(|((s, _), tasks)| *s == shard && tasks.iter().any(|(j, _)| j == id))
             .map(|(k, _)| k.clone())
             .collect();
         self.changes.desired.extend(keys);
     }
 
-    /// What a seat wants on a machine, by what is stored.
+    /// What a shard wants on a machine, by what is stored.
     fn desired_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<WantedTask> {
         let Some(tasks) = self.by_machine.get(&(s, Rc::clone(machine))).cloned() else {
             return Vec::new();
@@ -100,12 +100,12 @@
         list
     }
 
-    /// Sends what has changed in the desired state of own seats, to the own machine
+    /// Sends what has changed in the desired state of own shards, to the own machine
     /// manager first.
     pub(super) fn send_desired_state(&mut self, frame: &mut Frame) {
         let mut changed: BTreeMap<usize, (bool, Vec<Rc<str>>)> = BTreeMap::new();
         for s in std::mem::take(&mut self.changes.complete_desired) {
-            let all = self.by_machine.keys().filter(|(seat, _)| *seat == s);
+            let all = self.by_machine.keys().filter(|(shard, _)| *shard == s);
             changed.insert(s, (true, all.map(|(_, m)| Rc::clone(m)).collect()));
         }
         for (s, m) in std::mem::take(&mut self.changes.desired) {
@@ -115,7 +115,7 @@
             }
         }
         if std::mem::take(&mut self.changes.known_terms) {
-            for s in 0..self.seats.len() {
+            for s in 0..self.shards.len() {
                 changed.entry(s).or_default();
             }
         }
@@ -127,16 +127,16 @@
             let seq = self.seq;
             let machines =
                 machines.iter().map(|m| (m.to_string(), 0, self.desired_on(s, m, seq))).collect();
-            let terms: Vec<u64> = self.seats.iter().map(|s| s.term).collect();
+            let terms: Vec<u64> = self.shards.iter().map(|s| s.term).collect();
             let knows = terms.clone();
-            let desired = Wants { seat: s, term, seq, complete, machines, terms, knows };
+            let desired = Wants { shard: s, term, seq, complete, machines, terms, knows };
             frame.wants.push(desired.to_message());
             self.apply_desired_state(desired);
         }
     }
 
     fn runs_or_releases(&self, s: usize) -> bool {
-        self.seats[s].mine.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].mine.as_ref().is_some_and(|m| m.loaded)
     }
 }
 
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -1,11 +1,11 @@
-//! What was received of the seats' desired state: which tasks each of them wants on
+//! What was received of the shards' desired state: which tasks each of them wants on
 //! which machine, and how much of that is known here.
 
 use super::{Controller, quota};
 use crate::peer::{Phase, WantedTask, Wants};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Desired state of a seat, as received.
+/// Desired state of a shard, as received.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DesiredState {
     pub(super) term: u64,
@@ -13,19 +13,19 @@
     pub(super) seq: u64,
     /// Newest message that named all machines; 0: none yet in this term.
     pub(super) complete: u64,
-    /// Terms of all seats that its sender knew with the newest message.
+    /// Terms of all shards that its sender knew with the newest message.
     pub(super) knows: Vec<u64>,
     pub(super) machines: BTreeMap<String, DesiredOnMachine>,
     /// What the tasks use, by team.
     pub(super) usage: BTreeMap<String, quota::Amount>,
 }
 
-/// What a seat wants on one machine, as received.
+/// What a shard wants on one machine, as received.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DesiredOnMachine {
     /// Number of the message.
     pub(super) seq: u64,
-    /// Term of the machine's seat that the sender knew.
+    /// Term of the machine's shard that the sender knew.
     pub(super) known: u64,
     pub(super) tasks: Vec<WantedTask>,
 }
@@ -42,10 +42,10 @@
 }
 
 impl Controller {
-    /// Takes in what a seat wants on machines.
+    /// Takes in what a shard wants on machines.
     pub(super) fn apply_desired_state(&mut self, message: Wants) {
-        let s = message.seat;
-        if s >= self.desired.len() || message.term < self.seats[s].term {
+        let s = message.shard;
+        if s >= self.desired.len() || message.term < self.shards[s].term {
             return;
         }
         let current = &mut self.desired[s];
@@ -90,7 +90,7 @@
                 }
             }
             current.count(&tasks, 1.0);
-            let h = super::seat::seat_of_machine(&machine, self.seats.len());
+            let h = super::shard::shard_of_machine(&machine, self.shards.len());
             let known = match known {
                 0 => message.terms.get(h).copied().unwrap_or(0),
                 known => known,
@@ -108,7 +108,7 @@
     fn desired_state_changed(&mut self, machine: &str) {
         self.place_wanted = true;
         self.touch_slot(machine);
-        if self.my_term(self.seat_of_machine(machine)).is_none()
+        if self.my_term(self.shard_of_machine(machine)).is_none()
             || self.terminated.contains(machine)
         {
             return;
@@ -118,19 +118,19 @@
         self.changes.machines.insert(machine.to_string());
     }
 
-    /// Whether everything that the job's seat wants on machines of a seat has been
+    /// Whether everything that the job's shard wants on machines of a shard has been
     /// received: only then does a task's absence from the desired state mean that it is not
-    /// wanted. What was received before the machine's seat changed hands is no longer
+    /// wanted. What was received before the machine's shard changed hands is no longer
     /// all: its owner may have had more begun there through the earlier holder.
     pub(super) fn knows_all_desired(&self, job: &str, at: usize) -> bool {
-        let term = self.seats[at].term;
+        let term = self.shards[at].term;
         let complete = |s: usize| {
             let w = &self.desired[s];
             let knows = w.knows.get(at).copied().unwrap_or(0);
-            w.complete > 0 && w.term == self.seats[s].term && knows >= term
+            w.complete > 0 && w.term == self.shards[s].term && knows >= term
         };
         match self.known.get(job) {
-            Some(k) if k.seat < self.desired.len() => complete(k.seat),
+            Some(k) if k.shard < self.desired.len() => complete(k.shard),
             _ => (0..self.desired.len()).all(complete),
         }
     }
--- a/src/controller/fleet.rs
+++ b/src/controller/fleet.rs
@@ -1,8 +1,8 @@
 //! Renting: the machines that are wanted against those listed and reported.
 //!
-//! One seat at a time rents. It rebuilds what it knows from the cloud's list,
+//! One shard at a time rents. It rebuilds what it knows from the cloud's list,
 //! so nothing of it needs to be stored; the names of its requests carry the
-//! seat's term and are never used again.
+//! shard's term and are never used again.
 
 use crate::peer::Demand;
 use crate::time::Micros;
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The seat whose holder rents.
-pub const RENTING_SEAT: usize = 0;
+/// The shard whose holder rents.
+pub const RENTING_SHARD: usize = 0;
 
 /// A kind of machine in a zone.
 pub type Offer = (String, String, bool);
@@ -35,7 +35,7 @@
     pub idle_since: Option<Micros>,
 }
 
-/// What the renting seat knows.
+/// What the renting shard knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// Machines by name.
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -21,9 +21,9 @@
     pub(super) run: u64,
     pub(super) demand: Vec<peer::Demand>,
     pub(super) needs: Vec<peer::QuotaNeed>,
-    /// It gives its seats up, since it and its workers cannot reach each other.
+    /// It gives its shards up, since it and its workers cannot reach each other.
     pub(super) cut_off: bool,
-    /// Machines of others' seats that report to it, by seat.
+    /// Machines of others' shards that report to it, by shard.
     pub(super) misdirected: BTreeMap<usize, u32>,
     /// Number of its last frame.
     pub(super) number: u64,
@@ -52,7 +52,7 @@
         if !frame.full && !next {
             // What was lost is not known, so nothing follows from what the rest
             // does not name.
-            for s in 0..self.seats.len() {
+            for s in 0..self.shards.len() {
                 if self.holder(s) == Some(from) {
                     self.desired[s].complete = 0;
                 }
@@ -85,21 +85,21 @@
             info.well_since.get_or_insert(now);
         }
         if frame.has_demand {
-            let misdirected = frame.strays.iter().map(|s| (s.seat as usize, s.machines));
+            let misdirected = frame.strays.iter().map(|s| (s.shard as usize, s.machines));
             info.misdirected = misdirected.collect();
             info.demand = frame.demand;
             info.needs = frame.needs;
         }
         for h in &frame.held {
-            let Some(seat) = self.seats.get_mut(h.seat as usize) else {
+            let Some(shard) = self.shards.get_mut(h.shard as usize) else {
                 continue;
             };
-            if h.term > seat.term {
+            if h.term > shard.term {
                 // Not yet received from the watch: only the term is taken over,
                 // the holder's mark comes with the watch.
-                seat.term = h.term;
-                if seat.mine.as_ref().is_some_and(|m| m.term < h.term) {
-                    self.lose_seat(h.seat as usize, "a peer holds it under a higher term");
+                shard.term = h.term;
+                if shard.mine.as_ref().is_some_and(|m| m.term < h.term) {
+                    self.lose_shard(h.shard as usize, "a peer holds it under a higher term");
                 }
             }
         }
@@ -193,12 +193,12 @@
         frame.state_ok = acting;
         frame.cut_off = self.connectivity.cut_off();
         if acting {
-            for (n, seat) in self.seats.iter().enumerate() {
-                if let Some(m) = &seat.mine {
-                    frame.held.push(peer::HeldSeat { seat: n as u32, term: m.term });
+            for (n, shard) in self.shards.iter().enumerate() {
+                if let Some(m) = &shard.mine {
+                    frame.held.push(peer::HeldShard { shard: n as u32, term: m.term });
                 }
             }
-            if self.my_term(fleet::RENTING_SEAT).is_some() {
+            if self.my_term(fleet::RENTING_SHARD).is_some() {
                 frame.rents = true;
                 frame.draining = self.fleet.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
@@ -231,20 +231,22 @@
     pub(super) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         frame.wants.clear();
-        for seat in 0..self.seats.len() {
-            let desired = &self.desired[seat];
-            if !self.runs(seat) || self.my_term(seat) != Some(desired.term) || desired.complete == 0
+        for shard in 0..self.shards.len() {
+            let desired = &self.desired[shard];
+            if !self.runs(shard)
+                || self.my_term(shard) != Some(desired.term)
+                || desired.complete == 0
             {
                 continue;
             }
             let wanted = desired.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
             let desired = Wants {
-                seat,
+                shard,
                 term: desired.term,
                 seq: desired.seq,
                 complete: true,
                 // Terms machine by machine: one that nothing has been wanted on
-                // since its seat moved would hold up all others of the seat.
+                // since its shard moved would hold up all others of the shard.
                 machines: wanted
                     .map(|(name, m)| (name.clone(), m.known, m.tasks.clone()))
                     .collect(),
@@ -274,17 +276,17 @@
         frame
     }
 
-    /// A seat has a new term: what is wanted on its machines is said anew, with
+    /// A shard has a new term: what is wanted on its machines is said anew, with
     /// all that was concluded under the earlier one.
     pub(super) fn announce_terms(&mut self) {
-        for h in 0..self.seats.len() {
-            if self.seats[h].term > self.announced_terms[h] {
-                self.announced_terms[h] = self.seats[h].term;
+        for h in 0..self.shards.len() {
+            if self.shards[h].term > self.announced_terms[h] {
+                self.announced_terms[h] = self.shards[h].term;
                 self.changes.known_terms = true;
                 let there: Vec<(usize, Rc<str>)> = self
                     .by_machine
                     .keys()
-                    .filter(|(_, m)| self.seat_of_machine(m) == h)
+                    .filter(|(_, m)| self.shard_of_machine(m) == h)
                     .cloned()
                     .collect();
                 self.changes.desired.extend(there);
--- a/src/controller/job/keys.rs
+++ b/src/controller/job/keys.rs
@@ -5,9 +5,9 @@
 /// Value of `j/REF`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Seat that accepted it.
+    /// Shard that accepted it.
     #[serde(rename = "s")]
-    pub seat: usize,
+    pub shard: usize,
     /// Stage.
     #[serde(rename = "g")]
     pub stage: StoredStage,
@@ -51,14 +51,14 @@
 }
 
 /// Key of a part of a job's tasks.
-pub fn part_key(seat: usize, id: &str, part: usize) -> String {
-    format!("w/{seat}/{id}/{part}")
+pub fn part_key(shard: usize, id: &str, part: usize) -> String {
+    format!("w/{shard}/{id}/{part}")
 }
 
 /// Key of descriptions of jobs that were accepted together. The term and the
 /// number make it unique; jobs' ids never begin like it.
-pub fn batch_key(seat: usize, term: u64, number: u64) -> String {
-    format!("w/{seat}/_{term}-{number}/0")
+pub fn batch_key(shard: usize, term: u64, number: u64) -> String {
+    format!("w/{shard}/_{term}-{number}/0")
 }
 
 /// Whether a name in a key under `w/S/` is a batch's instead of a job's.
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs and their tasks, as their seat keeps them.
+//! Jobs and their tasks, as their shard keeps them.
 //!
-//! `j/REF` is tiny and permanent: seat and stage. `w/S/REF/n` holds a part of
+//! `j/REF` is tiny and permanent: shard and stage. `w/S/REF/n` holds a part of
 //! the tasks each, and the description in part 0; it goes when the job is over.
 //! A part's version counts its changes; what is newer than the stored version
 //! has not been written yet and nobody may act on it.
@@ -27,13 +27,13 @@
 /// Machines that a job avoids at most.
 const MOST_AVOIDED: usize = 6;
 
-/// A job that one of this process's seats runs.
+/// A job that one of this process's shards runs.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Description.
     pub spec: Rc<JobSpec>,
-    /// Seat.
-    pub seat: usize,
+    /// Shard.
+    pub shard: usize,
     /// Version of `j/REF`.
     pub mark: u64,
     /// Time of day of the acceptance, by the accepting node.
@@ -88,7 +88,13 @@
 
 impl Job {
     /// A job with nothing placed.
-    pub fn new(spec: Rc<JobSpec>, seat: usize, mark: u64, accepted: Micros, size: PartSize) -> Job {
+    pub fn new(
+        spec: Rc<JobSpec>,
+        shard: usize,
+        mark: u64,
+        accepted: Micros,
+        size: PartSize,
+    ) -> Job {
         let PartSize { tasks: part_size, bytes: room, described } = size;
         let first_room = match described {
             true => room.saturating_sub(spec_bytes(&spec)),
@@ -105,7 +111,7 @@
             .collect();
         Job {
             spec,
-            seat,
+            shard,
             mark,
             accepted,
             parts,
--- a/src/controller/job/part.rs
+++ b/src/controller/job/part.rs
@@ -64,7 +64,7 @@
     pub attempt: u64,
     /// Version of the part that first holds it: it is acted on once that is stored.
     pub version: u64,
-    /// Time of day of the decision; stored, so that a later holder of the seat
+    /// Time of day of the decision; stored, so that a later holder of the shard
     /// knows how much a stop would lose.
     pub at: Micros,
     /// It was read from the store: when it began to run is not known.
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -177,7 +177,7 @@
     /// Rebuilds a job from its stored parts; `None` without part 0, which
     /// is written with the acceptance and dropped last.
     pub fn restore(
-        seat: usize,
+        shard: usize,
         mark: u64,
         size: PartSize,
         stored: &BTreeMap<usize, (Value, u64)>,
@@ -185,7 +185,7 @@
         let first: StoredPart = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
         let spec = Rc::new(first.s?);
         let size = PartSize { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
-        let mut job = Job::new(spec, seat, mark, Micros(first.t.unwrap_or(0)), size);
+        let mut job = Job::new(spec, shard, mark, Micros(first.t.unwrap_or(0)), size);
         for (n, (value, mark)) in stored {
             let read: StoredPart = serde_json::from_value(value.clone()).ok()?;
             let part = job.parts.get_mut(*n)?;
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -1,4 +1,4 @@
-//! The jobs of this process's seats: what became of their tasks, what is
+//! The jobs of this process's shards: what became of their tasks, what is
 //! written down, and what is therefore wanted on machines.
 
 use super::Controller;
@@ -12,7 +12,7 @@
 const REFUSED_IN_A_ROW: u32 = 16;
 
 impl Controller {
-    /// Looks at all tasks of a seat on a machine.
+    /// Looks at all tasks of a shard on a machine.
     pub(super) fn evaluate_machine(&mut self, s: usize, machine: &str) {
         if !self.runs(s) {
             return;
@@ -34,16 +34,16 @@
         }
     }
 
-    /// Works out what became of a task from what its machine's seat says.
+    /// Works out what became of a task from what its machine's shard says.
     fn evaluate_task(&mut self, id: &str, index: u32) {
-        let Some(term) = self.jobs.get(id).and_then(|j| self.my_term(j.seat)) else {
+        let Some(term) = self.jobs.get(id).and_then(|j| self.my_term(j.shard)) else {
             return;
         };
         let (now, wall) = (self.now, self.wall());
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let s = job.seat;
+        let s = job.shard;
         let Some(part) = job.part_of(index) else {
             return;
         };
@@ -57,7 +57,7 @@
         }
         // A view of an earlier holder proves nothing any more: the present one
         // may begin what that one had refused.
-        let here = self.seats[super::seat::seat_of_machine(&machine, self.seats.len())].term;
+        let here = self.shards[super::shard::shard_of_machine(&machine, self.shards.len())].term;
         let Some(view) = self.views.get(&*machine).filter(|v| v.term == here) else {
             return;
         };
@@ -90,11 +90,11 @@
                     }
                     None
                 }
-                // Absence proves something only once the machine's seat has
+                // Absence proves something only once the machine's shard has
                 // learnt that the task is not wanted: until then it may be
                 // about to send the start.
                 None => {
-                    let heard = view.heard.iter().find(|h| h.seat as usize == s);
+                    let heard = view.heard.iter().find(|h| h.shard as usize == s);
                     let stopped = p
                         .stop_seq
                         .is_some_and(|q| heard.is_some_and(|h| h.term == term && h.seq >= q));
@@ -148,7 +148,7 @@
         };
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
-        let s = job.seat;
+        let s = job.shard;
         self.touch_slot(&machine);
         self.changes.desired.insert((s, machine));
     }
@@ -158,7 +158,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let s = job.seat;
+        let s = job.shard;
         let Some(p) = job.part_of(index).and_then(|part| part.placed.get_mut(&index)) else {
             return;
         };
@@ -233,7 +233,7 @@
         self.touch_slot(machine);
         self.changes.machines.remove(machine);
         self.fleet.forget(machine);
-        for s in 0..self.seats.len() {
+        for s in 0..self.shards.len() {
             self.evaluate_machine(s, machine);
         }
         self.place_wanted = true;
@@ -275,7 +275,7 @@
             _ => {}
         }
         job.lazy_since.get_or_insert(now);
-        let s = job.seat;
+        let s = job.shard;
         self.changes.jobs.insert(id.to_string());
         self.changes.progress.insert(id.to_string());
         self.changes.desired.insert((s, Rc::clone(&machine)));
@@ -296,7 +296,7 @@
             .map(|(m, _)| m.clone())
             .collect();
         for m in noticed {
-            for s in 0..self.seats.len() {
+            for s in 0..self.shards.len() {
                 self.evaluate_machine(s, &m);
             }
         }
@@ -304,8 +304,8 @@
 
     /// Takes in a view of a machine.
     pub(super) fn apply_view(&mut self, view: MachineView) {
-        let h = self.seat_of_machine(&view.machine);
-        if self.terminated.contains(&view.machine) || view.term < self.seats[h].term {
+        let h = self.shard_of_machine(&view.machine);
+        if self.terminated.contains(&view.machine) || view.term < self.shards[h].term {
             return;
         }
         if let Some(old) = self.views.get(&view.machine)
@@ -334,7 +334,7 @@
         let machine = view.machine.clone();
         self.views.insert(machine.clone(), view);
         self.touch_slot(&machine);
-        for s in 0..self.seats.len() {
+        for s in 0..self.shards.len() {
             self.evaluate_machine(s, &machine);
         }
         self.place_wanted = true;
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -2,7 +2,7 @@
 //! what follows from the state service's answers.
 
 use super::job::{self, Job, JobRecord, StoredStage};
-use super::seat;
+use super::shard;
 use super::{Controller, Known, Op};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
@@ -42,7 +42,7 @@
         if job.busy {
             return;
         }
-        let Some(term) = self.seats[job.seat].mine.as_ref().map(|m| m.term) else {
+        let Some(term) = self.shards[job.shard].mine.as_ref().map(|m| m.term) else {
             return;
         };
         job.busy = true;
@@ -97,13 +97,13 @@
             self.changes.jobs.remove(id);
             return;
         };
-        let s = job.seat;
+        let s = job.shard;
         if job.busy {
             return;
         }
-        // A seat that is being handed over waits for its writes, so none begins.
-        let ready = |m: &&super::seat::Mine| m.loaded && !m.releasing;
-        let Some(mine) = self.seats[s].mine.as_ref().filter(ready) else {
+        // A shard that is being handed over waits for its writes, so none begins.
+        let ready = |m: &&super::shard::Mine| m.loaded && !m.releasing;
+        let Some(mine) = self.shards[s].mine.as_ref().filter(ready) else {
             return;
         };
         let (hold, term) = (mine.mark, mine.term);
@@ -132,7 +132,7 @@
             job.over = true;
         }
         let mut txn = Txn {
-            conditions: vec![Condition { key: seat::hold_key(s), version: hold }],
+            conditions: vec![Condition { key: shard::hold_key(s), version: hold }],
             writes: Vec::new(),
         };
         let record = job::job_key(id);
@@ -141,7 +141,7 @@
         if !job.over && job.complete() {
             done = true;
             let value = JobRecord {
-                seat: s,
+                shard: s,
                 stage: StoredStage::Done,
                 tasks: job.spec.tasks,
                 upstream: Vec::new(),
@@ -225,7 +225,7 @@
             let machines: Vec<(usize, Rc<str>)> = self
                 .by_machine
                 .iter()
-                .filter(|((s, _), tasks)| *s == job.seat && tasks.iter().any(|(j, _)| j == id))
+                .filter(|((s, _), tasks)| *s == job.shard && tasks.iter().any(|(j, _)| j == id))
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in machines {
@@ -254,9 +254,9 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let s = job.seat;
-        // A reply to an earlier holding of the seat says nothing about this one.
-        if self.seats[s].mine.as_ref().is_none_or(|m| m.term != *term) {
+        let s = job.shard;
+        // A reply to an earlier holding of the shard says nothing about this one.
+        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != *term) {
             return;
         }
         job.busy = false;
@@ -266,8 +266,8 @@
                 self.stored(&id, mark, &parts, done, &drops);
             }
             (Op::Store { term, .. }, StateReply::Conflict(failed)) => {
-                if failed.contains(&seat::hold_key(s)) {
-                    self.suspect_seat(s, term);
+                if failed.contains(&shard::hold_key(s)) {
+                    self.suspect_shard(s, term);
                 } else {
                     self.recheck(&id);
                 }
@@ -286,7 +286,7 @@
                     return;
                 };
                 let mark = item.version;
-                let known = Known { stage: r.stage, seat: r.seat, tasks: r.tasks, mark };
+                let known = Known { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
                 self.pipelines.note(&id, &r);
                 self.note_known(&id, known);
                 match r.stage {
@@ -379,7 +379,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let s = job.seat;
+        let s = job.shard;
         let mut touched: Vec<(Rc<str>, u32)> = Vec::new();
         for (n, version) in parts {
             let part = &mut job.parts[*n];
@@ -410,7 +410,7 @@
                 }
             }
             let tasks = job.spec.tasks;
-            let known = Known { stage: StoredStage::Done, seat: s, tasks, mark };
+            let known = Known { stage: StoredStage::Done, shard: s, tasks, mark };
             self.note_known(id, known);
         }
         for (machine, index) in touched {
@@ -424,7 +424,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let s = job.seat;
+        let s = job.shard;
         let Some(part) = job.part_of(index) else {
             return;
         };
--- a/src/controller/known.rs
+++ b/src/controller/known.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Known {
     pub(super) stage: StoredStage,
-    pub(super) seat: usize,
+    pub(super) shard: usize,
     pub(super) tasks: u32,
     /// Version of its key that says so; it changes once, with the terminal state.
     pub(super) mark: u64,
--- a/src/controller/machine.rs
+++ b/src/controller/machine.rs
@@ -1,4 +1,4 @@
-//! What a machine's seat knows of it: its reports, what was sent, what may
+//! What a machine's shard knows of it: its reports, what was sent, what may
 //! still be under way.
 
 use crate::peer::{Phase, Seen, SeenTask, WantedTask};
@@ -19,12 +19,12 @@
 }
 
 impl Key {
-    /// The attempt that a seat wants.
+    /// The attempt that a shard wants.
     pub fn of(w: &WantedTask) -> Key {
         Key { job: w.job.clone(), index: w.index, attempt: w.attempt }
     }
 
-    /// Whether a seat wants this very attempt.
+    /// Whether a shard wants this very attempt.
     pub fn names(&self, w: &WantedTask) -> bool {
         self.attempt == w.attempt && self.index == w.index && self.job == w.job
     }
@@ -69,7 +69,7 @@
     Failed(Key),
 }
 
-/// A machine, as its seat knows it under the present term.
+/// A machine, as its shard knows it under the present term.
 #[derive(Debug, Clone, Default)]
 pub struct ManagedMachine {
     /// Session of the newest report, 0 before the first.
@@ -307,7 +307,7 @@
 }
 
 /// Whether a wanted task may be started under a term, its owner having known
-/// the term `known` of the machine's seat.
+/// the term `known` of the machine's shard.
 ///
 /// What is not written down yet could run beside another attempt that nobody
 /// remembers. What an earlier holder had refused its owner may have given up
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -1,4 +1,4 @@
-//! Commands for the machines of own seats: what is wanted there against what is
+//! Commands for the machines of own shards: what is wanted there against what is
 //! there, sent in answers to reports or directly.
 
 use super::job::StoredStage;
@@ -30,8 +30,8 @@
 impl Controller {
     /// Works out the commands for a machine, and books what they start.
     pub(super) fn commands(&mut self, machine: &str, way: Way) -> Vec<Command> {
-        let at = self.seat_of_machine(machine);
-        let term = self.seats[at].term;
+        let at = self.shard_of_machine(machine);
+        let term = self.shards[at].term;
         let Some(managed) = self.managed_machines.get(machine) else {
             return Vec::new();
         };
@@ -170,7 +170,7 @@
     /// Sends what is new straight to the worker, instead of waiting for its
     /// next report.
     pub(super) fn push(&mut self, machine: &str) {
-        let s = self.seat_of_machine(machine);
+        let s = self.shard_of_machine(machine);
         let Some(term) = self.my_term(s) else {
             return;
         };
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Asks machines of a seat that was just taken how they stand, by commands
+    /// Asks machines of a shard that was just taken how they stand, by commands
     /// that order nothing. They would report within their period only, and a
     /// second time under the new term before anything may be sent to them.
     pub(super) fn send_probes(&mut self) {
@@ -233,9 +233,9 @@
         while sent < PROBES_PER_TURN
             && let Some(machine) = self.probes.pop_first()
         {
-            let s = self.seat_of_machine(&machine);
+            let s = self.shard_of_machine(&machine);
             if self.my_term(s).is_none() {
-                // Kept among the hints until the seat is taken.
+                // Kept among the hints until the shard is taken.
                 continue;
             }
             let Some((session, address)) = self.hints.remove(&machine) else {
@@ -261,8 +261,8 @@
         term: u64,
         reply: DirectReply,
     ) {
-        let s = self.seat_of_machine(machine);
-        if self.seats[s].mine.as_ref().is_none_or(|m| m.term != term) {
+        let s = self.shard_of_machine(machine);
+        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         let now = self.now;
@@ -301,7 +301,7 @@
 
     /// Sends commands that order nothing: the answer shows that it receives commands.
     pub(super) fn ask(&mut self, machine: &str, session: u64, address: SocketAddrV4) {
-        let Some(term) = self.my_term(self.seat_of_machine(machine)) else {
+        let Some(term) = self.my_term(self.shard_of_machine(machine)) else {
             return;
         };
         let Some(managed) = self.managed_machines.get_mut(machine).filter(|p| !p.direct_busy)
--- a/src/controller/machine_reports.rs
+++ b/src/controller/machine_reports.rs
@@ -1,9 +1,9 @@
-//! Reports of the machines of own seats: what they say is taken in and answered.
+//! Reports of the machines of own shards: what they say is taken in and answered.
 
 use super::job::StoredStage;
 use super::machine::{self, Outcome};
 use super::machine_commands::Way;
-use super::seat::DRIFT;
+use super::shard::DRIFT;
 use super::{Controller, Effect, Ticket};
 use crate::time::Micros;
 use crate::wire::{Refusal, Report, ReportReply, ReportTo};
@@ -47,7 +47,7 @@
             return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
         }
         self.counts.reports += 1;
-        let s = self.seat_of_machine(&report.machine);
+        let s = self.shard_of_machine(&report.machine);
         let Some(term) = self.my_term(s) else {
             let away = Refusal::new("seat not held here");
             return match self.holder(s) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Remembers on which machines of own seats a job failed; a few will do.
+    /// Remembers on which machines of own shards a job failed; a few will do.
     fn note_failing(&mut self, job: String, machine: &str) {
         if self.failing.len() >= MAX_FAILING {
             let known = &self.known;
--- a/src/controller/machine_views.rs
+++ b/src/controller/machine_views.rs
@@ -1,4 +1,4 @@
-//! Views of the machines of own seats: how each stands, told to the managers of
+//! Views of the machines of own shards: how each stands, told to the managers of
 //! the jobs that have tasks there; and the end of sessions that went silent.
 
 use super::Controller;
@@ -15,12 +15,12 @@
         }
         let (now, lease) = (self.now, self.worker_lease());
         let taken: Vec<Option<Micros>> =
-            self.seats.iter().map(|s| s.mine.as_ref().map(|m| m.taken)).collect();
+            self.shards.iter().map(|s| s.mine.as_ref().map(|m| m.taken)).collect();
         let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
         let silent = self.silent();
-        let seats = self.seats.len();
+        let shards = self.shards.len();
         for (name, managed) in &mut self.managed_machines {
-            let Some(Some(taken)) = taken.get(super::seat::seat_of_machine(name, seats)) else {
+            let Some(Some(taken)) = taken.get(super::shard::shard_of_machine(name, shards)) else {
                 continue;
             };
             let base = managed.answered.unwrap_or(*taken).max(*taken);
@@ -53,7 +53,7 @@
     /// Sends the views that have changed, to the own job manager first.
     pub(super) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
-            let s = self.seat_of_machine(&machine);
+            let s = self.shard_of_machine(&machine);
             let Some(term) = self.my_term(s) else {
                 continue;
             };
@@ -94,8 +94,8 @@
         let now = self.now;
         let failing_tasks =
             self.managed_machines.get(machine).is_some_and(|p| self.seems_faulty(p));
-        let at = self.seat_of_machine(machine);
-        let taken = self.seats[at].mine.as_ref().map_or(Micros::ZERO, |m| m.taken);
+        let at = self.shard_of_machine(machine);
+        let taken = self.shards[at].mine.as_ref().map_or(Micros::ZERO, |m| m.taken);
         let Some(managed) = self.managed_machines.get_mut(machine) else {
             return MachineView::default();
         };
@@ -115,7 +115,7 @@
             .enumerate()
             .filter(|(_, w)| w.complete > 0)
             .map(|(n, w)| Heard {
-                seat: n as u32,
+                shard: n as u32,
                 term: w.term,
                 seq: w.machines.get(machine).map_or(0, |m| m.seq).max(w.complete),
             })
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,8 +2,8 @@
 //! maps and a seeded generator, so that a run can be repeated exactly.
 //!
 //! A process has up to three roles, each in a module of its own: it answers
-//! users ([`api`]), runs the jobs of its seats ([`job_manager`], [`placer`]) and
-//! commands the machines of its seats ([`machine_commands`]). What it wants on machines
+//! users ([`api`]), runs the jobs of its shards ([`job_manager`], [`placer`]) and
+//! commands the machines of its shards ([`machine_commands`]). What it wants on machines
 //! goes out as whole-state messages that its own machine manager reads, too.
 
 pub mod estimate;
@@ -14,7 +14,7 @@
 pub mod machine;
 pub mod place;
 pub mod quota;
-pub mod seat;
+pub mod shard;
 pub mod slots;
 
 mod admission;
@@ -37,8 +37,8 @@
 mod placer;
 mod quotas;
 mod renter;
-mod seat_loading;
-mod seats;
+mod shard_leases;
+mod shard_loading;
 mod status;
 mod status_queries;
 mod terminal_states;
@@ -65,7 +65,7 @@
 use quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use seat::{Lease, Seat};
+use shard::{Lease, Shard};
 use status::Counts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -91,22 +91,22 @@
     ops: BTreeMap<CallId, Op>,
 
     lease: Lease,
-    seats: Vec<Seat>,
-    seats_read: bool,
-    seats_reading: bool,
-    loads: BTreeMap<usize, seat_loading::Loading>,
+    shards: Vec<Shard>,
+    shards_read: bool,
+    shards_reading: bool,
+    loads: BTreeMap<usize, shard_loading::Loading>,
     follow: BTreeMap<Watch, watches::Following>,
 
     types: BTreeMap<String, MachineType>,
     /// They are being read from the state service, since the cloud is away.
     types_reading: bool,
-    /// Term of the renting seat under which they were written down.
+    /// Term of the renting shard under which they were written down.
     types_stored: u64,
     known: BTreeMap<String, Known>,
     known_order: VecDeque<String>,
     jobs: BTreeMap<String, Job>,
     progress: BTreeMap<String, (u32, u32)>,
-    /// Own seats' tasks by seat and machine.
+    /// Own shards' tasks by shard and machine.
     by_machine: BTreeMap<(usize, Rc<str>), TaskSet>,
     part_size: job::PartSize,
     /// How an earlier version divides jobs, as long as the state service takes values
@@ -122,7 +122,7 @@
     slots: slots::Slots,
     /// Machines to look at again before the next placement.
     dirty_slots: BTreeSet<String>,
-    /// Seats whose machines somebody commands, as last looked at.
+    /// Shards whose machines somebody commands, as last looked at.
     commanded: Vec<bool>,
     slots_state: BTreeMap<usize, (bool, Option<u64>, u64)>,
     /// This node's share of the state service's changes, as far as used.
@@ -132,11 +132,11 @@
     views: BTreeMap<String, MachineView>,
     managed_machines: BTreeMap<String, ManagedMachine>,
     terminated: BTreeSet<String>,
-    /// Machines of own seats on which a job failed, a few of each.
+    /// Machines of own shards on which a job failed, a few of each.
     failing: BTreeMap<String, BTreeSet<String>>,
     /// Where machines were last known to be that have not reported here.
     hints: BTreeMap<String, (u64, SocketAddrV4)>,
-    /// Machines of own seats to be asked how they stand.
+    /// Machines of own shards to be asked how they stand.
     probes: BTreeSet<String>,
     /// Machines kept free of small tasks until a large one fits.
     reserved: BTreeSet<Rc<str>>,
@@ -145,7 +145,7 @@
     images: ImageIndex,
     quotas: BTreeMap<String, TeamQuota>,
     quotas_read: bool,
-    /// What own seats lacked of teams' limits when last looked at.
+    /// What own shards lacked of teams' limits when last looked at.
     own_needs: Vec<peer::QuotaNeed>,
     peers: BTreeMap<usize, PeerInfo>,
     /// Whether the workers and this node can reach each other.
@@ -162,7 +162,7 @@
     was_acting: bool,
 
     seq: u64,
-    /// Terms of the seats that own seats' desired state has taken into account.
+    /// Terms of the shards that own shards' desired state has taken into account.
     announced_terms: Vec<u64>,
     pipelines: pipeline::Pipelines,
     /// Final stages that peers may not know of yet, and who is to be told.
@@ -170,7 +170,7 @@
     cancels: cancel::Cancels,
     /// Number of the last frame.
     frames: u64,
-    /// Tasks of other seats that were asked to make room, and when.
+    /// Tasks of other shards that were asked to make room, and when.
     asked: BTreeMap<Key, (Micros, Rc<str>)>,
     place_wanted: bool,
     /// Placements that no machine has reported yet, as last counted.
@@ -191,16 +191,16 @@
     /// must outlive the process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let workers = &config.settings.workers;
-        let (seat_lease, fits) = cancel::fitting_lease(options.seat_lease, workers);
+        let (state_lease, fits) = cancel::fitting_lease(options.state_lease, workers);
         if !fits {
             log::warn!(
                 "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
                  when the state service is away"
             );
-        } else if seat_lease < options.seat_lease {
-            log::info!("the state lease is shortened to {} ms", seat_lease.as_millis());
+        } else if state_lease < options.state_lease {
+            log::info!("the state lease is shortened to {} ms", state_lease.as_millis());
         }
-        let options = Options { seat_lease, ..options };
+        let options = Options { state_lease, ..options };
         let members = config.members();
         let me = members.iter().position(|m| *m == config.member).unwrap_or(0);
         let count = members.len();
@@ -221,9 +221,9 @@
             next_call: 1,
             ops: BTreeMap::new(),
             lease: Lease::default(),
-            seats: vec![Seat::default(); count],
-            seats_read: false,
-            seats_reading: false,
+            shards: vec![Shard::default(); count],
+            shards_read: false,
+            shards_reading: false,
             loads: BTreeMap::new(),
             follow: BTreeMap::new(),
             types: BTreeMap::new(),
@@ -338,7 +338,7 @@
                 Op::Chain { ticket, status, job, sent } => {
                     self.chain_reply(ticket, status, &job, sent, &r);
                 }
-                Op::Cascade { job, seat, tasks } => self.cascaded(&job, seat, tasks, &r),
+                Op::Cascade { job, shard, tasks } => self.cascaded(&job, shard, tasks, &r),
                 Op::StoreTypes | Op::StoredTypes => self.types_reply(op, r),
                 Op::StoreBatch { key, term, jobs } => self.batch_stored(&key, term, jobs, r),
                 Op::ReadBatch { key, term } => self.batch_read(&key, term, r),
@@ -346,7 +346,7 @@
                 Op::QuotaList | Op::QuotaRead { .. } | Op::QuotaWrite { .. } => {
                     self.quota_reply(op, r)
                 }
-                _ => self.seat_reply(op, r),
+                _ => self.shard_reply(op, r),
             },
             Reply::Cloud(r) => self.cloud_reply(op, r),
             Reply::Direct(r) => match op {
@@ -369,7 +369,7 @@
             self.was_acting = false;
         }
         self.check_connectivity();
-        self.maintain_seats();
+        self.maintain_shards();
         self.expire_submissions();
         self.maintain_status_queries();
         self.read_unknown_jobs();
@@ -460,30 +460,30 @@
         self.wall + self.now
     }
 
-    /// True while this process may act for the seats it holds. Past the end of
+    /// True while this process may act for the shards it holds. Past the end of
     /// its lease another may have taken them.
     fn acting(&self) -> bool {
         self.lease.valid(self.now)
     }
 
-    /// The term under which this process acts for a seat, if it does.
-    fn my_term(&self, seat: usize) -> Option<u64> {
-        let mine = self.seats.get(seat)?.mine.as_ref()?;
+    /// The term under which this process acts for a shard, if it does.
+    fn my_term(&self, shard: usize) -> Option<u64> {
+        let mine = self.shards.get(shard)?.mine.as_ref()?;
         self.acting().then_some(mine.term)
     }
 
-    /// True if this process runs the seat's jobs.
-    fn runs(&self, seat: usize) -> bool {
-        self.acting() && self.seats[seat].mine.as_ref().is_some_and(|m| m.loaded && !m.releasing)
+    /// True if this process runs the shard's jobs.
+    fn runs(&self, shard: usize) -> bool {
+        self.acting() && self.shards[shard].mine.as_ref().is_some_and(|m| m.loaded && !m.releasing)
     }
 
-    fn seat_of_machine(&self, machine: &str) -> usize {
-        seat::seat_of_machine(machine, self.seats.len())
+    fn shard_of_machine(&self, machine: &str) -> usize {
+        shard::shard_of_machine(machine, self.shards.len())
     }
 
-    /// The member that holds a seat, as far as known.
-    fn holder(&self, seat: usize) -> Option<usize> {
-        let (hold, _) = self.seats[seat].hold.as_ref()?;
+    /// The member that holds a shard, as far as known.
+    fn holder(&self, shard: usize) -> Option<usize> {
+        let (hold, _) = self.shards[shard].hold.as_ref()?;
         self.member_number(&hold.member)
     }
 }
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -1,7 +1,7 @@
 //! Jobs that need others to be done first.
 //!
 //! What a job needs stands in its record, `j/REF`, which every node follows. Its
-//! seat's holder lets it go once each job that it needs is stored as done, which is
+//! shard's holder lets it go once each job that it needs is stored as done, which is
 //! final, and cancels it once one before it, directly or through others, is stored
 //! as cancelled. Only jobs without tasks still wait, so this is a change of stage
 //! and nothing has to be stopped. A user is told so by any node, also before it is
@@ -208,7 +208,7 @@
 
     /// Tells a user how a job stands that waits for others: only if, at this moment,
     /// none of them is cancelled by the store either. Its own stage would say nothing
-    /// of that until its seat's holder has written it.
+    /// of that until its shard's holder has written it.
     pub(super) fn tell_waiting(&mut self, ticket: Ticket, status: u16, id: &str, known: Known) {
         if !self.cancellations_up_to_date() {
             return self.later(ticket, 503, "cancellations are not heard");
@@ -315,11 +315,11 @@
     }
 
     /// The record of a job as it is accepted.
-    pub(super) fn record_of(&self, seat: usize, spec: &JobSpec) -> JobRecord {
+    pub(super) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
         let mut lists = self.upstream_lists(&spec.upstream);
         let more = lists.len() as u32 - 1;
         let upstream = lists.swap_remove(0);
-        JobRecord { seat, stage: StoredStage::Accepted, tasks: spec.tasks, upstream, more }
+        JobRecord { shard, stage: StoredStage::Accepted, tasks: spec.tasks, upstream, more }
     }
 
     /// Writes what does not fit in a job's record, and then accepts the job: a record
@@ -337,7 +337,8 @@
             self.submissions += 1;
             return self.queue_submission(ticket, spec, size);
         }
-        let mine = self.accepting_seat().and_then(|s| Some((s, self.seats[s].mine.as_ref()?.mark)));
+        let mine =
+            self.admitting_shard().and_then(|s| Some((s, self.shards[s].mine.as_ref()?.mark)));
         let Some((s, mark)) = mine else {
             return self.later(ticket, 503, "no seat is held");
         };
@@ -350,7 +351,7 @@
         };
         let to = (from + 1 + most).min(lists.len());
         let conditions = vec![
-            Condition { key: super::seat::hold_key(s), version: mark },
+            Condition { key: super::shard::hold_key(s), version: mark },
             Condition { key: job::job_key(&spec.id), version: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
@@ -456,29 +457,34 @@
             return;
         };
         let full = self.pipelines.cascading.len() >= CASCADES;
-        if full || self.pipelines.cascading.contains(id) || !self.runs(job.seat) {
+        if full || self.pipelines.cascading.contains(id) || !self.runs(job.shard) {
             // The next look comes soon.
             self.pipelines.look_at = self.pipelines.look_at.min(self.now + Micros::millis(100));
             return;
         }
-        let (seat, tasks) = (job.seat, job.spec.tasks);
-        let record =
-            JobRecord { seat, stage: StoredStage::Cancelled, tasks, upstream: Vec::new(), more: 0 };
+        let (shard, tasks) = (job.shard, job.spec.tasks);
+        let record = JobRecord {
+            shard,
+            stage: StoredStage::Cancelled,
+            tasks,
+            upstream: Vec::new(),
+            more: 0,
+        };
         let key = job::job_key(id);
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), version: job.mark }],
             writes: vec![Write::Put { key, value: json!(record), lease: None }],
         };
         self.pipelines.cascading.insert(id.to_string());
-        self.state(Op::Cascade { job: id.to_string(), seat, tasks }, StateCall::Txn(txn));
+        self.state(Op::Cascade { job: id.to_string(), shard, tasks }, StateCall::Txn(txn));
     }
 
-    pub(super) fn cascaded(&mut self, id: &str, seat: usize, tasks: u32, reply: &StateReply) {
+    pub(super) fn cascaded(&mut self, id: &str, shard: usize, tasks: u32, reply: &StateReply) {
         self.pipelines.cascading.remove(id);
         match reply {
             StateReply::Applied(mark) => {
                 info!("job {id} cancelled with one that it needs");
-                let known = Known { stage: StoredStage::Cancelled, seat, tasks, mark: *mark };
+                let known = Known { stage: StoredStage::Cancelled, shard, tasks, mark: *mark };
                 self.note_known(id, known);
                 self.announce_cancelled(id, *mark);
                 self.job_cancelled(id);
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -1,4 +1,4 @@
-//! The queue of this process's seats, and where its tasks go.
+//! The queue of this process's shards, and where its tasks go.
 
 use super::Controller;
 use super::desired_state::expected_s;
@@ -18,7 +18,7 @@
 const NO_ROOM: &str = "no machine with room";
 /// Least time between two passes: what happens meanwhile is dealt with together.
 const PASS: Micros = Micros::millis(40);
-/// How long room that comes up on a machine is left to its own seat.
+/// How long room that comes up on a machine is left to its own shard.
 const SETTLE: Micros = Micros::millis(250);
 /// Placements in one pass.
 const PASS_TASKS: usize = 64;
@@ -36,9 +36,9 @@
 /// What a second of fetching counts, in seconds of work lost, for a start that
 /// it would make late.
 const SLOW_FETCH: f64 = 8.0;
-/// Part of a seat's machines that may be kept free of small tasks at once.
+/// Part of a shard's machines that may be kept free of small tasks at once.
 const RESERVED: f64 = 0.3;
-/// Part of a seat's machines that large tasks have before they are late.
+/// Part of a shard's machines that large tasks have before they are late.
 const SHARE: f64 = 0.2;
 /// Seconds after which a waiting large task has its share.
 const SOON_S: f64 = 5.0;
@@ -79,10 +79,10 @@
         [0, 1].iter().all(|r| more[*r] < EPS || used[*r] + more[*r] <= quota.guarantee[*r] + EPS)
     }
 
-    /// What a seat's tasks of a team use: from write-ahead until known gone.
-    pub(super) fn seat_usage(&self, s: usize, team: &str) -> Amount {
+    /// What a shard's tasks of a team use: from write-ahead until known gone.
+    pub(super) fn shard_usage(&self, s: usize, team: &str) -> Amount {
         let mut used = [0.0, 0.0];
-        for j in self.jobs.values().filter(|j| j.seat == s && j.spec.team == team) {
+        for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.booked());
             used[0] += n * j.spec.cpus;
             used[1] += n * j.spec.gpus;
@@ -93,12 +93,12 @@
     /// A machine as placements see it; `None` if nothing may be placed on it.
     fn slot_of(&self, name: &str) -> Option<(PoolKey, Slot)> {
         let v = self.views.get(name)?;
-        let h = self.seat_of_machine(name);
+        let h = self.shard_of_machine(name);
         if !v.known
             || !v.healthy
             || !self.commanded[h]
             || v.notice_ms.is_some()
-            || v.term != self.seats[h].term
+            || v.term != self.shards[h].term
             || self.draining.contains(name)
             || self.terminated.contains(name)
         {
@@ -119,7 +119,7 @@
             }
             let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
             for t in tasks {
-                // Of another session: gone, and its seat will learn of it.
+                // Of another session: gone, and its shard will learn of it.
                 if t.session != v.session
                     || t.phase() == Phase::Over
                     || over(&t.job, t.index, t.attempt)
@@ -141,7 +141,7 @@
                 });
             }
         }
-        for s in (0..self.seats.len()).filter(|s| self.has_jobs_of(*s)) {
+        for s in (0..self.shards.len()).filter(|s| self.has_jobs_of(*s)) {
             let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&slot.machine))) else {
                 continue;
             };
@@ -183,9 +183,9 @@
         (!strange).then_some((key, slot))
     }
 
-    /// Whether a seat's jobs are known here; else the desired state received from it counts.
+    /// Whether a shard's jobs are known here; else the desired state received from it counts.
     fn has_jobs_of(&self, s: usize) -> bool {
-        self.seats[s].mine.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].mine.as_ref().is_some_and(|m| m.loaded)
     }
 
     /// Notes that a machine has to be looked at before the next placement.
@@ -197,16 +197,16 @@
 
     /// Brings the slots up to date: only what has changed is looked at.
     pub(super) fn refresh_slots(&mut self) {
-        for h in 0..self.seats.len() {
+        for h in 0..self.shards.len() {
             let commanded = self.my_term(h).is_some()
                 || self.holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
             let was = std::mem::replace(&mut self.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.my_term(h), self.seats[h].term);
+            let state = (self.has_jobs_of(h), self.my_term(h), self.shards[h].term);
             if was != commanded || self.slots_state.get(&h) != Some(&state) {
-                // The seat has changed hands or its holder has fallen silent.
+                // The shard has changed hands or its holder has fallen silent.
                 self.slots_state.insert(h, state);
                 let theirs: Vec<String> =
-                    self.views.keys().filter(|m| self.seat_of_machine(m) == h).cloned().collect();
+                    self.views.keys().filter(|m| self.shard_of_machine(m) == h).cloned().collect();
                 self.dirty_slots.extend(theirs);
                 // What it wants is read from another place from now on.
                 let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
@@ -252,7 +252,7 @@
             theirs.iter().chain(&ours).filter(|d| !self.slots.takes(d)).cloned().collect();
         let mut pass = Pass {
             usage: self.slots.usage().clone(),
-            seats: BTreeMap::new(),
+            shards: BTreeMap::new(),
             blocked,
             failed: Vec::new(),
             left: PASS_TASKS,
@@ -312,7 +312,7 @@
     /// Placements wait for writes in a small buffer, about a second's worth: a
     /// later decision knows more.
     fn part_backlog(&self) -> usize {
-        let share = self.settings.state.write_rps / self.seats.len().max(1) as f64;
+        let share = self.settings.state.write_rps / self.shards.len().max(1) as f64;
         (share as usize).max(4)
     }
 
@@ -321,7 +321,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let (s, spec) = (job.seat, Rc::clone(&job.spec));
+        let (s, spec) = (job.shard, Rc::clone(&job.spec));
         if !self.runs(s) || job.waiting {
             return;
         }
@@ -343,8 +343,8 @@
             return;
         }
         let key = (s, spec.team.clone());
-        let counted = pass.seats.get(&key).copied();
-        let mut used = counted.unwrap_or_else(|| self.seat_usage(s, &spec.team));
+        let counted = pass.shards.get(&key).copied();
+        let mut used = counted.unwrap_or_else(|| self.shard_usage(s, &spec.team));
         let hurried = self.fetch_too_slow(job);
         let slack = if hurried { u32::MAX } else { place::slack(&self.options, spec.image_gb) };
         let pack = !hurried
@@ -531,7 +531,7 @@
             self.by_machine.entry((s, machine)).or_default().insert((id.to_string(), index));
             self.changes.jobs.insert(id.to_string());
         };
-        pass.seats.insert(key, used);
+        pass.shards.insert(key, used);
         if let Some(j) = self.jobs.get_mut(id) {
             j.waits = reason;
         }
@@ -669,7 +669,7 @@
             return;
         }
         self.refresh_slots();
-        let nodes = self.seats.len().max(1) as f64;
+        let nodes = self.shards.len().max(1) as f64;
         for (team, q) in &self.quotas {
             let used = self.slots.usage().get(team).map_or(0.0, |u| u[0]);
             let beyond = (used - q.guarantee[0]).max(0.0);
@@ -782,8 +782,8 @@
         }
     }
 
-    /// Whether another seat's task was asked to make room a moment ago. Asked
-    /// again, it would be counted on twice; and its seat may be out of reach.
+    /// Whether another shard's task was asked to make room a moment ago. Asked
+    /// again, it would be counted on twice; and its shard may be out of reach.
     fn asked_to_make_room(&self, job: &str, index: u32, attempt: u64) -> bool {
         let key = Key { job: job.to_string(), index, attempt };
         self.asked.get(&key).is_some_and(|(at, _)| self.now.since(*at) < ASKED)
@@ -873,7 +873,7 @@
         list
     }
 
-    /// Room that is free on known machines, for the renting seat.
+    /// Room that is free on known machines, for the renting shard.
     pub(super) fn free_rooms(&self) -> Vec<super::fleet::Room> {
         self.slots
             .iter()
@@ -892,8 +892,8 @@
 struct Pass {
     /// What teams use, with what this pass has placed.
     usage: BTreeMap<String, Amount>,
-    /// What own seats use of teams' limits, likewise.
-    seats: BTreeMap<(usize, String), Amount>,
+    /// What own shards use of teams' limits, likewise.
+    shards: BTreeMap<(usize, String), Amount>,
     /// Waiting tasks that no machine has room for.
     blocked: Vec<Demand>,
     /// Shapes that found no room.
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -1,8 +1,8 @@
-//! Teams' limits, shared out among the seats.
+//! Teams' limits, shared out among the shards.
 //!
-//! `quota/TEAM` holds each seat's grant; the sum never passes the limit, since
-//! it changes only by compare-and-set. A seat spends only its own grant, so no
-//! two seats together can pass the limit, whatever they know of each other.
+//! `quota/TEAM` holds each shard's grant; the sum never passes the limit, since
+//! it changes only by compare-and-set. A shard spends only its own grant, so no
+//! two shards together can pass the limit, whatever they know of each other.
 
 use crate::config::Team;
 use serde_json::{Map, Value, json};
@@ -26,13 +26,13 @@
     pub limit: Amount,
     /// Guaranteed.
     pub guarantee: Amount,
-    /// Grants by seat, as stored.
+    /// Grants by shard, as stored.
     pub grants: BTreeMap<usize, Amount>,
     /// Version of the key, 0 for none.
     pub mark: u64,
     /// A change is under way.
     pub busy: bool,
-    /// Grants of own seats that changes under way may already have lowered.
+    /// Grants of own shards that changes under way may already have lowered.
     pub lowered: BTreeMap<usize, Amount>,
     /// What became of a change is not known: it may be carried out at any time, as
     /// long as the key stays as it is.
@@ -69,19 +69,19 @@
         let Value::Object(map) = value else {
             return;
         };
-        for (seat, amounts) in map {
-            let (Ok(seat), Some(list)) = (seat.parse::<usize>(), amounts.as_array()) else {
+        for (shard, amounts) in map {
+            let (Ok(shard), Some(list)) = (shard.parse::<usize>(), amounts.as_array()) else {
                 continue;
             };
             let at = |i: usize| list.get(i).and_then(Value::as_f64).unwrap_or(0.0).max(0.0);
-            self.grants.insert(seat, [at(0), at(1)]);
+            self.grants.insert(shard, [at(0), at(1)]);
         }
     }
 
-    /// A change of a seat's grant is sent. One without an answer that was sent on
+    /// A change of a shard's grant is sent. One without an answer that was sent on
     /// the same version may be carried out instead, so the lowest counts.
-    pub fn sends(&mut self, seat: usize, grant: Amount) {
-        let lowest = self.lowered.entry(seat).or_insert(grant);
+    pub fn sends(&mut self, shard: usize, grant: Amount) {
+        let lowest = self.lowered.entry(shard).or_insert(grant);
         *lowest = [0, 1].map(|r| lowest[r].min(grant[r]));
         self.busy = true;
     }
@@ -94,17 +94,17 @@
         }
     }
 
-    /// What a seat may use now. While a lowering is under way it may already
-    /// have been applied and the rest given to another seat.
-    pub fn grant(&self, seat: usize) -> Amount {
-        let stored = self.grants.get(&seat).copied().unwrap_or_default();
-        let lowered = self.lowered.get(&seat).copied().unwrap_or(stored);
+    /// What a shard may use now. While a lowering is under way it may already
+    /// have been applied and the rest given to another shard.
+    pub fn grant(&self, shard: usize) -> Amount {
+        let stored = self.grants.get(&shard).copied().unwrap_or_default();
+        let lowered = self.lowered.get(&shard).copied().unwrap_or(stored);
         [0, 1].map(|r| {
             if self.limit[r].is_finite() { stored[r].min(lowered[r]) } else { f64::INFINITY }
         })
     }
 
-    /// What no seat has been granted.
+    /// What no shard has been granted.
     pub fn free(&self) -> Amount {
         [0, 1].map(|r| {
             let sum: f64 = self.grants.values().map(|g| g[r]).sum();
@@ -112,11 +112,11 @@
         })
     }
 
-    /// The stored form with one seat's grant replaced, or `None` if the sum
+    /// The stored form with one shard's grant replaced, or `None` if the sum
     /// would pass the limit.
-    pub fn with_grant(&self, seat: usize, grant: Amount) -> Option<Value> {
+    pub fn with_grant(&self, shard: usize, grant: Amount) -> Option<Value> {
         let mut grants = self.grants.clone();
-        grants.insert(seat, grant);
+        grants.insert(shard, grant);
         for r in [0, 1] {
             let sum: f64 = grants.values().map(|g| g[r]).sum();
             if self.limit[r].is_finite() && sum > self.limit[r] + EPS {
@@ -130,22 +130,22 @@
         Some(Value::Object(map))
     }
 
-    /// The grant that a seat should have, given what it uses, what waits there
-    /// and what other seats lack, both by rank.
+    /// The grant that a shard should have, given what it uses, what waits there
+    /// and what other shards lack, both by rank.
     ///
     /// The more urgent goes first, equals share what is free. What is neither
-    /// used nor needed for work as urgent as the others' goes back. A seat that
-    /// asks at all asks for one of `seats` equal parts, as far as that is free: a
+    /// used nor needed for work as urgent as the others' goes back. A shard that
+    /// asks at all asks for one of `shards` equal parts, as far as that is free: a
     /// change for every job that comes would take writes from their admissions.
     pub fn wanted(
         &self,
-        seat: usize,
-        seats: usize,
+        shard: usize,
+        shards: usize,
         used: Amount,
         waits: &[Need],
         others: &[Need],
     ) -> Amount {
-        let now = self.grants.get(&seat).copied().unwrap_or_default();
+        let now = self.grants.get(&shard).copied().unwrap_or_default();
         let free = self.free();
         [0, 1].map(|r| {
             if !self.limit[r].is_finite() {
@@ -162,7 +162,7 @@
             let equals = others.iter().filter(lacking).filter(|n| Some(n.rank) == ours).count();
             let share = 1.0 / (equals + 1) as f64;
             if wish > now[r] + EPS && plenty {
-                let ask = wish.max(self.limit[r] / seats.max(1) as f64) - now[r];
+                let ask = wish.max(self.limit[r] / shards.max(1) as f64) - now[r];
                 now[r] + ask.min(free[r] - lack)
             } else if wish > now[r] + EPS {
                 let equal = self.limit[r] * share;
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -1,7 +1,7 @@
-//! Moving unused grants of teams' limits to the seats that need them.
+//! Moving unused grants of teams' limits to the shards that need them.
 
 use super::quota::{self, EPS, Need};
-use super::{Controller, Op, seat};
+use super::{Controller, Op, shard};
 use crate::peer::{Phase, Preempt, QuotaNeed, WantedTask};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 impl Controller {
-    /// What a seat's waiting tasks of a team would take, by rank.
-    fn seat_waits(&self, s: usize, team: &str) -> Vec<Need> {
+    /// What a shard's waiting tasks of a team would take, by rank.
+    fn shard_waits(&self, s: usize, team: &str) -> Vec<Need> {
         let mut list: Vec<Need> = Vec::new();
-        for j in self.jobs.values().filter(|j| j.seat == s && j.spec.team == team) {
+        for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.open());
             if j.cancelled || j.over || n == 0.0 || self.now < j.not_before {
                 continue;
@@ -26,16 +26,16 @@
         list
     }
 
-    /// What own seats lack, told to the peers that may have it unused.
+    /// What own shards lack, told to the peers that may have it unused.
     pub(super) fn quota_needs(&self) -> Vec<QuotaNeed> {
         let mut list = Vec::new();
         for (team, q) in self.quotas.iter().filter(|(_, q)| q.limited()) {
-            for s in (0..self.seats.len()).filter(|s| self.runs(*s)) {
-                let (used, grant) = (self.seat_usage(s, team), q.grant(s));
+            for s in (0..self.shards.len()).filter(|s| self.runs(*s)) {
+                let (used, grant) = (self.shard_usage(s, team), q.grant(s));
                 let room = [grant[0] - used[0], grant[1] - used[1]];
-                for n in quota::lacking(room, &self.seat_waits(s, team)) {
+                for n in quota::lacking(room, &self.shard_waits(s, team)) {
                     list.push(QuotaNeed {
-                        seat: s as u32,
+                        shard: s as u32,
                         team: team.clone(),
                         cpus: n.amount[0],
                         gpus: n.amount[1],
@@ -47,7 +47,7 @@
         list
     }
 
-    /// The most urgent rank that lacks some of a team's limit, on any seat.
+    /// The most urgent rank that lacks some of a team's limit, on any shard.
     pub(super) fn quota_rank(&self, team: &str) -> Option<u32> {
         if !self.quotas.get(team).is_some_and(|q| q.limited()) {
             return None;
@@ -76,7 +76,7 @@
         let teams: Vec<String> =
             self.quotas.iter().filter(|(_, q)| q.limited()).map(|(t, _)| t.clone()).collect();
         for team in teams {
-            for s in 0..self.seats.len() {
+            for s in 0..self.shards.len() {
                 self.maintain_quota(&team, s, &own);
             }
         }
@@ -86,9 +86,9 @@
         if !self.runs(s) {
             return;
         }
-        let mark = self.seats[s].mine.as_ref().map_or(0, |m| m.mark);
-        let (waits, used) = (self.seat_waits(s, team), self.seat_usage(s, team));
-        let (seats, reserve) = (self.seats.len(), self.admission_reserve());
+        let mark = self.shards[s].mine.as_ref().map_or(0, |m| m.mark);
+        let (waits, used) = (self.shard_waits(s, team), self.shard_usage(s, team));
+        let (shards, reserve) = (self.shards.len(), self.admission_reserve());
         let all: Vec<&QuotaNeed> = self
             .peers
             .iter()
@@ -98,7 +98,7 @@
             .filter(|n| n.team == team)
             .collect();
         let need = |n: &&QuotaNeed| Need { rank: n.rank, amount: [n.cpus, n.gpus] };
-        let others: Vec<Need> = all.iter().filter(|n| n.seat as usize != s).map(need).collect();
+        let others: Vec<Need> = all.iter().filter(|n| n.shard as usize != s).map(need).collect();
         let everyone: Vec<Need> = all.iter().map(need).collect();
         self.shed(team, s, &everyone);
         let Some(q) = self.quotas.get_mut(team) else {
@@ -108,7 +108,7 @@
             return;
         }
         let now = q.grants.get(&s).copied().unwrap_or_default();
-        let wanted = q.wanted(s, seats, used, &waits, &others);
+        let wanted = q.wanted(s, shards, used, &waits, &others);
         // What may still come late is made to fail by any change of the key.
         if !q.unsure && (0..2).all(|r| (wanted[r] - now[r]).abs() < EPS) {
             return;
@@ -127,7 +127,7 @@
         let txn = Txn {
             conditions: vec![
                 Condition { key: key.clone(), version: q.mark },
-                Condition { key: seat::hold_key(s), version: mark },
+                Condition { key: shard::hold_key(s), version: mark },
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
@@ -136,7 +136,7 @@
     }
 
     /// The team's limit is used up and more urgent tasks of it wait: this
-    /// seat stops its part of the less urgent ones.
+    /// shard stops its part of the less urgent ones.
     fn shed(&mut self, team: &str, s: usize, lacks: &[Need]) {
         let Some(rank) = lacks.iter().map(|n| n.rank).min() else {
             return;
@@ -173,7 +173,7 @@
                 }
             }
         }
-        // What other seats hold unused comes back by itself.
+        // What other shards hold unused comes back by itself.
         let used: f64 = self.desired.iter().filter_map(|w| w.usage.get(team)).map(|u| u[0]).sum();
         let unused = (q.limit[0] - used - coming).max(0.0);
         let missing = urgent - coming - unused;
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -1,7 +1,7 @@
 //! Talking to the cloud: types, lists, rents and returns.
 
-use super::fleet::{self, RENTING_SEAT, Rented, Room};
-use super::{Controller, Op, seat};
+use super::fleet::{self, RENTING_SHARD, Rented, Room};
+use super::{Controller, Op, shard};
 use crate::cloud::{CloudCall, CloudReply};
 use crate::peer::Demand;
 use crate::state::{StateCall, StateReply};
@@ -43,7 +43,7 @@
             self.fleet.types_at = now + wait;
             self.cloud(Op::Types, CloudCall::Types);
         }
-        let Some(term) = self.my_term(RENTING_SEAT) else {
+        let Some(term) = self.my_term(RENTING_SHARD) else {
             return;
         };
         if now >= self.fleet.list_at && self.fleet.listing.is_none() {
@@ -124,7 +124,7 @@
         };
         self.fleet.count += 1;
         // The term is this holding's alone, so the name is too.
-        let request = format!("r-{RENTING_SEAT}-{term}-{}", self.fleet.count);
+        let request = format!("r-{RENTING_SHARD}-{term}-{}", self.fleet.count);
         info!("renting {count} {machine_type} in {zone}, spot {spot}");
         self.fleet.request = Some(RentRequest { request, machine_type, zone, spot, count });
         self.send_rent(term);
@@ -203,7 +203,7 @@
                 }
             }
             (Op::Rent { term }, reply) => {
-                if self.my_term(RENTING_SEAT) == Some(term) {
+                if self.my_term(RENTING_SHARD) == Some(term) {
                     self.rent_reply(reply);
                 }
             }
@@ -221,7 +221,7 @@
                 }
             }
             (Op::ListMachines { asked, term }, reply) => {
-                if self.my_term(RENTING_SEAT) == Some(term) {
+                if self.my_term(RENTING_SHARD) == Some(term) {
                     self.list_reply(asked, term, reply);
                 }
             }
@@ -238,10 +238,10 @@
         self.changes.machines.extend(self.managed_machines.keys().cloned());
     }
 
-    /// Writes the types down, once a holding of the renting seat: a process that
+    /// Writes the types down, once a holding of the renting shard: a process that
     /// starts while the cloud is away could otherwise accept and place nothing.
     fn store_types(&mut self) {
-        let Some(mine) = self.seats[RENTING_SEAT].mine.as_ref().filter(|_| self.acting()) else {
+        let Some(mine) = self.shards[RENTING_SHARD].mine.as_ref().filter(|_| self.acting()) else {
             return;
         };
         let (mark, term) = (mine.mark, mine.term);
@@ -253,7 +253,7 @@
         }
         self.types_stored = term;
         let txn = Txn {
-            conditions: vec![Condition { key: seat::hold_key(RENTING_SEAT), version: mark }],
+            conditions: vec![Condition { key: shard::hold_key(RENTING_SHARD), version: mark }],
             writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
         };
         self.state(Op::StoreTypes, StateCall::Txn(txn));
--- a/src/controller/seat.rs
+++ b/src/controller/shard.rs
@@ -1,4 +1,4 @@
-//! Seats: who may act for which machines and jobs.
+//! Shards: who may act for which machines and jobs.
 //!
 //! `seat/S` keeps a term that only rises, `hold/S` names the holder under the
 //! holder's state lease. Both change in one transaction, so the version of
@@ -33,14 +33,14 @@
     pub term: u64,
 }
 
-/// A seat that this process holds.
+/// A shard that this process holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mine {
     /// Term.
     pub term: u64,
     /// Version of `hold/S`: condition of every write.
     pub mark: u64,
-    /// When this process learnt that it holds the seat: no earlier holder
+    /// When this process learnt that it holds the shard: no earlier holder
     /// acted after that.
     pub taken: Micros,
     /// Its jobs have been read.
@@ -49,9 +49,9 @@
     pub releasing: bool,
 }
 
-/// A seat as this process knows it.
+/// A shard as this process knows it.
 #[derive(Debug, Clone, Default)]
-pub struct Seat {
+pub struct Shard {
     /// Holder in the state service, with the version of `hold/S`.
     pub hold: Option<(Hold, u64)>,
     /// Version of `seat/S`, 0 for none.
@@ -68,34 +68,34 @@
     pub acted: u64,
 }
 
-/// Key of a seat's term.
-pub fn term_key(seat: usize) -> String {
-    format!("seat/{seat}")
+/// Key of a shard's term.
+pub fn term_key(shard: usize) -> String {
+    format!("seat/{shard}")
 }
 
-/// Key of a seat's holder.
-pub fn hold_key(seat: usize) -> String {
-    format!("hold/{seat}")
+/// Key of a shard's holder.
+pub fn hold_key(shard: usize) -> String {
+    format!("hold/{shard}")
 }
 
-/// Number of the seat in a key.
-pub fn seat_of_key(key: &str) -> Option<usize> {
+/// Number of the shard in a key.
+pub fn shard_of_key(key: &str) -> Option<usize> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// The seat of a machine: a fixed function of its name, the same on every
+/// The shard of a machine: a fixed function of its name, the same on every
 /// node and in every run. FNV-1a, since the standard library's hasher may
 /// change between releases.
-pub fn seat_of_machine(name: &str, seats: usize) -> usize {
+pub fn shard_of_machine(name: &str, shards: usize) -> usize {
     let hash = name
         .bytes()
         .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
     // The low bits of FNV of names that differ in their last digit run in
     // step; folding the high half in spreads them.
-    ((hash ^ (hash >> 32)) % seats.max(1) as u64) as usize
+    ((hash ^ (hash >> 32)) % shards.max(1) as u64) as usize
 }
 
-impl Seat {
+impl Shard {
     /// Takes in what `hold/S` holds.
     pub fn see_hold(&mut self, now: Micros, item: Option<&Item>) {
         let held = item.and_then(|i| {
@@ -131,7 +131,7 @@
 
     /// The version of `hold/S` on which a take may be conditional: 0 if it is
     /// gone, its own if an earlier run of `member` left it; `None` if it is
-    /// somebody's. Taking a living holder's seat would let two act at once.
+    /// somebody's. Taking a living holder's shard would let two act at once.
     pub fn takeable(&self, member: &str, run: u64) -> Option<u64> {
         match &self.hold {
             None => Some(0),
@@ -144,28 +144,28 @@
         }
     }
 
-    /// The transaction that takes the seat, and its new term.
-    pub fn take(&self, seat: usize, mark: u64, member: &str, run: u64, lease: u64) -> (Txn, u64) {
+    /// The transaction that takes the shard, and its new term.
+    pub fn take(&self, shard: usize, mark: u64, member: &str, run: u64, lease: u64) -> (Txn, u64) {
         let term = self.term + 1;
         let hold = Hold { member: member.to_string(), run, term, lease };
         let txn = Txn {
             conditions: vec![
-                Condition { key: hold_key(seat), version: mark },
-                Condition { key: term_key(seat), version: self.term_mark },
+                Condition { key: hold_key(shard), version: mark },
+                Condition { key: term_key(shard), version: self.term_mark },
             ],
             writes: vec![
-                Write::Put { key: hold_key(seat), value: json!(hold), lease: Some(lease) },
-                Write::Put { key: term_key(seat), value: json!(Term { term }), lease: None },
+                Write::Put { key: hold_key(shard), value: json!(hold), lease: Some(lease) },
+                Write::Put { key: term_key(shard), value: json!(Term { term }), lease: None },
             ],
         };
         (txn, term)
     }
 
-    /// The transaction that gives the seat up.
-    pub fn release(seat: usize, mark: u64) -> Txn {
+    /// The transaction that gives the shard up.
+    pub fn release(shard: usize, mark: u64) -> Txn {
         Txn {
-            conditions: vec![Condition { key: hold_key(seat), version: mark }],
-            writes: vec![Write::Delete { key: hold_key(seat) }],
+            conditions: vec![Condition { key: hold_key(shard), version: mark }],
+            writes: vec![Write::Delete { key: hold_key(shard) }],
         }
     }
 }
@@ -199,7 +199,7 @@
         self.renew_at = sent + renew_every(ttl);
     }
 
-    /// The lease is gone, and every seat with it.
+    /// The lease is gone, and every shard with it.
     pub fn lost(&mut self) {
         self.id = None;
         self.valid_until = Micros::ZERO;
--- a/src/controller/seats.rs
+++ b/src/controller/shard_leases.rs
@@ -1,7 +1,7 @@
-//! Lease, seats and watches: how this process learns what it may do.
+//! Lease, shards and watches: how this process learns what it may do.
 
-use super::seat::{self, Mine, Seat};
-use super::seat_loading::Loading;
+use super::shard::{self, Mine, Shard};
+use super::shard_loading::Loading;
 use super::watches::prefix;
 use super::{Controller, Op, Watch};
 use crate::state::{StateCall, StateReply};
@@ -15,9 +15,9 @@
 const BLOCK: Micros = Micros::secs(20);
 
 impl Controller {
-    pub(super) fn maintain_seats(&mut self) {
+    pub(super) fn maintain_shards(&mut self) {
         let now = self.now;
-        let ttl = self.options.seat_lease;
+        let ttl = self.options.state_lease;
         if !self.lease.busy && now >= self.lease.renew_at {
             self.lease.busy = true;
             match self.lease.id {
@@ -28,8 +28,8 @@
                 }
             }
         }
-        if !self.seats_read && !self.seats_reading {
-            self.seats_reading = true;
+        if !self.shards_read && !self.shards_reading {
+            self.shards_reading = true;
             self.state(Op::ListTerms, StateCall::List { prefix: "seat/".into(), after: None });
         }
         for watch in [Watch::Holds, Watch::Jobs, Watch::Quotas] {
@@ -54,20 +54,20 @@
             }
         }
         self.look_beside_watch();
-        if self.seats_read && self.lease.valid(now + Micros::millis(500)) {
-            for s in 0..self.seats.len() {
-                self.maintain_seat(s);
+        if self.shards_read && self.lease.valid(now + Micros::millis(500)) {
+            for s in 0..self.shards.len() {
+                self.maintain_shard(s);
             }
         }
         self.continue_loads();
     }
 
-    fn maintain_seat(&mut self, s: usize) {
-        let seat = &self.seats[s];
-        if seat.busy {
+    fn maintain_shard(&mut self, s: usize) {
+        let shard = &self.shards[s];
+        if shard.busy {
             return;
         }
-        if let Some(mine) = &seat.mine {
+        if let Some(mine) = &shard.mine {
             let home_well = self
                 .peers
                 .get(&s)
@@ -75,15 +75,15 @@
                 .is_some_and(|at| self.now.since(at) > self.options.hand_back)
                 && self.peer_alive(s);
             if s != self.me && mine.loaded && !mine.releasing && home_well {
-                info!("seat {s} goes back to {}", self.members[s]);
-                if let Some(m) = &mut self.seats[s].mine {
+                info!("shard {s} goes back to {}", self.members[s]);
+                if let Some(m) = &mut self.shards[s].mine {
                     m.releasing = true;
                 }
             }
             self.finish_release(s);
             return;
         }
-        let Some(mark) = seat.takeable(&self.member, self.run) else {
+        let Some(mark) = shard.takeable(&self.member, self.run) else {
             return;
         };
         if mark == 0 {
@@ -92,7 +92,7 @@
             let wait = if s == self.me {
                 Micros::ZERO
             } else {
-                let rank = (self.me + self.seats.len() - s) % self.seats.len();
+                let rank = (self.me + self.shards.len() - s) % self.shards.len();
                 let well = |p: &super::PeerInfo| p.state_ok && !p.cut_off;
                 let home_well = self.peer_alive(s) && self.peers.get(&s).is_some_and(well);
                 let base = if home_well { Micros::millis(2_000) } else { Micros::millis(200) };
@@ -100,59 +100,59 @@
             };
             // One who cannot reach its workers leaves it to anybody else.
             let wait = if self.connectivity.cut_off() { wait + Micros::secs(5) } else { wait };
-            if self.now.since(seat.free_since) < wait {
+            if self.now.since(shard.free_since) < wait {
                 return;
             }
         }
         let Some(lease) = self.lease.id else {
             return;
         };
-        let (txn, term) = seat.take(s, mark, &self.member, self.run, lease);
-        self.seats[s].busy = true;
-        let op = Op::Take { seat: s, term, epoch: self.lease.epoch };
+        let (txn, term) = shard.take(s, mark, &self.member, self.run, lease);
+        self.shards[s].busy = true;
+        let op = Op::Take { shard: s, term, epoch: self.lease.epoch };
         self.state(op, StateCall::Txn(txn));
     }
 
-    /// Hands a seat back once nothing of it is being written.
+    /// Hands a shard back once nothing of it is being written.
     fn finish_release(&mut self, s: usize) {
-        let Some(mine) = self.seats[s].mine.as_ref().filter(|m| m.releasing) else {
+        let Some(mine) = self.shards[s].mine.as_ref().filter(|m| m.releasing) else {
             return;
         };
-        if self.jobs.values().any(|j| j.seat == s && j.busy) {
+        if self.jobs.values().any(|j| j.shard == s && j.busy) {
             return;
         }
-        let txn = Seat::release(s, mine.mark);
+        let txn = Shard::release(s, mine.mark);
         // It stops acting before the release can be applied, and does not
         // begin again whatever the answer: the outcome may come late.
-        self.lose_seat(s, "handed back");
-        self.seats[s].busy = true;
-        self.state(Op::Release { seat: s }, StateCall::Txn(txn));
+        self.lose_shard(s, "handed back");
+        self.shards[s].busy = true;
+        self.state(Op::Release { shard: s }, StateCall::Txn(txn));
     }
 
-    /// The store says that a seat's mark has changed.
-    pub(super) fn suspect_seat(&mut self, s: usize, term: u64) {
-        if self.seats[s].mine.as_ref().is_some_and(|m| m.term == term) {
-            self.lose_seat(s, "its mark has changed");
+    /// The store says that a shard's mark has changed.
+    pub(super) fn suspect_shard(&mut self, s: usize, term: u64) {
+        if self.shards[s].mine.as_ref().is_some_and(|m| m.term == term) {
+            self.lose_shard(s, "its mark has changed");
         }
-        self.seats_read = false;
+        self.shards_read = false;
     }
 
-    /// Forgets everything that belonged to a seat.
-    pub(super) fn lose_seat(&mut self, s: usize, why: &str) {
-        let Some(mine) = self.seats[s].mine.take() else {
+    /// Forgets everything that belonged to a shard.
+    pub(super) fn lose_shard(&mut self, s: usize, why: &str) {
+        let Some(mine) = self.shards[s].mine.take() else {
             return;
         };
-        info!("seat {s} term {} lost: {why}", mine.term);
+        info!("shard {s} term {} lost: {why}", mine.term);
         self.loads.remove(&s);
-        self.jobs.retain(|_, j| j.seat != s);
-        self.by_machine.retain(|(seat, _), _| *seat != s);
+        self.jobs.retain(|_, j| j.shard != s);
+        self.by_machine.retain(|(shard, _), _| *shard != s);
         self.forget_batches(s);
-        self.changes.desired.retain(|(seat, _)| *seat != s);
+        self.changes.desired.retain(|(shard, _)| *shard != s);
         self.changes.complete_desired.remove(&s);
-        let seats = self.seats.len();
-        self.managed_machines.retain(|m, _| seat::seat_of_machine(m, seats) != s);
-        self.changes.machines.retain(|m| seat::seat_of_machine(m, seats) != s);
-        if s == super::fleet::RENTING_SEAT {
+        let shards = self.shards.len();
+        self.managed_machines.retain(|m, _| shard::shard_of_machine(m, shards) != s);
+        self.changes.machines.retain(|m| shard::shard_of_machine(m, shards) != s);
+        if s == super::fleet::RENTING_SHARD {
             self.fleet = super::fleet::Fleet::default();
         }
     }
@@ -161,28 +161,28 @@
         warn!("state lease lost");
         self.lease.lost();
         self.lease.renew_at = self.now;
-        for s in 0..self.seats.len() {
-            self.lose_seat(s, "the state lease ended");
+        for s in 0..self.shards.len() {
+            self.lose_shard(s, "the state lease ended");
         }
-        self.seats_read = false;
+        self.shards_read = false;
     }
 
-    fn seat_taken(&mut self, s: usize, term: u64, mark: u64) {
-        info!("seat {s} taken, term {term}");
-        let seat = &mut self.seats[s];
-        seat.term = seat.term.max(term);
-        seat.term_mark = seat.term_mark.max(mark);
-        seat.acted = term;
-        seat.mine = Some(Mine { term, mark, taken: self.now, loaded: false, releasing: false });
-        let hold = seat::Hold {
+    fn shard_taken(&mut self, s: usize, term: u64, mark: u64) {
+        info!("shard {s} taken, term {term}");
+        let shard = &mut self.shards[s];
+        shard.term = shard.term.max(term);
+        shard.term_mark = shard.term_mark.max(mark);
+        shard.acted = term;
+        shard.mine = Some(Mine { term, mark, taken: self.now, loaded: false, releasing: false });
+        let hold = shard::Hold {
             member: self.member.clone(),
             run: self.run,
             term,
             lease: self.lease.id.unwrap_or(0),
         };
-        seat.hold = Some((hold, mark));
+        shard.hold = Some((hold, mark));
         self.loads.insert(s, Loading { term, ..Loading::default() });
-        // Machines that some seat wants tasks on: each is unknown until it
+        // Machines that some shard wants tasks on: each is unknown until it
         // reports under the new term, or has been silent for a whole lease.
         let machines: BTreeSet<String> = self
             .desired
@@ -190,7 +190,7 @@
             .flat_map(|w| w.machines.iter())
             .filter(|(_, m)| !m.tasks.is_empty())
             .map(|(m, _)| m.clone())
-            .filter(|m| self.seat_of_machine(m) == s)
+            .filter(|m| self.shard_of_machine(m) == s)
             .collect();
         for m in machines {
             self.managed_machines.entry(m.clone()).or_default();
@@ -204,18 +204,18 @@
             }
         }
         let ours: Vec<String> =
-            self.hints.keys().filter(|m| self.seat_of_machine(m) == s).cloned().collect();
+            self.hints.keys().filter(|m| self.shard_of_machine(m) == s).cloned().collect();
         self.probes.extend(ours);
     }
 
-    pub(super) fn seat_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn shard_reply(&mut self, op: Op, reply: StateReply) {
         match (op, reply) {
             (Op::Grant { sent }, StateReply::Granted(id)) => {
                 self.lease.busy = false;
                 self.lease.id = Some(id);
                 self.lease.epoch += 1;
                 self.lease.valid_until = Micros::ZERO;
-                self.lease.extended(sent, self.options.seat_lease);
+                self.lease.extended(sent, self.options.state_lease);
             }
             (Op::Grant { .. }, _) => {
                 self.lease.busy = false;
@@ -227,31 +227,32 @@
                     return;
                 }
                 match r {
-                    StateReply::Kept => self.lease.extended(sent, self.options.seat_lease),
+                    StateReply::Kept => self.lease.extended(sent, self.options.state_lease),
                     StateReply::NoLease => self.lose_lease(),
                     _ => self.lease.renew_at = self.now + Micros::millis(200),
                 }
             }
             (Op::ListTerms, StateReply::Page { items, .. }) => {
                 for item in &items {
-                    if let Some(s) = seat::seat_of_key(&item.key).filter(|s| *s < self.seats.len())
+                    if let Some(s) =
+                        shard::shard_of_key(&item.key).filter(|s| *s < self.shards.len())
                     {
-                        self.seats[s].see_term(item);
+                        self.shards[s].see_term(item);
                     }
                 }
                 // Holds after terms: a take in between shows in the holds.
                 self.state(Op::ListHolds, StateCall::List { prefix: "hold/".into(), after: None });
             }
             (Op::ListHolds, StateReply::Page { items, .. }) => {
-                self.seats_reading = false;
-                self.seats_read = true;
-                for s in 0..self.seats.len() {
-                    let key = seat::hold_key(s);
+                self.shards_reading = false;
+                self.shards_read = true;
+                for s in 0..self.shards.len() {
+                    let key = shard::hold_key(s);
                     let item = items.iter().find(|i| i.key == key).cloned();
                     self.see_hold(s, item.as_ref());
                 }
             }
-            (Op::ListTerms | Op::ListHolds, _) => self.seats_reading = false,
+            (Op::ListTerms | Op::ListHolds, _) => self.shards_reading = false,
             (Op::FollowStart(watch), StateReply::Page { revision, items, .. }) => {
                 if let Some(f) = self.follow.get_mut(&watch) {
                     f.busy = false;
@@ -259,8 +260,8 @@
                 }
                 match watch {
                     Watch::Holds => {
-                        for s in 0..self.seats.len() {
-                            let key = seat::hold_key(s);
+                        for s in 0..self.shards.len() {
+                            let key = shard::hold_key(s);
                             let item = items.iter().find(|i| i.key == key).cloned();
                             self.see_hold(s, item.as_ref());
                         }
@@ -313,46 +314,46 @@
                     f.retry = self.now + wait;
                 }
             }
-            (Op::Take { seat, term, epoch }, r) => {
-                self.seats[seat].busy = false;
+            (Op::Take { shard, term, epoch }, r) => {
+                self.shards[shard].busy = false;
                 match r {
                     StateReply::Applied(mark) if epoch == self.lease.epoch => {
-                        self.seat_taken(seat, term, mark);
+                        self.shard_taken(shard, term, mark);
                     }
                     StateReply::NoLease if epoch == self.lease.epoch => self.lose_lease(),
                     StateReply::Refused => {}
                     // Perhaps applied, or somebody was faster: what is stored decides.
-                    _ => self.seats_read = false,
+                    _ => self.shards_read = false,
                 }
             }
-            (Op::Release { seat }, _) => {
-                self.seats[seat].busy = false;
-                self.seats_read = false;
+            (Op::Release { shard }, _) => {
+                self.shards[shard].busy = false;
+                self.shards_read = false;
             }
-            (Op::Load { seat, term }, r) => self.load_reply(seat, term, r),
-            (Op::LoadJob { seat, term, job }, r) => self.load_job_reply(seat, term, &job, r),
+            (Op::Load { shard, term }, r) => self.load_reply(shard, term, r),
+            (Op::LoadJob { shard, term, job }, r) => self.load_job_reply(shard, term, &job, r),
             (op, _) => warn!("unexpected reply to {op:?}"),
         }
     }
 
     pub(super) fn see_hold(&mut self, s: usize, item: Option<&Item>) {
         let now = self.now;
-        self.seats[s].see_hold(now, item);
-        let seat = &self.seats[s];
-        match (&seat.hold, &seat.mine) {
+        self.shards[s].see_hold(now, item);
+        let shard = &self.shards[s];
+        match (&shard.hold, &shard.mine) {
             // A watch may tell of what was before the take.
             (Some((_, mark)), Some(m)) if *mark <= m.mark => {}
-            (None, Some(_)) | (Some(_), Some(_)) => self.lose_seat(s, "the store says so"),
+            (None, Some(_)) | (Some(_), Some(_)) => self.lose_shard(s, "the store says so"),
             (Some((h, mark)), None)
                 if h.member == self.member
                     && h.run == self.run
-                    && !seat.busy
-                    && h.term > seat.acted
+                    && !shard.busy
+                    && h.term > shard.acted
                     && Some(h.lease) == self.lease.id =>
             {
                 // A take whose answer was lost.
                 let (term, mark) = (h.term, *mark);
-                self.seat_taken(s, term, mark);
+                self.shard_taken(s, term, mark);
             }
             _ => {}
         }
--- a/src/controller/seat_loading.rs
+++ b/src/controller/shard_loading.rs
@@ -1,4 +1,4 @@
-//! Reading the jobs of a seat after it was taken.
+//! Reading the jobs of a shard after it was taken.
 
 use super::job::{self, Job, JobRecord, StoredStage};
 use super::{Controller, Known, Op, Watch};
@@ -9,10 +9,10 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reads of job records under way at once while a seat is loaded.
+/// Reads of job records under way at once while a shard is loaded.
 const LOADS: usize = 12;
 
-/// A seat's jobs, being read after a take.
+/// A shard's jobs, being read after a take.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Loading {
     pub(super) term: u64,
@@ -35,7 +35,7 @@
     /// A job that the store holds and this process does not: its acceptance
     /// was applied after the answer had been given up.
     pub(super) fn adopt(&mut self, id: &str, s: usize) {
-        if s >= self.seats.len() || !self.runs(s) || self.jobs.contains_key(id) {
+        if s >= self.shards.len() || !self.runs(s) || self.jobs.contains_key(id) {
             return;
         }
         let under_way = self
@@ -61,8 +61,8 @@
         if !self.acting() || !watched {
             return;
         }
-        let seats: Vec<usize> = self.loads.keys().copied().collect();
-        for s in seats {
+        let shards: Vec<usize> = self.loads.keys().copied().collect();
+        for s in shards {
             self.continue_load(s);
         }
     }
@@ -79,7 +79,7 @@
         if !l.listed {
             l.busy = true;
             let call = StateCall::List { prefix: format!("w/{s}/"), after: l.after.clone() };
-            return self.state(Op::Load { seat: s, term }, call);
+            return self.state(Op::Load { shard: s, term }, call);
         }
         let asked: Vec<String> =
             l.todo.iter().take(LOADS.saturating_sub(l.asked.len())).cloned().collect();
@@ -90,7 +90,7 @@
         let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
         for job in asked {
             let key = job::job_key(&job);
-            self.state(Op::LoadJob { seat: s, term, job }, StateCall::Get(key));
+            self.state(Op::LoadJob { shard: s, term, job }, StateCall::Get(key));
         }
         if finished {
             self.loaded(s);
@@ -191,7 +191,7 @@
             self.pipelines.note(&id, &record);
             self.note_known(
                 &id,
-                Known { stage: record.stage, seat: record.seat, tasks: record.tasks, mark },
+                Known { stage: record.stage, shard: record.shard, tasks: record.tasks, mark },
             );
             let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
                 warn!("stored tasks of job {id} cannot be read");
@@ -225,23 +225,23 @@
             self.changes.progress.insert(id.clone());
             self.jobs.insert(id, job);
         }
-        let first = match &mut self.seats[s].mine {
+        let first = match &mut self.shards[s].mine {
             Some(m) if m.term == l.term => !std::mem::replace(&mut m.loaded, true),
             _ => return,
         };
-        info!("seat {s} term {}: {count} unfinished jobs read", l.term);
-        // The whole of the seat's desired state: whatever it does not name is not wanted.
+        info!("shard {s} term {}: {count} unfinished jobs read", l.term);
+        // The whole of the shard's desired state: whatever it does not name is not wanted.
         self.changes.complete_desired.insert(s);
         let machines: Vec<String> = self
             .by_machine
             .keys()
-            .filter(|(seat, _)| *seat == s)
+            .filter(|(shard, _)| *shard == s)
             .map(|(_, m)| m.to_string())
             .collect();
         let cancelled: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.seat == s && j.cancelled)
+            .filter(|(_, j)| j.shard == s && j.cancelled)
             .map(|(id, _)| id.clone())
             .collect();
         for id in cancelled {
--- a/src/controller/slots.rs
+++ b/src/controller/slots.rs
@@ -74,7 +74,7 @@
     /// Until when room that came up here is left to the controller that commands
     /// the machine: taken by several at once it would go to one of them.
     pub settled: Micros,
-    /// Room kept in this pass for more urgent tasks of other seats.
+    /// Room kept in this pass for more urgent tasks of other shards.
     pub held: [f64; 3],
     /// What is booked.
     pub tasks: Vec<Booked>,
@@ -370,7 +370,7 @@
         self.fullest(&pools, &[d.cpus, d.gpus, d.memory_gb], |_, _| true).is_some()
     }
 
-    /// Keeps room for waiting tasks of other seats, where there is any, until
+    /// Keeps room for waiting tasks of other shards, where there is any, until
     /// [`Slots::release_holds`].
     pub fn hold(&mut self, d: &Demand) {
         let need = [d.cpus, d.gpus, d.memory_gb];
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -24,8 +24,8 @@
 impl Controller {
     /// For the status page.
     pub fn status(&self, now: Micros) -> Value {
-        let seats: Vec<Value> = self
-            .seats
+        let shards: Vec<Value> = self
+            .shards
             .iter()
             .enumerate()
             .map(|(n, s)| {
@@ -53,7 +53,7 @@
         serde_json::json!({
             "member": self.member,
             "lease_valid": self.lease.valid(now),
-            "seats": seats,
+            "seats": shards,
             "jobs": self.jobs.len(),
             "jobs_that_need_others": self.jobs.values().filter(|j| j.waiting).count(),
             "tasks_waiting": self.jobs.values().map(|j| u64::from(j.pending())).sum::<u64>(),
@@ -118,8 +118,8 @@
         page
     }
 
-    /// Number of seats held, for tests and the log.
-    pub fn seats_held(&self) -> usize {
-        self.seats.iter().filter(|s| s.mine.is_some()).count()
+    /// Number of shards held, for tests and the log.
+    pub fn owned_shard_count(&self) -> usize {
+        self.shards.iter().filter(|s| s.mine.is_some()).count()
     }
 }
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -1,7 +1,7 @@
 //! Watches of the state service: how this process learns of changes.
 
 use super::job::{JobRecord, StoredStage};
-use super::seat;
+use super::shard;
 use super::{Controller, Known, Op, Watch};
 use crate::state::StateCall;
 use crate::time::Micros;
@@ -83,11 +83,11 @@
         });
         match watch {
             Watch::Holds => {
-                let Some(s) = seat::seat_of_key(&key).filter(|s| *s < self.seats.len()) else {
+                let Some(s) = shard::shard_of_key(&key).filter(|s| *s < self.shards.len()) else {
                     return;
                 };
-                // News older than the own take: the seat has been taken since.
-                if self.seats[s].mine.as_ref().is_some_and(|m| change.version <= m.mark) {
+                // News older than the own take: the shard has been taken since.
+                if self.shards[s].mine.as_ref().is_some_and(|m| change.version <= m.mark) {
                     return;
                 }
                 self.see_hold(s, item.as_ref());
@@ -105,14 +105,14 @@
                     id,
                     Known {
                         stage: record.stage,
-                        seat: record.seat,
+                        shard: record.shard,
                         tasks: record.tasks,
                         mark: item.version,
                     },
                 );
                 match record.stage {
                     StoredStage::Cancelled => self.job_cancelled(id),
-                    StoredStage::Accepted => self.adopt(id, record.seat),
+                    StoredStage::Accepted => self.adopt(id, record.shard),
                     StoredStage::Done => {}
                 }
             }
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -49,18 +49,18 @@
 }
 
 impl Demand {
-    /// Order of service, as in a seat's queue.
+    /// Order of service, as in a shard's queue.
     pub fn turn(&self) -> (bool, u32) {
         (self.beyond, self.rank)
     }
 }
 
-/// What a seat lacks of a team's limit.
+/// What a shard lacks of a team's limit.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaNeed {
-    /// Seat.
+    /// Shard.
     #[prost(uint32, tag = "1")]
-    pub seat: u32,
+    pub shard: u32,
     /// Team.
     #[prost(string, tag = "2")]
     pub team: String,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,7 +1,8 @@
 //! One message between controllers.
 
 use super::{
-    Demand, HeldSeat, Hint, MachineView, Preempt, Pressing, Progress, QuotaNeed, SeatWants, Strays,
+    Demand, HeldShard, Hint, MachineView, Preempt, Pressing, Progress, QuotaNeed, ShardWants,
+    Strays,
 };
 use prost::Message;
 
@@ -14,15 +15,15 @@
     /// The sender's run: a number drawn when its process started.
     #[prost(uint64, tag = "2")]
     pub run: u64,
-    /// Seats that the sender holds at present, as far as it may act.
+    /// Shards that the sender holds at present, as far as it may act.
     #[prost(message, repeated, tag = "3")]
-    pub held: Vec<HeldSeat>,
+    pub held: Vec<HeldShard>,
     /// The sender's state lease is valid.
     #[prost(bool, tag = "4")]
     pub state_ok: bool,
     /// Wants.
     #[prost(message, repeated, tag = "5")]
-    pub wants: Vec<SeatWants>,
+    pub wants: Vec<ShardWants>,
     /// Machines.
     #[prost(message, repeated, tag = "6")]
     pub views: Vec<MachineView>,
@@ -35,34 +36,34 @@
     /// True if `demand` and `needs` are meant to be taken.
     #[prost(bool, tag = "9")]
     pub has_demand: bool,
-    /// Limits that its seats run into.
+    /// Limits that its shards run into.
     #[prost(message, repeated, tag = "10")]
     pub needs: Vec<QuotaNeed>,
     /// Jobs whose cancellation the sender has confirmed, told again until all
     /// have heard of them.
     #[prost(string, repeated, tag = "11")]
     pub cancelled: Vec<String>,
-    /// Machines that the renting seat knows to be gone.
+    /// Machines that the renting shard knows to be gone.
     #[prost(string, repeated, tag = "12")]
     pub gone: Vec<String>,
-    /// Machines that the renting seat is about to return; all of them.
+    /// Machines that the renting shard is about to return; all of them.
     #[prost(string, repeated, tag = "13")]
     pub draining: Vec<String>,
     /// True if the sender rents and `draining` is meant to be taken.
     #[prost(bool, tag = "14")]
     pub rents: bool,
-    /// Tasks of other seats that the sender asks to be stopped for more
+    /// Tasks of other shards that the sender asks to be stopped for more
     /// urgent ones.
     #[prost(message, repeated, tag = "15")]
     pub preempt: Vec<Preempt>,
-    /// Machines of seats that the sender does not hold, as it last knew them.
+    /// Machines of shards that the sender does not hold, as it last knew them.
     #[prost(message, repeated, tag = "16")]
     pub hints: Vec<Hint>,
-    /// Machines of others' seats that report to the sender; taken with `demand`.
+    /// Machines of others' shards that report to the sender; taken with `demand`.
     #[prost(message, repeated, tag = "17")]
     pub strays: Vec<Strays>,
     /// The sender and its workers are out of each other's reach: it gives its
-    /// seats up and is to be given none.
+    /// shards up and is to be given none.
     #[prost(bool, tag = "18")]
     pub cut_off: bool,
     /// Members of whom the sender missed something: they are to tell it all.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,22 +5,22 @@
 //! known by their numbers, and all is asked for anew.
 //!
 //! - `frame`: one message, with all that it may hold;
-//! - `wants`: what a seat wants on machines, its desired state;
+//! - `wants`: what a shard wants on machines, its desired state;
 //! - `views`: how machines and their tasks stand, the observed state;
 //! - `demand`: what waits, and what it lacks;
-//! - `seats`: who holds what, and who reported to whom;
+//! - `shards`: who holds what, and who reported to whom;
 //! - `encoding`: the bytes on a connection.
 
 mod demand;
 mod encoding;
 mod frame;
-mod seats;
+mod shards;
 mod views;
 mod wants;
 
 pub use demand::{Demand, Preempt, Pressing, Progress, QuotaNeed};
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
 pub use frame::Frame;
-pub use seats::{HeldSeat, Hint, Strays};
+pub use shards::{HeldShard, Hint, Strays};
 pub use views::{Heard, MachineView, Seen, SeenTask};
-pub use wants::{MachineWants, Phase, SeatWants, Shape, TaskWant, WantedTask, Wants};
+pub use wants::{MachineWants, Phase, Shape, ShardWants, TaskWant, WantedTask, Wants};
--- a/src/peer/seats.rs
+++ b/src/peer/shards.rs
@@ -1,20 +1,20 @@
-//! Which seats a controller holds, and what it knows of others' seats.
+//! Which shards a controller holds, and what it knows of others' shards.
 
 use prost::Message;
 
-/// A seat as its holder sees it.
+/// A shard as its holder sees it.
 #[derive(Clone, PartialEq, Message)]
-pub struct HeldSeat {
-    /// Number of the seat.
+pub struct HeldShard {
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
-    pub seat: u32,
+    pub shard: u32,
     /// Its term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
 
 /// Where a machine was last known to be, for a controller that may take its
-/// seat without having heard of it.
+/// shard without having heard of it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hint {
     /// Machine.
@@ -28,13 +28,13 @@
     pub address: String,
 }
 
-/// Machines of somebody else's seat that reported to the sender lately: their
+/// Machines of somebody else's shard that reported to the sender lately: their
 /// holder does not answer them.
 #[derive(Clone, PartialEq, Message)]
 pub struct Strays {
-    /// Seat.
+    /// Shard.
     #[prost(uint32, tag = "1")]
-    pub seat: u32,
+    pub shard: u32,
     /// How many machines.
     #[prost(uint32, tag = "2")]
     pub machines: u32,
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -1,8 +1,8 @@
-//! Machines and their tasks as the machine's seat knows them: the observed state.
+//! Machines and their tasks as the machine's shard knows them: the observed state.
 
 use prost::Message;
 
-/// A task on a machine, as the machine's seat knows it.
+/// A task on a machine, as the machine's shard knows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct SeenTask {
     /// Job.
@@ -38,7 +38,7 @@
     Stopped = 5,
     /// Failed.
     Failed = 6,
-    /// The machine or its seat had no room: it never ran there.
+    /// The machine or its shard had no room: it never ran there.
     Refused = 7,
     /// Admitted, waiting for a stopping task's room.
     Waiting = 8,
@@ -51,12 +51,12 @@
     }
 }
 
-/// Which wants of a seat the machine's seat acts on.
+/// Which wants of a shard the machine's shard acts on.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heard {
-    /// The asking seat.
+    /// The asking shard.
     #[prost(uint32, tag = "1")]
-    pub seat: u32,
+    pub shard: u32,
     /// Its term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
@@ -65,13 +65,13 @@
     pub seq: u64,
 }
 
-/// A machine as its seat knows it.
+/// A machine as its shard knows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineView {
     /// Name.
     #[prost(string, tag = "1")]
     pub machine: String,
-    /// Its seat's term.
+    /// Its shard's term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Order within the term.
@@ -113,7 +113,7 @@
     /// Wants that this view takes into account.
     #[prost(message, repeated, tag = "15")]
     pub heard: Vec<Heard>,
-    /// Fails what it starts; its seat wants it returned.
+    /// Fails what it starts; its shard wants it returned.
     #[prost(bool, tag = "16")]
     pub faulty: bool,
 }
--- a/src/peer/wants.rs
+++ b/src/peer/wants.rs
@@ -1,4 +1,4 @@
-//! What a seat wants on machines: the desired state, as it is sent and as it is kept.
+//! What a shard wants on machines: the desired state, as it is sent and as it is kept.
 
 use prost::Message;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
     pub expected_s: f64,
 }
 
-/// A task that a seat wants on a machine, or wants stopped there, as it is sent:
+/// A task that a shard wants on a machine, or wants stopped there, as it is sent:
 /// an array of thousands would repeat its job's description in each.
 #[derive(Clone, PartialEq, Message)]
 pub struct TaskWant {
@@ -96,7 +96,7 @@
     Over = 2,
 }
 
-/// All that a seat wants on one machine.
+/// All that a shard wants on one machine.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineWants {
     /// Machine.
@@ -105,46 +105,46 @@
     /// The tasks.
     #[prost(message, repeated, tag = "2")]
     pub tasks: Vec<TaskWant>,
-    /// Term of the machine's seat that these wants have taken into account, where
+    /// Term of the machine's shard that these wants have taken into account, where
     /// they are repeated; 0: as the message says.
     #[prost(uint64, tag = "3")]
     pub known: u64,
 }
 
-/// A seat's wants: of some machines, or of all.
+/// A shard's wants: of some machines, or of all.
 #[derive(Clone, PartialEq, Message)]
-pub struct SeatWants {
-    /// Seat.
+pub struct ShardWants {
+    /// Shard.
     #[prost(uint32, tag = "1")]
-    pub seat: u32,
+    pub shard: u32,
     /// Term under which it asks.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Order within the term.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// True: machines that are not named have no wants of this seat.
+    /// True: machines that are not named have no wants of this shard.
     #[prost(bool, tag = "4")]
     pub complete: bool,
     /// The machines.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineWants>,
-    /// Terms of all seats, by number, as the sender knew them. What it had
+    /// Terms of all shards, by number, as the sender knew them. What it had
     /// concluded from views under earlier terms is in the message, so a
-    /// machine's seat starts nothing of it under a later term than the named.
+    /// machine's shard starts nothing of it under a later term than the named.
     #[prost(uint64, repeated, tag = "6")]
     pub terms: Vec<u64>,
     /// Jobs of the tasks.
     #[prost(message, repeated, tag = "7")]
     pub shapes: Vec<Shape>,
-    /// Terms of all seats that the sender knew when it made this, or the newest
-    /// change that is in it. Only from one who knows the term of a machine's seat
+    /// Terms of all shards that the sender knew when it made this, or the newest
+    /// change that is in it. Only from one who knows the term of a machine's shard
     /// does it follow that a task which is not named is not wanted there.
     #[prost(uint64, repeated, tag = "9")]
     pub knows: Vec<u64>,
 }
 
-impl SeatWants {
+impl ShardWants {
     /// As it is kept; `None` if a task names no job.
     pub fn read(self) -> Option<Wants> {
         let shapes: Vec<Rc<Shape>> = self.shapes.into_iter().map(Rc::new).collect();
@@ -155,7 +155,7 @@
             machines.push((wants.machine, wants.known, tasks?));
         }
         Some(Wants {
-            seat: self.seat as usize,
+            shard: self.shard as usize,
             term: self.term,
             seq: self.seq,
             complete: self.complete,
@@ -166,7 +166,7 @@
     }
 }
 
-/// A task that a seat wants on a machine, as it is kept.
+/// A task that a shard wants on a machine, as it is kept.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WantedTask {
     /// Its job.
@@ -213,29 +213,29 @@
     }
 }
 
-/// Wants of a seat, as they are kept: see [`SeatWants`].
+/// Wants of a shard, as they are kept: see [`ShardWants`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Wants {
-    /// Seat.
-    pub seat: usize,
+    /// Shard.
+    pub shard: usize,
     /// Term under which it asks.
     pub term: u64,
     /// Order within the term.
     pub seq: u64,
-    /// Machines that are not named have no wants of this seat.
+    /// Machines that are not named have no wants of this shard.
     pub complete: bool,
-    /// Machine, term of its seat that was taken into account (0: as `terms`
+    /// Machine, term of its shard that was taken into account (0: as `terms`
     /// says), tasks.
     pub machines: Vec<(String, u64, Vec<WantedTask>)>,
-    /// Terms of all seats, as the sender knew them.
+    /// Terms of all shards, as the sender knew them.
     pub terms: Vec<u64>,
-    /// See [`SeatWants`].
+    /// See [`ShardWants`].
     pub knows: Vec<u64>,
 }
 
 impl Wants {
     /// As it is sent.
-    pub fn to_message(&self) -> SeatWants {
+    pub fn to_message(&self) -> ShardWants {
         let mut shapes: Vec<Shape> = Vec::new();
         let mut places: BTreeMap<*const Shape, u32> = BTreeMap::new();
         let mut machines = Vec::with_capacity(self.machines.len());
@@ -251,8 +251,8 @@
             let machine = machine.clone();
             machines.push(MachineWants { machine, tasks: wants, known: *known });
         }
-        SeatWants {
-            seat: self.seat as u32,
+        ShardWants {
+            shard: self.shard as u32,
             term: self.term,
             seq: self.seq,
             complete: self.complete,
--- a/src/state.rs
+++ b/src/state.rs
@@ -71,7 +71,7 @@
 }
 
 impl StateCall {
-    /// Renewals come first: without them every seat is lost.
+    /// Renewals come first: without them every shard is lost.
     pub fn urgent(&self) -> bool {
         matches!(self, StateCall::Grant(_) | StateCall::Extend(_) | StateCall::End(_))
     }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -143,7 +143,7 @@
 /// Answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReportReply {
-    /// Token of the seat that answers.
+    /// Token of the shard that answers.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands, executed in order.
@@ -154,7 +154,7 @@
 /// Direct commands.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Token of the seat.
+    /// Token of the shard.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Session they are meant for.
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,7 +4,7 @@
 mod solo;
 
 use millethold::controller::job::stored_placements;
-use millethold::controller::seat::seat_of_machine;
+use millethold::controller::shard::shard_of_machine;
 use millethold::peer::{Frame, QuotaNeed};
 use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
@@ -32,21 +32,21 @@
     matches!(call, StateCall::Txn(Txn { writes, .. }) if writes.is_empty())
 }
 
-/// Whether a call gives a seat up.
-fn releases(call: &StateCall, seat: usize) -> bool {
-    let key = format!("hold/{seat}");
+/// Whether a call gives a shard up.
+fn releases(call: &StateCall, shard: usize) -> bool {
+    let key = format!("hold/{shard}");
     let gone = |w: &Write| matches!(w, Write::Delete { key: k } if *k == key);
     matches!(call, StateCall::Txn(txn) if txn.writes.iter().any(gone))
 }
 
-/// How a seat stands: its term and whether the controller acts for it.
-fn seat(solo: &Solo, seat: usize) -> (u64, bool) {
+/// How a shard stands: its term and whether the controller acts for it.
+fn shard(solo: &Solo, shard: usize) -> (u64, bool) {
     let status = solo.controller.status(solo.now);
-    let seat = &status["seats"][seat];
-    (seat["term"].as_u64().expect("a term"), seat["mine"].as_bool().expect("a flag"))
+    let shard = &status["seats"][shard];
+    (shard["term"].as_u64().expect("a term"), shard["mine"].as_bool().expect("a flag"))
 }
 
-/// A seat that was given up is acted on again only under a new term, whatever becomes of
+/// A shard that was given up is acted on again only under a new term, whatever becomes of
 /// the transaction that gives it up.
 #[test]
 fn new_term_after_a_release() {
@@ -60,7 +60,7 @@
         let mut solo = Solo::new(&settings(1, 3, ""), &[]);
         solo.start();
         solo.run(Micros::secs(5));
-        let (term, mine) = seat(&solo, 0);
+        let (term, mine) = shard(&solo, 0);
         assert!(mine, "{name}: seat 0 is nobody else's");
         let mark = solo.get("hold/0").expect("a holder").version;
         solo.outcome = Box::new(move |call| match releases(call, 0) {
@@ -79,13 +79,13 @@
             }
         }
         let released = released.unwrap_or_else(|| panic!("{name}: never released"));
-        // Its home is gone before it takes the seat.
+        // Its home is gone before it takes the shard.
         for _ in 0..1_000 {
-            let (now, mine) = seat(&solo, 0);
+            let (now, mine) = shard(&solo, 0);
             assert!(!mine || now > term, "{name}: acted on again under term {now}");
             solo.run(Micros::millis(10));
         }
-        let (now, mine) = seat(&solo, 0);
+        let (now, mine) = shard(&solo, 0);
         assert!(mine && now > term, "{name}: not taken anew, term {now}");
         for call in &solo.calls[released + 1..] {
             let StateCall::Txn(txn) = call else {
@@ -110,7 +110,7 @@
     AllAlong,
 }
 
-/// An acceptance whose answer is lost: its seat runs the job once the call is given up,
+/// An acceptance whose answer is lost: its shard runs the job once the call is given up,
 /// whether the watch told of it before or afterwards, and whoever the user asks next.
 #[test]
 fn accepted_though_the_answer_is_lost() {
@@ -300,14 +300,14 @@
     }
 }
 
-/// Machines of a seat that report, and what is written down for them.
+/// Machines of a shard that report, and what is written down for them.
 struct Shop {
     solo: Solo,
     machines: Vec<String>,
     reports: u64,
 }
 
-/// Seats 0 and 2 are others'; the second seat, which is this controller's, has so many
+/// Shards 0 and 2 are others'; the second shard, which is this controller's, has so many
 /// CPUs of the red team's limit of 14.
 fn shop(granted: f64) -> Shop {
     let hold = |n: usize| {
@@ -319,17 +319,17 @@
     let mut solo = Solo::new(&settings(1, 3, ""), &stored);
     solo.start();
     let names = (0..).map(|n| format!("vm-{n:06}"));
-    let machines = names.filter(|name| seat_of_machine(name, 3) == 1).take(3).collect();
+    let machines = names.filter(|name| shard_of_machine(name, 3) == 1).take(3).collect();
     let mut shop = Shop { solo, machines, reports: 0 };
     shop.run(6, 0.0);
     shop
 }
 
 impl Shop {
-    /// So many seconds, in which seat 0 lacks so many CPUs of the team.
+    /// So many seconds, in which shard 0 lacks so many CPUs of the team.
     fn run(&mut self, seconds: u64, lacks: f64) {
         for _ in 0..seconds * 2 {
-            let need = QuotaNeed { seat: 0, team: "red".into(), cpus: lacks, gpus: 0.0, rank: 2 };
+            let need = QuotaNeed { shard: 0, team: "red".into(), cpus: lacks, gpus: 0.0, rank: 2 };
             let frame = Frame {
                 run: 5,
                 state_ok: true,
@@ -339,7 +339,7 @@
                 ..Frame::default()
             };
             self.solo.hear(0, frame);
-            let (token, _) = seat(&self.solo, 1);
+            let (token, _) = shard(&self.solo, 1);
             self.reports += 1;
             for machine in self.machines.clone() {
                 let report = json!({
@@ -398,7 +398,7 @@
     for (name, first, rest, used) in table {
         let mut shop = shop(12.0);
         assert_eq!((shop.placed(), shop.changes()), (0, 0), "{name}");
-        // Another seat lacks all that this one has unused.
+        // Another shard lacks all that this one has unused.
         shop.changes_are(first, rest);
         shop.run(4, 14.0);
         assert!(shop.changes() > 0, "{name}: no change was sent");
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -76,7 +76,7 @@
     vec![CancelNow { at_ms, count, hang_s }]
 }
 
-/// So many times has a controller taken or left a seat, beside the first time.
+/// So many times has a controller taken or left a shard, beside the first time.
 fn moves(world: &World) -> usize {
     world.changed("hold/").saturating_sub(3)
 }
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -66,7 +66,7 @@
     /// Transactions that get no answer.
     pub late_writes: Vec<LateWrites>,
     /// Share of reports of which a copy is kept for the next leader: it arrives at
-    /// the controller that has just taken its machine's seat. From, to, share.
+    /// the controller that has just taken its machine's shard. From, to, share.
     pub for_next: Option<(u64, u64, f64)>,
     /// Workers that reach no controller, while direct commands reach them: worker,
     /// from, to.
--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -56,9 +56,9 @@
         self.store.changed(prefix)
     }
 
-    /// Seats held by each controller that is up.
-    pub fn seats(&self) -> Vec<usize> {
-        self.nodes.iter().flatten().map(|n| n.controller.seats_held()).collect()
+    /// Shards held by each controller that is up.
+    pub fn shards(&self) -> Vec<usize> {
+        self.nodes.iter().flatten().map(|n| n.controller.owned_shard_count()).collect()
     }
 }
 
@@ -69,8 +69,8 @@
     }
     let rest = world.unfinished();
     if !rest.is_empty() {
-        let seats = world.seats();
-        return Err(format!("{name}, seed {seed}: unfinished {rest:?}, seats {seats:?}"));
+        let shards = world.shards();
+        return Err(format!("{name}, seed {seed}: unfinished {rest:?}, seats {shards:?}"));
     }
     Ok(world)
 }
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -4,7 +4,7 @@
 use super::settings::{CONTROLLERS, LIMITS, LOWERED};
 use super::store;
 use super::world::{Watch, World};
-use millethold::controller::seat::{seat_of_key, seat_of_machine};
+use millethold::controller::shard::{shard_of_key, shard_of_machine};
 use millethold::controller::{CallId, Event, Reply};
 use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Gives the copies that were kept to the controllers that have just taken a seat.
+    /// Gives the copies that were kept to the controllers that have just taken a shard.
     fn greet_leaders(&mut self) {
         if self.troubles.for_next.is_none() || self.store.ledger == self.seen {
             return;
@@ -171,13 +171,13 @@
         for change in taken {
             let member = change.value.get("member").and_then(Value::as_str).unwrap_or_default();
             let node = member.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
-            let (Some(node), Some(seat)) = (node, change.put.as_deref().and_then(seat_of_key))
+            let (Some(node), Some(shard)) = (node, change.put.as_deref().and_then(shard_of_key))
             else {
                 continue;
             };
             let here: Vec<usize> = self.kept.keys().copied().collect();
             for worker in here {
-                if seat_of_machine(&self.workers[worker].name, 3) != seat {
+                if shard_of_machine(&self.workers[worker].name, 3) != shard {
                     continue;
                 }
                 for event in self.kept.remove(&worker).unwrap_or_default() {
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -227,7 +227,7 @@
 }
 
 /// What of a transaction lacks the condition that fences it: tasks and grants
-/// need the mark of the writer's seat, changes of tasks also that of the job.
+/// need the mark of the writer's shard, changes of tasks also that of the job.
 pub fn unfenced(txn: &Txn) -> Vec<String> {
     let on = |prefix: &str| {
         txn.conditions.iter().any(|c| c.key.starts_with(prefix) && !c.key.is_empty())
@@ -238,8 +238,8 @@
             Write::Put { key, .. } => (key, true),
             Write::Delete { key } => (key, false),
         };
-        let seat = key.starts_with("w/") || key.starts_with("quota/");
-        if seat && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.version > 0) {
+        let shard = key.starts_with("w/") || key.starts_with("quota/");
+        if shard && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.version > 0) {
             lacks.push(format!("{key} is written without a seat's mark"));
         }
         if put && key.starts_with("w/") && !on("j/") {
--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -1,4 +1,4 @@
-//! What a machine's seat concludes from reports, and what it starts.
+//! What a machine's shard concludes from reports, and what it starts.
 
 use millethold::controller::machine::{Key, ManagedMachine, Sent, may_start};
 use millethold::peer::{Phase, Seen, WantedTask};
--- a/tests/tables/quotas.rs
+++ b/tests/tables/quotas.rs
@@ -16,7 +16,7 @@
 #[test]
 fn grants() {
     let need = |rank, cpus| Need { rank, amount: [cpus, 0.0] };
-    // Limit, grants, used, own waits, others' lacks, wanted grant of seat 0.
+    // Limit, grants, used, own waits, others' lacks, wanted grant of shard 0.
     let table = [
         (30.0, vec![], 0.0, vec![need(2, 50.0)], vec![], 30.0),
         (30.0, vec![(1, 20.0)], 0.0, vec![need(2, 50.0)], vec![], 10.0),
--- a/tests/tables/seats.rs
+++ b/tests/tables/shards.rs
@@ -1,8 +1,8 @@
-//! Seats, their terms and leases.
+//! Shards, their terms and leases.
 
 use millethold::config::Workers;
 use millethold::controller::cancel;
-use millethold::controller::seat::{self, Hold, Lease, Seat};
+use millethold::controller::shard::{self, Hold, Lease, Shard};
 use millethold::time::Micros;
 use millethold::wire::{Item, Write};
 use serde_json::json;
@@ -22,19 +22,19 @@
         (Some(item("a", 6, 4, 40)), Some(40)),
     ];
     for (stored, want) in table {
-        let mut s = Seat::default();
+        let mut s = Shard::default();
         s.see_hold(Micros::secs(1), stored.as_ref());
         assert_eq!(s.takeable("a", 7), want, "{stored:?}");
     }
     // What this run gave up stands until the release is carried out, perhaps late: it
     // is taken anew, on its mark, instead of being acted on under the old term.
     for (acted, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
-        let mut s = Seat { acted, ..Seat::default() };
+        let mut s = Shard { acted, ..Shard::default() };
         s.see_hold(Micros::secs(1), Some(&item("a", 7, 4, 40)));
         assert_eq!(s.takeable("a", 7), want, "acted under term {acted}");
         assert_eq!(s.takeable("b", 7), None, "nobody else may");
     }
-    let mut s = Seat::default();
+    let mut s = Shard::default();
     s.see_hold(Micros::secs(1), Some(&item("b", 3, 4, 40)));
     s.see_hold(Micros::secs(9), None);
     assert_eq!(s.free_since, Micros::secs(9));
@@ -55,12 +55,12 @@
     lease.lost();
     assert!(!lease.valid(Micros::secs(101)));
 
-    for seats in 1..6 {
-        let mut count = vec![0; seats];
+    for shards in 1..6 {
+        let mut count = vec![0; shards];
         for n in 0..600 {
-            count[seat::seat_of_machine(&format!("vm-{n:06}"), seats)] += 1;
+            count[shard::shard_of_machine(&format!("vm-{n:06}"), shards)] += 1;
         }
-        let even = 600 / seats;
+        let even = 600 / shards;
         assert!(count.iter().all(|c| *c > even / 2 && *c < even * 2), "{count:?}");
     }
 }
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -74,8 +74,8 @@
             },
         ),
         (
-            // What one holder of a seat refused, and the owner gave up, waits
-            // to be written while the seat changes hands.
+            // What one holder of a shard refused, and the owner gave up, waits
+            // to be written while the shard changes hands.
             "few writes and seats that move",
             Troubles {
                 writes: Some(8.0),
@@ -87,7 +87,7 @@
     ];
     for (name, troubles) in table {
         // Seed 72 is the one of forty that shows a task taken for gone on the
-        // strength of a stop which its machine's seat has not heard.
+        // strength of a stop which its machine's shard has not heard.
         for seed in [60, 61, 62, 63, 72] {
             let world = until_done(name, seed, &crowded(), 600, &troubles);
             assert!(world.starts > 128, "{name}, seed {seed}: nothing was ever stopped");
@@ -95,7 +95,7 @@
     }
 }
 
-/// A finished job's parts wait to be dropped while its seat changes hands: what
+/// A finished job's parts wait to be dropped while its shard changes hands: what
 /// they still name must not be wanted again.
 #[test]
 fn finished_jobs_of_moving_seats() {
@@ -162,7 +162,7 @@
 }
 
 /// More submissions than changes: some are accepted together, and none of these is
-/// lost when its seat changes hands before the job stands on its own.
+/// lost when its shard changes hands before the job stands on its own.
 #[test]
 fn many_submissions() {
     let mut plans: Vec<Plan> =
@@ -218,7 +218,7 @@
         ("past the lease", vec![(0, 12, 45)], vec![], None),
         ("within the lease", vec![(1, 12, 19), (2, 30, 38), (0, 48, 55)], vec![], None),
         ("two, and the third crashes", vec![(0, 14, 50), (1, 20, 52)], vec![(30, 1)], None),
-        // Nothing but its own clock tells it that its seat is another's by now.
+        // Nothing but its own clock tells it that its shard is another's by now.
         ("and then hears its workers alone", vec![(0, 12, 24)], vec![], Some((12, 90))),
     ];
     for (name, frozen, crashes, apart) in table {
@@ -412,12 +412,12 @@
     assert!(told < starts * 2 * 15, "{told} machines were named for {starts} starts");
 }
 
-/// Seats have moved, then the controllers are out of each other's reach while tasks
+/// Shards have moved, then the controllers are out of each other's reach while tasks
 /// are placed: what was wanted meanwhile is begun once they hear each other again.
 #[test]
 fn apart_after_moves() {
     let blue = |at_s, tasks| Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, 5.0) };
-    // Every machine has had something of every seat before the seats move.
+    // Every machine has had something of every shard before the shards move.
     let mut plans: Vec<Plan> = (0..6).map(|n| blue(3 + n / 3, 60)).collect();
     plans.extend((0..12).map(|n| blue(68 + n / 3, 3)));
     let troubles = Troubles {
@@ -458,7 +458,7 @@
 }
 
 /// Two controllers lose what they tell each other while a third serves both, and then
-/// one of them takes the third's seat: it must not stop what the other had begun on
+/// one of them takes the third's shard: it must not stop what the other had begun on
 /// those machines meanwhile and it has never heard of.
 #[test]
 fn missed_wants() {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -65,7 +65,7 @@
         (StoredStage::Cancelled, r#"{"s":2,"g":"c","n":16}"#),
     ];
     for (stage, stored) in table {
-        let record = JobRecord { seat: 2, stage, tasks: 16, upstream: Vec::new(), more: 0 };
+        let record = JobRecord { shard: 2, stage, tasks: 16, upstream: Vec::new(), more: 0 };
         assert_eq!(serde_json::to_string(&record).expect("JSON"), stored);
         assert_eq!(serde_json::from_str::<JobRecord>(stored).expect("a record"), record);
     }
@@ -78,7 +78,7 @@
     assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
     assert_eq!((read.cancelled.len(), read.views.len(), read.pressing.len()), (1, 1, 0));
     let wants = read.wants[0].clone().read().expect("wants");
-    assert_eq!((wants.seat, wants.seq, wants.machines[0].2[0].attempt), (1, 6, 2));
+    assert_eq!((wants.shard, wants.seq, wants.machines[0].2[0].attempt), (1, 6, 2));
     let mut written = Vec::new();
     peer::write_frame(&mut written, &read);
     assert_eq!(written, bytes, "without pipelines it is the same");
@@ -180,7 +180,7 @@
     }
     // It is stored with the record, and read from there.
     let record = JobRecord {
-        seat: 1,
+        shard: 1,
         stage: StoredStage::Accepted,
         tasks: 2,
         upstream: vec!["j-1".into()],
