--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -119,8 +119,8 @@
     pub(super) fn admit_waiting(&mut self) {
         while self.admission.len() > 0 {
             let shard = self.admitting_shard();
-            let mine = shard.and_then(|s| Some((s, self.shards[s].mine.clone()?)));
-            let Some((s, mine)) = mine else {
+            let owned = shard.and_then(|s| Some((s, self.shards[s].owned.clone()?)));
+            let Some((s, owned)) = owned else {
                 return self.refuse_waiting("no seat is held");
             };
             let waiting = self.admission.len();
@@ -134,7 +134,7 @@
                 return;
             }
             let list: Vec<Submission> = self.admission.waiting.drain(..count).collect();
-            self.admit(s, &mine, list);
+            self.admit(s, &owned, list);
         }
     }
 
@@ -151,9 +151,9 @@
         self.admission.waiting[..most].iter().take_while(fits).count().max(1)
     }
 
-    fn admit(&mut self, s: usize, mine: &shard::Mine, list: Vec<Submission>) {
+    fn admit(&mut self, s: usize, owned: &shard::OwnedShard, list: Vec<Submission>) {
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::hold_key(s), version: mine.mark }],
+            conditions: vec![Condition { key: shard::lease_key(s), version: owned.mark }],
             writes: Vec::new(),
         };
         let mut values: Vec<Value> = Vec::new();
@@ -168,7 +168,7 @@
         }
         let batch = (list.len() > 1).then(|| {
             self.admission.count += 1;
-            job::batch_key(s, mine.term, self.admission.count)
+            job::batch_key(s, owned.term, self.admission.count)
         });
         let (key, value) = match (&batch, values.pop()) {
             (None, Some(one)) => (job::part_key(s, &list[0].spec.id, 0), one),
@@ -180,7 +180,7 @@
         };
         txn.conditions.push(Condition { key: key.clone(), version: 0 });
         txn.writes.push(Write::Put { key, value, lease: None });
-        self.state(Op::Admit { list, shard: s, term: mine.term, batch }, StateCall::Txn(txn));
+        self.state(Op::Admit { list, shard: s, term: owned.term, batch }, StateCall::Txn(txn));
     }
 
     pub(super) fn admission_reply(
@@ -195,7 +195,7 @@
         match reply {
             StateReply::Applied(mark) => {
                 // The shard may have been lost meanwhile; whoever has it reads the jobs.
-                let held = self.shards[s].mine.as_ref().is_some_and(|m| m.term == term);
+                let held = self.shards[s].owned.as_ref().is_some_and(|m| m.term == term);
                 if let Some(key) = batch.as_ref().filter(|_| held) {
                     let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
                     self.admission.batch(key, s, mark, jobs);
@@ -205,7 +205,7 @@
                 }
             }
             StateReply::Conflict(failed) => {
-                let lost = failed.contains(&shard::hold_key(s));
+                let lost = failed.contains(&shard::lease_key(s));
                 if lost {
                     self.suspect_shard(s, term);
                 }
@@ -308,18 +308,18 @@
         let Some((key, b)) = found else {
             return;
         };
-        let Some(mine) = self.shards[b.shard].mine.as_ref().filter(|m| m.loaded) else {
+        let Some(owned) = self.shards[b.shard].owned.as_ref().filter(|m| m.loaded) else {
             return;
         };
         b.busy = true;
         let txn = Txn {
             conditions: vec![
-                Condition { key: shard::hold_key(b.shard), version: mine.mark },
+                Condition { key: shard::lease_key(b.shard), version: owned.mark },
                 Condition { key: key.clone(), version: b.mark },
             ],
             writes: vec![Write::Delete { key: key.clone() }],
         };
-        let op = Op::DropBatch { key: key.clone(), term: mine.term };
+        let op = Op::DropBatch { key: key.clone(), term: owned.term };
         self.state(op, StateCall::Txn(txn));
     }
 
@@ -333,7 +333,7 @@
             StateReply::Applied(_) => {
                 self.admission.batches.remove(key);
             }
-            StateReply::Conflict(failed) if failed.contains(&shard::hold_key(s)) => {
+            StateReply::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
                 self.suspect_shard(s, term);
             }
             // An earlier try was applied after all.
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -105,7 +105,7 @@
         {
             return Some("the state service is away from here alone");
         }
-        let held = self.lease.epoch > 0 && self.shards_read && self.lease.id.is_some();
+        let held = self.state_lease.epoch > 0 && self.shards_read && self.state_lease.id.is_some();
         (!held).then_some("no state lease was held")
     }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The shard that accepts new jobs here: the home shard if it is held.
+    /// The shard that accepts new jobs here: the home shard if it is owned.
     pub(super) fn admitting_shard(&self) -> Option<usize> {
         if self.runs(self.me) {
             return Some(self.me);
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -34,12 +34,12 @@
             return true;
         }
         let s = batch.shard;
-        let Some(mine) = self.shards[s].mine.as_ref() else {
+        let Some(owned) = self.shards[s].owned.as_ref() else {
             return true;
         };
-        let term = mine.term;
+        let term = owned.term;
         let mut conditions = vec![
-            Condition { key: shard::hold_key(s), version: mine.mark },
+            Condition { key: shard::lease_key(s), version: owned.mark },
             Condition { key: key.clone(), version: batch.mark },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
@@ -94,8 +94,8 @@
             return;
         };
         let s = batch.shard;
-        // A reply to an earlier holding of the shard says nothing about this one.
-        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != term) {
+        // A reply to an earlier term of the shard says nothing about this one.
+        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
@@ -115,7 +115,7 @@
                 }
             }
             StateReply::Refused => {}
-            StateReply::Conflict(failed) if failed.contains(&shard::hold_key(s)) => {
+            StateReply::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
                 self.suspect_shard(s, term);
             }
             StateReply::Conflict(failed) => {
@@ -145,7 +145,7 @@
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        if self.shards[batch.shard].mine.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[batch.shard].owned.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -93,7 +93,7 @@
 }
 
 impl Controller {
-    /// Machines of others' shards that report here, for those who hold them.
+    /// Machines of others' shards that report here, for those who own their shards.
     pub(super) fn misdirected(&self) -> Vec<Strays> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for m in self.connectivity.misdirected.keys() {
@@ -135,8 +135,8 @@
             > silence(all, self.settings.workers.report_s);
         let found = (0..self.shards.len())
             .filter(|s| {
-                let mine = self.shards[*s].mine.as_ref();
-                mine.is_some_and(|m| m.loaded && now.since(m.taken) > SETTLED)
+                let owned = self.shards[*s].owned.as_ref();
+                owned.is_some_and(|m| m.loaded && now.since(m.taken) > SETTLED)
             })
             .filter_map(|s| {
                 let alive = self.peers.iter().filter(|(n, p)| self.peer_alive(**n) && !p.cut_off);
@@ -160,8 +160,8 @@
     }
 
     fn give_up_shards(&mut self) {
-        for mine in self.shards.iter_mut().filter_map(|s| s.mine.as_mut()) {
-            mine.releasing = true;
+        for owned in self.shards.iter_mut().filter_map(|s| s.owned.as_mut()) {
+            owned.releasing = true;
         }
     }
 
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -120,7 +120,7 @@
             }
         }
         for (s, (complete, machines)) in changed {
-            let (Some(term), true) = (self.my_term(s), self.runs_or_releases(s)) else {
+            let (Some(term), true) = (self.owned_term(s), self.runs_or_releases(s)) else {
                 continue;
             };
             self.seq += 1;
@@ -136,7 +136,7 @@
     }
 
     fn runs_or_releases(&self, s: usize) -> bool {
-        self.shards[s].mine.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
     }
 }
 
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -108,7 +108,7 @@
     fn desired_state_changed(&mut self, machine: &str) {
         self.place_wanted = true;
         self.touch_slot(machine);
-        if self.my_term(self.shard_of_machine(machine)).is_none()
+        if self.owned_term(self.shard_of_machine(machine)).is_none()
             || self.terminated.contains(machine)
         {
             return;
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -53,7 +53,7 @@
             // What was lost is not known, so nothing follows from what the rest
             // does not name.
             for s in 0..self.shards.len() {
-                if self.holder(s) == Some(from) {
+                if self.lease_holder(s) == Some(from) {
                     self.desired[s].complete = 0;
                 }
             }
@@ -98,7 +98,7 @@
                 // Not yet received from the watch: only the term is taken over,
                 // the holder's mark comes with the watch.
                 shard.term = h.term;
-                if shard.mine.as_ref().is_some_and(|m| m.term < h.term) {
+                if shard.owned.as_ref().is_some_and(|m| m.term < h.term) {
                     self.lose_shard(h.shard as usize, "a peer holds it under a higher term");
                 }
             }
@@ -194,11 +194,11 @@
         frame.cut_off = self.connectivity.cut_off();
         if acting {
             for (n, shard) in self.shards.iter().enumerate() {
-                if let Some(m) = &shard.mine {
+                if let Some(m) = &shard.owned {
                     frame.held.push(peer::HeldShard { shard: n as u32, term: m.term });
                 }
             }
-            if self.my_term(fleet::RENTING_SHARD).is_some() {
+            if self.owned_term(fleet::RENTING_SHARD).is_some() {
                 frame.rents = true;
                 frame.draining = self.fleet.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
@@ -234,7 +234,7 @@
         for shard in 0..self.shards.len() {
             let desired = &self.desired[shard];
             if !self.runs(shard)
-                || self.my_term(shard) != Some(desired.term)
+                || self.owned_term(shard) != Some(desired.term)
                 || desired.complete == 0
             {
                 continue;
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -36,7 +36,7 @@
 
     /// Works out what became of a task from what its machine's shard says.
     fn evaluate_task(&mut self, id: &str, index: u32) {
-        let Some(term) = self.jobs.get(id).and_then(|j| self.my_term(j.shard)) else {
+        let Some(term) = self.jobs.get(id).and_then(|j| self.owned_term(j.shard)) else {
             return;
         };
         let (now, wall) = (self.now, self.wall());
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -42,7 +42,7 @@
         if job.busy {
             return;
         }
-        let Some(term) = self.shards[job.shard].mine.as_ref().map(|m| m.term) else {
+        let Some(term) = self.shards[job.shard].owned.as_ref().map(|m| m.term) else {
             return;
         };
         job.busy = true;
@@ -102,11 +102,11 @@
             return;
         }
         // A shard that is being handed over waits for its writes, so none begins.
-        let ready = |m: &&super::shard::Mine| m.loaded && !m.releasing;
-        let Some(mine) = self.shards[s].mine.as_ref().filter(ready) else {
+        let ready = |m: &&super::shard::OwnedShard| m.loaded && !m.releasing;
+        let Some(owned) = self.shards[s].owned.as_ref().filter(ready) else {
             return;
         };
-        let (hold, term) = (mine.mark, mine.term);
+        let (lease_mark, term) = (owned.mark, owned.term);
         if self.stays_batched(id) && self.store_batch(id) {
             return;
         }
@@ -132,7 +132,7 @@
             job.over = true;
         }
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::hold_key(s), version: hold }],
+            conditions: vec![Condition { key: shard::lease_key(s), version: lease_mark }],
             writes: Vec::new(),
         };
         let record = job::job_key(id);
@@ -255,8 +255,8 @@
             return;
         };
         let s = job.shard;
-        // A reply to an earlier holding of the shard says nothing about this one.
-        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != *term) {
+        // A reply to an earlier term of the shard says nothing about this one.
+        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != *term) {
             return;
         }
         job.busy = false;
@@ -266,7 +266,7 @@
                 self.stored(&id, mark, &parts, done, &drops);
             }
             (Op::Store { term, .. }, StateReply::Conflict(failed)) => {
-                if failed.contains(&shard::hold_key(s)) {
+                if failed.contains(&shard::lease_key(s)) {
                     self.suspect_shard(s, term);
                 } else {
                     self.recheck(&id);
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -171,7 +171,7 @@
     /// next report.
     pub(super) fn push(&mut self, machine: &str) {
         let s = self.shard_of_machine(machine);
-        let Some(term) = self.my_term(s) else {
+        let Some(term) = self.owned_term(s) else {
             return;
         };
         let Some(managed) = self.managed_machines.get(machine) else {
@@ -234,7 +234,7 @@
             && let Some(machine) = self.probes.pop_first()
         {
             let s = self.shard_of_machine(&machine);
-            if self.my_term(s).is_none() {
+            if self.owned_term(s).is_none() {
                 // Kept among the hints until the shard is taken.
                 continue;
             }
@@ -262,7 +262,7 @@
         reply: DirectReply,
     ) {
         let s = self.shard_of_machine(machine);
-        if self.shards[s].mine.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         let now = self.now;
@@ -301,7 +301,7 @@
 
     /// Sends commands that order nothing: the answer shows that it receives commands.
     pub(super) fn ask(&mut self, machine: &str, session: u64, address: SocketAddrV4) {
-        let Some(term) = self.my_term(self.shard_of_machine(machine)) else {
+        let Some(term) = self.owned_term(self.shard_of_machine(machine)) else {
             return;
         };
         let Some(managed) = self.managed_machines.get_mut(machine).filter(|p| !p.direct_busy)
--- a/src/controller/machine_reports.rs
+++ b/src/controller/machine_reports.rs
@@ -48,9 +48,9 @@
         }
         self.counts.reports += 1;
         let s = self.shard_of_machine(&report.machine);
-        let Some(term) = self.my_term(s) else {
+        let Some(term) = self.owned_term(s) else {
             let away = Refusal::new("seat not held here");
-            return match self.holder(s) {
+            return match self.lease_holder(s) {
                 Some(h) if h != self.me => {
                     self.connectivity.note_misdirected(self.now, &report.machine);
                     let member = self.members[h].clone();
--- a/src/controller/machine_views.rs
+++ b/src/controller/machine_views.rs
@@ -15,7 +15,7 @@
         }
         let (now, lease) = (self.now, self.worker_lease());
         let taken: Vec<Option<Micros>> =
-            self.shards.iter().map(|s| s.mine.as_ref().map(|m| m.taken)).collect();
+            self.shards.iter().map(|s| s.owned.as_ref().map(|m| m.taken)).collect();
         let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
         let silent = self.silent();
         let shards = self.shards.len();
@@ -54,7 +54,7 @@
     pub(super) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let s = self.shard_of_machine(&machine);
-            let Some(term) = self.my_term(s) else {
+            let Some(term) = self.owned_term(s) else {
                 continue;
             };
             if self.managed_machines.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
@@ -95,7 +95,7 @@
         let failing_tasks =
             self.managed_machines.get(machine).is_some_and(|p| self.seems_faulty(p));
         let at = self.shard_of_machine(machine);
-        let taken = self.shards[at].mine.as_ref().map_or(Micros::ZERO, |m| m.taken);
+        let taken = self.shards[at].owned.as_ref().map_or(Micros::ZERO, |m| m.taken);
         let Some(managed) = self.managed_machines.get_mut(machine) else {
             return MachineView::default();
         };
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -65,7 +65,7 @@
 use quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use shard::{Lease, Shard};
+use shard::{Shard, StateLease};
 use status::Counts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -90,7 +90,7 @@
     next_call: u64,
     ops: BTreeMap<CallId, Op>,
 
-    lease: Lease,
+    state_lease: StateLease,
     shards: Vec<Shard>,
     shards_read: bool,
     shards_reading: bool,
@@ -220,7 +220,7 @@
             out: Vec::new(),
             next_call: 1,
             ops: BTreeMap::new(),
-            lease: Lease::default(),
+            state_lease: StateLease::default(),
             shards: vec![Shard::default(); count],
             shards_read: false,
             shards_reading: false,
@@ -460,30 +460,30 @@
         self.wall + self.now
     }
 
-    /// True while this process may act for the shards it holds. Past the end of
+    /// True while this process may act for the shards it owns. Past the end of
     /// its lease another may have taken them.
     fn acting(&self) -> bool {
-        self.lease.valid(self.now)
+        self.state_lease.valid(self.now)
     }
 
     /// The term under which this process acts for a shard, if it does.
-    fn my_term(&self, shard: usize) -> Option<u64> {
-        let mine = self.shards.get(shard)?.mine.as_ref()?;
-        self.acting().then_some(mine.term)
+    fn owned_term(&self, shard: usize) -> Option<u64> {
+        let owned = self.shards.get(shard)?.owned.as_ref()?;
+        self.acting().then_some(owned.term)
     }
 
     /// True if this process runs the shard's jobs.
     fn runs(&self, shard: usize) -> bool {
-        self.acting() && self.shards[shard].mine.as_ref().is_some_and(|m| m.loaded && !m.releasing)
+        self.acting() && self.shards[shard].owned.as_ref().is_some_and(|m| m.loaded && !m.releasing)
     }
 
     fn shard_of_machine(&self, machine: &str) -> usize {
         shard::shard_of_machine(machine, self.shards.len())
     }
 
-    /// The member that holds a shard, as far as known.
-    fn holder(&self, shard: usize) -> Option<usize> {
-        let (hold, _) = self.shards[shard].hold.as_ref()?;
-        self.member_number(&hold.member)
+    /// The member that has a shard's lease, as far as known.
+    fn lease_holder(&self, shard: usize) -> Option<usize> {
+        let (lease, _) = self.shards[shard].lease.as_ref()?;
+        self.member_number(&lease.member)
     }
 }
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Watch {
     Jobs,
-    Holds,
+    ShardLeases,
     Quotas,
 }
 
@@ -23,7 +23,7 @@
 pub(super) enum Op {
     Grant { sent: Micros },
     Extend { sent: Micros, epoch: u64 },
-    ListHolds,
+    ListLeases,
     ListTerms,
     Follow(Watch),
     FollowStart(Watch),
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -337,9 +337,9 @@
             self.submissions += 1;
             return self.queue_submission(ticket, spec, size);
         }
-        let mine =
-            self.admitting_shard().and_then(|s| Some((s, self.shards[s].mine.as_ref()?.mark)));
-        let Some((s, mark)) = mine else {
+        let owned =
+            self.admitting_shard().and_then(|s| Some((s, self.shards[s].owned.as_ref()?.mark)));
+        let Some((s, mark)) = owned else {
             return self.later(ticket, 503, "no seat is held");
         };
         let by_size = TXN_BYTES / (self.settings.state.value_kb * 1024.0) as usize;
@@ -351,7 +351,7 @@
         };
         let to = (from + 1 + most).min(lists.len());
         let conditions = vec![
-            Condition { key: super::shard::hold_key(s), version: mark },
+            Condition { key: super::shard::lease_key(s), version: mark },
             Condition { key: job::job_key(&spec.id), version: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -106,7 +106,7 @@
         }
         let t = self.types.get(&v.machine_type)?;
         let size = [t.cpus, t.gpus, t.memory_gb];
-        let foreign = self.my_term(h).is_none();
+        let foreign = self.owned_term(h).is_none();
         let mut slot = Slot::new(Rc::from(name), v.session, foreign, size);
         let over = |job: &str, index: u32, attempt: u64| {
             v.tasks.iter().any(|t| {
@@ -185,7 +185,7 @@
 
     /// Whether a shard's jobs are known here; else the desired state received from it counts.
     fn has_jobs_of(&self, s: usize) -> bool {
-        self.shards[s].mine.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
     }
 
     /// Notes that a machine has to be looked at before the next placement.
@@ -198,10 +198,10 @@
     /// Brings the slots up to date: only what has changed is looked at.
     pub(super) fn refresh_slots(&mut self) {
         for h in 0..self.shards.len() {
-            let commanded = self.my_term(h).is_some()
-                || self.holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
+            let commanded = self.owned_term(h).is_some()
+                || self.lease_holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
             let was = std::mem::replace(&mut self.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.my_term(h), self.shards[h].term);
+            let state = (self.has_jobs_of(h), self.owned_term(h), self.shards[h].term);
             if was != commanded || self.slots_state.get(&h) != Some(&state) {
                 // The shard has changed hands or its holder has fallen silent.
                 self.slots_state.insert(h, state);
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -86,7 +86,7 @@
         if !self.runs(s) {
             return;
         }
-        let mark = self.shards[s].mine.as_ref().map_or(0, |m| m.mark);
+        let mark = self.shards[s].owned.as_ref().map_or(0, |m| m.mark);
         let (waits, used) = (self.shard_waits(s, team), self.shard_usage(s, team));
         let (shards, reserve) = (self.shards.len(), self.admission_reserve());
         let all: Vec<&QuotaNeed> = self
@@ -127,7 +127,7 @@
         let txn = Txn {
             conditions: vec![
                 Condition { key: key.clone(), version: q.mark },
-                Condition { key: shard::hold_key(s), version: mark },
+                Condition { key: shard::lease_key(s), version: mark },
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -43,7 +43,7 @@
             self.fleet.types_at = now + wait;
             self.cloud(Op::Types, CloudCall::Types);
         }
-        let Some(term) = self.my_term(RENTING_SHARD) else {
+        let Some(term) = self.owned_term(RENTING_SHARD) else {
             return;
         };
         if now >= self.fleet.list_at && self.fleet.listing.is_none() {
@@ -123,7 +123,7 @@
             return;
         };
         self.fleet.count += 1;
-        // The term is this holding's alone, so the name is too.
+        // The term is this ownership's alone, so the name is, too.
         let request = format!("r-{RENTING_SHARD}-{term}-{}", self.fleet.count);
         info!("renting {count} {machine_type} in {zone}, spot {spot}");
         self.fleet.request = Some(RentRequest { request, machine_type, zone, spot, count });
@@ -203,7 +203,7 @@
                 }
             }
             (Op::Rent { term }, reply) => {
-                if self.my_term(RENTING_SHARD) == Some(term) {
+                if self.owned_term(RENTING_SHARD) == Some(term) {
                     self.rent_reply(reply);
                 }
             }
@@ -221,7 +221,7 @@
                 }
             }
             (Op::ListMachines { asked, term }, reply) => {
-                if self.my_term(RENTING_SHARD) == Some(term) {
+                if self.owned_term(RENTING_SHARD) == Some(term) {
                     self.list_reply(asked, term, reply);
                 }
             }
@@ -238,13 +238,14 @@
         self.changes.machines.extend(self.managed_machines.keys().cloned());
     }
 
-    /// Writes the types down, once a holding of the renting shard: a process that
+    /// Writes the types down, once a term of the renting shard: a process that
     /// starts while the cloud is away could otherwise accept and place nothing.
     fn store_types(&mut self) {
-        let Some(mine) = self.shards[RENTING_SHARD].mine.as_ref().filter(|_| self.acting()) else {
+        let Some(owned) = self.shards[RENTING_SHARD].owned.as_ref().filter(|_| self.acting())
+        else {
             return;
         };
-        let (mark, term) = (mine.mark, mine.term);
+        let (mark, term) = (owned.mark, owned.term);
         let list: Vec<&MachineType> = self.types.values().collect();
         let value = serde_json::json!(list);
         let most = self.settings.state.value_kb * 1024.0;
@@ -253,7 +254,7 @@
         }
         self.types_stored = term;
         let txn = Txn {
-            conditions: vec![Condition { key: shard::hold_key(RENTING_SHARD), version: mark }],
+            conditions: vec![Condition { key: shard::lease_key(RENTING_SHARD), version: mark }],
             writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
         };
         self.state(Op::StoreTypes, StateCall::Txn(txn));
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -1,6 +1,6 @@
 //! Shards: who may act for which machines and jobs.
 //!
-//! `seat/S` keeps a term that only rises, `hold/S` names the holder under the
+//! `seat/S` keeps a term that only rises, `hold/S` names the lease holder under the
 //! holder's state lease. Both change in one transaction, so the version of
 //! `hold/S` identifies a term, and everything a holder writes is conditional
 //! on that version: a late transaction of an earlier holder fails.
@@ -15,15 +15,16 @@
 
 /// Value of `hold/S`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct ShardLease {
     /// Holder.
     pub member: String,
     /// Its run: tells an earlier process of the same name from this one.
     pub run: u64,
     /// Term.
     pub term: u64,
-    /// State lease it hangs on.
-    pub lease: u64,
+    /// State lease that it ends with; the stored word stays.
+    #[serde(rename = "lease")]
+    pub state_lease: u64,
 }
 
 /// Value of `seat/S`.
@@ -33,14 +34,14 @@
     pub term: u64,
 }
 
-/// A shard that this process holds.
+/// A shard that this process owns: it has the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mine {
+pub struct OwnedShard {
     /// Term.
     pub term: u64,
     /// Version of `hold/S`: condition of every write.
     pub mark: u64,
-    /// When this process learnt that it holds the shard: no earlier holder
+    /// When this process learnt that it owns the shard: no earlier holder
     /// acted after that.
     pub taken: Micros,
     /// Its jobs have been read.
@@ -52,30 +53,35 @@
 /// A shard as this process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Shard {
-    /// Holder in the state service, with the version of `hold/S`.
-    pub hold: Option<(Hold, u64)>,
+    /// Lease in the state service, with the version of `hold/S`.
+    pub lease: Option<(ShardLease, u64)>,
     /// Version of `seat/S`, 0 for none.
     pub term_mark: u64,
     /// Highest term known.
     pub term: u64,
-    /// Since when nobody holds it.
+    /// Since when nobody has its lease.
     pub free_since: Micros,
-    /// Held by this process.
-    pub mine: Option<Mine>,
+    /// Set while this process owns it.
+    pub owned: Option<OwnedShard>,
     /// A take or a release is under way.
     pub busy: bool,
     /// Highest term under which this process has acted.
     pub acted: u64,
 }
 
+/// Beginning of the keys of shards' terms: `seat/S`. The stored word stays.
+pub const TERM_KEYS: &str = "seat/";
+/// Beginning of the keys of shards' leases: `hold/S`. The stored word stays.
+pub const LEASE_KEYS: &str = "hold/";
+
 /// Key of a shard's term.
 pub fn term_key(shard: usize) -> String {
-    format!("seat/{shard}")
+    format!("{TERM_KEYS}{shard}")
 }
 
 /// Key of a shard's holder.
-pub fn hold_key(shard: usize) -> String {
-    format!("hold/{shard}")
+pub fn lease_key(shard: usize) -> String {
+    format!("{LEASE_KEYS}{shard}")
 }
 
 /// Number of the shard in a key.
@@ -97,22 +103,22 @@
 
 impl Shard {
     /// Takes in what `hold/S` holds.
-    pub fn see_hold(&mut self, now: Micros, item: Option<&Item>) {
+    pub fn observe_lease(&mut self, now: Micros, item: Option<&Item>) {
         let held = item.and_then(|i| {
-            let hold: Hold = serde_json::from_value(i.value.clone()).ok()?;
-            Some((hold, i.version))
+            let lease: ShardLease = serde_json::from_value(i.value.clone()).ok()?;
+            Some((lease, i.version))
         });
         match held {
-            Some((hold, mark)) => {
+            Some((lease, mark)) => {
                 // Both keys change in one transaction and so share its revision.
                 if mark >= self.term_mark {
                     self.term_mark = mark;
-                    self.term = self.term.max(hold.term);
+                    self.term = self.term.max(lease.term);
                 }
-                self.hold = Some((hold, mark));
+                self.lease = Some((lease, mark));
             }
             None => {
-                if self.hold.take().is_some() || self.free_since == Micros::ZERO {
+                if self.lease.take().is_some() || self.free_since == Micros::ZERO {
                     self.free_since = now;
                 }
             }
@@ -120,7 +126,7 @@
     }
 
     /// Takes in what `seat/S` holds.
-    pub fn see_term(&mut self, item: &Item) {
+    pub fn observe_term(&mut self, item: &Item) {
         if let Ok(term) = serde_json::from_value::<Term>(item.value.clone())
             && item.version >= self.term_mark
         {
@@ -133,7 +139,7 @@
     /// gone, its own if an earlier run of `member` left it; `None` if it is
     /// somebody's. Taking a living holder's shard would let two act at once.
     pub fn takeable(&self, member: &str, run: u64) -> Option<u64> {
-        match &self.hold {
+        match &self.lease {
             None => Some(0),
             Some((h, mark)) if h.member == member && h.run != run => Some(*mark),
             // Given up by this very process, whose release may still be carried out
@@ -145,16 +151,23 @@
     }
 
     /// The transaction that takes the shard, and its new term.
-    pub fn take(&self, shard: usize, mark: u64, member: &str, run: u64, lease: u64) -> (Txn, u64) {
+    pub fn take(
+        &self,
+        shard: usize,
+        mark: u64,
+        member: &str,
+        run: u64,
+        state_lease: u64,
+    ) -> (Txn, u64) {
         let term = self.term + 1;
-        let hold = Hold { member: member.to_string(), run, term, lease };
+        let lease = ShardLease { member: member.to_string(), run, term, state_lease };
         let txn = Txn {
             conditions: vec![
-                Condition { key: hold_key(shard), version: mark },
+                Condition { key: lease_key(shard), version: mark },
                 Condition { key: term_key(shard), version: self.term_mark },
             ],
             writes: vec![
-                Write::Put { key: hold_key(shard), value: json!(hold), lease: Some(lease) },
+                Write::Put { key: lease_key(shard), value: json!(lease), lease: Some(state_lease) },
                 Write::Put { key: term_key(shard), value: json!(Term { term }), lease: None },
             ],
         };
@@ -164,8 +177,8 @@
     /// The transaction that gives the shard up.
     pub fn release(shard: usize, mark: u64) -> Txn {
         Txn {
-            conditions: vec![Condition { key: hold_key(shard), version: mark }],
-            writes: vec![Write::Delete { key: hold_key(shard) }],
+            conditions: vec![Condition { key: lease_key(shard), version: mark }],
+            writes: vec![Write::Delete { key: lease_key(shard) }],
         }
     }
 }
@@ -177,7 +190,7 @@
 
 /// This process's state lease.
 #[derive(Debug, Clone, Default)]
-pub struct Lease {
+pub struct StateLease {
     /// Its number.
     pub id: Option<u64>,
     /// Until when it is surely valid, by this process's clock.
@@ -190,7 +203,7 @@
     pub epoch: u64,
 }
 
-impl Lease {
+impl StateLease {
     /// A grant or renewal that was *sent* at `sent` succeeded. Counting from
     /// the answer would overstate it by the time that the answer took.
     pub fn extended(&mut self, sent: Micros, ttl: Micros) {
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -1,6 +1,6 @@
 //! Lease, shards and watches: how this process learns what it may do.
 
-use super::shard::{self, Mine, Shard};
+use super::shard::{self, OwnedShard, Shard};
 use super::shard_loading::Loading;
 use super::watches::prefix;
 use super::{Controller, Op, Watch};
@@ -18,21 +18,24 @@
     pub(super) fn maintain_shards(&mut self) {
         let now = self.now;
         let ttl = self.options.state_lease;
-        if !self.lease.busy && now >= self.lease.renew_at {
-            self.lease.busy = true;
-            match self.lease.id {
+        if !self.state_lease.busy && now >= self.state_lease.renew_at {
+            self.state_lease.busy = true;
+            match self.state_lease.id {
                 None => self.state(Op::Grant { sent: now }, StateCall::Grant(ttl)),
                 Some(id) => {
-                    let op = Op::Extend { sent: now, epoch: self.lease.epoch };
+                    let op = Op::Extend { sent: now, epoch: self.state_lease.epoch };
                     self.state(op, StateCall::Extend(id));
                 }
             }
         }
         if !self.shards_read && !self.shards_reading {
             self.shards_reading = true;
-            self.state(Op::ListTerms, StateCall::List { prefix: "seat/".into(), after: None });
+            self.state(
+                Op::ListTerms,
+                StateCall::List { prefix: shard::TERM_KEYS.into(), after: None },
+            );
         }
-        for watch in [Watch::Holds, Watch::Jobs, Watch::Quotas] {
+        for watch in [Watch::ShardLeases, Watch::Jobs, Watch::Quotas] {
             let f = self.follow.entry(watch).or_default();
             if f.busy || now < f.retry {
                 continue;
@@ -46,15 +49,15 @@
                     self.state(Op::Follow(watch), StateCall::Follow { prefix, after, block })
                 }
                 // The jobs' own list grows without end; any list tells the
-                // present revision, and the holds are few.
+                // present revision, and the shard leases are few.
                 None => self.state(
                     Op::FollowStart(watch),
-                    StateCall::List { prefix: "hold/".into(), after: None },
+                    StateCall::List { prefix: shard::LEASE_KEYS.into(), after: None },
                 ),
             }
         }
         self.look_beside_watch();
-        if self.shards_read && self.lease.valid(now + Micros::millis(500)) {
+        if self.shards_read && self.state_lease.valid(now + Micros::millis(500)) {
             for s in 0..self.shards.len() {
                 self.maintain_shard(s);
             }
@@ -67,16 +70,16 @@
         if shard.busy {
             return;
         }
-        if let Some(mine) = &shard.mine {
+        if let Some(owned) = &shard.owned {
             let home_well = self
                 .peers
                 .get(&s)
                 .and_then(|p| p.well_since)
                 .is_some_and(|at| self.now.since(at) > self.options.hand_back)
                 && self.peer_alive(s);
-            if s != self.me && mine.loaded && !mine.releasing && home_well {
+            if s != self.me && owned.loaded && !owned.releasing && home_well {
                 info!("shard {s} goes back to {}", self.members[s]);
-                if let Some(m) = &mut self.shards[s].mine {
+                if let Some(m) = &mut self.shards[s].owned {
                     m.releasing = true;
                 }
             }
@@ -104,24 +107,24 @@
                 return;
             }
         }
-        let Some(lease) = self.lease.id else {
+        let Some(lease) = self.state_lease.id else {
             return;
         };
         let (txn, term) = shard.take(s, mark, &self.member, self.run, lease);
         self.shards[s].busy = true;
-        let op = Op::Take { shard: s, term, epoch: self.lease.epoch };
+        let op = Op::Take { shard: s, term, epoch: self.state_lease.epoch };
         self.state(op, StateCall::Txn(txn));
     }
 
     /// Hands a shard back once nothing of it is being written.
     fn finish_release(&mut self, s: usize) {
-        let Some(mine) = self.shards[s].mine.as_ref().filter(|m| m.releasing) else {
+        let Some(owned) = self.shards[s].owned.as_ref().filter(|m| m.releasing) else {
             return;
         };
         if self.jobs.values().any(|j| j.shard == s && j.busy) {
             return;
         }
-        let txn = Shard::release(s, mine.mark);
+        let txn = Shard::release(s, owned.mark);
         // It stops acting before the release can be applied, and does not
         // begin again whatever the answer: the outcome may come late.
         self.lose_shard(s, "handed back");
@@ -131,7 +134,7 @@
 
     /// The store says that a shard's mark has changed.
     pub(super) fn suspect_shard(&mut self, s: usize, term: u64) {
-        if self.shards[s].mine.as_ref().is_some_and(|m| m.term == term) {
+        if self.shards[s].owned.as_ref().is_some_and(|m| m.term == term) {
             self.lose_shard(s, "its mark has changed");
         }
         self.shards_read = false;
@@ -139,10 +142,10 @@
 
     /// Forgets everything that belonged to a shard.
     pub(super) fn lose_shard(&mut self, s: usize, why: &str) {
-        let Some(mine) = self.shards[s].mine.take() else {
+        let Some(owned) = self.shards[s].owned.take() else {
             return;
         };
-        info!("shard {s} term {} lost: {why}", mine.term);
+        info!("shard {s} term {} lost: {why}", owned.term);
         self.loads.remove(&s);
         self.jobs.retain(|_, j| j.shard != s);
         self.by_machine.retain(|(shard, _), _| *shard != s);
@@ -157,10 +160,10 @@
         }
     }
 
-    fn lose_lease(&mut self) {
+    fn lose_state_lease(&mut self) {
         warn!("state lease lost");
-        self.lease.lost();
-        self.lease.renew_at = self.now;
+        self.state_lease.lost();
+        self.state_lease.renew_at = self.now;
         for s in 0..self.shards.len() {
             self.lose_shard(s, "the state lease ended");
         }
@@ -173,14 +176,15 @@
         shard.term = shard.term.max(term);
         shard.term_mark = shard.term_mark.max(mark);
         shard.acted = term;
-        shard.mine = Some(Mine { term, mark, taken: self.now, loaded: false, releasing: false });
-        let hold = shard::Hold {
+        shard.owned =
+            Some(OwnedShard { term, mark, taken: self.now, loaded: false, releasing: false });
+        let lease = shard::ShardLease {
             member: self.member.clone(),
             run: self.run,
             term,
-            lease: self.lease.id.unwrap_or(0),
+            state_lease: self.state_lease.id.unwrap_or(0),
         };
-        shard.hold = Some((hold, mark));
+        shard.lease = Some((lease, mark));
         self.loads.insert(s, Loading { term, ..Loading::default() });
         // Machines that some shard wants tasks on: each is unknown until it
         // reports under the new term, or has been silent for a whole lease.
@@ -211,25 +215,25 @@
     pub(super) fn shard_reply(&mut self, op: Op, reply: StateReply) {
         match (op, reply) {
             (Op::Grant { sent }, StateReply::Granted(id)) => {
-                self.lease.busy = false;
-                self.lease.id = Some(id);
-                self.lease.epoch += 1;
-                self.lease.valid_until = Micros::ZERO;
-                self.lease.extended(sent, self.options.state_lease);
+                self.state_lease.busy = false;
+                self.state_lease.id = Some(id);
+                self.state_lease.epoch += 1;
+                self.state_lease.valid_until = Micros::ZERO;
+                self.state_lease.extended(sent, self.options.state_lease);
             }
             (Op::Grant { .. }, _) => {
-                self.lease.busy = false;
-                self.lease.renew_at = self.now + Micros::millis(300);
+                self.state_lease.busy = false;
+                self.state_lease.renew_at = self.now + Micros::millis(300);
             }
             (Op::Extend { sent, epoch }, r) => {
-                self.lease.busy = false;
-                if epoch != self.lease.epoch {
+                self.state_lease.busy = false;
+                if epoch != self.state_lease.epoch {
                     return;
                 }
                 match r {
-                    StateReply::Kept => self.lease.extended(sent, self.options.state_lease),
-                    StateReply::NoLease => self.lose_lease(),
-                    _ => self.lease.renew_at = self.now + Micros::millis(200),
+                    StateReply::Kept => self.state_lease.extended(sent, self.options.state_lease),
+                    StateReply::NoLease => self.lose_state_lease(),
+                    _ => self.state_lease.renew_at = self.now + Micros::millis(200),
                 }
             }
             (Op::ListTerms, StateReply::Page { items, .. }) => {
@@ -237,33 +241,36 @@
                     if let Some(s) =
                         shard::shard_of_key(&item.key).filter(|s| *s < self.shards.len())
                     {
-                        self.shards[s].see_term(item);
+                        self.shards[s].observe_term(item);
                     }
                 }
-                // Holds after terms: a take in between shows in the holds.
-                self.state(Op::ListHolds, StateCall::List { prefix: "hold/".into(), after: None });
+                // Leases after terms: a take in between shows in the leases.
+                self.state(
+                    Op::ListLeases,
+                    StateCall::List { prefix: shard::LEASE_KEYS.into(), after: None },
+                );
             }
-            (Op::ListHolds, StateReply::Page { items, .. }) => {
+            (Op::ListLeases, StateReply::Page { items, .. }) => {
                 self.shards_reading = false;
                 self.shards_read = true;
                 for s in 0..self.shards.len() {
-                    let key = shard::hold_key(s);
+                    let key = shard::lease_key(s);
                     let item = items.iter().find(|i| i.key == key).cloned();
-                    self.see_hold(s, item.as_ref());
+                    self.observe_lease(s, item.as_ref());
                 }
             }
-            (Op::ListTerms | Op::ListHolds, _) => self.shards_reading = false,
+            (Op::ListTerms | Op::ListLeases, _) => self.shards_reading = false,
             (Op::FollowStart(watch), StateReply::Page { revision, items, .. }) => {
                 if let Some(f) = self.follow.get_mut(&watch) {
                     f.busy = false;
                     f.took(revision, f.sent);
                 }
                 match watch {
-                    Watch::Holds => {
+                    Watch::ShardLeases => {
                         for s in 0..self.shards.len() {
-                            let key = shard::hold_key(s);
+                            let key = shard::lease_key(s);
                             let item = items.iter().find(|i| i.key == key).cloned();
-                            self.see_hold(s, item.as_ref());
+                            self.observe_lease(s, item.as_ref());
                         }
                     }
                     // Cancellations may have been missed.
@@ -317,10 +324,12 @@
             (Op::Take { shard, term, epoch }, r) => {
                 self.shards[shard].busy = false;
                 match r {
-                    StateReply::Applied(mark) if epoch == self.lease.epoch => {
+                    StateReply::Applied(mark) if epoch == self.state_lease.epoch => {
                         self.shard_taken(shard, term, mark);
                     }
-                    StateReply::NoLease if epoch == self.lease.epoch => self.lose_lease(),
+                    StateReply::NoLease if epoch == self.state_lease.epoch => {
+                        self.lose_state_lease()
+                    }
                     StateReply::Refused => {}
                     // Perhaps applied, or somebody was faster: what is stored decides.
                     _ => self.shards_read = false,
@@ -336,11 +345,11 @@
         }
     }
 
-    pub(super) fn see_hold(&mut self, s: usize, item: Option<&Item>) {
+    pub(super) fn observe_lease(&mut self, s: usize, item: Option<&Item>) {
         let now = self.now;
-        self.shards[s].see_hold(now, item);
+        self.shards[s].observe_lease(now, item);
         let shard = &self.shards[s];
-        match (&shard.hold, &shard.mine) {
+        match (&shard.lease, &shard.owned) {
             // A watch may tell of what was before the take.
             (Some((_, mark)), Some(m)) if *mark <= m.mark => {}
             (None, Some(_)) | (Some(_), Some(_)) => self.lose_shard(s, "the store says so"),
@@ -349,7 +358,7 @@
                     && h.run == self.run
                     && !shard.busy
                     && h.term > shard.acted
-                    && Some(h.lease) == self.lease.id =>
+                    && Some(h.state_lease) == self.state_lease.id =>
             {
                 // A take whose answer was lost.
                 let (term, mark) = (h.term, *mark);
--- a/src/controller/shard_loading.rs
+++ b/src/controller/shard_loading.rs
@@ -45,7 +45,7 @@
         if under_way {
             return;
         }
-        let Some(term) = self.my_term(s) else {
+        let Some(term) = self.owned_term(s) else {
             return;
         };
         info!("job {id} found in the store");
@@ -225,7 +225,7 @@
             self.changes.progress.insert(id.clone());
             self.jobs.insert(id, job);
         }
-        let first = match &mut self.shards[s].mine {
+        let first = match &mut self.shards[s].owned {
             Some(m) if m.term == l.term => !std::mem::replace(&mut m.loaded, true),
             _ => return,
         };
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -31,10 +31,10 @@
             .map(|(n, s)| {
                 serde_json::json!({
                     "seat": n,
-                    "holder": s.hold.as_ref().map(|(h, _)| &h.member),
+                    "holder": s.lease.as_ref().map(|(h, _)| &h.member),
                     "term": s.term,
-                    "mine": s.mine.is_some(),
-                    "loaded": s.mine.as_ref().is_some_and(|m| m.loaded),
+                    "mine": s.owned.is_some(),
+                    "loaded": s.owned.as_ref().is_some_and(|m| m.loaded),
                 })
             })
             .collect();
@@ -52,7 +52,7 @@
         let c = &self.counts;
         serde_json::json!({
             "member": self.member,
-            "lease_valid": self.lease.valid(now),
+            "lease_valid": self.state_lease.valid(now),
             "seats": shards,
             "jobs": self.jobs.len(),
             "jobs_that_need_others": self.jobs.values().filter(|j| j.waiting).count(),
@@ -118,8 +118,8 @@
         page
     }
 
-    /// Number of shards held, for tests and the log.
+    /// Number of shards owned, for tests and the log.
     pub fn owned_shard_count(&self) -> usize {
-        self.shards.iter().filter(|s| s.mine.is_some()).count()
+        self.shards.iter().filter(|s| s.owned.is_some()).count()
     }
 }
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -28,7 +28,7 @@
 pub(super) fn prefix(watch: Watch) -> &'static str {
     match watch {
         Watch::Jobs => "j/",
-        Watch::Holds => "hold/",
+        Watch::ShardLeases => shard::LEASE_KEYS,
         Watch::Quotas => "quota/",
     }
 }
@@ -82,15 +82,15 @@
             version: change.version,
         });
         match watch {
-            Watch::Holds => {
+            Watch::ShardLeases => {
                 let Some(s) = shard::shard_of_key(&key).filter(|s| *s < self.shards.len()) else {
                     return;
                 };
                 // News older than the own take: the shard has been taken since.
-                if self.shards[s].mine.as_ref().is_some_and(|m| change.version <= m.mark) {
+                if self.shards[s].owned.as_ref().is_some_and(|m| change.version <= m.mark) {
                     return;
                 }
-                self.see_hold(s, item.as_ref());
+                self.observe_lease(s, item.as_ref());
             }
             Watch::Jobs => {
                 let (Some(item), Some(id)) = (item, key.strip_prefix("j/")) else {
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -60,8 +60,8 @@
         let mut solo = Solo::new(&settings(1, 3, ""), &[]);
         solo.start();
         solo.run(Micros::secs(5));
-        let (term, mine) = shard(&solo, 0);
-        assert!(mine, "{name}: seat 0 is nobody else's");
+        let (term, owned) = shard(&solo, 0);
+        assert!(owned, "{name}: seat 0 is nobody else's");
         let mark = solo.get("hold/0").expect("a holder").version;
         solo.outcome = Box::new(move |call| match releases(call, 0) {
             true => outcome,
@@ -81,12 +81,12 @@
         let released = released.unwrap_or_else(|| panic!("{name}: never released"));
         // Its home is gone before it takes the shard.
         for _ in 0..1_000 {
-            let (now, mine) = shard(&solo, 0);
-            assert!(!mine || now > term, "{name}: acted on again under term {now}");
+            let (now, owned) = shard(&solo, 0);
+            assert!(!owned || now > term, "{name}: acted on again under term {now}");
             solo.run(Micros::millis(10));
         }
-        let (now, mine) = shard(&solo, 0);
-        assert!(mine && now > term, "{name}: not taken anew, term {now}");
+        let (now, owned) = shard(&solo, 0);
+        assert!(owned && now > term, "{name}: not taken anew, term {now}");
         for call in &solo.calls[released + 1..] {
             let StateCall::Txn(txn) = call else {
                 continue;
--- a/tests/tables/shards.rs
+++ b/tests/tables/shards.rs
@@ -2,7 +2,7 @@
 
 use millethold::config::Workers;
 use millethold::controller::cancel;
-use millethold::controller::shard::{self, Hold, Lease, Shard};
+use millethold::controller::shard::{self, Shard, ShardLease, StateLease};
 use millethold::time::Micros;
 use millethold::wire::{Item, Write};
 use serde_json::json;
@@ -11,7 +11,7 @@
 fn seats_and_terms() {
     let item = |member: &str, run, term, version| Item {
         key: "hold/0".into(),
-        value: json!(Hold { member: member.into(), run, term, lease: 5 }),
+        value: json!(ShardLease { member: member.into(), run, term, state_lease: 5 }),
         version,
     };
     // What is stored, whether member `a` in run 7 may take it, and on which mark.
@@ -23,20 +23,20 @@
     ];
     for (stored, want) in table {
         let mut s = Shard::default();
-        s.see_hold(Micros::secs(1), stored.as_ref());
+        s.observe_lease(Micros::secs(1), stored.as_ref());
         assert_eq!(s.takeable("a", 7), want, "{stored:?}");
     }
     // What this run gave up stands until the release is carried out, perhaps late: it
     // is taken anew, on its mark, instead of being acted on under the old term.
     for (acted, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
         let mut s = Shard { acted, ..Shard::default() };
-        s.see_hold(Micros::secs(1), Some(&item("a", 7, 4, 40)));
+        s.observe_lease(Micros::secs(1), Some(&item("a", 7, 4, 40)));
         assert_eq!(s.takeable("a", 7), want, "acted under term {acted}");
         assert_eq!(s.takeable("b", 7), None, "nobody else may");
     }
     let mut s = Shard::default();
-    s.see_hold(Micros::secs(1), Some(&item("b", 3, 4, 40)));
-    s.see_hold(Micros::secs(9), None);
+    s.observe_lease(Micros::secs(1), Some(&item("b", 3, 4, 40)));
+    s.observe_lease(Micros::secs(9), None);
     assert_eq!(s.free_since, Micros::secs(9));
     let (txn, term) = s.take(0, 0, "a", 7, 12);
     assert_eq!(term, 5, "a term only rises");
@@ -46,7 +46,7 @@
     assert!(matches!(&txn.writes[1], Write::Put { lease: None, .. }), "the term stays");
 
     let ttl = Micros::secs(8);
-    let mut lease = Lease { id: Some(1), ..Lease::default() };
+    let mut lease = StateLease { id: Some(1), ..StateLease::default() };
     lease.extended(Micros::secs(100), ttl);
     assert!(lease.valid(Micros::secs(107)));
     assert!(!lease.valid(Micros::millis(107_950)), "drift and margin are taken off");
