--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -5,9 +5,9 @@
 
 #![allow(dead_code)]
 
-#[path = "../rehearsal/cloud.rs"]
+#[path = "../simulation/cloud.rs"]
 mod cloud;
-#[path = "../rehearsal/store.rs"]
+#[path = "../simulation/store.rs"]
 mod store;
 
 use cloud::Cloud;
