--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -5,8 +5,8 @@
 //! all their descriptions. What is written of them later: see [`super::batch`].
 
 use super::job::{self, Job, StoredStage};
-use super::pipeline::Fate;
-use super::{Controller, Known, Op, Ticket, shard};
+use super::pipeline::UpstreamOutcome;
+use super::{CachedStage, Controller, Op, Ticket, shard};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
@@ -225,7 +225,7 @@
             // so already, when it could not be told from the acceptance under way.
             _ => {
                 for a in list {
-                    let known = self.known.get(&a.spec.id).copied();
+                    let known = self.cached_stages.get(&a.spec.id).copied();
                     if let Some(k) = known.filter(|k| k.stage == StoredStage::Accepted) {
                         self.adopt(&a.spec.id, k.shard);
                     }
@@ -245,9 +245,10 @@
         log::debug!("job {} was written {took} ms after it had come", spec.id);
         self.counts.accepted += 1;
         self.pipelines.note_all(&spec.id, &spec.upstream);
-        let known = Known { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, mark };
-        self.note_known(&spec.id, known);
-        let cancelled = self.known.get(&spec.id).is_some_and(|k| k.stage == StoredStage::Cancelled);
+        let known = CachedStage { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, mark };
+        self.cache_stage(&spec.id, known);
+        let cancelled =
+            self.cached_stages.get(&spec.id).is_some_and(|k| k.stage == StoredStage::Cancelled);
         if held && !self.jobs.contains_key(&spec.id) {
             let mut job = Job::new(Rc::clone(&spec), s, mark, a.accepted, self.part_size);
             let part = &mut job.parts[0];
@@ -263,8 +264,10 @@
             self.place_wanted = true;
         }
         // Others may have said more of it while the answer was on its way here.
-        let known = self.known.get(&spec.id).copied().unwrap_or(known);
-        if known.stage == StoredStage::Accepted && self.fate_of(&spec.id) == Fate::Waits {
+        let known = self.cached_stages.get(&spec.id).copied().unwrap_or(known);
+        if known.stage == StoredStage::Accepted
+            && self.upstream_outcome_of(&spec.id) == UpstreamOutcome::Waits
+        {
             // Nobody can have been told more of it: it was accepted just now.
             let answer = self.job_answer(&spec.id, known);
             return self.respond(a.ticket, 201, None, &answer);
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -2,8 +2,8 @@
 
 use super::admission::ADMISSION_PUTS;
 use super::job::{self, JobRecord, StoredStage};
-use super::pipeline::Fate;
-use super::{Controller, Effect, Known, Op, Ticket, shard};
+use super::pipeline::UpstreamOutcome;
+use super::{CachedStage, Controller, Effect, Op, Ticket, shard};
 use crate::state::{StateCall, StateReply};
 use crate::wire::{self, Condition, JobAnswer, JobSpec, JobStage, Refusal, Txn, Write, path};
 use log::info;
@@ -142,7 +142,7 @@
                 };
             }
         };
-        if let Some(known) = self.known.get(&spec.id).copied() {
+        if let Some(known) = self.cached_stages.get(&spec.id).copied() {
             if known.stage != StoredStage::Accepted {
                 return self.tell(ticket, 200, &spec.id, known);
             }
@@ -181,7 +181,7 @@
             return self.read_or(ticket, &spec.id, 400, None, &answer);
         }
         if !spec.upstream.is_empty() {
-            return self.gather(ticket, Rc::new(spec), size);
+            return self.look_up_upstream(ticket, Rc::new(spec), size);
         }
         self.submissions += 1;
         self.queue_submission(ticket, Rc::new(spec), size);
@@ -230,7 +230,7 @@
     }
 
     fn cancel(&mut self, ticket: Ticket, id: &str) {
-        if let Some(known) = self.known.get(id).copied()
+        if let Some(known) = self.cached_stages.get(id).copied()
             && known.stage != StoredStage::Accepted
         {
             return self.tell(ticket, 200, id, known);
@@ -247,7 +247,7 @@
     }
 
     /// What a user is told of a job.
-    pub(super) fn job_answer<'a>(&self, id: &'a str, known: Known) -> JobAnswer<'a> {
+    pub(super) fn job_answer<'a>(&self, id: &'a str, known: CachedStage) -> JobAnswer<'a> {
         let (done, running) = match known.stage {
             StoredStage::Done => (known.tasks, 0),
             StoredStage::Cancelled => (self.progress.get(id).map_or(0, |p| p.0), 0),
@@ -268,17 +268,17 @@
         &mut self,
         job: &str,
         reply: &StateReply,
-    ) -> Option<Option<(Known, u64)>> {
+    ) -> Option<Option<(CachedStage, u64)>> {
         match reply {
             StateReply::Value(None) => Some(None),
             StateReply::Value(Some(item)) => {
                 let r: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
                 let mark = item.version;
-                let known = Known { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
+                let known = CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
                 self.pipelines.note(job, &r);
-                self.note_known(job, known);
+                self.cache_stage(job, known);
                 // This answer may have been overtaken by a later one.
-                let known = self.known.get(job).copied().unwrap_or(known);
+                let known = self.cached_stages.get(job).copied().unwrap_or(known);
                 match known.stage {
                     StoredStage::Cancelled => self.job_cancelled(job),
                     // Its acceptance may have been applied after it was given
@@ -306,7 +306,9 @@
                     self.later(ticket, 503, "the state service is slow");
                 }
                 // Accepted since the read.
-                Some(None) if self.known.contains_key(&job) => self.later(ticket, 503, "undecided"),
+                Some(None) if self.cached_stages.contains_key(&job) => {
+                    self.later(ticket, 503, "undecided")
+                }
                 Some(Some((known, _))) => {
                     self.tell(ticket, 200, &job, known);
                 }
@@ -320,7 +322,12 @@
             Op::CompareStages { jobs, sent } => self.stages_compared(jobs, sent, reply),
             Op::CancelRead { ticket, job, tries } => match self.read_record(&job, &reply) {
                 // It is cancelled already with one that it needs.
-                Some(Some((known, _))) if matches!(self.fate_of(&job), Fate::Cancelled { .. }) => {
+                Some(Some((known, _)))
+                    if matches!(
+                        self.upstream_outcome_of(&job),
+                        UpstreamOutcome::Cancelled { .. }
+                    ) =>
+                {
                     self.tell(ticket, 200, &job, known);
                 }
                 Some(Some((known, mark))) if known.stage == StoredStage::Accepted => {
@@ -354,8 +361,8 @@
             Op::CancelWrite { ticket, job, shard, tasks, tries } => match reply {
                 StateReply::Applied(mark) => {
                     info!("job {job} cancelled by its user");
-                    let known = Known { stage: StoredStage::Cancelled, shard, tasks, mark };
-                    self.note_known(&job, known);
+                    let known = CachedStage { stage: StoredStage::Cancelled, shard, tasks, mark };
+                    self.cache_stage(&job, known);
                     self.announce_cancelled(&job, mark);
                     self.job_cancelled(&job);
                     self.tell(ticket, 200, &job, known);
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -8,7 +8,7 @@
 
 use super::job::StoredStage;
 use super::machine::{self, Key};
-use super::{Controller, Known, Op, Watch, job};
+use super::{CachedStage, Controller, Op, Watch, job};
 use crate::config::Workers;
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
@@ -94,7 +94,7 @@
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
     pub(super) fn doubt_unfinished(&mut self) {
-        self.known.retain(|_, k| k.stage != StoredStage::Accepted);
+        self.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
     }
 
     /// Reads unknown jobs, a few at a time.
@@ -103,7 +103,7 @@
             return;
         }
         while let Some(id) = self.cancels.unknown.pop_first() {
-            if self.known.contains_key(&id) {
+            if self.cached_stages.contains_key(&id) {
                 continue;
             }
             self.cancels.reading += 1;
@@ -137,12 +137,12 @@
     /// A peer says that it has confirmed a cancellation.
     pub(super) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
-        let known = match self.known.get(id).copied() {
-            Some(known) => Known { stage: cancelled, mark: 0, ..known },
+        let known = match self.cached_stages.get(id).copied() {
+            Some(known) => CachedStage { stage: cancelled, mark: 0, ..known },
             // Which shard runs it does not matter any more.
-            None => Known { stage: cancelled, shard: usize::MAX, tasks: 0, mark: 0 },
+            None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, mark: 0 },
         };
-        self.note_known(id, known);
+        self.cache_stage(id, known);
         self.job_cancelled(id);
     }
 }
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -15,7 +15,7 @@
     /// Own shards whose desired tasks are to be told for all machines.
     pub(super) complete_desired: BTreeSet<usize>,
     /// Own shards must say which terms they know, if nothing else.
-    pub(super) known_terms: bool,
+    pub(super) announce_terms: bool,
     /// Own machines whose view or commands may have changed.
     pub(super) machines: BTreeSet<String>,
     /// Jobs whose counts of tasks have changed.
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -114,7 +114,7 @@
                 machines.push(m);
             }
         }
-        if std::mem::take(&mut self.changes.known_terms) {
+        if std::mem::take(&mut self.changes.announce_terms) {
             for s in 0..self.shards.len() {
                 changed.entry(s).or_default();
             }
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -129,7 +129,7 @@
             let knows = w.knows.get(at).copied().unwrap_or(0);
             w.complete > 0 && w.term == self.shards[s].term && knows >= term
         };
-        match self.known.get(job) {
+        match self.cached_stages.get(job) {
             Some(k) if k.shard < self.desired.len() => complete(k.shard),
             _ => (0..self.desired.len()).all(complete),
         }
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -122,8 +122,8 @@
         for machine in frame.gone {
             self.machine_terminated(&machine);
         }
-        for p in frame.pressing {
-            self.hear_pressing(&p.job, p.rank, Micros(p.due_us));
+        for p in frame.inherited_urgency {
+            self.inherit_urgency(&p.job, p.rank, Micros(p.due_us));
         }
         if frame.rents {
             self.set_draining(frame.draining.into_iter().collect());
@@ -157,7 +157,7 @@
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
         frame.gone = std::mem::take(&mut self.changes.terminated);
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
-        frame.pressing = std::mem::take(&mut self.pipelines.news);
+        frame.inherited_urgency = std::mem::take(&mut self.pipelines.news);
         if self.now >= self.timers.missed_frames {
             let behind = self.peers.iter().filter(|(_, p)| p.behind);
             frame.missed = behind.map(|(n, _)| *n as u32).collect();
@@ -282,7 +282,7 @@
         for h in 0..self.shards.len() {
             if self.shards[h].term > self.announced_terms[h] {
                 self.announced_terms[h] = self.shards[h].term;
-                self.changes.known_terms = true;
+                self.changes.announce_terms = true;
                 let there: Vec<(usize, Rc<str>)> = self
                     .by_machine
                     .keys()
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -53,8 +53,8 @@
     /// Time of day from which it could be placed: of the acceptance, or of the end of
     /// the last job that it needs.
     pub ready: Micros,
-    /// Rank and deadline of the most pressing job that needs it.
-    pub pressing: Option<(u32, Micros)>,
+    /// Rank and deadline of the most urgent job that needs it.
+    pub inherited_urgency: Option<(u32, Micros)>,
     /// Since when it has had changes that nothing urgent waits for.
     pub lazy_since: Option<Micros>,
     /// Its user cancelled it.
@@ -121,7 +121,7 @@
             waiting: !upstream.is_empty(),
             upstream,
             ready: accepted,
-            pressing: None,
+            inherited_urgency: None,
             lazy_since: None,
             cancelled: false,
             over: false,
@@ -293,7 +293,7 @@
 
     /// Rank of service: lower is more urgent.
     pub fn rank(&self) -> u32 {
-        let needed = self.pressing.map_or(u32::MAX, |(rank, _)| rank);
+        let needed = self.inherited_urgency.map_or(u32::MAX, |(rank, _)| rank);
         needed.min(self.own_rank())
     }
 
@@ -310,7 +310,7 @@
     /// Time of day of the deadline.
     pub fn due(&self) -> Micros {
         let own = self.spec.deadline_s.map(|d| self.accepted + Micros::from_secs_f64(d));
-        let needed = self.pressing.map_or(Micros::FAR, |(_, due)| due);
+        let needed = self.inherited_urgency.map_or(Micros::FAR, |(_, due)| due);
         own.map_or(needed, |own| own.min(needed))
     }
 
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -3,7 +3,7 @@
 
 use super::job::{self, Job, JobRecord, StoredStage};
 use super::shard;
-use super::{Controller, Known, Op};
+use super::{CachedStage, Controller, Op};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
@@ -286,9 +286,9 @@
                     return;
                 };
                 let mark = item.version;
-                let known = Known { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
+                let known = CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
                 self.pipelines.note(&id, &r);
-                self.note_known(&id, known);
+                self.cache_stage(&id, known);
                 match r.stage {
                     StoredStage::Cancelled => self.job_cancelled(&id),
                     StoredStage::Done => {
@@ -410,8 +410,8 @@
                 }
             }
             let tasks = job.spec.tasks;
-            let known = Known { stage: StoredStage::Done, shard: s, tasks, mark };
-            self.note_known(id, known);
+            let known = CachedStage { stage: StoredStage::Done, shard: s, tasks, mark };
+            self.cache_stage(id, known);
         }
         for (machine, index) in touched {
             self.unlink(id, index, &machine);
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -39,7 +39,7 @@
         // tasks, and this is worked out at every report.
         let desired = || self.desired.iter().filter_map(|w| w.machines.get(machine));
         let is_wanted = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
-        let known = &self.known;
+        let known = &self.cached_stages;
         let cancelled = |k: &str| known.get(k).is_some_and(|k| k.stage == StoredStage::Cancelled);
         let here = managed.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| &k.job);
         let unknown: Vec<String> = here.filter(|j| !known.contains_key(*j)).cloned().collect();
--- a/src/controller/machine_reports.rs
+++ b/src/controller/machine_reports.rs
@@ -113,7 +113,7 @@
     /// Remembers on which machines of own shards a job failed; a few will do.
     fn note_failing(&mut self, job: String, machine: &str) {
         if self.failing.len() >= MAX_FAILING {
-            let known = &self.known;
+            let known = &self.cached_stages;
             let over = |id: &String| known.get(id).is_none_or(|k| k.stage != StoredStage::Accepted);
             self.failing.retain(|id, _| !over(id));
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -28,7 +28,6 @@
 mod frames;
 mod job_manager;
 mod job_writer;
-mod known;
 mod machine_commands;
 mod machine_reports;
 mod machine_views;
@@ -39,6 +38,7 @@
 mod renter;
 mod shard_leases;
 mod shard_loading;
+mod stage_cache;
 mod status;
 mod status_queries;
 mod terminal_states;
@@ -59,13 +59,13 @@
 use frames::PeerInfo;
 use image::ImageIndex;
 use job::Job;
-use known::Known;
 use machine::{Key, ManagedMachine};
 use op::{Op, Watch};
 use quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use shard::{Shard, StateLease};
+use stage_cache::CachedStage;
 use status::Counts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -102,8 +102,8 @@
     types_reading: bool,
     /// Term of the renting shard under which they were written down.
     types_stored: u64,
-    known: BTreeMap<String, Known>,
-    known_order: VecDeque<String>,
+    cached_stages: BTreeMap<String, CachedStage>,
+    cached_order: VecDeque<String>,
     jobs: BTreeMap<String, Job>,
     progress: BTreeMap<String, (u32, u32)>,
     /// Own shards' tasks by shard and machine.
@@ -229,8 +229,8 @@
             types: BTreeMap::new(),
             types_reading: false,
             types_stored: 0,
-            known: BTreeMap::new(),
-            known_order: VecDeque::new(),
+            cached_stages: BTreeMap::new(),
+            cached_order: VecDeque::new(),
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
             by_machine: BTreeMap::new(),
@@ -330,7 +330,7 @@
                     self.store_reply(op, r)
                 }
                 Op::ReadUnknown { job } => self.unknown_read(&job, &r),
-                Op::Gather { number, job } => self.gathered(number, &job, &r),
+                Op::LookUp { number, job } => self.lookup_reply(number, &job, &r),
                 Op::StoreUpstream { ticket, spec, size, to } => {
                     self.upstream_stored(ticket, spec, size, to, &r);
                 }
@@ -373,7 +373,7 @@
         self.expire_submissions();
         self.maintain_status_queries();
         self.read_unknown_jobs();
-        self.tend_pipelines();
+        self.maintain_pipelines();
         self.send_probes();
         if self.now >= self.timers.upkeep {
             self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
@@ -419,7 +419,7 @@
                 if self.changes.desired.is_empty()
                     && self.changes.complete_desired.is_empty()
                     && self.changes.machines.is_empty()
-                    && !self.changes.known_terms
+                    && !self.changes.announce_terms
                 {
                     break;
                 }
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -33,7 +33,7 @@
     Load { shard: usize, term: u64 },
     LoadJob { shard: usize, term: u64, job: String },
     Admit { list: Vec<Submission>, shard: usize, term: u64, batch: Option<String> },
-    Gather { number: u64, job: String },
+    LookUp { number: u64, job: String },
     StoreUpstream { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
     ReadUpstream { job: String, number: u32 },
     Chain { ticket: Ticket, status: u16, job: String, sent: Micros },
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -8,8 +8,8 @@
 //! written: from the stages of all that come before.
 
 use super::job::{self, Job, JobRecord, StoredStage};
-use super::{Controller, Known, Op, Ticket};
-use crate::peer::Pressing;
+use super::{CachedStage, Controller, Op, Ticket};
+use crate::peer::InheritedUrgency;
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
@@ -22,8 +22,8 @@
 const LOOK_EVERY: Micros = Micros::secs(1);
 /// Cancellations of waiting jobs under way at once.
 const CASCADES: usize = 4;
-/// How often what presses is told again: a lost message costs a delay.
-const PRESS_EVERY: Micros = Micros::secs(4);
+/// How often inherited urgency is told again: a lost message costs a delay.
+const URGENCY_EVERY: Micros = Micros::secs(4);
 /// Jobs that one submission may name which are not known here.
 const MOST_UNKNOWN: usize = 64;
 /// Conditions that a transaction may have for each change that it might make.
@@ -36,7 +36,7 @@
 
 /// What becomes of a job, by all that comes before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum UpstreamOutcome {
     /// All that it needs is done.
     Free,
     /// Something before it is not over.
@@ -49,7 +49,7 @@
 
 /// A submission whose needed jobs are being looked up.
 #[derive(Debug)]
-struct Gathering {
+struct Lookup {
     ticket: Ticket,
     spec: Rc<JobSpec>,
     size: usize,
@@ -78,14 +78,14 @@
     /// Own jobs that wait for others.
     waiting: BTreeSet<String>,
     cascading: BTreeSet<String>,
-    gathering: BTreeMap<u64, Gathering>,
+    lookups: BTreeMap<u64, Lookup>,
     count: u64,
     look_at: Micros,
-    press_at: Micros,
+    urgency_at: Micros,
     /// What was last told of jobs that own ones need.
-    pressing: BTreeMap<String, (u32, Micros)>,
+    inherited_urgency: BTreeMap<String, (u32, Micros)>,
     /// What is to be told.
-    pub news: Vec<Pressing>,
+    pub news: Vec<InheritedUrgency>,
 }
 
 impl Pipelines {
@@ -150,10 +150,10 @@
 
 impl Controller {
     /// Works out what becomes of a job that needs others.
-    pub(super) fn fate(&self, needs: &[String]) -> Fate {
-        let stage = |id: &String| self.known.get(id).map(|k| k.stage);
+    pub(super) fn upstream_outcome(&self, needs: &[String]) -> UpstreamOutcome {
+        let stage = |id: &String| self.cached_stages.get(id).map(|k| k.stage);
         if needs.iter().all(|id| stage(id) == Some(StoredStage::Done)) {
-            return Fate::Free;
+            return UpstreamOutcome::Free;
         }
         let mut todo: Vec<&String> = needs.iter().collect();
         let mut seen: BTreeSet<&String> = todo.iter().copied().collect();
@@ -163,7 +163,7 @@
                 None => unknown.push(id.clone()),
                 Some(StoredStage::Done) => {}
                 Some(StoredStage::Cancelled) if self.terminal_states.settled(id) => {
-                    return Fate::Cancelled { settled: true };
+                    return UpstreamOutcome::Cancelled { settled: true };
                 }
                 Some(StoredStage::Cancelled) => cancelled = true,
                 Some(StoredStage::Accepted) => {
@@ -174,18 +174,18 @@
             }
         }
         match (cancelled, unknown.is_empty() && !partly) {
-            (true, _) => Fate::Cancelled { settled: false },
-            (false, true) => Fate::Waits,
-            (false, false) => Fate::Unknown(unknown),
+            (true, _) => UpstreamOutcome::Cancelled { settled: false },
+            (false, true) => UpstreamOutcome::Waits,
+            (false, false) => UpstreamOutcome::Unknown(unknown),
         }
     }
 
     /// What becomes of a job that is known as accepted.
-    pub(super) fn fate_of(&self, id: &str) -> Fate {
+    pub(super) fn upstream_outcome_of(&self, id: &str) -> UpstreamOutcome {
         match self.pipelines.needs.get(id) {
-            Some(needs) => self.fate(needs),
-            None if self.pipelines.partly.contains_key(id) => Fate::Unknown(Vec::new()),
-            None => Fate::Free,
+            Some(needs) => self.upstream_outcome(needs),
+            None if self.pipelines.partly.contains_key(id) => UpstreamOutcome::Unknown(Vec::new()),
+            None => UpstreamOutcome::Free,
         }
     }
 
@@ -197,7 +197,9 @@
         while let Some(id) = todo.pop() {
             let needs = self.pipelines.needs.get(id).into_iter().flat_map(|n| n.iter());
             for n in needs.filter(|n| seen.insert(n)) {
-                if let Some(k) = self.known.get(n).filter(|k| k.stage == StoredStage::Accepted) {
+                if let Some(k) =
+                    self.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
+                {
                     list.push((n.clone(), k.mark));
                     todo.push(n);
                 }
@@ -209,7 +211,13 @@
     /// Tells a user how a job stands that waits for others: only if, at this moment,
     /// none of them is cancelled by the store either. Its own stage would say nothing
     /// of that until its shard's holder has written it.
-    pub(super) fn tell_waiting(&mut self, ticket: Ticket, status: u16, id: &str, known: Known) {
+    pub(super) fn tell_waiting(
+        &mut self,
+        ticket: Ticket,
+        status: u16,
+        id: &str,
+        known: CachedStage,
+    ) {
         if !self.cancellations_up_to_date() {
             return self.later(ticket, 503, "cancellations are not heard");
         }
@@ -233,13 +241,15 @@
         sent: Micros,
         reply: &StateReply,
     ) {
-        let Some(known) = self.known.get(id).copied() else {
+        let Some(known) = self.cached_stages.get(id).copied() else {
             return self.later(ticket, 503, "undecided");
         };
         let unfinished = known.stage == StoredStage::Accepted;
         match reply {
             // What was learnt meanwhile is newer than the comparison.
-            _ if !unfinished || matches!(self.fate_of(id), Fate::Cancelled { .. }) => {
+            _ if !unfinished
+                || matches!(self.upstream_outcome_of(id), UpstreamOutcome::Cancelled { .. }) =>
+            {
                 self.tell(ticket, status, id, known);
             }
             StateReply::Applied(_) if self.fresh(sent) => {
@@ -254,12 +264,12 @@
     }
 
     /// Looks up the jobs that a submission needs: each must have been accepted.
-    pub(super) fn gather(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+    pub(super) fn look_up_upstream(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
         let absent = Refusal { error: "a job that was never accepted", field: Some("upstream") };
         if spec.upstream.contains(&spec.id) {
             return self.read_or(ticket, &spec.id, 422, None, &absent);
         }
-        let known = |id: &&String| self.known.contains_key(*id);
+        let known = |id: &&String| self.cached_stages.contains_key(*id);
         let unknown: Vec<String> = spec.upstream.iter().filter(|id| !known(id)).cloned().collect();
         if unknown.is_empty() {
             return self.store_upstream(ticket, spec, size, 0);
@@ -271,18 +281,18 @@
         self.pipelines.count += 1;
         let number = self.pipelines.count;
         let left = unknown.len();
-        let gathering = Gathering { ticket, spec, size, left, missing: false, failed: false };
-        self.pipelines.gathering.insert(number, gathering);
+        let lookups = Lookup { ticket, spec, size, left, missing: false, failed: false };
+        self.pipelines.lookups.insert(number, lookups);
         for id in unknown {
             let key = job::job_key(&id);
-            self.state(Op::Gather { number, job: id }, StateCall::Get(key));
+            self.state(Op::LookUp { number, job: id }, StateCall::Get(key));
         }
     }
 
-    pub(super) fn gathered(&mut self, number: u64, id: &str, reply: &StateReply) {
+    pub(super) fn lookup_reply(&mut self, number: u64, id: &str, reply: &StateReply) {
         let found = self.read_record(id, reply);
-        let known = self.known.contains_key(id);
-        let Some(g) = self.pipelines.gathering.get_mut(&number) else {
+        let known = self.cached_stages.contains_key(id);
+        let Some(g) = self.pipelines.lookups.get_mut(&number) else {
             return;
         };
         g.left = g.left.saturating_sub(1);
@@ -294,7 +304,7 @@
         if g.left > 0 {
             return;
         }
-        let Some(g) = self.pipelines.gathering.remove(&number) else {
+        let Some(g) = self.pipelines.lookups.remove(&number) else {
             return;
         };
         if g.failed {
@@ -409,7 +419,7 @@
     }
 
     /// Looks at own waiting jobs: which may go, and which are cancelled.
-    pub(super) fn tend_pipelines(&mut self) {
+    pub(super) fn maintain_pipelines(&mut self) {
         self.read_upstream();
         if !self.acting() || self.now < self.pipelines.look_at {
             return;
@@ -432,8 +442,12 @@
             }
             // Nothing known of what it needs is no reason to let it go.
             let noted = self.pipelines.needs.contains_key(&id);
-            match if noted { self.fate_of(&id) } else { Fate::Unknown(Vec::new()) } {
-                Fate::Free => {
+            match if noted {
+                self.upstream_outcome_of(&id)
+            } else {
+                UpstreamOutcome::Unknown(Vec::new())
+            } {
+                UpstreamOutcome::Free => {
                     info!("job {id} may start: all that it needs is done");
                     self.pipelines.waiting.remove(&id);
                     if let Some(job) = self.jobs.get_mut(&id) {
@@ -443,12 +457,12 @@
                     }
                     self.place_wanted = true;
                 }
-                Fate::Cancelled { .. } => self.cascade(&id),
-                Fate::Unknown(list) => self.note_unknown(list),
-                Fate::Waits => {}
+                UpstreamOutcome::Cancelled { .. } => self.cascade(&id),
+                UpstreamOutcome::Unknown(list) => self.note_unknown(list),
+                UpstreamOutcome::Waits => {}
             }
         }
-        self.press();
+        self.update_inherited_urgency();
     }
 
     /// Writes down that a waiting job is cancelled with one before it.
@@ -484,8 +498,9 @@
         match reply {
             StateReply::Applied(mark) => {
                 info!("job {id} cancelled with one that it needs");
-                let known = Known { stage: StoredStage::Cancelled, shard, tasks, mark: *mark };
-                self.note_known(id, known);
+                let known =
+                    CachedStage { stage: StoredStage::Cancelled, shard, tasks, mark: *mark };
+                self.cache_stage(id, known);
                 self.announce_cancelled(id, *mark);
                 self.job_cancelled(id);
             }
@@ -495,44 +510,44 @@
         }
     }
 
-    /// Works out how pressing the jobs are that own ones wait for, and tells it.
-    fn press(&mut self) {
-        let all = self.now >= self.pipelines.press_at;
+    /// Works out how urgent the jobs are that own ones wait for, and tells it.
+    fn update_inherited_urgency(&mut self) {
+        let all = self.now >= self.pipelines.urgency_at;
         if all {
-            self.pipelines.press_at = self.now + PRESS_EVERY;
+            self.pipelines.urgency_at = self.now + URGENCY_EVERY;
         }
-        let mut pressing: BTreeMap<String, (u32, Micros)> = BTreeMap::new();
+        let mut inherited_urgency: BTreeMap<String, (u32, Micros)> = BTreeMap::new();
         for job in self.pipelines.waiting.iter().filter_map(|id| self.jobs.get(id)) {
             let (rank, due) = (job.rank(), job.due());
             for id in job.upstream.iter() {
-                if self.known.get(id).is_some_and(|k| k.stage == StoredStage::Accepted) {
-                    let most = pressing.entry(id.clone()).or_insert((rank, due));
+                if self.cached_stages.get(id).is_some_and(|k| k.stage == StoredStage::Accepted) {
+                    let most = inherited_urgency.entry(id.clone()).or_insert((rank, due));
                     *most = (most.0.min(rank), most.1.min(due));
                 }
             }
         }
-        for (id, (rank, due)) in &pressing {
-            if all || self.pipelines.pressing.get(id) != Some(&(*rank, *due)) {
-                let news = Pressing { job: id.clone(), rank: *rank, due_us: due.0 };
+        for (id, (rank, due)) in &inherited_urgency {
+            if all || self.pipelines.inherited_urgency.get(id) != Some(&(*rank, *due)) {
+                let news = InheritedUrgency { job: id.clone(), rank: *rank, due_us: due.0 };
                 self.pipelines.news.push(news);
             }
-            self.hear_pressing(id, *rank, *due);
+            self.inherit_urgency(id, *rank, *due);
         }
-        self.pipelines.pressing = pressing;
+        self.pipelines.inherited_urgency = inherited_urgency;
     }
 
     /// A job is needed by one of this rank and deadline.
-    pub(super) fn hear_pressing(&mut self, id: &str, rank: u32, due: Micros) {
+    pub(super) fn inherit_urgency(&mut self, id: &str, rank: u32, due: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let (r, d) = job.pressing.unwrap_or((u32::MAX, Micros::FAR));
+        let (r, d) = job.inherited_urgency.unwrap_or((u32::MAX, Micros::FAR));
         let most = (r.min(rank), d.min(due));
-        if job.pressing != Some(most) {
-            job.pressing = Some(most);
+        if job.inherited_urgency != Some(most) {
+            job.inherited_urgency = Some(most);
             self.place_wanted = true;
             if self.pipelines.waiting.contains(id) {
-                // What it needs itself is as pressing.
+                // What it needs itself is as urgent.
                 self.pipelines.look_at = Micros::ZERO;
             }
         }
--- a/src/controller/shard_loading.rs
+++ b/src/controller/shard_loading.rs
@@ -1,7 +1,7 @@
 //! Reading the jobs of a shard after it was taken.
 
 use super::job::{self, Job, JobRecord, StoredStage};
-use super::{Controller, Known, Op, Watch};
+use super::{CachedStage, Controller, Op, Watch};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use log::{info, warn};
@@ -189,9 +189,9 @@
                 continue;
             };
             self.pipelines.note(&id, &record);
-            self.note_known(
+            self.cache_stage(
                 &id,
-                Known { stage: record.stage, shard: record.shard, tasks: record.tasks, mark },
+                CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, mark },
             );
             let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
                 warn!("stored tasks of job {id} cannot be read");
@@ -199,7 +199,7 @@
             };
             job.fit(self.part_size, self.larger);
             // What was said since its record was read came by the watch.
-            let stage = self.known.get(&id).map_or(record.stage, |k| k.stage);
+            let stage = self.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
             job.cancelled = stage == StoredStage::Cancelled;
             job.over = stage == StoredStage::Done;
             job.upstream = record.upstream.as_slice().into();
--- a/src/controller/known.rs
+++ b/src/controller/stage_cache.rs
@@ -5,11 +5,11 @@
 use crate::wire::JobStage;
 
 /// Jobs whose terminal state is remembered in memory; older ones are read again.
-const KNOWN_JOBS: usize = 40_000;
+const CACHED_JOBS: usize = 40_000;
 
 /// What is known of a job's stage from the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Known {
+pub(super) struct CachedStage {
     pub(super) stage: StoredStage,
     pub(super) shard: usize,
     pub(super) tasks: u32,
@@ -18,16 +18,16 @@
 }
 
 impl Controller {
-    pub(super) fn note_known(&mut self, job: &str, known: Known) {
-        match self.known.insert(job.to_string(), known) {
+    pub(super) fn cache_stage(&mut self, job: &str, known: CachedStage) {
+        match self.cached_stages.insert(job.to_string(), known) {
             // A stage that is final stays: an answer read earlier may come later.
             Some(old) if old.stage != StoredStage::Accepted => {
-                self.known.insert(job.to_string(), old);
+                self.cached_stages.insert(job.to_string(), old);
                 self.terminal_states.correct(job, known.mark);
                 return;
             }
             Some(_) => {}
-            None => self.known_order.push_back(job.to_string()),
+            None => self.cached_order.push_back(job.to_string()),
         }
         if known.stage != StoredStage::Accepted {
             self.terminal_states.add(self.now, job, known.mark);
@@ -36,9 +36,9 @@
         if known.stage == StoredStage::Cancelled {
             self.stop_on_machines(job);
         }
-        while self.known_order.len() > KNOWN_JOBS {
-            if let Some(old) = self.known_order.pop_front() {
-                self.known.remove(&old);
+        while self.cached_order.len() > CACHED_JOBS {
+            if let Some(old) = self.cached_order.pop_front() {
+                self.cached_stages.remove(&old);
                 self.progress.remove(&old);
             }
         }
--- a/src/controller/status_queries.rs
+++ b/src/controller/status_queries.rs
@@ -7,7 +7,7 @@
 //! that changes nothing and compares the versions of all their keys.
 
 use super::job::{self, StoredStage};
-use super::pipeline::Fate;
+use super::pipeline::UpstreamOutcome;
 use super::{Controller, Op, Ticket};
 use crate::config;
 use crate::state::{Bucket, CALL_SHARE, StateCall, StateReply};
@@ -95,12 +95,12 @@
 impl Controller {
     pub(super) fn poll(&mut self, ticket: Ticket, id: &str) {
         let now = self.now;
-        let known = self.known.get(id).copied();
+        let known = self.cached_stages.get(id).copied();
         if let Some(known) = known.filter(|k| k.stage != StoredStage::Accepted) {
             return self.tell(ticket, 200, id, known);
         }
         if let Some(known) = known
-            && self.fate_of(id) != Fate::Free
+            && self.upstream_outcome_of(id) != UpstreamOutcome::Free
         {
             return self.tell(ticket, 200, id, known);
         }
@@ -164,7 +164,7 @@
         };
         for (id, StatusQuery { mark, who: asked }) in jobs {
             // What is known by now may be newer than the comparison.
-            let known = self.known.get(&id).copied();
+            let known = self.cached_stages.get(&id).copied();
             match known {
                 Some(k) if k.stage == StoredStage::Accepted && !self.fresh(sent) => {
                     for (ticket, _) in asked {
@@ -212,7 +212,7 @@
                 }
             }
             // Accepted since the read.
-            Some(None) if self.known.contains_key(job) || !self.fresh(sent) => {
+            Some(None) if self.cached_stages.contains_key(job) || !self.fresh(sent) => {
                 tickets.into_iter().for_each(|t| self.later(t, 503, slow));
             }
             Some(None) => {
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -7,9 +7,9 @@
 //! so, once whatever it may have read before is too old for it to be told.
 
 use super::job::StoredStage;
-use super::pipeline::Fate;
+use super::pipeline::UpstreamOutcome;
 use super::status_queries::FRESH;
-use super::{Controller, Known, Ticket};
+use super::{CachedStage, Controller, Ticket};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
@@ -58,25 +58,25 @@
 impl Controller {
     /// Tells a user how a job stands: at once, unless the stage is final and a peer
     /// might still tell an older one.
-    pub(super) fn tell(&mut self, ticket: Ticket, status: u16, id: &str, known: Known) {
+    pub(super) fn tell(&mut self, ticket: Ticket, status: u16, id: &str, known: CachedStage) {
         if known.stage != StoredStage::Accepted && !self.terminal_states.settled(id) {
             self.terminal_states.waiting.push((ticket, id.to_string()));
             return;
         }
         if known.stage == StoredStage::Accepted {
-            match self.fate_of(id) {
-                Fate::Free => {}
-                Fate::Waits => return self.tell_waiting(ticket, status, id, known),
-                Fate::Unknown(list) => {
+            match self.upstream_outcome_of(id) {
+                UpstreamOutcome::Free => {}
+                UpstreamOutcome::Waits => return self.tell_waiting(ticket, status, id, known),
+                UpstreamOutcome::Unknown(list) => {
                     self.note_unknown(list);
                     return self.later(ticket, 503, "the jobs that it needs are being read");
                 }
-                Fate::Cancelled { settled: false } => {
+                UpstreamOutcome::Cancelled { settled: false } => {
                     self.terminal_states.waiting.push((ticket, id.to_string()));
                     return;
                 }
-                Fate::Cancelled { settled: true } => {
-                    let known = Known { stage: StoredStage::Cancelled, ..known };
+                UpstreamOutcome::Cancelled { settled: true } => {
+                    let known = CachedStage { stage: StoredStage::Cancelled, ..known };
                     let answer = self.job_answer(id, known);
                     return self.respond(ticket, status, None, &answer);
                 }
@@ -99,7 +99,7 @@
         let ready =
             self.terminal_states.waiting.extract_if(.., |(_, id)| !unsettled.contains_key(id));
         for (ticket, id) in ready.collect::<Vec<_>>() {
-            match self.known.get(&id).copied() {
+            match self.cached_stages.get(&id).copied() {
                 Some(known) => self.tell(ticket, 200, &id, known),
                 None => self.later(ticket, 503, "undecided"),
             }
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -2,7 +2,7 @@
 
 use super::job::{JobRecord, StoredStage};
 use super::shard;
-use super::{Controller, Known, Op, Watch};
+use super::{CachedStage, Controller, Op, Watch};
 use crate::state::StateCall;
 use crate::time::Micros;
 use crate::wire::{Change, Item};
@@ -101,9 +101,9 @@
                     return;
                 };
                 self.pipelines.note(id, &record);
-                self.note_known(
+                self.cache_stage(
                     id,
-                    Known {
+                    CachedStage {
                         stage: record.stage,
                         shard: record.shard,
                         tasks: record.tasks,
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -92,9 +92,9 @@
     pub save: bool,
 }
 
-/// A job that others need, and how pressing the most pressing of them is.
+/// A job that others need, and how urgent the most urgent of them is.
 #[derive(Clone, PartialEq, Message)]
-pub struct Pressing {
+pub struct InheritedUrgency {
     /// Job.
     #[prost(string, tag = "1")]
     pub job: String,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,8 +1,8 @@
 //! One message between controllers.
 
 use super::{
-    Demand, HeldShard, Hint, MachineView, Preempt, Pressing, Progress, QuotaNeed, ShardWants,
-    Strays,
+    Demand, HeldShard, Hint, InheritedUrgency, MachineView, Preempt, Progress, QuotaNeed,
+    ShardWants, Strays,
 };
 use prost::Message;
 
@@ -81,5 +81,5 @@
     pub watched: u64,
     /// Jobs that the sender's waiting jobs need.
     #[prost(message, repeated, tag = "23")]
-    pub pressing: Vec<Pressing>,
+    pub inherited_urgency: Vec<InheritedUrgency>,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -18,7 +18,7 @@
 mod views;
 mod wants;
 
-pub use demand::{Demand, Preempt, Pressing, Progress, QuotaNeed};
+pub use demand::{Demand, InheritedUrgency, Preempt, Progress, QuotaNeed};
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
 pub use frame::Frame;
 pub use shards::{HeldShard, Hint, Strays};
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 use millethold::controller::job::{
     self, Job, JobRecord, PartSize, StoredStage, decode_batch, encode_batch,
 };
-use millethold::peer::{self, Pressing};
+use millethold::peer::{self, InheritedUrgency};
 use millethold::time::Micros;
 use millethold::wire::{self, JobSpec};
 use prost::Message;
@@ -76,14 +76,14 @@
     let bytes = frame();
     let (mut read, used) = peer::read_frame(&bytes).expect("a frame").expect("all of it");
     assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
-    assert_eq!((read.cancelled.len(), read.views.len(), read.pressing.len()), (1, 1, 0));
+    assert_eq!((read.cancelled.len(), read.views.len(), read.inherited_urgency.len()), (1, 1, 0));
     let wants = read.wants[0].clone().read().expect("wants");
     assert_eq!((wants.shard, wants.seq, wants.machines[0].2[0].attempt), (1, 6, 2));
     let mut written = Vec::new();
     peer::write_frame(&mut written, &read);
     assert_eq!(written, bytes, "without pipelines it is the same");
     // What an older version does not know it skips, as this one does with later words.
-    read.pressing.push(Pressing { job: "j-000001".into(), rank: 1, due_us: 7 });
+    read.inherited_urgency.push(InheritedUrgency { job: "j-000001".into(), rank: 1, due_us: 7 });
     let mut later = read.encode_to_vec();
     // Field 200, a text of two bytes.
     later.extend([0xc2, 0x0c, 2, b'h', b'i']);
