--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -8,7 +8,7 @@
 //! worker answers it, and later each time, since a cut may be one-way.
 
 use super::{Controller, DirectReply, Effect, Op};
-use crate::peer::Strays;
+use crate::peer::MisdirectedReports;
 use crate::time::Micros;
 use log::info;
 use rand::seq::IteratorRandom;
@@ -94,12 +94,15 @@
 
 impl Controller {
     /// Machines of others' shards that report here, for those who own their shards.
-    pub(super) fn misdirected(&self) -> Vec<Strays> {
+    pub(super) fn misdirected(&self) -> Vec<MisdirectedReports> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for m in self.connectivity.misdirected.keys() {
             *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
         }
-        counts.into_iter().map(|(s, machines)| Strays { shard: s as u32, machines }).collect()
+        counts
+            .into_iter()
+            .map(|(s, machines)| MisdirectedReports { shard: s as u32, machines })
+            .collect()
     }
 
     /// Gives shards up while their machines cannot reach this node, and looks
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use super::estimate::Estimates;
 use super::job::{Job, Placement};
-use crate::peer::{Frame, Phase, Shape, WantedTask, Wants};
+use crate::peer::{DesiredTask, DesiredUpdate, Frame, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         }
         self.timers.reminder = self.now + REMIND;
         let wall = self.wall();
-        let unobserved = |p: &Placement| p.seen.is_none() && wall.since(p.at) > REMIND;
+        let unobserved = |p: &Placement| p.observed.is_none() && wall.since(p.at) > REMIND;
         let mut machines: Vec<(usize, Rc<str>)> = Vec::new();
         for job in self.jobs.values() {
             let placed = job.parts.iter().flat_map(|part| part.placed.values());
@@ -56,7 +56,7 @@
     }
 
     /// What a shard wants on a machine, by what is stored.
-    fn desired_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<WantedTask> {
+    fn desired_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<DesiredTask> {
         let Some(tasks) = self.by_machine.get(&(s, Rc::clone(machine))).cloned() else {
             return Vec::new();
         };
@@ -70,7 +70,7 @@
                 continue;
             };
             let stored = part.stored;
-            let wanted = |p: &Placement, phase: Phase| WantedTask {
+            let wanted = |p: &Placement, phase: Phase| DesiredTask {
                 shape: Rc::clone(&shape),
                 index,
                 attempt: p.attempt,
@@ -128,9 +128,10 @@
             let machines =
                 machines.iter().map(|m| (m.to_string(), 0, self.desired_on(s, m, seq))).collect();
             let terms: Vec<u64> = self.shards.iter().map(|s| s.term).collect();
-            let knows = terms.clone();
-            let desired = Wants { shard: s, term, seq, complete, machines, terms, knows };
-            frame.wants.push(desired.to_message());
+            let known_terms = terms.clone();
+            let desired =
+                DesiredUpdate { shard: s, term, seq, complete, machines, terms, known_terms };
+            frame.desired.push(desired.to_message());
             self.apply_desired_state(desired);
         }
     }
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -2,7 +2,7 @@
 //! which machine, and how much of that is known here.
 
 use super::{Controller, quota};
-use crate::peer::{Phase, WantedTask, Wants};
+use crate::peer::{DesiredTask, DesiredUpdate, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Desired state of a shard, as received.
@@ -14,7 +14,7 @@
     /// Newest message that named all machines; 0: none yet in this term.
     pub(super) complete: u64,
     /// Terms of all shards that its sender knew with the newest message.
-    pub(super) knows: Vec<u64>,
+    pub(super) known_terms: Vec<u64>,
     pub(super) machines: BTreeMap<String, DesiredOnMachine>,
     /// What the tasks use, by team.
     pub(super) usage: BTreeMap<String, quota::Amount>,
@@ -27,12 +27,12 @@
     pub(super) seq: u64,
     /// Term of the machine's shard that the sender knew.
     pub(super) known: u64,
-    pub(super) tasks: Vec<WantedTask>,
+    pub(super) tasks: Vec<DesiredTask>,
 }
 
 impl DesiredState {
     /// Adds tasks to the sums of what teams use, or takes them away.
-    pub(super) fn count(&mut self, tasks: &[WantedTask], sign: f64) {
+    pub(super) fn count(&mut self, tasks: &[DesiredTask], sign: f64) {
         for t in tasks.iter().filter(|t| t.phase() != Phase::Over) {
             let u = self.usage.entry(t.team.clone()).or_default();
             u[0] += sign * t.cpus;
@@ -43,7 +43,7 @@
 
 impl Controller {
     /// Takes in what a shard wants on machines.
-    pub(super) fn apply_desired_state(&mut self, message: Wants) {
+    pub(super) fn apply_desired_state(&mut self, message: DesiredUpdate) {
         let s = message.shard;
         if s >= self.desired.len() || message.term < self.shards[s].term {
             return;
@@ -69,7 +69,7 @@
             return;
         }
         current.seq = message.seq;
-        current.knows.clone_from(&message.knows);
+        current.known_terms.clone_from(&message.known_terms);
         let mut touched: BTreeSet<String> = BTreeSet::new();
         if message.complete {
             current.complete = message.seq;
@@ -83,8 +83,9 @@
             let old = current.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
             for t in &tasks {
                 // What was wanted before has been noted.
-                let there =
-                    |o: &WantedTask| o.attempt == t.attempt && o.index == t.index && o.job == t.job;
+                let there = |o: &DesiredTask| {
+                    o.attempt == t.attempt && o.index == t.index && o.job == t.job
+                };
                 if t.stop_ms.is_none() && !old.iter().any(there) {
                     self.images.note(now, &t.image, &machine, t.session);
                 }
@@ -126,8 +127,8 @@
         let term = self.shards[at].term;
         let complete = |s: usize| {
             let w = &self.desired[s];
-            let knows = w.knows.get(at).copied().unwrap_or(0);
-            w.complete > 0 && w.term == self.shards[s].term && knows >= term
+            let known_terms = w.known_terms.get(at).copied().unwrap_or(0);
+            w.complete > 0 && w.term == self.shards[s].term && known_terms >= term
         };
         match self.cached_stages.get(job) {
             Some(k) if k.shard < self.desired.len() => complete(k.shard),
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -4,7 +4,7 @@
 use super::fleet;
 use super::timers::{DEMAND_EVERY, HEARTBEAT_EVERY, MISSED_EVERY, PROGRESS_EVERY};
 use super::{Controller, Effect, Watch};
-use crate::peer::{self, Frame, Wants};
+use crate::peer::{self, DesiredUpdate, Frame};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -85,12 +85,12 @@
             info.well_since.get_or_insert(now);
         }
         if frame.has_demand {
-            let misdirected = frame.strays.iter().map(|s| (s.shard as usize, s.machines));
+            let misdirected = frame.misdirected.iter().map(|s| (s.shard as usize, s.machines));
             info.misdirected = misdirected.collect();
             info.demand = frame.demand;
             info.needs = frame.needs;
         }
-        for h in &frame.held {
+        for h in &frame.shard_claims {
             let Some(shard) = self.shards.get_mut(h.shard as usize) else {
                 continue;
             };
@@ -103,7 +103,7 @@
                 }
             }
         }
-        for w in frame.wants {
+        for w in frame.desired {
             match w.read() {
                 Some(w) => self.apply_desired_state(w),
                 None => log::warn!("desired tasks without a job from peer {from}"),
@@ -119,7 +119,7 @@
             // Answers that were read before the cancellation must not go out now.
             self.apply_peer_cancellation(&job);
         }
-        for machine in frame.gone {
+        for machine in frame.terminated {
             self.machine_terminated(&machine);
         }
         for p in frame.inherited_urgency {
@@ -155,7 +155,7 @@
             }
         }
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
-        frame.gone = std::mem::take(&mut self.changes.terminated);
+        frame.terminated = std::mem::take(&mut self.changes.terminated);
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
         frame.inherited_urgency = std::mem::take(&mut self.pipelines.news);
         if self.now >= self.timers.missed_frames {
@@ -174,7 +174,7 @@
                 frame.has_demand = true;
                 frame.demand = self.demand();
                 frame.needs = self.quota_needs();
-                frame.strays = self.misdirected();
+                frame.misdirected = self.misdirected();
             }
         }
         if idle && !beat && self.changes.peers_to_sync.is_empty() {
@@ -195,7 +195,7 @@
         if acting {
             for (n, shard) in self.shards.iter().enumerate() {
                 if let Some(m) = &shard.owned {
-                    frame.held.push(peer::HeldShard { shard: n as u32, term: m.term });
+                    frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
             if self.owned_term(fleet::RENTING_SHARD).is_some() {
@@ -230,7 +230,7 @@
     /// Everything that a peer must know which has received nothing so far.
     pub(super) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
-        frame.wants.clear();
+        frame.desired.clear();
         for shard in 0..self.shards.len() {
             let desired = &self.desired[shard];
             if !self.runs(shard)
@@ -240,7 +240,7 @@
                 continue;
             }
             let wanted = desired.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
-            let desired = Wants {
+            let desired = DesiredUpdate {
                 shard,
                 term: desired.term,
                 seq: desired.seq,
@@ -251,9 +251,9 @@
                     .map(|(name, m)| (name.clone(), m.known, m.tasks.clone()))
                     .collect(),
                 terms: Vec::new(),
-                knows: desired.knows.clone(),
+                known_terms: desired.known_terms.clone(),
             };
-            frame.wants.push(desired.to_message());
+            frame.desired.push(desired.to_message());
         }
         frame.views =
             self.managed_machines.keys().filter_map(|m| self.views.get(m)).cloned().collect();
@@ -272,7 +272,7 @@
                 address: v.address.clone(),
             })
             .collect();
-        frame.gone = self.terminated.iter().rev().take(500).cloned().collect();
+        frame.terminated = self.terminated.iter().rev().take(500).cloned().collect();
         frame
     }
 
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -13,7 +13,7 @@
 pub use part::{MAX_SPEC_BYTES, Part, PartSize, Placement};
 pub use stored::{StoredPlacement, decode_batch, encode_batch, stored_placements};
 
-use crate::peer::{Seen, Shape};
+use crate::peer::{ObservedState, Shape};
 use crate::time::Micros;
 use crate::wire::{JobSpec, Priority};
 use part::{PLACEMENT_BYTES, spec_bytes, stored_bytes};
@@ -162,7 +162,9 @@
 
     /// Tasks observed running.
     pub fn running(&self) -> u32 {
-        let runs = |p: &&Placement| matches!(p.seen, Some(Seen::Running | Seen::Saving));
+        let runs = |p: &&Placement| {
+            matches!(p.observed, Some(ObservedState::Running | ObservedState::Saving))
+        };
         self.parts.iter().map(|p| p.placed.values().filter(runs).count() as u32).sum()
     }
 
@@ -267,7 +269,7 @@
                 zone: zone.into(),
                 stop: None,
                 stop_seq: None,
-                seen: None,
+                observed: None,
                 running_since: None,
                 bytes,
             },
--- a/src/controller/job/part.rs
+++ b/src/controller/job/part.rs
@@ -1,7 +1,7 @@
 //! Parts of a job's tasks, and how many of them a value of the state service holds.
 
 use super::stored::split_name;
-use crate::peer::Seen;
+use crate::peer::ObservedState;
 use crate::time::Micros;
 use crate::wire::JobSpec;
 use std::collections::{BTreeMap, BTreeSet};
@@ -76,7 +76,7 @@
     /// Number of the desired-state message that asked for the stop.
     pub stop_seq: Option<u64>,
     /// Its state as last observed.
-    pub seen: Option<Seen>,
+    pub observed: Option<ObservedState>,
     /// Since when it runs.
     pub running_since: Option<Micros>,
     /// Bytes that it takes in the part's value at most.
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -218,7 +218,7 @@
                         zone: zone.into(),
                         stop: None,
                         stop_seq: None,
-                        seen: None,
+                        observed: None,
                         running_since: None,
                         bytes,
                     };
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use super::job::Job;
-use crate::peer::{MachineView, Preempt, Seen};
+use crate::peer::{MachineView, ObservedState, Preempt};
 use crate::time::Micros;
 use log::info;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
         let machine = Rc::clone(&p.machine);
         if self.terminated.contains(&*machine) {
             self.counts.lost += 1;
-            return self.end_task(id, index, Seen::Stopped);
+            return self.end_task(id, index, ObservedState::Stopped);
         }
         // A view of an earlier holder proves nothing any more: the present one
         // may begin what that one had refused.
@@ -64,7 +64,7 @@
         let ended = if view.over_through >= p.session || view.vanished || view.session > p.session {
             // Its session is surely over, and everything in it.
             self.counts.lost += 1;
-            Some(Seen::Stopped)
+            Some(ObservedState::Stopped)
         } else if !view.known || view.session != p.session {
             None
         } else {
@@ -72,13 +72,13 @@
                 .tasks
                 .iter()
                 .find(|t| t.attempt == p.attempt && t.index == index && t.job == id)
-                .map(|t| t.seen());
+                .map(|t| t.observed());
             match found {
-                Some(seen) if seen.over() => Some(seen),
-                Some(seen) => {
-                    if p.seen != Some(seen) {
-                        p.seen = Some(seen);
-                        if seen == Seen::Running && p.running_since.is_none() {
+                Some(observed) if observed.over() => Some(observed),
+                Some(observed) => {
+                    if p.observed != Some(observed) {
+                        p.observed = Some(observed);
+                        if observed == ObservedState::Running && p.running_since.is_none() {
                             let took = wall.since(p.at);
                             let began = if p.restored { now.since(took) } else { now };
                             p.running_since = Some(began);
@@ -94,16 +94,16 @@
                 // learnt that the task is not wanted: until then it may be
                 // about to send the start.
                 None => {
-                    let heard = view.heard.iter().find(|h| h.shard as usize == s);
+                    let applied = view.applied.iter().find(|h| h.shard as usize == s);
                     let stopped = p
                         .stop_seq
-                        .is_some_and(|q| heard.is_some_and(|h| h.term == term && h.seq >= q));
-                    stopped.then_some(Seen::Stopped)
+                        .is_some_and(|q| applied.is_some_and(|h| h.term == term && h.seq >= q));
+                    stopped.then_some(ObservedState::Stopped)
                 }
             }
         };
         match ended {
-            Some(seen) => self.end_task(id, index, seen),
+            Some(observed) => self.end_task(id, index, observed),
             None => self.handle_spot_notice(id, index),
         }
     }
@@ -239,18 +239,18 @@
         self.place_wanted = true;
     }
 
-    fn end_task(&mut self, id: &str, index: u32, seen: Seen) {
+    fn end_task(&mut self, id: &str, index: u32, observed: ObservedState) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(p) = job.end(index, seen == Seen::Done) else {
+        let Some(p) = job.end(index, observed == ObservedState::Done) else {
             return;
         };
-        log::debug!("task {id}/{index} ended on {}: {seen:?}", p.machine);
+        log::debug!("task {id}/{index} ended on {}: {observed:?}", p.machine);
         let machine = Rc::clone(&p.machine);
-        match seen {
-            Seen::Done => {
+        match observed {
+            ObservedState::Done => {
                 job.note_success();
                 if let Some(at) = p.running_since {
                     let ran = now.since(at);
@@ -261,12 +261,12 @@
                     job.note_run(ran);
                 }
             }
-            Seen::Failed => {
+            ObservedState::Failed => {
                 self.counts.failed += 1;
                 info!("task {id}/{index} failed on {}", p.machine);
                 job.note_failure(now, &p.machine);
             }
-            Seen::Refused => {
+            ObservedState::Refused => {
                 job.refused += 1;
                 if job.refused >= REFUSED_IN_A_ROW {
                     job.not_before = job.not_before.max(now + Micros::millis(100));
@@ -318,7 +318,12 @@
         for t in &view.tasks {
             // What was there already has been noted.
             let there = old.is_some_and(|old| old.tasks.contains(t));
-            if !there && matches!(t.seen(), Seen::Running | Seen::Saving | Seen::Done) {
+            if !there
+                && matches!(
+                    t.observed(),
+                    ObservedState::Running | ObservedState::Saving | ObservedState::Done
+                )
+            {
                 let image = self
                     .desired
                     .iter()
--- a/src/controller/machine.rs
+++ b/src/controller/machine.rs
@@ -1,7 +1,7 @@
 //! What a machine's shard knows of it: its reports, what was sent, what may
 //! still be under way.
 
-use crate::peer::{Phase, Seen, SeenTask, WantedTask};
+use crate::peer::{DesiredTask, ObservedState, ObservedTask, Phase};
 use crate::time::Micros;
 use crate::wire::{Cause, Command, Report, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,12 +20,12 @@
 
 impl Key {
     /// The attempt that a shard wants.
-    pub fn of(w: &WantedTask) -> Key {
+    pub fn of(w: &DesiredTask) -> Key {
         Key { job: w.job.clone(), index: w.index, attempt: w.attempt }
     }
 
     /// Whether a shard wants this very attempt.
-    pub fn names(&self, w: &WantedTask) -> bool {
+    pub fn names(&self, w: &DesiredTask) -> bool {
         self.attempt == w.attempt && self.index == w.index && self.job == w.job
     }
 
@@ -87,7 +87,7 @@
     /// When a report last arrived.
     pub last_report: Option<Micros>,
     /// Tasks in the newest report.
-    pub tasks: BTreeMap<Key, Seen>,
+    pub tasks: BTreeMap<Key, ObservedState>,
     /// Starts that were sent and not reported yet.
     pub sent: BTreeMap<Key, Sent>,
     /// Attempts in reports that a direct command without an answer may still
@@ -187,11 +187,11 @@
                 log::warn!("{} reports a task of unknown form", report.machine);
                 continue;
             };
-            let seen = seen(t.state, t.cause);
+            let observed = observed(t.state, t.cause);
             if self.tasks.get(&key).is_none_or(|old| !old.over()) {
-                match seen {
-                    Seen::Done => outcomes.push(Outcome::Done(key.clone())),
-                    Seen::Failed if t.cause != Some(Cause::Unknown) => {
+                match observed {
+                    ObservedState::Done => outcomes.push(Outcome::Done(key.clone())),
+                    ObservedState::Failed if t.cause != Some(Cause::Unknown) => {
                         outcomes.push(Outcome::Failed(key.clone()))
                     }
                     _ => {}
@@ -206,7 +206,7 @@
             }
             self.refused.remove(&key);
             self.waiting.remove(&key);
-            tasks.insert(key, seen);
+            tasks.insert(key, observed);
         }
         self.tasks = tasks;
         self.late.retain(|k| self.tasks.contains_key(k));
@@ -266,17 +266,17 @@
     }
 
     /// Tasks for the view.
-    pub fn observed_tasks(&self) -> Vec<SeenTask> {
-        let seen = |k: &Key, s: Seen| SeenTask {
+    pub fn observed_tasks(&self) -> Vec<ObservedTask> {
+        let observed = |k: &Key, s: ObservedState| ObservedTask {
             job: k.job.clone(),
             index: k.index,
             attempt: k.attempt,
-            seen: s as i32,
+            observed: s as i32,
         };
-        let mut list: Vec<SeenTask> = self.tasks.iter().map(|(k, s)| seen(k, *s)).collect();
-        list.extend(self.sent.keys().map(|k| seen(k, Seen::Sent)));
-        list.extend(self.waiting.iter().map(|k| seen(k, Seen::Waiting)));
-        list.extend(self.refused.iter().map(|k| seen(k, Seen::Refused)));
+        let mut list: Vec<ObservedTask> = self.tasks.iter().map(|(k, s)| observed(k, *s)).collect();
+        list.extend(self.sent.keys().map(|k| observed(k, ObservedState::Sent)));
+        list.extend(self.waiting.iter().map(|k| observed(k, ObservedState::Waiting)));
+        list.extend(self.refused.iter().map(|k| observed(k, ObservedState::Refused)));
         list
     }
 
@@ -294,15 +294,15 @@
     }
 }
 
-fn seen(state: TaskState, cause: Option<Cause>) -> Seen {
+fn observed(state: TaskState, cause: Option<Cause>) -> ObservedState {
     match (state, cause) {
-        (TaskState::Fetching, _) => Seen::Fetching,
-        (TaskState::Running, _) => Seen::Running,
-        (TaskState::Saving, _) => Seen::Saving,
-        (TaskState::Exited, Some(Cause::Done)) => Seen::Done,
-        (TaskState::Exited, Some(Cause::Stopped)) => Seen::Stopped,
-        (TaskState::Exited, Some(Cause::NoRoom | Cause::Busy)) => Seen::Refused,
-        (TaskState::Exited, _) => Seen::Failed,
+        (TaskState::Fetching, _) => ObservedState::Fetching,
+        (TaskState::Running, _) => ObservedState::Running,
+        (TaskState::Saving, _) => ObservedState::Saving,
+        (TaskState::Exited, Some(Cause::Done)) => ObservedState::Done,
+        (TaskState::Exited, Some(Cause::Stopped)) => ObservedState::Stopped,
+        (TaskState::Exited, Some(Cause::NoRoom | Cause::Busy)) => ObservedState::Refused,
+        (TaskState::Exited, _) => ObservedState::Failed,
     }
 }
 
@@ -313,7 +313,7 @@
 /// remembers. What an earlier holder had refused its owner may have given up
 /// and begun elsewhere: the desired state must have been told knowing of this term, for
 /// then they say so.
-pub fn may_start(task: &WantedTask, known: u64, term: u64) -> bool {
+pub fn may_start(task: &DesiredTask, known: u64, term: u64) -> bool {
     task.phase() == Phase::Wanted && task.stop_ms.is_none() && known >= term
 }
 
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -6,7 +6,7 @@
 use super::machine_reports::MAX_NAME;
 use super::quota::EPS;
 use super::{Controller, DirectReply, Effect, Op};
-use crate::peer::{Hint, Seen, WantedTask};
+use crate::peer::{DesiredTask, Hint, ObservedState};
 use crate::time::Micros;
 use crate::wire::{Command, DirectCommands, Report};
 use log::{debug, info};
@@ -41,7 +41,8 @@
         let is_wanted = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
         let known = &self.cached_stages;
         let cancelled = |k: &str| known.get(k).is_some_and(|k| k.stage == StoredStage::Cancelled);
-        let here = managed.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| &k.job);
+        let here =
+            managed.tasks.iter().filter(|(_, observed)| !observed.over()).map(|(k, _)| &k.job);
         let unknown: Vec<String> = here.filter(|j| !known.contains_key(*j)).cloned().collect();
         let unwanted: BTreeSet<Key> = managed
             .tasks
@@ -53,9 +54,9 @@
             .cloned()
             .collect();
         let size = self.types.get(&managed.machine_type).map(|t| [t.cpus, t.gpus, t.memory_gb]);
-        let mut wanted: Vec<(&WantedTask, bool)> = Vec::new();
+        let mut wanted: Vec<(&DesiredTask, bool)> = Vec::new();
         for m in self.desired.iter().filter_map(|w| w.machines.get(machine)) {
-            let may = |t: &WantedTask| machine::may_start(t, m.known, term) && !cancelled(&t.job);
+            let may = |t: &DesiredTask| machine::may_start(t, m.known, term) && !cancelled(&t.job);
             wanted.extend(m.tasks.iter().map(|t| (t, may(t))));
         }
         let find = |k: &Key| wanted.iter().find(|(w, _)| k.names(w)).copied();
@@ -63,21 +64,21 @@
             return Vec::new();
         };
         let mut commands = Vec::new();
-        for (key, seen) in &managed.tasks {
+        for (key, observed) in &managed.tasks {
             match find(key).map(|(w, _)| w) {
                 Some(w) => {
                     // Its owner may be disconnected, or not know yet.
                     let stop_ms = if cancelled(&key.job) { Some(0) } else { w.stop_ms };
                     if let Some(ms) = stop_ms
-                        && !seen.over()
-                        && (*seen != Seen::Saving || ms == 0)
+                        && !observed.over()
+                        && (*observed != ObservedState::Saving || ms == 0)
                         && (way == Way::Answer || managed.stops_sent.insert(key.clone()))
                     {
                         commands.push(machine::stop(key, Micros::millis(ms)));
                     }
                 }
                 None if unwanted.contains(key) => {
-                    if seen.over() {
+                    if observed.over() {
                         // A start of it that may still arrive would run it anew.
                         if way == Way::Answer && !managed.late.contains(key) {
                             commands.push(machine::forget(key));
@@ -88,7 +89,7 @@
                     }
                 }
                 None if cancelled(&key.job)
-                    && !seen.over()
+                    && !observed.over()
                     && (way == Way::Answer || managed.stops_sent.insert(key.clone())) =>
                 {
                     commands.push(machine::stop(key, Micros::ZERO));
@@ -105,11 +106,11 @@
         managed.refused.retain(|key| !unwanted.contains(key));
         managed.waiting.retain(|key| !dropped(key));
 
-        let amount = |w: &WantedTask| [w.cpus, w.gpus, w.memory_gb];
+        let amount = |w: &DesiredTask| [w.cpus, w.gpus, w.memory_gb];
         let mut free = size.unwrap_or_default();
         let mut freeing = false;
         let mut strange = size.is_none();
-        let present = managed.tasks.iter().filter(|(_, seen)| !seen.over()).map(|(k, _)| k);
+        let present = managed.tasks.iter().filter(|(_, observed)| !observed.over()).map(|(k, _)| k);
         for key in present.chain(managed.sent.keys()) {
             match find(key).map(|(w, _)| w) {
                 Some(w) => {
@@ -122,7 +123,7 @@
                 None => strange = true,
             }
         }
-        let mut starts: Vec<(Key, &WantedTask)> = wanted
+        let mut starts: Vec<(Key, &DesiredTask)> = wanted
             .iter()
             .filter(|(w, startable)| *startable && w.session == managed.session)
             .map(|(w, _)| (Key::of(w), *w))
--- a/src/controller/machine_views.rs
+++ b/src/controller/machine_views.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use super::machine_reports::FAILING_FOR;
-use crate::peer::{Frame, Heard, MachineView};
+use crate::peer::{AppliedUpdate, Frame, MachineView};
 use crate::time::Micros;
 use log::{info, warn};
 
@@ -109,12 +109,12 @@
             warn!("machine {machine} fails what it starts; set aside");
         }
         let faulty = managed.failing_since.is_some_and(|at| now.since(at) > FAILING_FOR);
-        let heard = self
+        let applied = self
             .desired
             .iter()
             .enumerate()
             .filter(|(_, w)| w.complete > 0)
-            .map(|(n, w)| Heard {
+            .map(|(n, w)| AppliedUpdate {
                 shard: n as u32,
                 term: w.term,
                 seq: w.machines.get(machine).map_or(0, |m| m.seq).max(w.complete),
@@ -135,7 +135,7 @@
             notice_ms: managed.reclaimed_at.map(|at| at.since(self.now).as_millis()),
             healthy: fresh && !failing_tasks && !managed.unresponsive,
             tasks: managed.observed_tasks(),
-            heard,
+            applied,
             faulty,
         }
     }
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -156,7 +156,7 @@
             return UpstreamOutcome::Free;
         }
         let mut todo: Vec<&String> = needs.iter().collect();
-        let mut seen: BTreeSet<&String> = todo.iter().copied().collect();
+        let mut observed: BTreeSet<&String> = todo.iter().copied().collect();
         let (mut unknown, mut cancelled, mut partly) = (Vec::new(), false, false);
         while let Some(id) = todo.pop() {
             match stage(id) {
@@ -169,7 +169,7 @@
                 Some(StoredStage::Accepted) => {
                     partly |= self.pipelines.partly.contains_key(id);
                     let before = self.pipelines.needs.get(id).into_iter().flat_map(|n| n.iter());
-                    todo.extend(before.filter(|id| seen.insert(id)));
+                    todo.extend(before.filter(|id| observed.insert(id)));
                 }
             }
         }
@@ -192,11 +192,11 @@
     /// Unfinished jobs before one, with the versions of their keys.
     fn unfinished_before(&self, id: &str) -> Vec<(String, u64)> {
         let mut list: Vec<(String, u64)> = Vec::new();
-        let mut seen: BTreeSet<&str> = BTreeSet::new();
+        let mut observed: BTreeSet<&str> = BTreeSet::new();
         let mut todo: Vec<&str> = vec![id];
         while let Some(id) = todo.pop() {
             let needs = self.pipelines.needs.get(id).into_iter().flat_map(|n| n.iter());
-            for n in needs.filter(|n| seen.insert(n)) {
+            for n in needs.filter(|n| observed.insert(n)) {
                 if let Some(k) =
                     self.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
                 {
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -110,7 +110,7 @@
         let mut slot = Slot::new(Rc::from(name), v.session, foreign, size);
         let over = |job: &str, index: u32, attempt: u64| {
             v.tasks.iter().any(|t| {
-                t.attempt == attempt && t.index == index && t.job == job && t.seen().over()
+                t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
             })
         };
         for (s, w) in self.desired.iter().enumerate() {
@@ -169,7 +169,7 @@
         }
         // Tasks that nobody is known to want take room of unknown size.
         let strange = v.tasks.iter().any(|t| {
-            !t.seen().over()
+            !t.observed().over()
                 && !slot
                     .tasks
                     .iter()
@@ -296,7 +296,7 @@
     /// once, took nearly all of the memory at every node.
     pub(super) fn count_unobserved(&mut self) {
         let placed = self.jobs.values().flat_map(|j| &j.parts).flat_map(|p| p.placed.values());
-        self.unobserved = placed.filter(|p| p.seen.is_none() && p.stop.is_none()).count();
+        self.unobserved = placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
     }
 
     /// The more urgent, the more: an array of low tasks that fills its part of the
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -2,7 +2,7 @@
 
 use super::quota::{self, EPS, Need};
 use super::{Controller, Op, shard};
-use crate::peer::{Phase, Preempt, QuotaNeed, WantedTask};
+use crate::peer::{DesiredTask, Phase, Preempt, QuotaNeed};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
@@ -152,7 +152,7 @@
         let mut victims: Vec<(f64, Preempt, f64)> = Vec::new();
         for (n, w) in self.desired.iter().enumerate() {
             for m in w.machines.values() {
-                let counts = |t: &&WantedTask| t.team == team && t.phase() != Phase::Over;
+                let counts = |t: &&DesiredTask| t.team == team && t.phase() != Phase::Over;
                 for t in m.tasks.iter().filter(counts) {
                     if t.stop_ms.is_some() {
                         coming += t.cpus;
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -154,7 +154,7 @@
                 give.push(name.clone());
                 continue;
             }
-            let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.seen().over()))
+            let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.observed().over()))
                 || self
                     .slots
                     .id(name)
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -5,7 +5,7 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// What the tasks of a job have in common, as wants tell it.
+/// What the tasks of a job have in common, as the desired state tells it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Shape {
     /// Job.
@@ -43,7 +43,7 @@
 /// A task that a shard wants on a machine, or wants stopped there, as it is sent:
 /// an array of thousands would repeat its job's description in each.
 #[derive(Clone, PartialEq, Message)]
-pub struct TaskWant {
+pub struct DesiredTaskMessage {
     /// Place of its job among the message's shapes.
     #[prost(uint32, tag = "1")]
     pub shape: u32,
@@ -68,10 +68,10 @@
     pub phase: i32,
 }
 
-impl TaskWant {
+impl DesiredTaskMessage {
     /// As it is kept; `None` if it names no job.
-    fn read(self, shapes: &[Rc<Shape>]) -> Option<WantedTask> {
-        Some(WantedTask {
+    fn read(self, shapes: &[Rc<Shape>]) -> Option<DesiredTask> {
+        Some(DesiredTask {
             shape: Rc::clone(shapes.get(self.shape as usize)?),
             index: self.index,
             attempt: self.attempt,
@@ -98,22 +98,22 @@
 
 /// All that a shard wants on one machine.
 #[derive(Clone, PartialEq, Message)]
-pub struct MachineWants {
+pub struct MachineDesiredMessage {
     /// Machine.
     #[prost(string, tag = "1")]
     pub machine: String,
     /// The tasks.
     #[prost(message, repeated, tag = "2")]
-    pub tasks: Vec<TaskWant>,
-    /// Term of the machine's shard that these wants have taken into account, where
+    pub tasks: Vec<DesiredTaskMessage>,
+    /// Term of the machine's shard that this desired state has taken into account, where
     /// they are repeated; 0: as the message says.
     #[prost(uint64, tag = "3")]
     pub known: u64,
 }
 
-/// A shard's wants: of some machines, or of all.
+/// A shard's desired state: of some machines, or of all.
 #[derive(Clone, PartialEq, Message)]
-pub struct ShardWants {
+pub struct DesiredStateMessage {
     /// Shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
@@ -123,12 +123,12 @@
     /// Order within the term.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// True: machines that are not named have no wants of this shard.
+    /// True: machines that are not named have no desired tasks of this shard.
     #[prost(bool, tag = "4")]
     pub complete: bool,
     /// The machines.
     #[prost(message, repeated, tag = "5")]
-    pub machines: Vec<MachineWants>,
+    pub machines: Vec<MachineDesiredMessage>,
     /// Terms of all shards, by number, as the sender knew them. What it had
     /// concluded from views under earlier terms is in the message, so a
     /// machine's shard starts nothing of it under a later term than the named.
@@ -141,51 +141,51 @@
     /// change that is in it. Only from one who knows the term of a machine's shard
     /// does it follow that a task which is not named is not wanted there.
     #[prost(uint64, repeated, tag = "9")]
-    pub knows: Vec<u64>,
+    pub known_terms: Vec<u64>,
 }
 
-impl ShardWants {
+impl DesiredStateMessage {
     /// As it is kept; `None` if a task names no job.
-    pub fn read(self) -> Option<Wants> {
+    pub fn read(self) -> Option<DesiredUpdate> {
         let shapes: Vec<Rc<Shape>> = self.shapes.into_iter().map(Rc::new).collect();
         let mut machines = Vec::with_capacity(self.machines.len());
-        for wants in self.machines {
-            let tasks: Option<Vec<WantedTask>> =
-                wants.tasks.into_iter().map(|task| task.read(&shapes)).collect();
-            machines.push((wants.machine, wants.known, tasks?));
+        for desired in self.machines {
+            let tasks: Option<Vec<DesiredTask>> =
+                desired.tasks.into_iter().map(|task| task.read(&shapes)).collect();
+            machines.push((desired.machine, desired.known, tasks?));
         }
-        Some(Wants {
+        Some(DesiredUpdate {
             shard: self.shard as usize,
             term: self.term,
             seq: self.seq,
             complete: self.complete,
             machines,
             terms: self.terms,
-            knows: self.knows,
+            known_terms: self.known_terms,
         })
     }
 }
 
 /// A task that a shard wants on a machine, as it is kept.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WantedTask {
+pub struct DesiredTask {
     /// Its job.
     pub shape: Rc<Shape>,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub index: u32,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub attempt: u64,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub session: u64,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub stop_ms: Option<u64>,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub placed_s: u64,
-    /// See [`TaskWant`].
+    /// See [`DesiredTaskMessage`].
     pub phase: i32,
 }
 
-impl Deref for WantedTask {
+impl Deref for DesiredTask {
     type Target = Shape;
 
     fn deref(&self) -> &Shape {
@@ -193,15 +193,15 @@
     }
 }
 
-impl WantedTask {
+impl DesiredTask {
     /// How far it is, by its owner.
     pub fn phase(&self) -> Phase {
         Phase::try_from(self.phase).unwrap_or(Phase::Ahead)
     }
 
     /// As it is sent; `shape` is the place of its job among the message's shapes.
-    fn to_message(&self, shape: u32) -> TaskWant {
-        TaskWant {
+    fn to_message(&self, shape: u32) -> DesiredTaskMessage {
+        DesiredTaskMessage {
             shape,
             index: self.index,
             attempt: self.attempt,
@@ -213,45 +213,45 @@
     }
 }
 
-/// Wants of a shard, as they are kept: see [`ShardWants`].
+/// Wants of a shard, as they are kept: see [`DesiredStateMessage`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wants {
+pub struct DesiredUpdate {
     /// Shard.
     pub shard: usize,
     /// Term under which it asks.
     pub term: u64,
     /// Order within the term.
     pub seq: u64,
-    /// Machines that are not named have no wants of this shard.
+    /// Machines that are not named have no desired tasks of this shard.
     pub complete: bool,
     /// Machine, term of its shard that was taken into account (0: as `terms`
     /// says), tasks.
-    pub machines: Vec<(String, u64, Vec<WantedTask>)>,
+    pub machines: Vec<(String, u64, Vec<DesiredTask>)>,
     /// Terms of all shards, as the sender knew them.
     pub terms: Vec<u64>,
-    /// See [`ShardWants`].
-    pub knows: Vec<u64>,
+    /// See [`DesiredStateMessage`].
+    pub known_terms: Vec<u64>,
 }
 
-impl Wants {
+impl DesiredUpdate {
     /// As it is sent.
-    pub fn to_message(&self) -> ShardWants {
+    pub fn to_message(&self) -> DesiredStateMessage {
         let mut shapes: Vec<Shape> = Vec::new();
         let mut places: BTreeMap<*const Shape, u32> = BTreeMap::new();
         let mut machines = Vec::with_capacity(self.machines.len());
         for (machine, known, tasks) in &self.machines {
-            let mut wants = Vec::with_capacity(tasks.len());
+            let mut desired = Vec::with_capacity(tasks.len());
             for task in tasks {
                 let shape = *places.entry(Rc::as_ptr(&task.shape)).or_insert_with(|| {
                     shapes.push((*task.shape).clone());
                     shapes.len() as u32 - 1
                 });
-                wants.push(task.to_message(shape));
+                desired.push(task.to_message(shape));
             }
             let machine = machine.clone();
-            machines.push(MachineWants { machine, tasks: wants, known: *known });
+            machines.push(MachineDesiredMessage { machine, tasks: desired, known: *known });
         }
-        ShardWants {
+        DesiredStateMessage {
             shard: self.shard as u32,
             term: self.term,
             seq: self.seq,
@@ -259,7 +259,7 @@
             machines,
             terms: self.terms.clone(),
             shapes,
-            knows: self.knows.clone(),
+            known_terms: self.known_terms.clone(),
         }
     }
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,8 +1,8 @@
 //! One message between controllers.
 
 use super::{
-    Demand, HeldShard, Hint, InheritedUrgency, MachineView, Preempt, Progress, QuotaNeed,
-    ShardWants, Strays,
+    Demand, DesiredStateMessage, Hint, InheritedUrgency, MachineView, MisdirectedReports, Preempt,
+    Progress, QuotaNeed, ShardClaim,
 };
 use prost::Message;
 
@@ -17,13 +17,13 @@
     pub run: u64,
     /// Shards that the sender holds at present, as far as it may act.
     #[prost(message, repeated, tag = "3")]
-    pub held: Vec<HeldShard>,
+    pub shard_claims: Vec<ShardClaim>,
     /// The sender's state lease is valid.
     #[prost(bool, tag = "4")]
     pub state_ok: bool,
     /// Wants.
     #[prost(message, repeated, tag = "5")]
-    pub wants: Vec<ShardWants>,
+    pub desired: Vec<DesiredStateMessage>,
     /// Machines.
     #[prost(message, repeated, tag = "6")]
     pub views: Vec<MachineView>,
@@ -40,12 +40,12 @@
     #[prost(message, repeated, tag = "10")]
     pub needs: Vec<QuotaNeed>,
     /// Jobs whose cancellation the sender has confirmed, told again until all
-    /// have heard of them.
+    /// know of them.
     #[prost(string, repeated, tag = "11")]
     pub cancelled: Vec<String>,
     /// Machines that the renting shard knows to be gone.
     #[prost(string, repeated, tag = "12")]
-    pub gone: Vec<String>,
+    pub terminated: Vec<String>,
     /// Machines that the renting shard is about to return; all of them.
     #[prost(string, repeated, tag = "13")]
     pub draining: Vec<String>,
@@ -61,7 +61,7 @@
     pub hints: Vec<Hint>,
     /// Machines of others' shards that report to the sender; taken with `demand`.
     #[prost(message, repeated, tag = "17")]
-    pub strays: Vec<Strays>,
+    pub misdirected: Vec<MisdirectedReports>,
     /// The sender and its workers are out of each other's reach: it gives its
     /// shards up and is to be given none.
     #[prost(bool, tag = "18")]
@@ -76,7 +76,7 @@
     /// It tells everything: what was missed before does not matter any more.
     #[prost(bool, tag = "21")]
     pub full: bool,
-    /// Revision of the state service up to which the sender has heard of jobs.
+    /// Revision of the state service up to which the sender has followed the jobs.
     #[prost(uint64, tag = "22")]
     pub watched: u64,
     /// Jobs that the sender's waiting jobs need.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,22 +5,25 @@
 //! known by their numbers, and all is asked for anew.
 //!
 //! - `frame`: one message, with all that it may hold;
-//! - `wants`: what a shard wants on machines, its desired state;
+//! - `desired_state`: what a shard wants on machines, its desired state;
 //! - `views`: how machines and their tasks stand, the observed state;
 //! - `demand`: what waits, and what it lacks;
-//! - `shards`: who holds what, and who reported to whom;
+//! - `shards`: who owns what, and who reported to whom;
 //! - `encoding`: the bytes on a connection.
 
 mod demand;
+mod desired_state;
 mod encoding;
 mod frame;
 mod shards;
 mod views;
-mod wants;
 
 pub use demand::{Demand, InheritedUrgency, Preempt, Progress, QuotaNeed};
+pub use desired_state::{
+    DesiredStateMessage, DesiredTask, DesiredTaskMessage, DesiredUpdate, MachineDesiredMessage,
+    Phase, Shape,
+};
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
 pub use frame::Frame;
-pub use shards::{HeldShard, Hint, Strays};
-pub use views::{Heard, MachineView, Seen, SeenTask};
-pub use wants::{MachineWants, Phase, Shape, ShardWants, TaskWant, WantedTask, Wants};
+pub use shards::{Hint, MisdirectedReports, ShardClaim};
+pub use views::{AppliedUpdate, MachineView, ObservedState, ObservedTask};
--- a/src/peer/shards.rs
+++ b/src/peer/shards.rs
@@ -4,7 +4,7 @@
 
 /// A shard as its holder sees it.
 #[derive(Clone, PartialEq, Message)]
-pub struct HeldShard {
+pub struct ShardClaim {
     /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
@@ -14,7 +14,7 @@
 }
 
 /// Where a machine was last known to be, for a controller that may take its
-/// shard without having heard of it.
+/// shard without having known of it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hint {
     /// Machine.
@@ -31,7 +31,7 @@
 /// Machines of somebody else's shard that reported to the sender lately: their
 /// holder does not answer them.
 #[derive(Clone, PartialEq, Message)]
-pub struct Strays {
+pub struct MisdirectedReports {
     /// Shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -4,7 +4,7 @@
 
 /// A task on a machine, as the machine's shard knows it.
 #[derive(Clone, PartialEq, Message)]
-pub struct SeenTask {
+pub struct ObservedTask {
     /// Job.
     #[prost(string, tag = "1")]
     pub job: String,
@@ -14,16 +14,16 @@
     /// Attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// See [`Seen`]; a word of a later version reads as the first one, from
+    /// See [`ObservedState`]; a word of a later version reads as the first one, from
     /// which nothing is concluded.
-    #[prost(enumeration = "Seen", tag = "4")]
-    pub seen: i32,
+    #[prost(enumeration = "ObservedState", tag = "4")]
+    pub observed: i32,
 }
 
 /// How a task stands on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Seen {
+pub enum ObservedState {
     /// A start may be on its way.
     Sent = 0,
     /// Waits for its image.
@@ -44,16 +44,22 @@
     Waiting = 8,
 }
 
-impl Seen {
+impl ObservedState {
     /// Over on this machine.
     pub fn over(self) -> bool {
-        matches!(self, Seen::Done | Seen::Stopped | Seen::Failed | Seen::Refused)
+        matches!(
+            self,
+            ObservedState::Done
+                | ObservedState::Stopped
+                | ObservedState::Failed
+                | ObservedState::Refused
+        )
     }
 }
 
-/// Which wants of a shard the machine's shard acts on.
+/// Which desired state of a shard the machine's shard acts on.
 #[derive(Clone, PartialEq, Message)]
-pub struct Heard {
+pub struct AppliedUpdate {
     /// The asking shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
@@ -109,10 +115,10 @@
     pub healthy: bool,
     /// Its tasks.
     #[prost(message, repeated, tag = "14")]
-    pub tasks: Vec<SeenTask>,
+    pub tasks: Vec<ObservedTask>,
     /// Wants that this view takes into account.
     #[prost(message, repeated, tag = "15")]
-    pub heard: Vec<Heard>,
+    pub applied: Vec<AppliedUpdate>,
     /// Fails what it starts; its shard wants it returned.
     #[prost(bool, tag = "16")]
     pub faulty: bool,
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -178,8 +178,8 @@
     /// Sends a frame to a peer, after those that were sent before.
     fn send_frame(&mut self, node: usize, to: usize, frame: &Frame, at: Micros) {
         self.told += frame.views.len() as u64;
-        self.told += frame.wants.iter().map(|w| w.machines.len() as u64).sum::<u64>();
-        let machines = frame.wants.iter().flat_map(|w| &w.machines);
+        self.told += frame.desired.iter().map(|w| w.machines.len() as u64).sum::<u64>();
+        let machines = frame.desired.iter().flat_map(|w| &w.machines);
         self.named += machines.map(|m| m.tasks.len() as u64).sum::<u64>();
         if self.chance(self.troubles.dropped) {
             return;
--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -1,7 +1,7 @@
 //! What a machine's shard concludes from reports, and what it starts.
 
 use millethold::controller::machine::{Key, ManagedMachine, Sent, may_start};
-use millethold::peer::{Phase, Seen, WantedTask};
+use millethold::peer::{DesiredTask, ObservedState, Phase};
 use millethold::time::Micros;
 use millethold::wire::{Cause, Report, ReportedTask, TaskState};
 
@@ -127,15 +127,15 @@
     assert!(!post.unresponsive, "it has what it was told to start");
 
     let table = [
-        (TaskState::Fetching, None, Seen::Fetching),
-        (TaskState::Saving, None, Seen::Saving),
-        (TaskState::Exited, Some(Cause::Done), Seen::Done),
-        (TaskState::Exited, Some(Cause::Stopped), Seen::Stopped),
-        (TaskState::Exited, Some(Cause::NoRoom), Seen::Refused),
-        (TaskState::Exited, Some(Cause::Busy), Seen::Refused),
-        (TaskState::Exited, Some(Cause::Error), Seen::Failed),
-        (TaskState::Exited, Some(Cause::Unknown), Seen::Failed),
-        (TaskState::Exited, None, Seen::Failed),
+        (TaskState::Fetching, None, ObservedState::Fetching),
+        (TaskState::Saving, None, ObservedState::Saving),
+        (TaskState::Exited, Some(Cause::Done), ObservedState::Done),
+        (TaskState::Exited, Some(Cause::Stopped), ObservedState::Stopped),
+        (TaskState::Exited, Some(Cause::NoRoom), ObservedState::Refused),
+        (TaskState::Exited, Some(Cause::Busy), ObservedState::Refused),
+        (TaskState::Exited, Some(Cause::Error), ObservedState::Failed),
+        (TaskState::Exited, Some(Cause::Unknown), ObservedState::Failed),
+        (TaskState::Exited, None, ObservedState::Failed),
     ];
     for (state, cause, want) in table {
         let mut post = ManagedMachine::default();
@@ -146,10 +146,10 @@
 
 #[test]
 fn starts() {
-    let task = |phase: Phase, stop_ms| WantedTask {
+    let task = |phase: Phase, stop_ms| DesiredTask {
         phase: phase as i32,
         stop_ms,
-        ..WantedTask::default()
+        ..DesiredTask::default()
     };
     // Task, the term that its owner knew, the holder's term, whether it starts.
     let table = [
@@ -165,6 +165,6 @@
         assert_eq!(may_start(&task, known, term), want, "{task:?} {known} {term}");
     }
     // A phase of a later version must not read as one that starts.
-    let strange = WantedTask { phase: 77, ..WantedTask::default() };
+    let strange = DesiredTask { phase: 77, ..DesiredTask::default() };
     assert!(!may_start(&strange, 4, 4));
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -77,7 +77,7 @@
     let (mut read, used) = peer::read_frame(&bytes).expect("a frame").expect("all of it");
     assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
     assert_eq!((read.cancelled.len(), read.views.len(), read.inherited_urgency.len()), (1, 1, 0));
-    let wants = read.wants[0].clone().read().expect("wants");
+    let wants = read.desired[0].clone().read().expect("wants");
     assert_eq!((wants.shard, wants.seq, wants.machines[0].2[0].attempt), (1, 6, 2));
     let mut written = Vec::new();
     peer::write_frame(&mut written, &read);
