--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -31,6 +31,8 @@
     pub(super) behind: bool,
     /// Revision of the state service up to which it has followed the jobs.
     pub(super) watched: u64,
+    /// Format of what it stores and sends; 0 in versions that do not tell it.
+    pub(super) format: u32,
 }
 
 impl Controller {
@@ -67,6 +69,7 @@
         }
         info.cut_off = frame.cut_off;
         info.watched = frame.watched;
+        info.format = frame.format;
         if info.last_frame.is_none_or(|at| now.since(at) > PEER_SILENT)
             || !frame.state_ok
             || frame.cut_off
@@ -185,6 +188,7 @@
             let again = self.cancellations_to_repeat();
             frame.cancelled.extend(again);
         }
+        frame.format = peer::FORMAT;
         frame.watched = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
         self.frames += 1;
         frame.number = self.frames;
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -434,6 +434,7 @@
             match if noted { self.fate_of(&id) } else { Fate::Unknown(Vec::new()) } {
                 Fate::Free => {
                     info!("job {id} may start: all that it needs is done");
+                    self.counts.released += 1;
                     self.pipelines.waiting.remove(&id);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.waiting = false;
@@ -478,6 +479,7 @@
         match reply {
             StateReply::Applied(mark) => {
                 info!("job {id} cancelled with one that it needs");
+                self.counts.cancelled_with_upstream += 1;
                 let known = Known { stage: StoredStage::Cancelled, seat, tasks, mark: *mark };
                 self.note_known(id, known);
                 self.announce_cancelled(id, *mark);
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,17 +1,115 @@
 //! What the status page, the queue page and the log tell of the controller.
 
 use super::Controller;
+use super::frames::PeerInfo;
+use super::seat::Seat;
+use crate::peer::{self, MachineView};
 use crate::time::Micros;
+use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// The status page.
+#[derive(Serialize)]
+struct StatusPage<'a> {
+    member: &'a str,
+    /// Format of what this process stores and sends.
+    format: u32,
+    lease_valid: bool,
+    peers: Vec<PeerStatus<'a>>,
+    state_limits: StateLimitsStatus,
+    seats: Vec<SeatStatus<'a>>,
+    jobs: usize,
+    jobs_that_need_others: usize,
+    tasks_waiting: u64,
+    machines: Vec<MachineStatus<'a>>,
+    rented: BTreeMap<&'static str, usize>,
+    image_entries: usize,
+    counts: &'a Counts,
+}
+
+/// Another controller.
+#[derive(Serialize)]
+struct PeerStatus<'a> {
+    member: &'a str,
+    alive: bool,
+    state_ok: bool,
+    /// 0: a version that does not tell its format; absent: no frame of it has come.
+    format: Option<u32>,
+}
+
+/// The limits of the state service that are kept.
+#[derive(Serialize)]
+struct StateLimitsStatus {
+    rps: f64,
+    write_rps: f64,
+    txn_ops: usize,
+    /// For what is divided from now on.
+    value_kb: f64,
+    /// For what earlier versions divided: larger until the service refuses a value.
+    largest_value_kb: f64,
+}
+
+/// A seat, its holder and its term.
+#[derive(Serialize)]
+struct SeatStatus<'a> {
+    seat: usize,
+    holder: Option<&'a str>,
+    term: u64,
+    mine: bool,
+    loaded: bool,
+}
+
+impl<'a> SeatStatus<'a> {
+    fn of(number: usize, seat: &'a Seat) -> SeatStatus<'a> {
+        SeatStatus {
+            seat: number,
+            holder: seat.hold.as_ref().map(|(hold, _)| hold.member.as_str()),
+            term: seat.term,
+            mine: seat.mine.is_some(),
+            loaded: seat.mine.as_ref().is_some_and(|mine| mine.loaded),
+        }
+    }
+}
+
+/// A machine as its manager last told.
+#[derive(Serialize)]
+struct MachineStatus<'a> {
+    machine: &'a str,
+    #[serde(rename = "type")]
+    machine_type: &'a str,
+    zone: &'a str,
+    spot: bool,
+    known: bool,
+    healthy: bool,
+    tasks: usize,
+}
+
+impl<'a> MachineStatus<'a> {
+    fn of(view: &'a MachineView) -> MachineStatus<'a> {
+        MachineStatus {
+            machine: &view.machine,
+            machine_type: &view.machine_type,
+            zone: &view.zone,
+            spot: view.spot,
+            known: view.known,
+            healthy: view.healthy,
+            tasks: view.tasks.len(),
+        }
+    }
+}
+
 /// Counters for the status page.
-#[derive(Debug, Clone, Default)]
+#[derive(Debug, Clone, Default, Serialize)]
 pub(super) struct Counts {
     pub(super) accepted: u64,
     pub(super) refused: u64,
     pub(super) done: u64,
     pub(super) cancelled: u64,
+    /// Jobs let go once all that they need was done.
+    pub(super) released: u64,
+    /// Jobs cancelled with one that they need.
+    pub(super) cancelled_with_upstream: u64,
     pub(super) placed: u64,
     pub(super) image_hits: u64,
     pub(super) failed: u64,
@@ -24,49 +122,52 @@
 impl Controller {
     /// For the status page.
     pub fn status(&self, now: Micros) -> Value {
-        let seats: Vec<Value> = self
-            .seats
-            .iter()
-            .enumerate()
-            .map(|(n, s)| {
-                serde_json::json!({
-                    "seat": n,
-                    "holder": s.hold.as_ref().map(|(h, _)| &h.member),
-                    "term": s.term,
-                    "mine": s.mine.is_some(),
-                    "loaded": s.mine.as_ref().is_some_and(|m| m.loaded),
-                })
-            })
-            .collect();
-        let machines: Vec<Value> = self
-            .views
-            .values()
-            .map(|v| {
-                serde_json::json!({
-                    "machine": v.machine, "type": v.machine_type, "zone": v.zone,
-                    "spot": v.spot, "known": v.known, "healthy": v.healthy,
-                    "tasks": v.tasks.len(),
-                })
-            })
-            .collect();
-        let c = &self.counts;
-        serde_json::json!({
-            "member": self.member,
-            "lease_valid": self.lease.valid(now),
-            "seats": seats,
-            "jobs": self.jobs.len(),
-            "jobs_that_need_others": self.jobs.values().filter(|j| j.waiting).count(),
-            "tasks_waiting": self.jobs.values().map(|j| u64::from(j.pending())).sum::<u64>(),
-            "machines": machines,
-            "rented": self.fleet.stages(),
-            "image_entries": self.images.len(),
-            "counts": {
-                "accepted": c.accepted, "refused": c.refused, "done": c.done,
-                "cancelled": c.cancelled, "placed": c.placed, "image_hits": c.image_hits,
-                "failed": c.failed, "lost": c.lost, "preempted": c.preempted,
-                "reports": c.reports, "bad_reports": c.bad_reports,
-            },
-        })
+        let page = StatusPage {
+            member: &self.member,
+            format: peer::FORMAT,
+            lease_valid: self.lease.valid(now),
+            peers: self.peer_statuses(),
+            state_limits: self.state_limits_status(),
+            seats: self.seat_statuses(),
+            jobs: self.jobs.len(),
+            jobs_that_need_others: self.jobs.values().filter(|j| j.waiting).count(),
+            tasks_waiting: self.jobs.values().map(|j| u64::from(j.pending())).sum(),
+            machines: self.machine_statuses(),
+            rented: self.fleet.stages(),
+            image_entries: self.images.len(),
+            counts: &self.counts,
+        };
+        serde_json::json!(page)
+    }
+
+    fn peer_statuses(&self) -> Vec<PeerStatus<'_>> {
+        let status = |(number, peer): (&usize, &PeerInfo)| PeerStatus {
+            member: &self.members[*number],
+            alive: self.peer_alive(*number),
+            state_ok: peer.state_ok,
+            format: peer.last_frame.map(|_| peer.format),
+        };
+        self.peers.iter().map(status).collect()
+    }
+
+    fn state_limits_status(&self) -> StateLimitsStatus {
+        let limits = &self.settings.state;
+        let lowered = self.larger.is_none();
+        StateLimitsStatus {
+            rps: limits.rps,
+            write_rps: limits.write_rps,
+            txn_ops: limits.txn_ops,
+            value_kb: limits.value_kb,
+            largest_value_kb: if lowered { limits.value_kb } else { limits.value_kb_now },
+        }
+    }
+
+    fn seat_statuses(&self) -> Vec<SeatStatus<'_>> {
+        self.seats.iter().enumerate().map(|(number, seat)| SeatStatus::of(number, seat)).collect()
+    }
+
+    fn machine_statuses(&self) -> Vec<MachineStatus<'_>> {
+        self.views.values().map(MachineStatus::of).collect()
     }
 
     /// Tells the log how many tasks wait for what.
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -5,6 +5,10 @@
 };
 use prost::Message;
 
+/// What this version stores and sends, as a number that rises with each change which
+/// operators should see during an upgrade. Versions that say nothing count as 0.
+pub const FORMAT: u32 = 1;
+
 /// One message between controllers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
@@ -81,4 +85,7 @@
     /// Jobs that the sender's waiting jobs need.
     #[prost(message, repeated, tag = "23")]
     pub pressing: Vec<Pressing>,
+    /// The sender's [`FORMAT`]: shows which members still run an earlier version.
+    #[prost(uint32, tag = "24")]
+    pub format: u32,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -20,7 +20,7 @@
 
 pub use demand::{Demand, Preempt, Pressing, Progress, QuotaNeed};
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
-pub use frame::Frame;
+pub use frame::{FORMAT, Frame};
 pub use seats::{HeldSeat, Hint, Strays};
 pub use views::{Heard, MachineView, Seen, SeenTask};
 pub use wants::{MachineWants, Phase, SeatWants, Shape, TaskWant, WantedTask, Wants};
