--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use super::frames::PeerInfo;
-use super::seat::Seat;
+use super::shard::Shard;
 use crate::peer::{self, MachineView};
 use crate::time::Micros;
 use serde::Serialize;
@@ -18,7 +18,7 @@
     lease_valid: bool,
     peers: Vec<PeerStatus<'a>>,
     state_limits: StateLimitsStatus,
-    seats: Vec<SeatStatus<'a>>,
+    shards: Vec<ShardStatus<'a>>,
     jobs: usize,
     jobs_that_need_others: usize,
     tasks_waiting: u64,
@@ -50,24 +50,24 @@
     largest_value_kb: f64,
 }
 
-/// A seat, its holder and its term.
+/// A shard, the member that holds its lease, and its term.
 #[derive(Serialize)]
-struct SeatStatus<'a> {
-    seat: usize,
+struct ShardStatus<'a> {
+    shard: usize,
     holder: Option<&'a str>,
     term: u64,
-    mine: bool,
+    owned: bool,
     loaded: bool,
 }
 
-impl<'a> SeatStatus<'a> {
-    fn of(number: usize, seat: &'a Seat) -> SeatStatus<'a> {
-        SeatStatus {
-            seat: number,
-            holder: seat.hold.as_ref().map(|(hold, _)| hold.member.as_str()),
-            term: seat.term,
-            mine: seat.mine.is_some(),
-            loaded: seat.mine.as_ref().is_some_and(|mine| mine.loaded),
+impl<'a> ShardStatus<'a> {
+    fn of(number: usize, shard: &'a Shard) -> ShardStatus<'a> {
+        ShardStatus {
+            shard: number,
+            holder: shard.lease.as_ref().map(|(lease, _)| lease.member.as_str()),
+            term: shard.term,
+            owned: shard.owned.is_some(),
+            loaded: shard.owned.as_ref().is_some_and(|owned| owned.loaded),
         }
     }
 }
@@ -125,10 +125,10 @@
         let page = StatusPage {
             member: &self.member,
             format: peer::FORMAT,
-            lease_valid: self.lease.valid(now),
+            lease_valid: self.state_lease.valid(now),
             peers: self.peer_statuses(),
             state_limits: self.state_limits_status(),
-            seats: self.seat_statuses(),
+            shards: self.shard_statuses(),
             jobs: self.jobs.len(),
             jobs_that_need_others: self.jobs.values().filter(|j| j.waiting).count(),
             tasks_waiting: self.jobs.values().map(|j| u64::from(j.pending())).sum(),
@@ -162,8 +162,12 @@
         }
     }
 
-    fn seat_statuses(&self) -> Vec<SeatStatus<'_>> {
-        self.seats.iter().enumerate().map(|(number, seat)| SeatStatus::of(number, seat)).collect()
+    fn shard_statuses(&self) -> Vec<ShardStatus<'_>> {
+        self.shards
+            .iter()
+            .enumerate()
+            .map(|(number, shard)| ShardStatus::of(number, shard))
+            .collect()
     }
 
     fn machine_statuses(&self) -> Vec<MachineStatus<'_>> {
@@ -219,8 +223,8 @@
         page
     }
 
-    /// Number of seats held, for tests and the log.
-    pub fn seats_held(&self) -> usize {
-        self.seats.iter().filter(|s| s.mine.is_some()).count()
+    /// Number of shards owned, for tests and the log.
+    pub fn owned_shard_count(&self) -> usize {
+        self.shards.iter().filter(|s| s.owned.is_some()).count()
     }
 }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -222,12 +222,12 @@
 
 /// Placements of a job in a key, if it holds any.
 fn placements_of(key: &str, value: &Value, job: &str) -> Vec<StoredPlacement> {
-    let mine = parts(key, value).into_iter().filter(|(id, _)| id == job);
-    mine.filter_map(|(_, part)| stored_placements(&part)).flatten().collect()
+    let owned = parts(key, value).into_iter().filter(|(id, _)| id == job);
+    owned.filter_map(|(_, part)| stored_placements(&part)).flatten().collect()
 }
 
 /// What of a transaction lacks the condition that fences it: tasks and grants
-/// need the mark of the writer's seat, changes of tasks also that of the job.
+/// need the mark of the writer's shard, changes of tasks also that of the job.
 pub fn unfenced(txn: &Txn) -> Vec<String> {
     let on = |prefix: &str| {
         txn.conditions.iter().any(|c| c.key.starts_with(prefix) && !c.key.is_empty())
@@ -238,8 +238,8 @@
             Write::Put { key, .. } => (key, true),
             Write::Delete { key } => (key, false),
         };
-        let seat = key.starts_with("w/") || key.starts_with("quota/");
-        if seat && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.version > 0) {
+        let shard = key.starts_with("w/") || key.starts_with("quota/");
+        if shard && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.version > 0) {
             lacks.push(format!("{key} is written without a seat's mark"));
         }
         if put && key.starts_with("w/") && !on("j/") {
