--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::time::Micros;
 use crate::wire::{
-    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, path,
+    self, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, path,
 };
 
 /// A call to the cloud.
@@ -76,10 +76,8 @@
 
     /// Reads the answer. What cannot be read counts as unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudReply {
-        fn read<'a, T: serde::Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
-            serde_json::from_slice(body)
-                .map_err(|e| log::warn!("cloud: unreadable answer: {e}"))
-                .ok()
+        fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
+            wire::read_answer("cloud", body)
         }
         match (status, self) {
             (200, CloudCall::Types) => read::<MachineTypes>(body)
--- a/src/config.rs
+++ b/src/config.rs
@@ -19,6 +19,13 @@
 
 impl std::error::Error for ConfigError {}
 
+/// Reads a file with `parse`; errors name the file.
+fn load<T>(path: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, ConfigError> {
+    let named = |reason: String| ConfigError(format!("{}: {reason}", path.display()));
+    let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
+    parse(&text).map_err(|e| named(e.0))
+}
+
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
@@ -200,9 +207,7 @@
 impl Config {
     /// Reads and checks the platform's file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| ConfigError(format!("{}: {e}", path.display())))?;
-        Config::parse(&text).map_err(|e| ConfigError(format!("{}: {}", path.display(), e.0)))
+        load(path, Config::parse)
     }
 
     /// Reads and checks the platform's settings.
@@ -339,9 +344,7 @@
 impl Options {
     /// Reads an INI file over the defaults.
     pub fn load(path: &Path) -> Result<Options, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| ConfigError(format!("{}: {e}", path.display())))?;
-        Options::parse(&text).map_err(|e| ConfigError(format!("{}: {}", path.display(), e.0)))
+        load(path, Options::parse)
     }
 
     /// Reads INI text over the defaults. Unknown keys are errors, so that a
--- a/src/http.rs
+++ b/src/http.rs
@@ -6,6 +6,8 @@
 pub const MAX_BODY: usize = 64 * 1024;
 /// Largest head of a message.
 pub const MAX_HEAD: usize = 16 * 1024;
+/// Most headers of a message.
+const MAX_HEADERS: usize = 64;
 /// Largest answer taken from an outside system; watches have no limit of
 /// their own, so memory is what bounds them here.
 pub const MAX_ANSWER: usize = 8 * 1024 * 1024;
@@ -54,77 +56,94 @@
     pub close: bool,
 }
 
-fn framing(headers: &[httparse::Header<'_>]) -> Result<(Option<usize>, bool, bool), HttpError> {
-    let (mut length, mut close, mut chunked) = (None, false, false);
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(h.value).map_err(|_| HttpError::Malformed)?.trim();
-            let n: usize = text.parse().map_err(|_| HttpError::Malformed)?;
-            if length.is_some_and(|l| l != n) {
+/// What a message's headers say of its body and its connection.
+struct Framing {
+    length: usize,
+    close: bool,
+    chunked: bool,
+}
+
+fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+    let mut length = None;
+    let mut close = false;
+    let mut chunked = false;
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let text = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?;
+            let value: usize = text.trim().parse().map_err(|_| HttpError::Malformed)?;
+            if length.is_some_and(|other| other != value) {
                 return Err(HttpError::Malformed);
             }
-            length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
+            length = Some(value);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            close |= h.value.eq_ignore_ascii_case(b"close");
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            close |= header.value.eq_ignore_ascii_case(b"close");
         }
     }
-    Ok((length, close, chunked))
+    Ok(Framing { length: length.unwrap_or(0), close, chunked })
 }
 
-/// Reads a request from the front of `buf`: the request and its length, or
-/// `None` while it has not arrived in full.
-pub fn parse_request(buf: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; 64];
-    let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(buf).map_err(|_| HttpError::Malformed)? {
-        httparse::Status::Complete(n) => n,
-        httparse::Status::Partial if buf.len() > MAX_HEAD => return Err(HttpError::Malformed),
-        httparse::Status::Partial => return Ok(None),
-    };
-    let (length, close, chunked) = framing(head.headers)?;
-    if chunked {
+/// Length of the head in `buffer`, or `None` while it has not arrived in full.
+fn head_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, HttpError> {
+    match parsed.map_err(|_| HttpError::Malformed)? {
+        httparse::Status::Complete(length) => Ok(Some(length)),
+        httparse::Status::Partial if buffer.len() > MAX_HEAD => Err(HttpError::Malformed),
+        httparse::Status::Partial => Ok(None),
+    }
+}
+
+/// The body behind a head of this length, or `None` while it has not arrived in full.
+fn body<'a>(
+    buffer: &'a [u8],
+    head: usize,
+    framing: &Framing,
+    most: usize,
+) -> Result<Option<&'a [u8]>, HttpError> {
+    if framing.chunked {
         return Err(HttpError::Malformed);
     }
-    let length = length.unwrap_or(0);
-    if length > MAX_BODY {
+    if framing.length > most {
         return Err(HttpError::TooLarge);
     }
-    if buf.len() < used + length {
+    Ok(buffer.get(head..head + framing.length))
+}
+
+/// Reads a request from the front of `buffer`: the request and its length, or
+/// `None` while it has not arrived in full.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
         return Ok(None);
-    }
+    };
+    let framing = framing(head.headers)?;
+    let Some(body) = body(buffer, head_length, &framing, MAX_BODY)? else {
+        return Ok(None);
+    };
     let request = Request {
         method: head.method.unwrap_or("").to_string(),
         path: head.path.unwrap_or("").to_string(),
-        body: buf[used..used + length].to_vec(),
-        close: close || head.version == Some(0),
+        body: body.to_vec(),
+        close: framing.close || head.version == Some(0),
     };
-    Ok(Some((request, used + length)))
+    Ok(Some((request, head_length + body.len())))
 }
 
-/// Reads an answer from the front of `buf`.
-pub fn parse_answer(buf: &[u8]) -> Result<Option<(Answer, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; 64];
+/// Reads an answer from the front of `buffer`, as [`parse_request`] reads a request.
+pub fn parse_answer(buffer: &[u8]) -> Result<Option<(Answer, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(buf).map_err(|_| HttpError::Malformed)? {
-        httparse::Status::Complete(n) => n,
-        httparse::Status::Partial if buf.len() > MAX_HEAD => return Err(HttpError::Malformed),
-        httparse::Status::Partial => return Ok(None),
+    let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
+        return Ok(None);
     };
-    let (length, close, chunked) = framing(head.headers)?;
-    if chunked {
-        return Err(HttpError::Malformed);
-    }
-    let length = length.unwrap_or(0);
-    if length > MAX_ANSWER {
-        return Err(HttpError::TooLarge);
-    }
-    if buf.len() < used + length {
+    let framing = framing(head.headers)?;
+    let Some(body) = body(buffer, head_length, &framing, MAX_ANSWER)? else {
         return Ok(None);
-    }
+    };
     let status = head.code.ok_or(HttpError::Malformed)?;
-    Ok(Some((Answer { status, body: buf[used..used + length].to_vec(), close }, used + length)))
+    let answer = Answer { status, body: body.to_vec(), close: framing.close };
+    Ok(Some((answer, head_length + body.len())))
 }
 
 fn reason(status: u16) -> &'static str {
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -72,6 +72,13 @@
     connection: Option<ConnectionId>,
 }
 
+impl Call {
+    /// A call that has not been sent.
+    fn new(kind: CallKind, destination: Destination, bytes: Vec<u8>, deadline: Micros) -> Call {
+        Call { kind, destination, bytes, deadline, connection: None }
+    }
+}
+
 /// The connections to a destination and the calls that wait for one.
 #[derive(Default)]
 pub(super) struct Pool {
@@ -95,11 +102,11 @@
         };
         let queue = if call.puts() > 0 { CHANGES } else { READS };
         let allowed = self.throttled[queue].is_empty() || call.urgent();
-        let timeout = call.timeout();
+        let deadline = self.now + call.timeout();
         if allowed && self.budget.admit(self.now, &call) {
-            self.start_call(id, CallKind::State(call), destination, bytes, timeout);
+            self.start_call(id, Call::new(CallKind::State(call), destination, bytes, deadline));
         } else if self.throttled[queue].len() < STATE_QUEUE {
-            self.register_call(id, CallKind::State(call), destination, bytes, timeout);
+            self.register_call(id, Call::new(CallKind::State(call), destination, bytes, deadline));
             self.throttled[queue].push_back(id);
         } else {
             self.dispatch(Event::Reply { id, reply: Reply::State(StateReply::Refused) });
@@ -111,51 +118,40 @@
         let (method, path, body) = call.encode();
         let host = self.config.endpoints.cloud.to_string();
         let bytes = http::write_request(method, &host, &path, body.as_deref());
-        let timeout = call.timeout();
-        self.start_call(id, CallKind::Cloud(call), Destination::Cloud, bytes, timeout);
+        let deadline = self.now + call.timeout();
+        let kind = CallKind::Cloud(call);
+        self.start_call(id, Call::new(kind, Destination::Cloud, bytes, deadline));
     }
 
     /// Sends commands to a worker.
     pub(super) fn start_commands(&mut self, id: CallId, address: SocketAddrV4, body: &[u8]) {
         let host = address.to_string();
         let bytes = http::write_request("POST", &host, wire::path::COMMANDS, Some(body));
+        let deadline = self.now + COMMAND_TIMEOUT;
         let destination = Destination::Worker(address);
-        self.start_call(id, CallKind::Direct, destination, bytes, COMMAND_TIMEOUT);
+        self.start_call(id, Call::new(CallKind::Direct, destination, bytes, deadline));
     }
 
     /// Asks a worker what it runs.
     pub(super) fn start_inspect(&mut self, id: CallId, address: SocketAddrV4) {
         let host = address.to_string();
         let bytes = http::write_request("GET", &host, wire::path::INSPECT, None);
+        let deadline = self.now + INSPECT_TIMEOUT;
         let destination = Destination::Worker(address);
-        self.start_call(id, CallKind::Direct, destination, bytes, INSPECT_TIMEOUT);
+        self.start_call(id, Call::new(CallKind::Direct, destination, bytes, deadline));
     }
 
-    fn start_call(
-        &mut self,
-        id: CallId,
-        kind: CallKind,
-        destination: Destination,
-        bytes: Vec<u8>,
-        timeout: Micros,
-    ) {
-        self.register_call(id, kind, destination, bytes, timeout);
+    fn start_call(&mut self, id: CallId, call: Call) {
+        let destination = call.destination;
+        self.register_call(id, call);
         self.pools.entry(destination).or_default().queue.push_back(id);
         self.assign_calls(destination);
     }
 
     /// Notes a call and its deadline.
-    fn register_call(
-        &mut self,
-        id: CallId,
-        kind: CallKind,
-        destination: Destination,
-        bytes: Vec<u8>,
-        timeout: Micros,
-    ) {
-        let deadline = self.now + timeout;
-        self.calls.insert(id, Call { kind, destination, bytes, deadline, connection: None });
-        self.deadlines.insert((deadline, id));
+    fn register_call(&mut self, id: CallId, call: Call) {
+        self.deadlines.insert((call.deadline, id));
+        self.calls.insert(id, call);
     }
 
     /// Starts the state calls whose share of the rate has come.
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,9 @@
 //! The state service: its calls, its answers and this node's share of its rate.
 
 use crate::time::Micros;
-use crate::wire::{Change, Changes, Item, Items, LeaseGranted, LeaseWanted, Revision, Txn, path};
+use crate::wire::{
+    self, Change, Changes, Item, Items, LeaseGranted, LeaseWanted, Revision, Txn, path,
+};
 
 /// A call to the state service.
 #[derive(Debug, Clone, PartialEq)]
@@ -137,10 +139,8 @@
 
     /// Reads the answer. What cannot be read counts as unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> StateReply {
-        fn read<'a, T: serde::Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
-            serde_json::from_slice(body)
-                .map_err(|e| log::warn!("state: unreadable answer: {e}"))
-                .ok()
+        fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
+            wire::read_answer("state", body)
         }
         match (status, self) {
             (429 | 503, _) => StateReply::Refused,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -15,3 +15,16 @@
 pub use submission::*;
 pub use users::*;
 pub use workers::*;
+
+use serde::de::DeserializeOwned;
+
+/// Reads an answer of an outside system; one that cannot be read is logged.
+pub fn read_answer<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
+    match serde_json::from_slice(body) {
+        Ok(answer) => Some(answer),
+        Err(e) => {
+            log::warn!("{system}: unreadable answer: {e}");
+            None
+        }
+    }
+}
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -5,52 +5,13 @@
 
 use millethold::time::Micros;
 use simulation::chance::{chance_meeting, late, peers_of};
-use simulation::{CancelNow, Plan, Troubles, World, judge};
-
-/// A meeting: its name, what goes wrong, what users hand in, and what the run must have
-/// shown, without which the troubles did not meet.
-struct Row {
-    name: &'static str,
-    troubles: Troubles,
-    plans: Vec<Plan>,
-    shown: fn(&World) -> bool,
-}
+use simulation::row::{Row, blue, none_wrong, play};
+use simulation::{CancelNow, Plan, Troubles, World};
 
 fn row(name: &'static str, troubles: Troubles, shown: fn(&World) -> bool) -> Row {
     Row { name, troubles: Troubles { machines: Some(24), ..troubles }, plans: busy(), shown }
 }
 
-/// Plays a row with a seed; what went wrong, if anything.
-fn run(row: &Row, seed: u64) -> Option<String> {
-    let mut world = World::new(seed, &row.plans, row.troubles.clone());
-    world.run_out(400);
-    match judge(row.name, seed, world) {
-        Ok(world) if !(row.shown)(&world) => Some(format!(
-            "{}, seed {seed}: not shown that the troubles met: {} cancelled, {} moves, {} starts",
-            row.name,
-            world.cancelled(),
-            moves(&world),
-            world.starts
-        )),
-        Ok(_) => None,
-        Err(text) => Some(text),
-    }
-}
-
-/// Plays all rows, and tells of all that went wrong and not just of the first.
-fn play(rows: Vec<Row>, seeds: std::ops::Range<u64>) {
-    let runs = rows.iter().flat_map(|row| seeds.clone().map(move |seed| run(row, seed)));
-    none_wrong(runs.flatten().collect());
-}
-
-fn none_wrong(wrong: Vec<String>) {
-    assert!(wrong.is_empty(), "{} runs:\n{}", wrong.len(), wrong.join("\n"));
-}
-
-fn blue(at_s: u64, tasks: u32, run_s: f64) -> Plan {
-    Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, run_s) }
-}
-
 /// Long jobs to call off, a team at its limit, and short jobs all along.
 fn busy() -> Vec<Plan> {
     let mut plans: Vec<Plan> = (0..18).map(|n| blue(3 + n / 3, 3, 45.0 + n as f64)).collect();
@@ -76,11 +37,6 @@
     vec![CancelNow { at_ms, count, hang_s }]
 }
 
-/// So many times has a controller taken or left a seat, beside the first time.
-fn moves(world: &World) -> usize {
-    world.changed("hold/").saturating_sub(3)
-}
-
 /// One controller is refused by the state service while another confirms
 /// cancellations, of which it cannot hear there; then the service is away for all.
 /// Nobody can ask it, and the tasks still have to be gone in time.
@@ -245,7 +201,7 @@
                     cancel_now: cancel(40_000, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 10,
+                |w| w.cancelled() >= 4 && w.moves() >= 10,
             ),
             row(
                 "ten changes of leader, also inside an outage",
@@ -256,7 +212,7 @@
                     cancel_now: cancel(33_500, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 8,
+                |w| w.cancelled() >= 4 && w.moves() >= 8,
             ),
             row(
                 "handed over and back, all end, back within a second",
@@ -267,7 +223,7 @@
                     cancel_now: cancel(45_500, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 4,
+                |w| w.cancelled() >= 4 && w.moves() >= 4,
             ),
             row(
                 "handed over and back, all end, back one by one",
@@ -278,7 +234,7 @@
                     cancel_now: cancel(43_500, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 4,
+                |w| w.cancelled() >= 4 && w.moves() >= 4,
             ),
             row(
                 // Longer than a lease: no machine has kept anything.
@@ -289,7 +245,7 @@
                     cancel_now: cancel(21_900, 10),
                     ..Troubles::default()
                 },
-                |w| moves(w) >= 3 && w.cancelled() >= 4 && w.workers.iter().any(|w| w.lapses > 0),
+                |w| w.moves() >= 3 && w.cancelled() >= 4 && w.workers.iter().any(|w| w.lapses > 0),
             ),
             Row {
                 plans: limit,
@@ -302,7 +258,7 @@
                         cancel_now: cancel(23_000, 20),
                         ..Troubles::default()
                     },
-                    |w| w.cancelled() >= 8 && moves(w) >= 2,
+                    |w| w.cancelled() >= 8 && w.moves() >= 2,
                 )
             },
             Row {
@@ -316,7 +272,7 @@
                         cancel_now: cancel_and_hang(20_000, 24, 9),
                         ..Troubles::default()
                     },
-                    |w| w.cancelled() >= 3 && moves(w) >= 2,
+                    |w| w.cancelled() >= 3 && w.moves() >= 2,
                 )
             },
             Row {
@@ -329,7 +285,7 @@
                         worker_cuts: vec![(3, 20, 44, false), (8, 20, 29, true)],
                         ..Troubles::default()
                     },
-                    |w| w.starts >= 60 && moves(w) >= 4,
+                    |w| w.starts >= 60 && w.moves() >= 4,
                 )
             },
             row(
@@ -341,7 +297,7 @@
                     cancel_now: cancel(24_000, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 2,
+                |w| w.cancelled() >= 4 && w.moves() >= 2,
             ),
             row(
                 "leader ends while machines do not hear the new one",
@@ -352,7 +308,7 @@
                     cancel_now: cancel(24_000, 8),
                     ..Troubles::default()
                 },
-                |w| w.cancelled() >= 4 && moves(w) >= 2,
+                |w| w.cancelled() >= 4 && w.moves() >= 2,
             ),
         ],
         540..543,
@@ -827,7 +783,7 @@
     let faults = [2194, 2497, 3073, 3240, 3374, 3388];
     let played = faults.into_iter().chain(700..710).filter_map(|seed| {
         let row = row("by chance", chance_meeting(seed), |_| true);
-        run(&row, seed)
+        row.run(seed)
     });
     none_wrong(played.collect());
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -5,50 +5,13 @@
 
 use millethold::time::Micros;
 use simulation::chance::chance_meeting;
-use simulation::{CancelNow, LateWrites, Plan, Troubles, World, judge};
-
-/// A row: its name, what goes wrong, what users hand in, and what the run must have shown.
-struct Row {
-    name: &'static str,
-    troubles: Troubles,
-    plans: Vec<Plan>,
-    shown: fn(&World) -> bool,
-}
+use simulation::row::{Row, blue, none_wrong, play};
+use simulation::{CancelNow, LateWrites, Plan, Troubles, World};
 
 fn row(name: &'static str, troubles: Troubles, shown: fn(&World) -> bool) -> Row {
     Row { name, troubles: Troubles { machines: Some(24), ..troubles }, plans: mixed(), shown }
 }
 
-/// Plays a row with a seed; what went wrong, if anything.
-fn run(row: &Row, seed: u64) -> Option<String> {
-    let mut world = World::new(seed, &row.plans, row.troubles.clone());
-    world.run_out(400);
-    match judge(row.name, seed, world) {
-        Ok(world) if !(row.shown)(&world) => Some(format!(
-            "{}, seed {seed}: not shown: {} cancelled, {} of them with others, {} went on, {} \
-             starts after others",
-            row.name,
-            world.cancelled(),
-            world.cancelled_with_others(),
-            world.went_on(),
-            world.waited_starts
-        )),
-        Ok(_) => None,
-        Err(text) => Some(text),
-    }
-}
-
-/// Plays all rows, and tells of all that went wrong and not just of the first.
-fn play(rows: Vec<Row>, seeds: std::ops::Range<u64>) {
-    let runs = rows.iter().flat_map(|row| seeds.clone().map(move |seed| run(row, seed)));
-    let wrong: Vec<String> = runs.flatten().collect();
-    assert!(wrong.is_empty(), "{} runs:\n{}", wrong.len(), wrong.join("\n"));
-}
-
-fn blue(at_s: u64, tasks: u32, run_s: f64) -> Plan {
-    Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, run_s) }
-}
-
 fn red(at_s: u64, tasks: u32, run_s: f64) -> Plan {
     Plan::new(at_s, tasks, 1.0, run_s)
 }
@@ -799,7 +762,6 @@
 /// Troubles at random, by the seed, beside pipelines: meetings that nobody thought of.
 #[test]
 fn chance_meetings() {
-    let play = |seed| run(&row("by chance", chance_meeting(seed), |_| true), seed);
-    let wrong: Vec<String> = (900..912).filter_map(play).collect();
-    assert!(wrong.is_empty(), "{} runs:\n{}", wrong.len(), wrong.join("\n"));
+    let play = |seed| row("by chance", chance_meeting(seed), |_| true).run(seed);
+    none_wrong((900..912).filter_map(play).collect());
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -12,7 +12,7 @@
 //! - `store`, `cloud`, `worker`: the stand-ins themselves;
 //! - `jobs`, `users`, `answers`, `odd_requests`: what users hand in and are told;
 //! - `checks`: the rules; `forge`: facts that must break them;
-//! - `outcome`: what a run has shown.
+//! - `outcome`: what a run has shown; `row`: tables of runs.
 
 #![allow(dead_code)]
 
@@ -29,6 +29,7 @@
 mod network;
 mod odd_requests;
 mod outcome;
+pub mod row;
 mod settings;
 mod state_service;
 mod store;
--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -2,6 +2,7 @@
 
 use super::faults::Troubles;
 use super::jobs::{Plan, UserJob};
+use super::settings::CONTROLLERS;
 use super::world::World;
 
 impl World {
@@ -56,6 +57,11 @@
         self.store.changed(prefix)
     }
 
+    /// So many times has a controller taken or left a seat, beside the first time.
+    pub fn moves(&self) -> usize {
+        self.changed("hold/").saturating_sub(CONTROLLERS)
+    }
+
     /// Seats held by each controller that is up.
     pub fn seats(&self) -> Vec<usize> {
         self.nodes.iter().flatten().map(|n| n.controller.seats_held()).collect()
