--- /dev/null
+++ b/src/config/platform.rs
@@ -0,0 +1,300 @@
+//! The platform's settings file, in TOML.
+
+use super::{ConfigError, load};
+use serde::Deserialize;
+use std::net::SocketAddrV4;
+use std::path::Path;
+
+/// Fewest changes that a transaction must take: a seat's key and its term.
+const MIN_TXN_OPS: usize = 2;
+/// Fewest sockets with which a node can work.
+const MIN_SOCKETS: usize = 32;
+
+fn fail(key: &str, reason: &str) -> Result<(), ConfigError> {
+    Err(ConfigError(format!("{key}: {reason}")))
+}
+
+fn check_positive(key: &str, value: f64) -> Result<(), ConfigError> {
+    if value.is_finite() && value > 0.0 {
+        return Ok(());
+    }
+    fail(key, "must be a positive number")
+}
+
+fn check_least(key: &str, value: usize, least: usize) -> Result<(), ConfigError> {
+    if value >= least {
+        return Ok(());
+    }
+    fail(key, &format!("must be at least {least}"))
+}
+
+/// Another controller.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Peer {
+    /// Its name.
+    pub member: String,
+    /// Its zone.
+    #[serde(default)]
+    pub location: String,
+    /// Where it listens for controllers.
+    pub address: SocketAddrV4,
+}
+
+/// Outside systems.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Endpoints {
+    /// The cloud's interface.
+    pub cloud: SocketAddrV4,
+    /// The state service.
+    pub state: SocketAddrV4,
+}
+
+/// A team's guarantee and limit; 0 means none.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Team {
+    /// Name.
+    pub name: String,
+    /// Guaranteed CPUs.
+    #[serde(default)]
+    pub cpus: f64,
+    /// Most CPUs at any moment.
+    #[serde(default)]
+    pub cpus_max: f64,
+    /// Guaranteed GPUs.
+    #[serde(default)]
+    pub gpus: f64,
+    /// Most GPUs at any moment.
+    #[serde(default)]
+    pub gpus_max: f64,
+}
+
+impl Team {
+    fn check(&self) -> Result<(), ConfigError> {
+        let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
+        if self.name.is_empty() || amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
+            return fail("settings.teams", "a team needs a name and amounts from 0 up");
+        }
+        Ok(())
+    }
+}
+
+/// What is expected of a class of jobs.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Objective {
+    /// `finished`, `deadline`, `wait` or a kind that a later version knows.
+    pub kind: String,
+    /// The class, where the kind has one.
+    #[serde(default)]
+    pub class: String,
+    /// Time allowed.
+    #[serde(default)]
+    pub within_s: Option<f64>,
+    /// Share of jobs that must meet it.
+    #[serde(default)]
+    pub share: f64,
+}
+
+/// How workers behave.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Workers {
+    /// Between reports.
+    pub report_s: f64,
+    /// Until an unanswered worker kills its tasks.
+    pub lease_s: f64,
+    /// Until a cancelled job's tasks must be gone.
+    pub cancel_s: f64,
+}
+
+/// Limits of the state service.
+#[derive(Debug, Clone, Deserialize)]
+pub struct StateLimits {
+    /// Requests per second of all nodes.
+    pub rps: f64,
+    /// Changes per second of all nodes.
+    pub write_rps: f64,
+    /// Largest value.
+    pub value_kb: f64,
+    /// Changes in a transaction.
+    pub txn_ops: usize,
+    /// What it will take from some moment on, without notice; what is absent stays.
+    #[serde(default)]
+    pub next: Option<NextLimits>,
+    /// Largest value until then.
+    #[serde(skip)]
+    pub value_kb_now: f64,
+}
+
+/// Limits that the state service will have later.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct NextLimits {
+    /// Requests per second of all nodes.
+    pub rps: Option<f64>,
+    /// Changes per second of all nodes.
+    pub write_rps: Option<f64>,
+    /// Largest value.
+    pub value_kb: Option<f64>,
+    /// Changes in a transaction.
+    pub txn_ops: Option<usize>,
+}
+
+impl NextLimits {
+    fn check(&self) -> Result<(), ConfigError> {
+        let amounts = [
+            ("settings.state.next.rps", self.rps),
+            ("settings.state.next.write_rps", self.write_rps),
+            ("settings.state.next.value_kb", self.value_kb),
+        ];
+        for (key, value) in amounts {
+            value.map_or(Ok(()), |value| check_positive(key, value))?;
+        }
+        let operations = self.txn_ops.unwrap_or(MIN_TXN_OPS);
+        check_least("settings.state.next.txn_ops", operations, MIN_TXN_OPS)
+    }
+}
+
+impl StateLimits {
+    /// The limits to keep: the smaller of those of now and of later, since the change
+    /// comes unannounced, and what is larger is refused from then on.
+    fn kept(&self) -> StateLimits {
+        let next = self.next.clone().unwrap_or_default();
+        let least = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
+        StateLimits {
+            rps: least(self.rps, next.rps),
+            write_rps: least(self.write_rps, next.write_rps),
+            value_kb: least(self.value_kb, next.value_kb),
+            txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
+            next: self.next.clone(),
+            value_kb_now: self.value_kb,
+        }
+    }
+}
+
+/// Limits of the cloud.
+#[derive(Debug, Clone, Deserialize)]
+pub struct CloudLimits {
+    /// Requests per second of all nodes.
+    pub rps: f64,
+    /// How far the list lags.
+    pub list_lag_s: f64,
+}
+
+/// What a node may use.
+#[derive(Debug, Clone, Deserialize)]
+pub struct MachineLimits {
+    /// Share of a core.
+    pub cores: f64,
+    /// Memory.
+    pub mem_mb: f64,
+    /// Sockets.
+    pub fd_limit: usize,
+}
+
+/// Everything of the deployment that all nodes share.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Settings {
+    /// Zones with machines.
+    #[serde(default)]
+    pub zones: Vec<String>,
+    /// Teams.
+    pub teams: Vec<Team>,
+    /// Aims.
+    #[serde(default)]
+    pub objectives: Vec<Objective>,
+    /// Workers.
+    pub workers: Workers,
+    /// State service.
+    pub state: StateLimits,
+    /// Cloud.
+    pub cloud: CloudLimits,
+    /// This node.
+    pub machine_limits: MachineLimits,
+}
+
+impl Settings {
+    fn check(&self) -> Result<(), ConfigError> {
+        check_positive("settings.workers.report_s", self.workers.report_s)?;
+        check_positive("settings.workers.lease_s", self.workers.lease_s)?;
+        check_positive("settings.workers.cancel_s", self.workers.cancel_s)?;
+        check_positive("settings.state.rps", self.state.rps)?;
+        check_positive("settings.state.write_rps", self.state.write_rps)?;
+        check_positive("settings.state.value_kb", self.state.value_kb)?;
+        check_positive("settings.cloud.rps", self.cloud.rps)?;
+        check_positive("settings.machine_limits.cores", self.machine_limits.cores)?;
+        check_positive("settings.machine_limits.mem_mb", self.machine_limits.mem_mb)?;
+        if let Some(next) = &self.state.next {
+            next.check()?;
+        }
+        if !(self.cloud.list_lag_s.is_finite() && self.cloud.list_lag_s >= 0.0) {
+            return fail("settings.cloud.list_lag_s", "must not be negative");
+        }
+        check_least("settings.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
+        let sockets = self.machine_limits.fd_limit;
+        check_least("settings.machine_limits.fd_limit", sockets, MIN_SOCKETS)?;
+        for (number, team) in self.teams.iter().enumerate() {
+            team.check()?;
+            if self.teams[..number].iter().any(|other| other.name == team.name) {
+                return fail("settings.teams", "two teams have the same name");
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The platform's settings file.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Config {
+    /// This node's name.
+    pub member: String,
+    /// Its zone.
+    #[serde(default)]
+    pub location: String,
+    /// For users, workers and probes.
+    pub bind: SocketAddrV4,
+    /// For other controllers.
+    pub peer_bind: SocketAddrV4,
+    /// The other controllers.
+    #[serde(default)]
+    pub peers: Vec<Peer>,
+    /// Outside systems.
+    pub endpoints: Endpoints,
+    /// The deployment.
+    pub settings: Settings,
+}
+
+impl Config {
+    /// Reads and checks the platform's file.
+    pub fn load(path: &Path) -> Result<Config, ConfigError> {
+        load(path, Config::parse)
+    }
+
+    /// Reads and checks the platform's settings.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let mut config: Config = toml::from_str(text).map_err(|e| {
+            let at = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count());
+            ConfigError(format!("line {at}: {}", e.message().replace('\n', " ")))
+        })?;
+        config.check()?;
+        config.settings.state = config.settings.state.kept();
+        Ok(config)
+    }
+
+    fn check(&self) -> Result<(), ConfigError> {
+        if self.member.is_empty() {
+            return fail("member", "is empty");
+        }
+        let names = self.members();
+        if names.windows(2).any(|pair| pair[0] == pair[1]) {
+            return fail("peers", "two members have the same name");
+        }
+        self.settings.check()
+    }
+
+    /// All members' names in order: a member's place is its number, and its
+    /// seat's number, on every node alike.
+    pub fn members(&self) -> Vec<String> {
+        let mut names: Vec<String> = self.peers.iter().map(|p| p.member.clone()).collect();
+        names.push(self.member.clone());
+        names.sort();
+        names
+    }
+}
