--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -4,7 +4,7 @@
 mod simulation;
 
 use millethold::time::Micros;
-use simulation::chance::{chance_meeting, late, peers_of};
+use simulation::chance::{cancel, chance_meeting, late, peers_of};
 use simulation::row::{Row, blue, none_wrong, play};
 use simulation::{CancelNow, Plan, Troubles, World};
 
@@ -29,10 +29,6 @@
     (0..480).map(one).collect()
 }
 
-fn cancel(at_ms: u64, count: usize) -> Vec<CancelNow> {
-    vec![CancelNow { at_ms, count, hang_s: 0 }]
-}
-
 fn cancel_and_hang(at_ms: u64, count: usize, hang_s: u64) -> Vec<CancelNow> {
     vec![CancelNow { at_ms, count, hang_s }]
 }
@@ -730,17 +726,10 @@
         Plan { zone: Some("a"), ..blue(1_000, 3, 5.0) },
     ];
     for (name, rule, before, fact) in table {
-        let mut world = World::new(1, &plans, Troubles::default());
-        world.no_controllers();
-        world.run_until(5);
-        world.now = Micros::secs(5);
-        before(&mut world);
-        world.check();
-        assert!(world.broken.is_empty(), "{name}: {:?} too early", world.broken);
-        fact(&mut world);
-        world.check();
-        let named = world.broken.iter().any(|b| b.contains(rule));
-        assert!(named, "{name}: {rule} is not among {:?}", world.broken);
+        let (early, broken) = World::without_controllers(&plans).judge_fact(before, fact);
+        assert!(early.is_empty(), "{name}: {early:?} too early");
+        let named = broken.iter().any(|b| b.contains(rule));
+        assert!(named, "{name}: {rule} is not among {broken:?}");
     }
 }
 
@@ -750,10 +739,7 @@
 #[test]
 fn checks_let_pass() {
     let plans = [Plan::new(1_000, 2, 1.0, 5.0), Plan::new(1_000, 20, 1.0, 5.0)];
-    let mut world = World::new(1, &plans, Troubles::default());
-    world.no_controllers();
-    world.run_until(5);
-    world.now = Micros::secs(5);
+    let mut world = World::without_controllers(&plans);
     world.forge_job(0, true);
     world.forge_answer(0, None, 200, "cancelled");
     world.forge_answer(0, Some(4), 200, "running");
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,9 +4,9 @@
 mod simulation;
 
 use millethold::time::Micros;
-use simulation::chance::chance_meeting;
+use simulation::chance::{cancel, chance_meeting, late, peers_of};
 use simulation::row::{Row, blue, none_wrong, play};
-use simulation::{CancelNow, LateWrites, Plan, Troubles, World};
+use simulation::{Plan, Troubles, World};
 
 fn row(name: &'static str, troubles: Troubles, shown: fn(&World) -> bool) -> Row {
     Row { name, troubles: Troubles { machines: Some(24), ..troubles }, plans: mixed(), shown }
@@ -136,18 +136,6 @@
     plans
 }
 
-fn cancel(at_ms: u64, count: usize) -> Vec<CancelNow> {
-    vec![CancelNow { at_ms, count, hang_s: 0 }]
-}
-
-fn peers_of(node: usize, from: u64, to: u64) -> Vec<(usize, usize, u64, u64)> {
-    (0..3).filter(|n| *n != node).map(|n| (node, n, from, to)).collect()
-}
-
-fn late(from: u64, to: u64, share: f64, at_once: bool) -> Vec<LateWrites> {
-    vec![LateWrites { from, to, share, at_once }]
-}
-
 /// Tasks of the jobs that wait in `mixed`.
 fn all_waited(w: &World) -> bool {
     w.waited_starts >= 120
@@ -453,21 +441,12 @@
 }
 
 /// Feeds a fact to a world without controllers, in which users handed in a root, one after
-/// it, and one after that; returns what was found wrong.
+/// it, and one after that; returns what was found wrong before it and with it.
 fn judged(before: fn(&mut World), fact: fn(&mut World)) -> (Vec<String>, Vec<String>) {
     let mut plans = vec![blue(1_000, 2, 5.0)];
     let second = after(&mut plans, &[0], blue(1_000, 1, 5.0));
     after(&mut plans, &[second], blue(1_000, 3, 5.0));
-    let mut world = World::new(1, &plans, Troubles::default());
-    world.no_controllers();
-    world.run_until(5);
-    world.now = Micros::secs(5);
-    before(&mut world);
-    world.check();
-    let early = std::mem::take(&mut world.broken);
-    fact(&mut world);
-    world.check();
-    (early, world.broken)
+    World::without_controllers(&plans).judge_fact(before, fact)
 }
 
 /// All are accepted, the first is called off, and its user is told so at the fifth second.
@@ -683,7 +662,7 @@
                 lowered: Some((0, 30)),
                 crashes: vec![(31, 1), (44, 3)],
                 back_ms: 500,
-                late_writes: vec![LateWrites { from: 20, to: 50, share: 0.1, at_once: false }],
+                late_writes: late(20, 50, 0.1, false),
                 ..Troubles::default()
             },
         ),
@@ -738,7 +717,7 @@
                 Troubles {
                     crashes: vec![(18, 1), (21, 3), (27, 1)],
                     back_ms: 500,
-                    late_writes: vec![LateWrites { from: 10, to: 24, share: 0.1, at_once: false }],
+                    late_writes: late(10, 24, 0.1, false),
                     ..known.clone()
                 },
                 |w| w.starts >= 235,
--- a/tests/simulation/chance.rs
+++ b/tests/simulation/chance.rs
@@ -4,10 +4,17 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+/// Cuts of a controller from both others.
 pub fn peers_of(node: usize, from: u64, to: u64) -> Vec<(usize, usize, u64, u64)> {
     (0..3).filter(|n| *n != node).map(|n| (node, n, from, to)).collect()
 }
 
+/// So many running jobs are called off at a moment.
+pub fn cancel(at_ms: u64, count: usize) -> Vec<CancelNow> {
+    vec![CancelNow { at_ms, count, hang_s: 0 }]
+}
+
+/// Transactions without an answer, carried out late or at once.
 pub fn late(from: u64, to: u64, share: f64, at_once: bool) -> Vec<LateWrites> {
     vec![LateWrites { from, to, share, at_once }]
 }
--- a/tests/simulation/forge.rs
+++ b/tests/simulation/forge.rs
@@ -1,12 +1,36 @@
 //! Facts that no controller or worker brought about, to see that the rules judge them.
 
 use super::event::{Origin, SimEvent};
-use super::jobs::job_id;
+use super::faults::Troubles;
+use super::jobs::{Plan, job_id};
 use super::world::World;
 use millethold::time::Micros;
 use serde_json::json;
 
 impl World {
+    /// A world in its fifth second whose controllers are gone for good.
+    pub fn without_controllers(plans: &[Plan]) -> World {
+        let mut world = World::new(1, plans, Troubles::default());
+        world.no_controllers();
+        world.run_until(5);
+        world.now = Micros::secs(5);
+        world
+    }
+
+    /// Judges a fact: which rules were broken before it, and which with it.
+    pub fn judge_fact(
+        mut self,
+        before: fn(&mut World),
+        fact: fn(&mut World),
+    ) -> (Vec<String>, Vec<String>) {
+        before(&mut self);
+        self.check();
+        let early = std::mem::take(&mut self.broken);
+        fact(&mut self);
+        self.check();
+        (early, self.broken)
+    }
+
     /// Feeds an answer to a job's user that no controller gave, to see that it is judged:
     /// `left` says when the answer to a question left its node, or none for that to a
     /// cancellation, which leaves now.
