--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles: what broke rules most often was two of them at once. Each
+//! Meetings of faults: what broke rules most often was two of them at once. Each
 //! row is one such meeting, named after it, and played with a few seeds.
 
 mod simulation;
@@ -6,10 +6,10 @@
 use millethold::time::Micros;
 use simulation::chance::{cancel, chance_meeting, late, peers_of};
 use simulation::row::{Row, blue, none_wrong, play};
-use simulation::{CancelNow, Plan, Troubles, World};
+use simulation::{CancelNow, Faults, Plan, World};
 
-fn row(name: &'static str, troubles: Troubles, shown: fn(&World) -> bool) -> Row {
-    Row { name, troubles: Troubles { machines: Some(24), ..troubles }, plans: busy(), shown }
+fn row(name: &'static str, faults: Faults, shown: fn(&World) -> bool) -> Row {
+    Row { name, faults: Faults { machines: Some(24), ..faults }, plans: busy(), shown }
 }
 
 /// Long jobs to call off, a team at its limit, and short jobs all along.
@@ -38,11 +38,11 @@
 /// Nobody can ask it, and the tasks still have to be gone in time.
 #[test]
 fn refused_alone_then_all() {
-    let gap = |cut, cancel_ms, out| Troubles {
+    let gap = |cut, cancel_ms, out| Faults {
         state_cuts: vec![cut],
         outages: vec![out],
         cancel_now: cancel(cancel_ms, 14),
-        ..Troubles::default()
+        ..Faults::default()
     };
     let met = |w: &World| w.cancelled() >= 8;
     play(
@@ -55,24 +55,24 @@
             ),
             row(
                 "refused alone and apart from the others, 2 s later all",
-                Troubles { peer_cuts: peers_of(0, 19, 70), ..gap((0, 20, 22), 20_500, (22, 62)) },
+                Faults { peer_cuts: peers_of(0, 19, 70), ..gap((0, 20, 22), 20_500, (22, 62)) },
                 met,
             ),
             row(
                 "cancelled as one is refused and apart, 1 s later all",
-                Troubles { peer_cuts: peers_of(1, 19, 70), ..gap((1, 20, 21), 20_000, (21, 61)) },
+                Faults { peer_cuts: peers_of(1, 19, 70), ..gap((1, 20, 21), 20_000, (21, 61)) },
                 met,
             ),
             row(
                 // The old leader's lease comes back to life with its full time.
                 "cancelled as one is refused, then a short outage",
-                Troubles { peer_cuts: peers_of(0, 20, 60), ..gap((0, 20, 21), 20_000, (21, 25)) },
+                Faults { peer_cuts: peers_of(0, 20, 60), ..gap((0, 20, 21), 20_000, (21, 25)) },
                 met,
             ),
             row(
                 // For as long as its lease goes on it can act on what it knows alone.
                 "cancelled as one is refused, then outage after outage",
-                Troubles {
+                Faults {
                     outages: vec![(22, 26), (28, 32), (34, 38), (40, 44), (46, 50)],
                     ..gap((0, 20, 22), 20_500, (22, 26))
                 },
@@ -81,7 +81,7 @@
             row(
                 // Each outage gives its lease, which it cannot renew, the full time again.
                 "refused alone and apart over outage after outage",
-                Troubles {
+                Faults {
                     outages: vec![(22, 26), (30, 34), (38, 42), (46, 50)],
                     peer_cuts: peers_of(0, 19, 66),
                     ..gap((0, 20, 62), 20_200, (22, 26))
@@ -91,26 +91,26 @@
             row(
                 // Nothing else tells this controller of what others confirm.
                 "a controller's watches hang, peers apart, jobs cancelled",
-                Troubles {
+                Faults {
                     hung_watches: vec![(2, 18, 62)],
                     peer_cuts: peers_of(2, 18, 62),
                     cancel_now: cancel(19_000, 14),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 met,
             ),
             row(
                 "peers apart for longer than a cancellation has, state service well",
-                Troubles {
+                Faults {
                     peer_cuts: vec![(0, 1, 18, 62), (0, 2, 18, 62), (1, 2, 18, 62)],
                     cancel_now: cancel(25_000, 14),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 met,
             ),
             row(
                 "slow state service, refused alone, then all, users cancel and ask",
-                Troubles {
+                Faults {
                     slow_state: Some((14, 80, 900)),
                     close_looks: Some((10, 90)),
                     ..gap((0, 20, 22), 20_200, (23, 60))
@@ -125,12 +125,12 @@
 /// A leader loses the state service and the others, while workers and users reach it.
 #[test]
 fn cut_off_leaders() {
-    let alone = |node, from, to| Troubles {
+    let alone = |node, from, to| Faults {
         state_cuts: vec![(node, from, to)],
         peer_cuts: peers_of(node, from, to),
-        ..Troubles::default()
+        ..Faults::default()
     };
-    let zone = |node, from, to| Troubles {
+    let zone = |node, from, to| Faults {
         only: (0..24).step_by(2).map(|w| (w, node, from, to)).collect(),
         user_cuts: vec![(node, from, to)],
         ..alone(node, from, to)
@@ -139,12 +139,12 @@
         vec![
             row(
                 "leader cut from state and peers, jobs cancelled through the new one",
-                Troubles { cancel_now: cancel(26_000, 14), ..alone(0, 16, 70) },
+                Faults { cancel_now: cancel(26_000, 14), ..alone(0, 16, 70) },
                 |w| w.cancelled() >= 8,
             ),
             row(
                 "leader cut from state and peers, jobs cancelled as it is cut",
-                Troubles {
+                Faults {
                     cancel_now: cancel(16_000, 14),
                     close_looks: Some((10, 60)),
                     ..alone(2, 16, 70)
@@ -153,17 +153,17 @@
             ),
             row(
                 "a zone with workers and a controller cut off",
-                Troubles { cancel_now: cancel(24_000, 8), ..zone(0, 16, 60) },
+                Faults { cancel_now: cancel(24_000, 8), ..zone(0, 16, 60) },
                 |w| w.cancelled() >= 4,
             ),
             row(
                 "cancelled in the seconds in which work changes hands",
-                Troubles {
+                Faults {
                     state_cuts: vec![(1, 18, 40)],
                     cancel_now: [18_500, 20_500, 22_000, 23_500, 25_000]
                         .map(|at| cancel(at, 3)[0])
                         .into(),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 10,
             ),
@@ -191,55 +191,55 @@
         vec![
             row(
                 "ten changes of leader in two minutes",
-                Troubles {
+                Faults {
                     crashes: ten.clone(),
                     back_ms: 3_000,
                     cancel_now: cancel(40_000, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 10,
             ),
             row(
                 "ten changes of leader, also inside an outage",
-                Troubles {
+                Faults {
                     crashes: ten,
                     back_ms: 1_500,
                     outages: vec![(34, 60)],
                     cancel_now: cancel(33_500, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 8,
             ),
             row(
                 "handed over and back, all end, back within a second",
-                Troubles {
+                Faults {
                     state_cuts: vec![(1, 14, 30)],
                     crashes: vec![(46, 3)],
                     back_ms: 500,
                     cancel_now: cancel(45_500, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 4,
             ),
             row(
                 "handed over and back, all end, back one by one",
-                Troubles {
+                Faults {
                     state_cuts: vec![(1, 14, 30)],
                     crashes: vec![(44, 3)],
                     back_ms: 9_000,
                     cancel_now: cancel(43_500, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 4,
             ),
             row(
                 // Longer than a lease: no machine has kept anything.
                 "all controllers away for longer than a lease",
-                Troubles {
+                Faults {
                     crashes: vec![(22, 3)],
                     back_ms: 32_000,
                     cancel_now: cancel(21_900, 10),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.moves() >= 3 && w.cancelled() >= 4 && w.workers.iter().any(|w| w.lapses > 0),
             ),
@@ -247,12 +247,12 @@
                 plans: limit,
                 ..row(
                     "team at its limit, leader changes, machines away, cancellations",
-                    Troubles {
+                    Faults {
                         crashes: vec![(20, 1), (34, 1)],
                         back_ms: 6_000,
                         worker_cuts: (0..6).map(|w| (w, 18, 44, w % 2 == 0)).collect(),
                         cancel_now: cancel(23_000, 20),
-                        ..Troubles::default()
+                        ..Faults::default()
                     },
                     |w| w.cancelled() >= 8 && w.moves() >= 2,
                 )
@@ -261,12 +261,12 @@
                 plans: all_limited,
                 ..row(
                     "every team at its limit, cancelled jobs' machines hang, leader changes",
-                    Troubles {
+                    Faults {
                         crashes: vec![(21, 1), (33, 1)],
                         back_ms: 5_000,
                         worker_cuts: (8..12).map(|w| (w, 19, 50, false)).collect(),
                         cancel_now: cancel_and_hang(20_000, 24, 9),
-                        ..Troubles::default()
+                        ..Faults::default()
                     },
                     |w| w.cancelled() >= 3 && w.moves() >= 2,
                 )
@@ -275,34 +275,34 @@
                 plans: apart,
                 ..row(
                     "tasks of a job end far apart across a change of leader",
-                    Troubles {
+                    Faults {
                         crashes: vec![(16, 1), (30, 1), (44, 2)],
                         back_ms: 4_000,
                         worker_cuts: vec![(3, 20, 44, false), (8, 20, 29, true)],
-                        ..Troubles::default()
+                        ..Faults::default()
                     },
                     |w| w.starts >= 60 && w.moves() >= 4,
                 )
             },
             row(
                 "leader ends while machines with long tasks are out of reach",
-                Troubles {
+                Faults {
                     crashes: vec![(22, 1)],
                     back_ms: 26_000,
                     worker_cuts: (0..8).map(|w| (w, 20, 29, w % 2 == 0)).collect(),
                     cancel_now: cancel(24_000, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 2,
             ),
             row(
                 "leader ends while machines do not hear the new one",
-                Troubles {
+                Faults {
                     crashes: vec![(22, 1)],
                     back_ms: 26_000,
                     deaf: (0..8).map(|w| (w, 20, 42)).collect(),
                     cancel_now: cancel(24_000, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 4 && w.moves() >= 2,
             ),
@@ -314,22 +314,21 @@
 /// Reports that do not come, come twice, or come to another than they were sent to.
 #[test]
 fn reports_and_commands() {
-    let changes =
-        Troubles { crashes: vec![(18, 1), (34, 1)], back_ms: 4_000, ..Troubles::default() };
+    let changes = Faults { crashes: vec![(18, 1), (34, 1)], back_ms: 4_000, ..Faults::default() };
     play(
         vec![
             row(
                 "workers reach no controller, commands reach them",
-                Troubles {
+                Faults {
                     mute: (0..8).map(|w| (w, 18, 50)).collect(),
                     cancel_now: cancel(19_000, 10),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.workers[..8].iter().all(|w| w.lapses > 0) && w.cancelled() >= 6,
             ),
             row(
                 "workers reach no controller, and the leader ends",
-                Troubles {
+                Faults {
                     mute: (0..8).map(|w| (w, 16, 50)).collect(),
                     cancel_now: cancel(20_000, 10),
                     ..changes.clone()
@@ -338,12 +337,12 @@
             ),
             row(
                 "old reports as a new leader begins and when it has acted",
-                Troubles { for_next: Some((10, 80, 0.3)), ..changes.clone() },
+                Faults { for_next: Some((10, 80, 0.3)), ..changes.clone() },
                 |w| w.copies_for_next > 0,
             ),
             row(
                 "old reports for a new leader, machines cut, jobs cancelled",
-                Troubles {
+                Faults {
                     for_next: Some((10, 80, 0.3)),
                     worker_cuts: (0..6).map(|w| (w, 15, 40, w % 3 == 0)).collect(),
                     cancel_now: cancel(17_500, 10),
@@ -354,7 +353,7 @@
             ),
             row(
                 "old reports after newer ones, of earlier sessions too",
-                Troubles {
+                Faults {
                     copies: 0.3,
                     for_next: Some((10, 80, 0.2)),
                     worker_cuts: (0..6).map(|w| (w, 14, 34, w % 2 == 0)).collect(),
@@ -365,11 +364,11 @@
             ),
             row(
                 "commands and answers held up, machines go on",
-                Troubles {
+                Faults {
                     held: 0.4,
                     worker_cuts: (0..10).map(|w| (w, 16 + w as u64, 23 + w as u64, true)).collect(),
                     cancel_now: cancel_and_hang(21_000, 10, 8),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.cancelled() >= 6,
             ),
@@ -388,32 +387,32 @@
         vec![
             row(
                 "transactions carried out late, after newer ones",
-                Troubles {
+                Faults {
                     late_writes: late(10, 60, 0.15, false),
                     cancel_now: cancel(25_000, 10),
                     close_looks: Some((10, 60)),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.unanswered > 5 && w.cancelled() >= 6,
             ),
             row(
                 "transactions carried out late, and leaders end",
-                Troubles {
+                Faults {
                     late_writes: late(10, 60, 0.25, false),
                     crashes: crashes.clone(),
                     back_ms: 700,
                     cancel_now: cancel(23_000, 10),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.unanswered > 5,
             ),
             row(
                 "only the answer lost, while others read what was written",
-                Troubles {
+                Faults {
                     late_writes: late(10, 60, 0.25, true),
                     cancel_now: cancel(25_000, 10),
                     close_looks: Some((8, 60)),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
                 |w| w.unanswered > 5 && w.looks > 100,
             ),
@@ -421,12 +420,12 @@
                 plans: grown,
                 ..row(
                     "quick machines get work while writes lag, and the leader ends",
-                    Troubles {
+                    Faults {
                         quick_boots: true,
                         late_writes: late(6, 50, 0.2, false),
                         crashes,
                         back_ms: 4_000,
-                        ..Troubles::default()
+                        ..Faults::default()
                     },
                     |w| w.unanswered > 5 && w.workers.len() > 2,
                 )
@@ -435,8 +434,8 @@
         .into_iter()
         .map(|mut row| {
             // Few machines at first, so that more are rented in the middle of it.
-            if row.troubles.quick_boots {
-                row.troubles.machines = Some(2);
+            if row.faults.quick_boots {
+                row.faults.machines = Some(2);
             }
             row
         })
@@ -448,13 +447,13 @@
 /// Users who look closely, ask for odd things and cancel as jobs end.
 #[test]
 fn users_at_work() {
-    let close = Troubles { close_looks: Some((3, 120)), ..Troubles::default() };
+    let close = Faults { close_looks: Some((3, 120)), ..Faults::default() };
     let rows = vec![
         // Answers that cross the last word on their way are few beside the others.
         row("close looks", close.clone(), |w| w.looks > 500 && w.crossed * 20 < w.looks),
         row(
             "close looks over a change of leader, with slow watches",
-            Troubles {
+            Faults {
                 crashes: vec![(20, 1), (36, 1)],
                 back_ms: 4_000,
                 slow_watches: 1_500,
@@ -466,17 +465,17 @@
         ),
         row(
             "cancelled, asked about and submitted again as the last task ends",
-            Troubles { cancel_at_end: Some((3, 120, 0.6)), ..close.clone() },
+            Faults { cancel_at_end: Some((3, 120, 0.6)), ..close.clone() },
             |w| w.looks > 500 && w.cancelled() >= 1,
         ),
         row(
             "odd requests over a change of leader",
-            Troubles {
+            Faults {
                 odd_requests: Some((5, 80)),
                 crashes: vec![(20, 1), (36, 2)],
                 back_ms: 3_000,
                 outages: vec![(50, 56)],
-                ..Troubles::default()
+                ..Faults::default()
             },
             |w| w.odd_answers > 30,
         ),
@@ -487,8 +486,8 @@
 /// Nothing but many small jobs, of which each is asked about, repeated and cancelled.
 #[test]
 fn one_task_jobs() {
-    let troubles = Troubles { crashes: vec![(50, 1)], back_ms: 4_000, ..Troubles::default() };
-    let row = row("one-task jobs, a quarter cancelled", troubles, |w| w.cancelled() >= 60);
+    let faults = Faults { crashes: vec![(50, 1)], back_ms: 4_000, ..Faults::default() };
+    let row = row("one-task jobs, a quarter cancelled", faults, |w| w.cancelled() >= 60);
     play(vec![Row { plans: singles(), ..row }], 600..603);
 }
 
@@ -505,7 +504,7 @@
     };
     let mut bound: Vec<Plan> = (0..16).map(|n| zone(n, 2 + (n % 3) as u32)).collect();
     bound.extend([zone(6, 60), zone(9, 60)]);
-    let slow = Troubles { slow_links: Some((5, 90, 300)), ..Troubles::default() };
+    let slow = Faults { slow_links: Some((5, 90, 300)), ..Faults::default() };
     play(
         vec![
             Row {
@@ -518,12 +517,12 @@
                 plans: bound,
                 ..row(
                     "jobs bound to a zone lose machines",
-                    Troubles {
+                    Faults {
                         taken: [0, 2, 4, 6, 7, 9].map(|w| (16, w)).into(),
                         worker_cuts: (10..16).map(|w| (w, 20, 45, w % 2 == 0)).collect(),
                         crashes: vec![(22, 1)],
                         back_ms: 5_000,
-                        ..Troubles::default()
+                        ..Faults::default()
                     },
                     |w| w.starts > 160,
                 )
@@ -766,8 +765,8 @@
 /// was lost, or after a lease came back under which much had been heard and not judged.
 #[test]
 fn chance_meetings() {
-    let faults = [2194, 2497, 3073, 3240, 3374, 3388];
-    let played = faults.into_iter().chain(700..710).filter_map(|seed| {
+    let failed_before = [2194, 2497, 3073, 3240, 3374, 3388];
+    let played = failed_before.into_iter().chain(700..710).filter_map(|seed| {
         let row = row("by chance", chance_meeting(seed), |_| true);
         row.run(seed)
     });
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -6,10 +6,10 @@
 use millethold::time::Micros;
 use simulation::chance::{cancel, chance_meeting, late, peers_of};
 use simulation::row::{Row, blue, none_wrong, play};
-use simulation::{Plan, Troubles, World};
+use simulation::{Faults, Plan, World};
 
-fn row(name: &'static str, troubles: Troubles, shown: fn(&World) -> bool) -> Row {
-    Row { name, troubles: Troubles { machines: Some(24), ..troubles }, plans: mixed(), shown }
+fn row(name: &'static str, faults: Faults, shown: fn(&World) -> bool) -> Row {
+    Row { name, faults: Faults { machines: Some(24), ..faults }, plans: mixed(), shown }
 }
 
 fn red(at_s: u64, tasks: u32, run_s: f64) -> Plan {
@@ -144,7 +144,7 @@
 fn one(name: &'static str, plans: fn(&mut Vec<Plan>), shown: fn(&World) -> bool) -> Row {
     let mut list = Vec::new();
     plans(&mut list);
-    Row { plans: list, ..row(name, Troubles::default(), shown) }
+    Row { plans: list, ..row(name, Faults::default(), shown) }
 }
 
 fn none_cancelled(w: &World, starts: u64) -> bool {
@@ -160,7 +160,7 @@
             one("several teams", |p| _ = teams(p, 3), |w| none_cancelled(w, 26)),
             one("one after ten", |p| _ = fan_in(p, 3), |w| none_cancelled(w, 4)),
             one("the last submitted late", |p| late_last(p, 3), |w| none_cancelled(w, 10)),
-            row("all of them", Troubles::default(), all_waited),
+            row("all of them", Faults::default(), all_waited),
             Row {
                 // Those that wait hold no part of the limit that others need, which would
                 // else be left waiting for longer than is allowed.
@@ -172,18 +172,18 @@
                     }
                     plans
                 },
-                ..row("waiting jobs and a team's limit", Troubles::default(), |w| {
+                ..row("waiting jobs and a team's limit", Faults::default(), |w| {
                     none_cancelled(w, 56)
                 })
             },
             row(
                 "users look closely",
-                Troubles { close_looks: Some((3, 90)), ..Troubles::default() },
+                Faults { close_looks: Some((3, 90)), ..Faults::default() },
                 |w| w.looks > 500 && w.waited_starts >= 20,
             ),
             row(
                 "upstream jobs that nobody submitted, and lists that are none",
-                Troubles { odd_requests: Some((5, 60)), ..Troubles::default() },
+                Faults { odd_requests: Some((5, 60)), ..Faults::default() },
                 |w| w.odd_answers > 30 && all_waited(w),
             ),
         ],
@@ -193,10 +193,10 @@
 
 #[test]
 fn crashes() {
-    let crash = |crashes: &[(u64, usize)], back_ms| Troubles {
+    let crash = |crashes: &[(u64, usize)], back_ms| Faults {
         crashes: crashes.to_vec(),
         back_ms,
-        ..Troubles::default()
+        ..Faults::default()
     };
     play(
         vec![
@@ -220,14 +220,14 @@
 /// What ends, ends at the moment at which a controller or a machine does.
 #[test]
 fn around_the_release() {
-    let short_row = |name, troubles| Row {
+    let short_row = |name, faults| Row {
         plans: short(),
-        ..row(name, troubles, |w: &World| w.waited_starts >= 70)
+        ..row(name, faults, |w: &World| w.waited_starts >= 70)
     };
-    let crash = |share, count| Troubles {
+    let crash = |share, count| Faults {
         crash_at_end: Some((5, 40, share, count)),
         back_ms: 1_000,
-        ..Troubles::default()
+        ..Faults::default()
     };
     play(
         vec![
@@ -235,15 +235,15 @@
             short_row("all end as upstream jobs end", crash(0.12, 3)),
             short_row(
                 "the machine is taken as its upstream task ends",
-                Troubles { take_at_end: Some((5, 30, 0.25)), ..Troubles::default() },
+                Faults { take_at_end: Some((5, 30, 0.25)), ..Faults::default() },
             ),
             short_row(
                 "the machine is taken and a controller ends",
-                Troubles { take_at_end: Some((5, 30, 0.15)), ..crash(0.2, 1) },
+                Faults { take_at_end: Some((5, 30, 0.15)), ..crash(0.2, 1) },
             ),
             short_row(
                 "machines hang and come back as upstream jobs end",
-                Troubles {
+                Faults {
                     worker_cuts: (0..16).map(|w| (w, 6 + w as u64, 16 + w as u64, true)).collect(),
                     ..crash(0.1, 1)
                 },
@@ -259,22 +259,22 @@
         w.cancelled_with_others() >= 12 && w.waited_starts >= 20
     }
     let at =
-        |name, at_s, troubles, shown| Row { plans: called_off(at_s), ..row(name, troubles, shown) };
-    let at_end = |share| Troubles { cancel_at_end: Some((3, 60, share)), ..Troubles::default() };
-    let crashes = Troubles { crashes: vec![(21, 1), (24, 1)], back_ms: 3_000, ..at_end(0.3) };
+        |name, at_s, faults, shown| Row { plans: called_off(at_s), ..row(name, faults, shown) };
+    let at_end = |share| Faults { cancel_at_end: Some((3, 60, share)), ..Faults::default() };
+    let crashes = Faults { crashes: vec![(21, 1), (24, 1)], back_ms: 3_000, ..at_end(0.3) };
     play(
         vec![
             // The first jobs run, the others wait.
-            at("called off at each depth as the first runs", 14, Troubles::default(), all_of_them),
+            at("called off at each depth as the first runs", 14, Faults::default(), all_of_them),
             // Some are done by then: what comes after them goes on.
-            at("called off at each depth as later ones run", 24, Troubles::default(), |w| {
+            at("called off at each depth as later ones run", 24, Faults::default(), |w| {
                 w.cancelled_with_others() >= 2 && w.went_on() >= 1
             }),
-            at("called off as they are submitted", 6, Troubles::default(), all_of_them),
+            at("called off as they are submitted", 6, Faults::default(), all_of_them),
             at(
                 "called off with slow watches and close looks",
                 14,
-                Troubles { slow_watches: 1_500, close_looks: Some((3, 40)), ..Troubles::default() },
+                Faults { slow_watches: 1_500, close_looks: Some((3, 40)), ..Faults::default() },
                 |w| w.cancelled_with_others() >= 12 && w.looks > 300,
             ),
             row("called off as the last task ends", at_end(0.5), |w| w.cancelled() >= 1),
@@ -288,7 +288,7 @@
                 plans: short(),
                 ..row(
                     "called off as the last task ends, asked about closely, and leaders end",
-                    Troubles { close_looks: Some((3, 60)), ..crashes },
+                    Faults { close_looks: Some((3, 60)), ..crashes },
                     |w| w.cancelled() + w.went_on() >= 1,
                 )
             },
@@ -304,10 +304,8 @@
     fn with_others(w: &World) -> bool {
         w.cancelled_with_others() >= 24
     }
-    let gap =
-        |outages: &[(u64, u64)]| Troubles { outages: outages.to_vec(), ..Troubles::default() };
-    let off =
-        |name, troubles| Row { plans: roots_called_off(20), ..row(name, troubles, with_others) };
+    let gap = |outages: &[(u64, u64)]| Faults { outages: outages.to_vec(), ..Faults::default() };
+    let off = |name, faults| Row { plans: roots_called_off(20), ..row(name, faults, with_others) };
     play(
         vec![
             off("the first called off, 1 s later a long outage", gap(&[(21, 61)])),
@@ -320,15 +318,15 @@
             },
             off(
                 "called off, a long outage, and all end in it",
-                Troubles { crashes: vec![(30, 1)], back_ms: 3_000, ..gap(&[(21, 58)]) },
+                Faults { crashes: vec![(30, 1)], back_ms: 3_000, ..gap(&[(21, 58)]) },
             ),
             off(
                 "called off as one is refused, then all",
-                Troubles { state_cuts: vec![(0, 20, 22)], ..gap(&[(22, 62)]) },
+                Faults { state_cuts: vec![(0, 20, 22)], ..gap(&[(22, 62)]) },
             ),
             off(
                 "called off as one is refused and apart, then all",
-                Troubles {
+                Faults {
                     state_cuts: vec![(1, 19, 22)],
                     peer_cuts: peers_of(1, 18, 70),
                     ..gap(&[(22, 62)])
@@ -336,29 +334,29 @@
             ),
             off(
                 "one is refused for long",
-                Troubles { state_cuts: vec![(0, 10, 70)], ..Troubles::default() },
+                Faults { state_cuts: vec![(0, 10, 70)], ..Faults::default() },
             ),
             off(
                 "peers apart, and watches hang",
-                Troubles {
+                Faults {
                     hung_watches: vec![(2, 18, 62)],
                     peer_cuts: peers_of(2, 18, 62),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
             ),
             off(
                 "slow watches and a slow state service",
-                Troubles {
+                Faults {
                     slow_watches: 1_500,
                     slow_state: Some((10, 60, 900)),
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
             ),
             off(
                 "peers apart",
-                Troubles {
+                Faults {
                     peer_cuts: vec![(0, 1, 15, 62), (0, 2, 15, 62), (1, 2, 15, 62)],
-                    ..Troubles::default()
+                    ..Faults::default()
                 },
             ),
         ],
@@ -369,22 +367,22 @@
 /// Pipelines that nobody, or not all, calls off.
 #[test]
 fn messages() {
-    let plain = Troubles::default;
+    let plain = Faults::default;
     play(
         vec![
             row(
                 "one is refused by the state service",
-                Troubles { state_cuts: vec![(0, 6, 20), (1, 22, 36)], ..plain() },
+                Faults { state_cuts: vec![(0, 6, 20), (1, 22, 36)], ..plain() },
                 all_waited,
             ),
             row(
                 "transactions carried out late, after newer ones",
-                Troubles { late_writes: late(3, 50, 0.2, false), ..plain() },
+                Faults { late_writes: late(3, 50, 0.2, false), ..plain() },
                 |w| all_waited(w) && w.unanswered > 5,
             ),
             row(
                 "only the answers of transactions lost, jobs called off",
-                Troubles {
+                Faults {
                     late_writes: late(3, 50, 0.25, true),
                     cancel_now: cancel(16_000, 6),
                     ..plain()
@@ -393,7 +391,7 @@
             ),
             row(
                 "transactions lost, late, and commands held",
-                Troubles {
+                Faults {
                     lost: 0.1,
                     late: 0.5,
                     held: 0.2,
@@ -405,7 +403,7 @@
             ),
             row(
                 "watches hang and are slow",
-                Troubles {
+                Faults {
                     hung_watches: vec![(0, 5, 25), (1, 15, 35), (2, 30, 45)],
                     slow_watches: 1_000,
                     ..plain()
@@ -414,12 +412,12 @@
             ),
             row(
                 "peers apart, frames lost",
-                Troubles { peer_cuts: peers_of(0, 6, 40), dropped: 0.1, ..plain() },
+                Faults { peer_cuts: peers_of(0, 6, 40), dropped: 0.1, ..plain() },
                 all_waited,
             ),
             row(
                 "a short outage, then another, jobs called off between",
-                Troubles {
+                Faults {
                     outages: vec![(10, 16), (22, 34)],
                     cancel_now: cancel(19_000, 6),
                     ..plain()
@@ -428,7 +426,7 @@
             ),
             row(
                 "machines taken, and machines apart",
-                Troubles {
+                Faults {
                     taken: [1, 3, 5, 8].map(|w| (14, w)).into(),
                     worker_cuts: (10..16).map(|w| (w, 10, 30, w % 2 == 0)).collect(),
                     ..plain()
@@ -655,45 +653,44 @@
     };
     let one_by_one = vec![(26, 1), (29, 1), (32, 1), (35, 1), (38, 1)];
     let table = [
-        ("known from the start", Troubles { lowered: Some((0, 30)), ..Troubles::default() }),
+        ("known from the start", Faults { lowered: Some((0, 30)), ..Faults::default() }),
         (
             "known from the start, and a crash beside",
-            Troubles {
+            Faults {
                 lowered: Some((0, 30)),
                 crashes: vec![(31, 1), (44, 3)],
                 back_ms: 500,
                 late_writes: late(20, 50, 0.1, false),
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             "learnt by those that come back, one by one",
-            Troubles {
+            Faults {
                 lowered: Some((25, 60)),
                 crashes: one_by_one.clone(),
                 back_ms: 500,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             "learnt a moment before",
-            Troubles {
+            Faults {
                 lowered: Some((25, 36)),
                 crashes: [vec![(26, 3)], vec![(37, 1)]].concat(),
                 back_ms: 500,
                 writes: Some(40.0),
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    let rows =
-        table.map(|(name, troubles)| Row { plans: arrays(), ..row(name, troubles, |_| true) });
+    let rows = table.map(|(name, faults)| Row { plans: arrays(), ..row(name, faults, |_| true) });
     // Once for each controller, and what was under way meanwhile.
     let refused = |w: &World| w.refused_large < 8;
     // So many machines that what runs of one part is more than a small value holds.
     let large = |row: Row| Row {
         shown: refused,
-        troubles: Troubles { machines: Some(60), ..row.troubles },
+        faults: Faults { machines: Some(60), ..row.faults },
         ..row
     };
     play(rows.into_iter().map(large).collect(), 850..852);
@@ -707,14 +704,14 @@
     after(&mut plans, &all, blue(4, 2, 3.0));
     let last = after(&mut plans, &all[20..], blue(4, 2, 3.0));
     after(&mut plans, &[last], blue(4, 1, 2.0));
-    let known = Troubles { lowered: Some((0, 30)), ..Troubles::default() };
+    let known = Faults { lowered: Some((0, 30)), ..Faults::default() };
     let rows = vec![
         Row { plans: plans.clone(), ..row("hundreds of them", known.clone(), |w| w.starts >= 235) },
         Row {
             plans: plans.clone(),
             ..row(
                 "hundreds of them, and leaders end",
-                Troubles {
+                Faults {
                     crashes: vec![(18, 1), (21, 3), (27, 1)],
                     back_ms: 500,
                     late_writes: late(10, 24, 0.1, false),
@@ -730,7 +727,7 @@
             },
             ..row(
                 "one of hundreds is called off",
-                Troubles { crashes: vec![(25, 2)], back_ms: 500, ..known },
+                Faults { crashes: vec![(25, 2)], back_ms: 500, ..known },
                 |w| w.cancelled_with_others() == 3,
             )
         },
@@ -738,7 +735,7 @@
     play(rows, 870..872);
 }
 
-/// Troubles at random, by the seed, beside pipelines: meetings that nobody thought of.
+/// Faults at random, by the seed, beside pipelines: meetings that nobody thought of.
 #[test]
 fn chance_meetings() {
     let play = |seed| row("by chance", chance_meeting(seed), |_| true).run(seed);
--- a/tests/simulation/answers.rs
+++ b/tests/simulation/answers.rs
@@ -33,7 +33,7 @@
             return;
         }
         let now = self.now;
-        let storm = self.troubles.storm.filter(|s| self.during(s.0, s.1));
+        let storm = self.faults.storm.filter(|s| self.during(s.0, s.1));
         if storm.is_some() && matches!(origin, Origin::Poll(..)) {
             self.answered += 1;
         }
@@ -58,7 +58,7 @@
         }
         if news {
             self.look_closely(&id);
-            let close = self.troubles.close_looks.is_some_and(|l| self.during(l.0, l.1));
+            let close = self.faults.close_looks.is_some_and(|l| self.during(l.0, l.1));
             if first && close && self.chance(CANCEL_AT_ONCE) {
                 let at = now + Micros(self.rng.random_range(0..5_000));
                 self.at(at, SimEvent::Cancel(id));
--- a/tests/simulation/chance.rs
+++ b/tests/simulation/chance.rs
@@ -1,6 +1,6 @@
-//! Troubles drawn by a seed, and those that several tests play.
+//! Faults drawn by a seed, and those that several tests play.
 
-use super::{CancelNow, LateWrites, Troubles};
+use super::{CancelNow, Faults, LateWrites};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -19,10 +19,10 @@
     vec![LateWrites { from, to, share, at_once }]
 }
 
-/// A few troubles at random, by the seed: meetings that nobody thought of.
-pub fn chance_meeting(seed: u64) -> Troubles {
+/// A few faults at random, by the seed: meetings that nobody thought of.
+pub fn chance_meeting(seed: u64) -> Faults {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut t = Troubles { machines: Some(24), back_ms: 3_000, ..Troubles::default() };
+    let mut t = Faults { machines: Some(24), back_ms: 3_000, ..Faults::default() };
     for _ in 0..2 {
         let hang_s = [0, 0, 8][rng.random_range(0..3)];
         let at_ms = rng.random_range(17_000..40_000);
--- a/tests/simulation/checks.rs
+++ b/tests/simulation/checks.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Once all troubles are over nothing waits for long while a machine that fits
+    /// Once all faults are over nothing waits for long while a machine that fits
     /// has room and its team, of which `red` CPUs are used, is under its limit.
     fn left_waiting(&mut self, red: f64) {
         let room = self.free_room();
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -29,9 +29,9 @@
     pub(super) fn start(&mut self, node: usize) {
         let seed = self.rng.random();
         let incarnation = self.rng.random();
-        if self.troubles.lowered.is_some_and(|(known, _)| self.now >= Micros::secs(known)) {
+        if self.faults.lowered.is_some_and(|(known, _)| self.now >= Micros::secs(known)) {
             let [writes, reads] =
-                [self.troubles.writes, self.troubles.reads].map(|r| r.unwrap_or(STATE_RATE));
+                [self.faults.writes, self.faults.reads].map(|r| r.unwrap_or(STATE_RATE));
             let next = format!(
                 "next = {{ value_kb = {:.1}, txn_ops = {} }}",
                 LOWERED.value_kb, LOWERED.operations
@@ -55,7 +55,7 @@
     pub(super) fn crash(&mut self, node: usize) {
         self.nodes[node] = None;
         self.watches.retain(|watch| watch.node != node);
-        let wait = self.troubles.back_ms.max(100);
+        let wait = self.faults.back_ms.max(100);
         let back = self.now + Micros::millis(self.rng.random_range(wait / 2..wait * 2));
         self.at(back, SimEvent::Start { node });
     }
@@ -83,7 +83,7 @@
                 self.at(at, SimEvent::Answer { ticket: ticket.0, left, status, body });
             }
             Effect::State { id, call } => {
-                let lose = self.chance(self.troubles.lost);
+                let lose = self.chance(self.faults.lost);
                 let at = at + self.state_slow();
                 let sent = self.now;
                 self.at(at, SimEvent::State { node, incarnation, id, call, lose, sent });
@@ -112,7 +112,7 @@
             for name in names.clone() {
                 let zone = self.cloud.zone(&name);
                 let worker = self.workers.len();
-                let boot = match self.troubles.quick_boots {
+                let boot = match self.faults.quick_boots {
                     true => Micros::millis(self.rng.random_range(200..2_000)),
                     false => Micros::secs(5),
                 };
@@ -142,7 +142,7 @@
         at: Micros,
     ) {
         let worker = usize::from(address.port());
-        let held = self.chance(self.troubles.held);
+        let held = self.chance(self.faults.held);
         let node_cut = self.node_cut(node);
         let cut = self.worker_cut(worker).or(node_cut.map(|(end, _)| end));
         let no_answer = SimEvent::Node {
@@ -181,7 +181,7 @@
         self.told += frame.wants.iter().map(|w| w.machines.len() as u64).sum::<u64>();
         let machines = frame.wants.iter().flat_map(|w| &w.machines);
         self.named += machines.map(|m| m.tasks.len() as u64).sum::<u64>();
-        if self.chance(self.troubles.dropped) {
+        if self.chance(self.faults.dropped) {
             return;
         }
         let Some((link, last)) = self.links.get(&(node, to)).copied() else {
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -5,7 +5,7 @@
 
 /// What goes wrong, as chances or times.
 #[derive(Debug, Clone, Default)]
-pub struct Troubles {
+pub struct Faults {
     /// Crash this many controllers, at these times.
     pub crashes: Vec<(u64, usize)>,
     /// Time until a crashed controller is back, in milliseconds.
@@ -119,7 +119,7 @@
     pub hang_s: u64,
 }
 
-impl Troubles {
+impl Faults {
     /// When the last of them is over and what they held back has arrived.
     pub(super) fn over(&self) -> Micros {
         let mut ends: Vec<u64> = Vec::new();
--- a/tests/simulation/forge.rs
+++ b/tests/simulation/forge.rs
@@ -1,7 +1,7 @@
 //! Facts that no controller or worker brought about, to see that the rules judge them.
 
 use super::event::{Origin, SimEvent};
-use super::faults::Troubles;
+use super::faults::Faults;
 use super::jobs::{Plan, job_id};
 use super::world::World;
 use millethold::time::Micros;
@@ -10,7 +10,7 @@
 impl World {
     /// A world in its fifth second whose controllers are gone for good.
     pub fn without_controllers(plans: &[Plan]) -> World {
-        let mut world = World::new(1, plans, Troubles::default());
+        let mut world = World::new(1, plans, Faults::default());
         world.no_controllers();
         world.run_until(5);
         world.now = Micros::secs(5);
--- a/tests/simulation/jobs.rs
+++ b/tests/simulation/jobs.rs
@@ -61,7 +61,7 @@
     pub(super) over_told: Option<Micros>,
     /// When a question about it was last answered.
     pub(super) answered: Micros,
-    /// Since when one of its tasks waits though there is room for it, all troubles
+    /// Since when one of its tasks waits though there is room for it, all faults
     /// being over, and its starts until then.
     pub(super) waits: Option<(Micros, u64)>,
     /// Tasks that completed on some worker, which alone makes `done` true.
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -26,7 +26,7 @@
     pub(super) fn add_worker(&mut self, zone: &str, spot: bool) {
         let worker = self.workers.len();
         let name = self.cloud.add(self.now, zone, spot);
-        let sick = self.troubles.sick.contains(&worker);
+        let sick = self.faults.sick.contains(&worker);
         self.workers.push(Worker::new(name, zone, spot, sick, self.now));
         let wait = Micros::millis(self.rng.random_range(100..2_000));
         self.at(self.now + wait, SimEvent::Worker { worker });
@@ -113,11 +113,11 @@
     /// this moment happen.
     fn job_ended(&mut self, worker: usize, job: &str) {
         let now = self.now;
-        let share = self.troubles.cancel_at_end.filter(|c| self.during(c.0, c.1));
+        let share = self.faults.cancel_at_end.filter(|c| self.during(c.0, c.1));
         if !self.jobs[job].cancel_asked && self.chance(share.map_or(0.0, |c| c.2)) {
             self.at(now, SimEvent::Cancel(job.to_string()));
         }
-        let crash = self.troubles.crash_at_end.filter(|c| self.during(c.0, c.1));
+        let crash = self.faults.crash_at_end.filter(|c| self.during(c.0, c.1));
         if let Some((.., share, count)) = crash
             && self.chance(share)
         {
@@ -129,7 +129,7 @@
                 }
             }
         }
-        let take = self.troubles.take_at_end.filter(|c| self.during(c.0, c.1));
+        let take = self.faults.take_at_end.filter(|c| self.during(c.0, c.1));
         if self.chance(take.map_or(0.0, |c| c.2)) {
             self.take_machine(worker);
         }
@@ -158,7 +158,7 @@
             Some(end) => end + Micros::millis(3),
             None => self.now + self.delay(),
         };
-        if self.chance(self.troubles.copies) {
+        if self.chance(self.faults.copies) {
             let node = self.rng.random_range(0..CONTROLLERS);
             let late = Micros::millis(self.rng.random_range(500..40_000));
             let event = self.copy_of_report(&body);
@@ -181,7 +181,7 @@
 
     /// Keeps a copy of a report for the next leader, by chance.
     fn keep_copy(&mut self, worker: usize, body: &[u8]) {
-        let keep = self.troubles.for_next.filter(|k| self.during(k.0, k.1));
+        let keep = self.faults.for_next.filter(|k| self.during(k.0, k.1));
         if !self.chance(keep.map_or(0.0, |k| k.2)) {
             return;
         }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -38,7 +38,7 @@
 mod world;
 
 #[allow(unused_imports)]
-pub use faults::{CancelNow, LateWrites, Troubles};
+pub use faults::{CancelNow, Faults, LateWrites};
 pub use jobs::Plan;
 #[allow(unused_imports)]
 pub use outcome::{judge, until_done};
--- a/tests/simulation/odd_requests.rs
+++ b/tests/simulation/odd_requests.rs
@@ -44,7 +44,7 @@
 impl World {
     /// A user asks for something odd, and soon for something else.
     pub(super) fn odd_request(&mut self) {
-        let Some((_, to)) = self.troubles.odd_requests else {
+        let Some((_, to)) = self.faults.odd_requests else {
             return;
         };
         if self.now >= Micros::secs(to) {
--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -1,6 +1,6 @@
 //! What a run has shown.
 
-use super::faults::Troubles;
+use super::faults::Faults;
 use super::jobs::{Plan, UserJob};
 use super::settings::CONTROLLERS;
 use super::world::World;
@@ -82,8 +82,8 @@
 }
 
 /// Plays to the end: no rule may be broken, no job left undone.
-pub fn until_done(name: &str, seed: u64, plans: &[Plan], end_s: u64, troubles: &Troubles) -> World {
-    let mut world = World::new(seed, plans, troubles.clone());
+pub fn until_done(name: &str, seed: u64, plans: &[Plan], end_s: u64, faults: &Faults) -> World {
+    let mut world = World::new(seed, plans, faults.clone());
     world.run_until(end_s);
     judge(name, seed, world).unwrap_or_else(|wrong| panic!("{wrong}"))
 }
--- a/tests/simulation/row.rs
+++ b/tests/simulation/row.rs
@@ -1,6 +1,6 @@
 //! Rows of a table of runs: each is played with a few seeds.
 
-use super::faults::Troubles;
+use super::faults::Faults;
 use super::jobs::Plan;
 use super::outcome::judge;
 use super::world::World;
@@ -13,7 +13,7 @@
 /// shown, without which it says nothing.
 pub struct Row {
     pub name: &'static str,
-    pub troubles: Troubles,
+    pub faults: Faults,
     pub plans: Vec<Plan>,
     pub shown: fn(&World) -> bool,
 }
@@ -21,7 +21,7 @@
 impl Row {
     /// Plays the row with a seed; what went wrong, if anything.
     pub fn run(&self, seed: u64) -> Option<String> {
-        let mut world = World::new(seed, &self.plans, self.troubles.clone());
+        let mut world = World::new(seed, &self.plans, self.faults.clone());
         world.run_out(END_S);
         match judge(self.name, seed, world) {
             Ok(world) if !(self.shown)(&world) => Some(format!(
--- a/tests/simulation/settings.rs
+++ b/tests/simulation/settings.rs
@@ -29,7 +29,7 @@
 
 /// The usual limits.
 pub(super) const LIMITS: TransactionLimits = TransactionLimits { value_kb: 8.0, operations: 8 };
-/// Those that `Troubles::lowered` speaks of.
+/// Those that `Faults::lowered` speaks of.
 pub(super) const LOWERED: TransactionLimits = TransactionLimits { value_kb: 2.0, operations: 4 };
 
 /// Settings of a controller; `next` is a further line about the state service.
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -29,7 +29,7 @@
         lose: bool,
         sent: Micros,
     ) {
-        let storms = self.troubles.storm.is_some_and(|s| self.during(s.0, s.1));
+        let storms = self.faults.storm.is_some_and(|s| self.during(s.0, s.1));
         self.calls += u64::from(storms);
         let reply_at = self.now + self.delay() + self.state_slow();
         let reply = |reply| SimEvent::Node {
@@ -69,7 +69,7 @@
     /// that it is fenced, and that it keeps to limits that were not lowered.
     fn too_large(&mut self, txn: &Txn) -> bool {
         self.broken.extend(store::unfenced(txn));
-        let lowered = self.troubles.lowered.is_some_and(|(_, at)| self.now >= Micros::secs(at));
+        let lowered = self.faults.lowered.is_some_and(|(_, at)| self.now >= Micros::secs(at));
         let limits = if lowered { LOWERED } else { LIMITS };
         let Some(what) = store::too_large(txn, limits.value_kb, limits.operations) else {
             return false;
@@ -84,13 +84,13 @@
     /// Whether a transaction gets no answer; it may be carried out all the same.
     fn leaves_unanswered(&mut self, txn: &StateCall, lose: bool) -> bool {
         if lose {
-            if self.chance(self.troubles.late) {
+            if self.chance(self.faults.late) {
                 let late = Micros::millis(self.rng.random_range(0..10_000));
                 self.at(self.now + late, SimEvent::LateTxn { call: txn.clone() });
             }
             return true;
         }
-        let late = self.troubles.late_writes.iter().find(|l| self.during(l.from, l.to)).copied();
+        let late = self.faults.late_writes.iter().find(|l| self.during(l.from, l.to)).copied();
         let Some(late) = late else {
             return false;
         };
@@ -156,14 +156,14 @@
             false
         });
         for (node, incarnation, event) in ready {
-            let at = now + self.delay() + Micros::millis(self.troubles.slow_watches);
+            let at = now + self.delay() + Micros::millis(self.faults.slow_watches);
             self.at(at, SimEvent::Node { node, incarnation, event });
         }
     }
 
     /// Gives the copies that were kept to the controllers that have just taken a seat.
     fn greet_leaders(&mut self) {
-        if self.troubles.for_next.is_none() || self.store.ledger == self.seen {
+        if self.faults.for_next.is_none() || self.store.ledger == self.seen {
             return;
         }
         let taken = self.store.changes("hold/", self.seen);
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -42,7 +42,7 @@
             return;
         }
         self.user_asks(&id, "GET", "", Origin::Poll(id.clone(), self.now));
-        let storm = self.troubles.storm.filter(|s| self.during(s.0, s.1));
+        let storm = self.faults.storm.filter(|s| self.during(s.0, s.1));
         let again = Micros::millis(POLL_MS / storm.map_or(1, |s| s.2));
         self.asked += u64::from(storm.is_some());
         self.at(self.now + again, SimEvent::Poll(id));
@@ -100,7 +100,7 @@
 
     /// A user looks at all controllers within milliseconds, and then again.
     pub(super) fn look_closely(&mut self, id: &str) {
-        if !self.troubles.close_looks.is_some_and(|l| self.during(l.0, l.1)) {
+        if !self.faults.close_looks.is_some_and(|l| self.during(l.0, l.1)) {
             return;
         }
         for wait_ms in [0, 5, 30, 200] {
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -2,7 +2,7 @@
 
 use super::cloud::Cloud;
 use super::event::{Node, Origin, SimEvent};
-use super::faults::Troubles;
+use super::faults::Faults;
 use super::jobs::{Plan, UserJob, job_id};
 use super::settings::{CONTROLLERS, MACHINES, STATE_RATE, TICK, settings};
 use super::store::Store;
@@ -38,7 +38,7 @@
     pub(super) jobs: BTreeMap<String, UserJob>,
     pub(super) tickets: BTreeMap<u64, Origin>,
     pub(super) next_ticket: u64,
-    pub(super) troubles: Troubles,
+    pub(super) faults: Faults,
     /// Latest frame of each link, so that frames stay in order.
     pub(super) links: BTreeMap<(usize, usize), (u64, Micros)>,
     /// Watches that wait.
@@ -49,7 +49,7 @@
     pub(super) kept: BTreeMap<usize, Vec<Event>>,
     /// Changes of the state service that were looked at for leaders.
     pub(super) seen: u64,
-    /// From when on no trouble is left.
+    /// From when on no fault is left.
     pub(super) calm: Micros,
     pub(super) next_look: Micros,
     /// Requests that cannot be served so far; each has its own job id.
@@ -88,13 +88,13 @@
 
 impl World {
     /// A world before its first event.
-    pub fn new(seed: u64, plans: &[Plan], troubles: Troubles) -> World {
-        let mut world = World::empty(seed, troubles);
+    pub fn new(seed: u64, plans: &[Plan], faults: Faults) -> World {
+        let mut world = World::empty(seed, faults);
         for node in 0..CONTROLLERS {
             let at = Micros::millis(1_000 + 10 * node as u64);
             world.at(at, SimEvent::Start { node });
         }
-        for i in 0..world.troubles.machines.unwrap_or(MACHINES) {
+        for i in 0..world.faults.machines.unwrap_or(MACHINES) {
             world.add_worker(if i % 2 == 0 { "a" } else { "b" }, i == 4);
         }
         world.schedule_faults();
@@ -104,9 +104,9 @@
         world
     }
 
-    fn empty(seed: u64, troubles: Troubles) -> World {
+    fn empty(seed: u64, faults: Faults) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
-        let [writes, reads] = [troubles.writes, troubles.reads].map(|r| r.unwrap_or(STATE_RATE));
+        let [writes, reads] = [faults.writes, faults.reads].map(|r| r.unwrap_or(STATE_RATE));
         World {
             now: Micros::secs(1),
             seq: 0,
@@ -124,7 +124,7 @@
             hanging: BTreeMap::new(),
             kept: BTreeMap::new(),
             seen: 0,
-            calm: troubles.over(),
+            calm: faults.over(),
             next_look: Micros::ZERO,
             odd: 0,
             broken: Vec::new(),
@@ -144,39 +144,39 @@
             told: 0,
             named: 0,
             refused_large: 0,
-            troubles,
+            faults,
             rng: StdRng::seed_from_u64(rng.random()),
         }
     }
 
     /// Puts what goes wrong at certain times into the queue.
     fn schedule_faults(&mut self) {
-        let troubles = self.troubles.clone();
-        for (s, count) in troubles.crashes {
+        let faults = self.faults.clone();
+        for (s, count) in faults.crashes {
             let first = self.rng.random_range(0..CONTROLLERS);
             for k in 0..count {
                 let node = (first + k) % CONTROLLERS;
                 self.at(Micros::secs(s), SimEvent::Crash { node });
             }
         }
-        for (s, worker) in troubles.taken {
+        for (s, worker) in faults.taken {
             self.at(Micros::secs(s), SimEvent::Taken { worker });
         }
-        for (from, to) in troubles.outages {
+        for (from, to) in faults.outages {
             self.at(Micros::secs(from), SimEvent::OutageBegins);
             self.at(Micros::secs(to), SimEvent::OutageOver);
         }
         // Watches of a controller that was refused go on when it is served again.
-        for (_, _, to) in troubles.state_cuts.into_iter().chain(troubles.hung_watches) {
+        for (_, _, to) in faults.state_cuts.into_iter().chain(faults.hung_watches) {
             self.at(Micros::secs(to), SimEvent::Wake);
         }
-        for cancel in troubles.cancel_now {
+        for cancel in faults.cancel_now {
             self.at(Micros::millis(cancel.at_ms), SimEvent::CancelNow(cancel));
         }
-        if let Some((from, _)) = troubles.odd_requests {
+        if let Some((from, _)) = faults.odd_requests {
             self.at(Micros::secs(from), SimEvent::Odd);
         }
-        for (a, b, _, to) in troubles.peer_cuts.into_iter().chain(troubles.peer_resets) {
+        for (a, b, _, to) in faults.peer_cuts.into_iter().chain(faults.peer_resets) {
             // When the cut is over both ends make new connections.
             for (x, y) in [(a, b), (b, a)] {
                 let link = self.rng.random();
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Runs until no trouble is left, all that came late has come and all jobs have been
+    /// Runs until no fault is left, all that came late has come and all jobs have been
     /// over for longer than their users ask, or until the given second.
     pub fn run_out(&mut self, end_s: u64) {
         let mut enough = self.calm + Micros::secs(45);
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -2,7 +2,7 @@
 
 mod simulation;
 
-use simulation::{Plan, Troubles, World, until_done};
+use simulation::{Faults, Plan, World, until_done};
 
 fn plans() -> Vec<Plan> {
     let mut blue = Plan::new(6, 9, 2.0, 6.0);
@@ -53,43 +53,43 @@
 #[test]
 fn preemption() {
     let table = [
-        ("quiet", Troubles::default()),
+        ("quiet", Faults::default()),
         (
             "wants held one way",
-            Troubles {
+            Faults {
                 one_way: vec![(0, 1, 13, 20), (1, 2, 22, 30), (2, 0, 34, 41), (0, 2, 50, 60)],
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             "held, lost and late",
-            Troubles {
+            Faults {
                 one_way: vec![(1, 0, 15, 30)],
                 held: 0.1,
                 lost: 0.03,
                 late: 0.5,
                 crashes: vec![(26, 1)],
                 back_ms: 500,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             // What one holder of a seat refused, and the owner gave up, waits
             // to be written while the seat changes hands.
             "few writes and seats that move",
-            Troubles {
+            Faults {
                 writes: Some(8.0),
                 crashes: vec![(18, 1), (34, 1), (52, 1), (70, 1)],
                 back_ms: 200,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    for (name, troubles) in table {
+    for (name, faults) in table {
         // Seed 72 is the one of forty that shows a task taken for gone on the
         // strength of a stop which its machine's seat has not heard.
         for seed in [60, 61, 62, 63, 72] {
-            let world = until_done(name, seed, &crowded(), 600, &troubles);
+            let world = until_done(name, seed, &crowded(), 600, &faults);
             assert!(world.starts > 128, "{name}, seed {seed}: nothing was ever stopped");
         }
     }
@@ -99,28 +99,28 @@
 /// they still name must not be wanted again.
 #[test]
 fn finished_jobs_of_moving_seats() {
-    let troubles = Troubles {
+    let faults = Faults {
         writes: Some(4.0),
         one_way: vec![(0, 1, 8, 40), (1, 0, 8, 40), (0, 2, 42, 70), (2, 0, 42, 70)],
         crashes: [18, 24, 30, 36, 48, 54, 60].map(|s| (s, 1)).into(),
         back_ms: 9_000,
-        ..Troubles::default()
+        ..Faults::default()
     };
     for seed in [195, 198, 201, 204, 207, 210] {
-        until_done("few writes, held frames, crashes", seed, &crowded(), 600, &troubles);
+        until_done("few writes, held frames, crashes", seed, &crowded(), 600, &faults);
     }
 }
 
-fn play(name: &str, seeds: std::ops::Range<u64>, end_s: u64, troubles: &Troubles) {
+fn play(name: &str, seeds: std::ops::Range<u64>, end_s: u64, faults: &Faults) {
     for seed in seeds {
-        let world = until_done(name, seed, &plans(), end_s, troubles);
+        let world = until_done(name, seed, &plans(), end_s, faults);
         assert!(world.starts >= 200, "{name}, seed {seed}: only {} starts", world.starts);
     }
 }
 
 #[test]
 fn quiet() {
-    play("quiet", 0..4, 300, &Troubles::default());
+    play("quiet", 0..4, 300, &Faults::default());
 }
 
 /// Some hundreds of machines, and more tasks than they can run at once.
@@ -139,10 +139,10 @@
         blue(22, 30, 2.0, 6.0, "high"),
     ];
     let table = [
-        ("few writes", Troubles { writes: Some(30.0), ..Troubles::default() }),
+        ("few writes", Faults { writes: Some(30.0), ..Faults::default() }),
         (
             "crashes, copies, deaf and hanging machines",
-            Troubles {
+            Faults {
                 crashes: vec![(14, 1), (24, 3), (40, 2)],
                 back_ms: 300,
                 copies: 0.05,
@@ -150,13 +150,13 @@
                 deaf: (0..20).map(|w| (w, 10, 45)).collect(),
                 worker_cuts: (20..50).map(|w| (w, 12, 30, w % 2 == 0)).collect(),
                 writes: Some(60.0),
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    for (name, troubles) in table {
-        let troubles = Troubles { machines: Some(240), ..troubles };
-        let world = until_done(name, 90, &plans, 240, &troubles);
+    for (name, faults) in table {
+        let faults = Faults { machines: Some(240), ..faults };
+        let world = until_done(name, 90, &plans, 240, &faults);
         assert!(world.starts >= 2_230, "{name}: only {} starts", world.starts);
     }
 }
@@ -170,30 +170,26 @@
     plans[7].cancel_at_s = Some(9);
     plans[50].cancel_at_s = Some(12);
     let table = [
-        ("quiet", Troubles::default()),
+        ("quiet", Faults::default()),
         (
             "all crash at once and again",
-            Troubles {
-                crashes: vec![(5, 3), (7, 1), (12, 3)],
-                back_ms: 300,
-                ..Troubles::default()
-            },
+            Faults { crashes: vec![(5, 3), (7, 1), (12, 3)], back_ms: 300, ..Faults::default() },
         ),
         (
             "lost answers, late transactions, crashes",
-            Troubles {
+            Faults {
                 crashes: vec![(6, 2), (9, 1)],
                 back_ms: 3_000,
                 lost: 0.1,
                 late: 0.7,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    for (name, troubles) in table {
+    for (name, faults) in table {
         for seed in 300..304 {
-            let troubles = Troubles { writes: Some(20.0), ..troubles.clone() };
-            let world = until_done(name, seed, &plans, 400, &troubles);
+            let faults = Faults { writes: Some(20.0), ..faults.clone() };
+            let world = until_done(name, seed, &plans, 400, &faults);
             let bundles = (0..3).map(|s| world.stored(&format!("w/{s}/_")));
             let ever: usize = bundles.map(|(_, ever)| ever).sum();
             assert!(ever > 0, "{name}, seed {seed}: none were accepted together");
@@ -222,17 +218,17 @@
         ("and then hears its workers alone", vec![(0, 12, 24)], vec![], Some((12, 90))),
     ];
     for (name, frozen, crashes, apart) in table {
-        let troubles = Troubles {
+        let faults = Faults {
             frozen,
             crashes,
             back_ms: 300,
             copies: 0.05,
             state_cuts: apart.iter().map(|(f, t)| (0, *f, *t)).collect(),
             peer_cuts: apart.iter().flat_map(|(f, t)| [(0, 1, *f, *t), (0, 2, *f, *t)]).collect(),
-            ..Troubles::default()
+            ..Faults::default()
         };
-        play(name, 310..314, 400, &troubles);
-        until_done(name, 315, &crowded(), 600, &troubles);
+        play(name, 310..314, 400, &faults);
+        until_done(name, 315, &crowded(), 600, &faults);
     }
 }
 
@@ -240,34 +236,34 @@
 /// go to one who can hear them, with what runs on them.
 #[test]
 fn cut_from_workers() {
-    let cut = |held| Troubles { node_cuts: vec![(0, 14, 60, held)], ..Troubles::default() };
+    let cut = |held| Faults { node_cuts: vec![(0, 14, 60, held)], ..Faults::default() };
     let table = [
         ("reset", cut(false), true),
         ("held", cut(true), false),
         (
             "reset, and another crashes",
-            Troubles { crashes: vec![(18, 1), (40, 1)], back_ms: 300, ..cut(false) },
+            Faults { crashes: vec![(18, 1), (40, 1)], back_ms: 300, ..cut(false) },
             false,
         ),
         (
             "one after the other",
-            Troubles {
+            Faults {
                 node_cuts: vec![(0, 14, 50, false), (1, 30, 64, true), (2, 70, 90, false)],
                 copies: 0.05,
-                ..Troubles::default()
+                ..Faults::default()
             },
             false,
         ),
         (
             "from the workers and the other controllers",
-            Troubles { peer_cuts: vec![(0, 1, 14, 50), (0, 2, 14, 50)], ..cut(false) },
+            Faults { peer_cuts: vec![(0, 1, 14, 50), (0, 2, 14, 50)], ..cut(false) },
             false,
         ),
     ];
-    for (name, troubles, all_live) in table {
+    for (name, faults, all_live) in table {
         for seed in 400..404 {
-            let troubles = Troubles { machines: Some(24), ..troubles.clone() };
-            let world = until_done(name, seed, &plans(), 400, &troubles);
+            let faults = Faults { machines: Some(24), ..faults.clone() };
+            let world = until_done(name, seed, &plans(), 400, &faults);
             let lapses: u32 = world.workers.iter().map(|w| w.lapses).sum();
             assert!(!all_live || lapses == 0, "{name}, seed {seed}: {lapses} sessions ended");
         }
@@ -283,12 +279,12 @@
     for n in (0..60).step_by(5) {
         plans[n].cancel_at_s = Some(18 + n as u64 / 4);
     }
-    let storm = Troubles { storm: Some((14, 44, 12)), reads: Some(60.0), ..Troubles::default() };
+    let storm = Faults { storm: Some((14, 44, 12)), reads: Some(60.0), ..Faults::default() };
     let table = [
         ("quiet", storm.clone()),
         (
             "crashes, lost answers",
-            Troubles {
+            Faults {
                 crashes: vec![(20, 1), (30, 2)],
                 back_ms: 300,
                 lost: 0.03,
@@ -299,16 +295,16 @@
         (
             // Nothing but the comparison tells a node of a cancellation elsewhere.
             "slow watches, controllers apart",
-            Troubles {
+            Faults {
                 slow_watches: 4_000,
                 peer_resets: vec![(0, 1, 12, 50), (0, 2, 12, 50), (1, 2, 12, 50)],
                 ..storm
             },
         ),
     ];
-    for (name, troubles) in table {
+    for (name, faults) in table {
         for seed in 420..423 {
-            let world = until_done(name, seed, &plans, 400, &troubles);
+            let world = until_done(name, seed, &plans, 400, &faults);
             let (asked, answered) = (world.asked, world.answered);
             assert!(asked > 60 * 30, "{name}, seed {seed}: only {asked} questions");
             let share = if name == "quiet" { 98 } else { 70 };
@@ -330,23 +326,23 @@
     let mut plans: Vec<Plan> = (0..24).map(|n| blue(3 + n * 5, 40, 3.0)).collect();
     plans.extend([broken(4, 30), broken(5, 4), broken(6, 12), broken(20, 1), broken(40, 25)]);
     let table = [
-        ("alone", Troubles::default(), false),
-        ("beside a sick machine", Troubles { sick: [3].into(), ..Troubles::default() }, true),
+        ("alone", Faults::default(), false),
+        ("beside a sick machine", Faults { sick: [3].into(), ..Faults::default() }, true),
         (
             "and crashes",
-            Troubles {
+            Faults {
                 sick: [3].into(),
                 crashes: vec![(30, 1), (60, 3)],
                 back_ms: 300,
-                ..Troubles::default()
+                ..Faults::default()
             },
             true,
         ),
     ];
-    for (name, troubles, sick) in table {
+    for (name, faults, sick) in table {
         for seed in 410..413 {
-            let troubles = Troubles { machines: Some(16), ..troubles.clone() };
-            let mut world = World::new(seed, &plans, troubles);
+            let faults = Faults { machines: Some(16), ..faults.clone() };
+            let mut world = World::new(seed, &plans, faults);
             world.run_until(140);
             assert!(world.broken.is_empty(), "{name}, seed {seed}: {:?}", world.broken);
             let gone: Vec<usize> = (0..16).filter(|w| *w != 4 && world.workers[*w].gone).collect();
@@ -377,16 +373,16 @@
     let plans: Vec<Plan> = (0..10).map(|n| blue(3 + n, 50.0 + n as f64)).collect();
     let table = [("cut", vec![]), ("cut, and it stood still", vec![(0, 12, 20)])];
     for (name, frozen) in table {
-        let troubles = Troubles {
+        let faults = Faults {
             machines: Some(24),
             state_cuts: vec![(0, 14, 80)],
             peer_cuts: vec![(0, 1, 14, 80), (0, 2, 14, 80)],
             only: (0..24).step_by(2).map(|w| (w, 0, 14, 80)).collect(),
             frozen,
-            ..Troubles::default()
+            ..Faults::default()
         };
         for seed in 460..464 {
-            until_done(name, seed, &plans, 400, &troubles);
+            until_done(name, seed, &plans, 400, &faults);
         }
     }
 }
@@ -398,8 +394,8 @@
     let machines = 1_300;
     let plan = |at_s, tasks| Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, 3.0) };
     let plans: Vec<Plan> = (0..10).map(|n| plan(20 + n * 4, 10)).collect();
-    let troubles = Troubles { machines: Some(machines), ..Troubles::default() };
-    let mut world = World::new(330, &plans, troubles);
+    let faults = Faults { machines: Some(machines), ..Faults::default() };
+    let mut world = World::new(330, &plans, faults);
     world.run_until(18);
     let (told, starts) = (world.told, world.starts);
     world.run_until(90);
@@ -420,14 +416,14 @@
     // Every machine has had something of every seat before the seats move.
     let mut plans: Vec<Plan> = (0..6).map(|n| blue(3 + n / 3, 60)).collect();
     plans.extend((0..12).map(|n| blue(68 + n / 3, 3)));
-    let troubles = Troubles {
+    let faults = Faults {
         machines: Some(30),
         state_cuts: vec![(1, 14, 30), (0, 34, 50)],
         peer_cuts: vec![(0, 1, 70, 84), (0, 2, 70, 84), (1, 2, 70, 84)],
-        ..Troubles::default()
+        ..Faults::default()
     };
     for seed in 340..346 {
-        until_done("moves, then apart", seed, &plans, 300, &troubles);
+        until_done("moves, then apart", seed, &plans, 300, &faults);
     }
 }
 
@@ -440,15 +436,15 @@
     let mut urgent = blue(20, 20);
     urgent.urgency = "high";
     let plans = [Plan { urgency: "low", ..blue(4, tasks) }, urgent];
-    let troubles = Troubles {
+    let faults = Faults {
         machines: Some(200),
         writes: Some(60.0),
         crashes: vec![(14, 1)],
         back_ms: 300,
-        ..Troubles::default()
+        ..Faults::default()
     };
     for seed in 450..451 {
-        let world = until_done("a guest's array", seed, &plans, 300, &troubles);
+        let world = until_done("a guest's array", seed, &plans, 300, &faults);
         let (changes, named) = (world.changed("w/"), world.named);
         assert!(changes < tasks as usize / 10, "seed {seed}: {changes} changes for {tasks} tasks");
         // To two peers each time that one of a machine's few tasks changes.
@@ -464,16 +460,15 @@
 fn missed_wants() {
     let blue = |at_s, tasks| Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, 14.0) };
     let plans: Vec<Plan> = (0..30).map(|n| blue(3 + n * 2, 5)).collect();
-    let moves =
-        Troubles { machines: Some(20), state_cuts: vec![(2, 18, 44)], ..Troubles::default() };
+    let moves = Faults { machines: Some(20), state_cuts: vec![(2, 18, 44)], ..Faults::default() };
     let table = [
-        ("resets", Troubles { peer_resets: vec![(0, 1, 12, 50)], ..moves.clone() }),
+        ("resets", Faults { peer_resets: vec![(0, 1, 12, 50)], ..moves.clone() }),
         // A frame that is lost while others arrive is a gap, which is asked about.
-        ("frames lost", Troubles { dropped: 0.1, ..moves }),
+        ("frames lost", Faults { dropped: 0.1, ..moves }),
     ];
-    for (name, troubles) in table {
+    for (name, faults) in table {
         for seed in 440..446 {
-            let world = until_done(name, seed, &plans, 300, &troubles);
+            let world = until_done(name, seed, &plans, 300, &faults);
             assert!(world.stopped.is_empty(), "{name}, seed {seed}: stopped {:?}", world.stopped);
         }
     }
@@ -488,7 +483,7 @@
         Plan { team: "blue", ..plan }
     };
     let plans = [blue(3, 500, 1.0, 8.0), blue(6, 400, 1.0, 12.0), blue(20, 60, 4.0, 9.0)];
-    let troubles = Troubles {
+    let faults = Faults {
         machines: Some(150),
         writes: Some(60.0),
         taken: (0..50).map(|w| (16, w)).collect(),
@@ -496,10 +491,10 @@
         crashes: vec![(15, 1), (18, 3), (19, 2)],
         back_ms: 300,
         copies: 0.05,
-        ..Troubles::default()
+        ..Faults::default()
     };
     for seed in [320, 321] {
-        let world = until_done("a third lost", seed, &plans, 300, &troubles);
+        let world = until_done("a third lost", seed, &plans, 300, &faults);
         assert!(world.starts >= 960, "seed {seed}: only {} starts", world.starts);
     }
 }
@@ -514,42 +509,39 @@
         ("all, back at once", vec![(14, 3), (28, 3)], 150),
     ];
     for (name, crashes, back_ms) in table {
-        let troubles = Troubles { crashes, back_ms, ..Troubles::default() };
-        play(name, 10..14, 400, &troubles);
+        let faults = Faults { crashes, back_ms, ..Faults::default() };
+        play(name, 10..14, 400, &faults);
     }
 }
 
 #[test]
 fn state_service() {
     let table = [
-        ("outage", Troubles { outages: vec![(12, 22), (50, 70)], ..Troubles::default() }),
-        ("one node refused", Troubles { state_cuts: vec![(0, 12, 52)], ..Troubles::default() }),
-        (
-            "lost answers, late transactions",
-            Troubles { lost: 0.05, late: 0.7, ..Troubles::default() },
-        ),
+        ("outage", Faults { outages: vec![(12, 22), (50, 70)], ..Faults::default() }),
+        ("one node refused", Faults { state_cuts: vec![(0, 12, 52)], ..Faults::default() }),
+        ("lost answers, late transactions", Faults { lost: 0.05, late: 0.7, ..Faults::default() }),
         (
             "lost answers and crashes",
-            Troubles {
+            Faults {
                 lost: 0.05,
                 late: 0.9,
                 crashes: vec![(15, 2), (30, 3), (60, 1)],
                 back_ms: 300,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             "outage, then all crash",
-            Troubles {
+            Faults {
                 outages: vec![(20, 32)],
                 crashes: vec![(25, 3)],
                 back_ms: 2_000,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    for (name, troubles) in table {
-        play(name, 20..24, 400, &troubles);
+    for (name, faults) in table {
+        play(name, 20..24, 400, &faults);
     }
 }
 
@@ -558,56 +550,56 @@
     let table = [
         (
             "peers cut",
-            Troubles { peer_cuts: vec![(0, 1, 10, 50), (1, 2, 30, 60)], ..Troubles::default() },
+            Faults { peer_cuts: vec![(0, 1, 10, 50), (1, 2, 30, 60)], ..Faults::default() },
         ),
         (
             "a worker cut, a worker hanging",
-            Troubles {
+            Faults {
                 worker_cuts: vec![(0, 10, 30, false), (1, 15, 22, true), (2, 40, 80, true)],
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
-        ("direct commands held", Troubles { held: 0.2, ..Troubles::default() }),
+        ("direct commands held", Faults { held: 0.2, ..Faults::default() }),
         (
             "held commands, cuts and crashes",
-            Troubles {
+            Faults {
                 held: 0.2,
                 worker_cuts: vec![(0, 10, 30, false), (1, 15, 30, true)],
                 crashes: vec![(20, 1), (40, 2)],
                 back_ms: 1_000,
                 lost: 0.02,
                 late: 0.5,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
         (
             "machines taken, one sick",
-            Troubles { taken: vec![(16, 4), (24, 1)], sick: [3].into(), ..Troubles::default() },
+            Faults { taken: vec![(16, 4), (24, 1)], sick: [3].into(), ..Faults::default() },
         ),
         (
             "a node cut from state while peers are cut",
-            Troubles {
+            Faults {
                 state_cuts: vec![(1, 15, 45)],
                 peer_cuts: vec![(1, 0, 15, 45), (1, 2, 15, 45)],
                 held: 0.1,
-                ..Troubles::default()
+                ..Faults::default()
             },
         ),
     ];
-    for (name, troubles) in table {
-        play(name, 40..44, 500, &troubles);
+    for (name, faults) in table {
+        play(name, 40..44, 500, &faults);
     }
-    let copies = Troubles {
+    let copies = Faults {
         copies: 0.3,
         crashes: vec![(25, 1), (33, 3), (60, 2)],
         back_ms: 300,
         worker_cuts: vec![(0, 18, 40, false), (2, 50, 66, true)],
         taken: vec![(28, 4)],
-        ..Troubles::default()
+        ..Faults::default()
     };
     play("late copies of reports", 50..58, 500, &copies);
     for seed in 50..54 {
-        let deaf = Troubles { deaf: vec![(1, 10, 300)], ..Troubles::default() };
+        let deaf = Faults { deaf: vec![(1, 10, 300)], ..Faults::default() };
         let world = until_done("a worker that hears nothing", seed, &crowded(), 300, &deaf);
         let (deaf, other) = (world.attempts(1), world.attempts(0));
         assert!(deaf * 3 < other, "seed {seed}: {deaf} attempts, {other} on another");
