--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,10 +1,18 @@
 //! The cloud: its calls and its answers.
 
+use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
 use crate::wire::{
     self, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, path,
 };
 
+/// Machines asked for at once.
+const PAGE: usize = 500;
+/// How long an answer may take.
+const CALL_TIMEOUT: Micros = Micros::secs(5);
+/// What the cloud says where there are no machines to rent.
+const CAPACITY: &[u8] = b"capacity";
+
 /// A call to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
@@ -48,28 +56,21 @@
 impl CloudCall {
     /// How long an answer may take.
     pub fn timeout(&self) -> Micros {
-        Micros::secs(5)
+        CALL_TIMEOUT
     }
 
-    /// Method, path and body.
-    pub fn encode(&self) -> (&'static str, String, Option<Vec<u8>>) {
+    /// The request that it is sent as.
+    pub fn encode(&self) -> OutgoingRequest {
         match self {
-            CloudCall::Types => ("GET", path::TYPES.into(), None),
-            CloudCall::Rent(r) => {
-                ("POST", path::MACHINES.into(), Some(serde_json::to_vec(r).unwrap_or_default()))
-            }
+            CloudCall::Types => OutgoingRequest::get(path::TYPES.into()),
+            CloudCall::Rent(request) => OutgoingRequest::post(path::MACHINES.into(), request),
             CloudCall::Return(names) => {
-                let body = MachineNames { machines: names.clone() };
-                ("POST", path::RETURN.into(), Some(serde_json::to_vec(&body).unwrap_or_default()))
+                let names = MachineNames { machines: names.clone() };
+                OutgoingRequest::post(path::RETURN.into(), &names)
             }
             CloudCall::List { after } => {
-                let mut p = path::MACHINES.to_string();
-                p.push_str("?limit=500");
-                if let Some(a) = after {
-                    p.push_str("&after=");
-                    p.push_str(a);
-                }
-                ("GET", p, None)
+                let after = after.as_ref().map_or(String::new(), |name| format!("&after={name}"));
+                OutgoingRequest::get(format!("{}?limit={PAGE}{after}", path::MACHINES))
             }
         }
     }
@@ -84,9 +85,7 @@
                 .map_or(CloudReply::Unknown, |t| CloudReply::Types(t.types)),
             (200, CloudCall::Rent(_)) => read::<MachineNames>(body)
                 .map_or(CloudReply::Unknown, |m| CloudReply::Rented(m.machines)),
-            (503, CloudCall::Rent(_)) if body.windows(8).any(|w| w == b"capacity") => {
-                CloudReply::NoCapacity
-            }
+            (503, CloudCall::Rent(_)) if contains(body, CAPACITY) => CloudReply::NoCapacity,
             (200, CloudCall::Return(_)) => CloudReply::Returned,
             (200, CloudCall::List { .. }) => {
                 read::<MachineList>(body).map_or(CloudReply::Unknown, |l| CloudReply::Page {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,8 @@
 //! HTTP/1.1 messages over `httparse`: bounded, no pipelining, no chunks.
 
+use serde::Serialize;
 use std::fmt;
+use std::net::SocketAddrV4;
 
 /// Largest body that a sender may hand in.
 pub const MAX_BODY: usize = 64 * 1024;
@@ -56,6 +58,32 @@
     pub close: bool,
 }
 
+/// A request to an outside system or a worker.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OutgoingRequest {
+    /// Method.
+    pub method: &'static str,
+    /// Path with its query.
+    pub path: String,
+    /// Body, in JSON.
+    pub body: Option<Vec<u8>>,
+}
+
+/// An answer to a sender.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OutgoingAnswer<'a> {
+    /// Status.
+    pub status: u16,
+    /// Seconds after which the sender should ask again.
+    pub retry_after: Option<u64>,
+    /// What the body is.
+    pub content_type: &'a str,
+    /// Body.
+    pub body: &'a [u8],
+    /// The connection is closed afterwards.
+    pub close: bool,
+}
+
 /// What a message's headers say of its body and its connection.
 struct Framing {
     length: usize,
@@ -162,41 +190,60 @@
     }
 }
 
-/// Writes an answer to the end of `out`.
-pub fn write_answer(
-    out: &mut Vec<u8>,
-    status: u16,
-    retry_after: Option<u64>,
-    content_type: &str,
-    body: &[u8],
-    close: bool,
-) {
-    use std::io::Write;
-    // Writing into a Vec cannot fail.
-    let _ = write!(
-        out,
-        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
-        reason(status),
-        body.len()
-    );
-    if let Some(s) = retry_after {
-        let _ = write!(out, "Retry-After: {s}\r\n");
+impl OutgoingAnswer<'_> {
+    /// Appends its bytes.
+    pub fn write_to(&self, out: &mut Vec<u8>) {
+        let reason = reason(self.status);
+        let mut head = format!(
+            "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
+            self.status,
+            self.content_type,
+            self.body.len()
+        );
+        if let Some(seconds) = self.retry_after {
+            head.push_str(&format!("Retry-After: {seconds}\r\n"));
+        }
+        if self.close {
+            head.push_str("Connection: close\r\n");
+        }
+        head.push_str("\r\n");
+        out.extend_from_slice(head.as_bytes());
+        out.extend_from_slice(self.body);
     }
-    out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
-    out.extend_from_slice(body);
 }
 
-/// Writes a request.
-pub fn write_request(method: &str, host: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
-    let mut out = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
-    if let Some(body) = body {
-        out.extend_from_slice(
-            format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.len())
-                .as_bytes(),
-        );
-        out.extend_from_slice(body);
-    } else {
-        out.extend_from_slice(b"\r\n");
+impl OutgoingRequest {
+    /// Reads something.
+    pub fn get(path: String) -> OutgoingRequest {
+        OutgoingRequest { method: "GET", path, body: None }
     }
-    out
+
+    /// Hands something in, as JSON.
+    pub fn post<T: Serialize>(path: String, body: &T) -> OutgoingRequest {
+        let body = serde_json::to_vec(body).unwrap_or_default();
+        OutgoingRequest { method: "POST", path, body: Some(body) }
+    }
+
+    /// Ends something.
+    pub fn delete(path: String) -> OutgoingRequest {
+        OutgoingRequest { method: "DELETE", path, body: None }
+    }
+
+    /// Its bytes, for this host.
+    pub fn to_bytes(&self, host: SocketAddrV4) -> Vec<u8> {
+        let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.path);
+        if let Some(body) = &self.body {
+            head.push_str("Content-Type: application/json\r\n");
+            head.push_str(&format!("Content-Length: {}\r\n", body.len()));
+        }
+        head.push_str("\r\n");
+        let mut bytes = head.into_bytes();
+        bytes.extend_from_slice(self.body.as_deref().unwrap_or_default());
+        bytes
+    }
+}
+
+/// Whether a body holds this text.
+pub fn contains(body: &[u8], text: &[u8]) -> bool {
+    body.windows(text.len()).any(|window| window == text)
 }
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -9,7 +9,7 @@
 use super::socket::begin_connect;
 use crate::cloud::{CloudCall, CloudReply};
 use crate::controller::{CallId, DirectReply, Event, Reply};
-use crate::http;
+use crate::http::{self, OutgoingRequest};
 use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire;
@@ -90,9 +90,7 @@
 impl Runtime {
     /// Starts a call to the state service, or lets it wait for the rate.
     pub(super) fn start_state(&mut self, id: CallId, call: StateCall) {
-        let (method, path, body) = call.encode();
-        let host = self.config.endpoints.state.to_string();
-        let bytes = http::write_request(method, &host, &path, body.as_deref());
+        let bytes = call.encode().to_bytes(self.config.endpoints.state);
         let destination = if call.waits() {
             Destination::Watch
         } else if call.urgent() {
@@ -115,18 +113,17 @@
 
     /// Starts a call to the cloud.
     pub(super) fn start_cloud(&mut self, id: CallId, call: CloudCall) {
-        let (method, path, body) = call.encode();
-        let host = self.config.endpoints.cloud.to_string();
-        let bytes = http::write_request(method, &host, &path, body.as_deref());
+        let bytes = call.encode().to_bytes(self.config.endpoints.cloud);
         let deadline = self.now + call.timeout();
         let kind = CallKind::Cloud(call);
         self.start_call(id, Call::new(kind, Destination::Cloud, bytes, deadline));
     }
 
     /// Sends commands to a worker.
-    pub(super) fn start_commands(&mut self, id: CallId, address: SocketAddrV4, body: &[u8]) {
-        let host = address.to_string();
-        let bytes = http::write_request("POST", &host, wire::path::COMMANDS, Some(body));
+    pub(super) fn start_commands(&mut self, id: CallId, address: SocketAddrV4, body: Vec<u8>) {
+        let path = wire::path::COMMANDS.to_string();
+        let request = OutgoingRequest { method: "POST", path, body: Some(body) };
+        let bytes = request.to_bytes(address);
         let deadline = self.now + COMMAND_TIMEOUT;
         let destination = Destination::Worker(address);
         self.start_call(id, Call::new(CallKind::Direct, destination, bytes, deadline));
@@ -134,8 +131,7 @@
 
     /// Asks a worker what it runs.
     pub(super) fn start_inspect(&mut self, id: CallId, address: SocketAddrV4) {
-        let host = address.to_string();
-        let bytes = http::write_request("GET", &host, wire::path::INSPECT, None);
+        let bytes = OutgoingRequest::get(wire::path::INSPECT.into()).to_bytes(address);
         let deadline = self.now + INSPECT_TIMEOUT;
         let destination = Destination::Worker(address);
         self.start_call(id, Call::new(CallKind::Direct, destination, bytes, deadline));
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -24,6 +24,7 @@
 
 use crate::config::{Config, Options};
 use crate::controller::{CallId, Controller, Effect, Event};
+use crate::http::OutgoingAnswer;
 use crate::state::Budget;
 use crate::time::Micros;
 use calloop::generic::Generic;
@@ -34,7 +35,7 @@
 use limits::{BUSY_TICK, READ_BUFFER};
 use log::info;
 use peers::{EncodedFrame, PeerLink};
-use requests::{Answer, JSON};
+use requests::JSON;
 use status::{Page, Stats};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io;
@@ -198,7 +199,7 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Respond { ticket, status, retry_after, body } => {
-                    let answer = Answer {
+                    let answer = OutgoingAnswer {
                         status,
                         retry_after,
                         content_type: JSON,
@@ -209,7 +210,7 @@
                 }
                 Effect::State { id, call } => self.start_state(id, call),
                 Effect::Cloud { id, call } => self.start_cloud(id, call),
-                Effect::Direct { id, address, body } => self.start_commands(id, address, &body),
+                Effect::Direct { id, address, body } => self.start_commands(id, address, body),
                 Effect::Inspect { id, address } => self.start_inspect(id, address),
                 Effect::Peer { to, frame } => self.send_frame(to, &frame, &mut encoded),
             }
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -4,7 +4,7 @@
 use super::connection::{ConnectionId, Role, take_front};
 use super::status::Page;
 use crate::controller::{Event, Ticket};
-use crate::http::{self, HttpError};
+use crate::http::{self, HttpError, OutgoingAnswer};
 use crate::wire;
 
 /// Content type of what programs read.
@@ -12,17 +12,6 @@
 /// Content type of the page for people.
 const TEXT: &str = "text/plain";
 
-/// An answer to a sender.
-pub(super) struct Answer<'a> {
-    pub(super) status: u16,
-    /// Seconds after which the sender should ask again.
-    pub(super) retry_after: Option<u64>,
-    pub(super) content_type: &'a str,
-    pub(super) body: &'a [u8],
-    /// Close the connection afterwards.
-    pub(super) close: bool,
-}
-
 impl Runtime {
     /// Takes a request from a sender's connection; true if there was one.
     pub(super) fn consume_request(&mut self, id: ConnectionId) -> bool {
@@ -62,8 +51,13 @@
             }
         };
         let body = self.page(page);
-        let answer =
-            Answer { status: 200, retry_after: None, content_type, body: &body, close: false };
+        let answer = OutgoingAnswer {
+            status: 200,
+            retry_after: None,
+            content_type,
+            body: &body,
+            close: false,
+        };
         self.answer(id, answer);
     }
 
@@ -76,13 +70,18 @@
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.role = Role::Sender { busy: true, since: self.now, reports: false };
         }
-        let answer =
-            Answer { status, retry_after: None, content_type: JSON, body: &body, close: true };
+        let answer = OutgoingAnswer {
+            status,
+            retry_after: None,
+            content_type: JSON,
+            body: &body,
+            close: true,
+        };
         self.answer(id, answer);
     }
 
     /// Answers the request that is being decided on this connection.
-    pub(super) fn answer(&mut self, id: ConnectionId, answer: Answer<'_>) {
+    pub(super) fn answer(&mut self, id: ConnectionId, answer: OutgoingAnswer<'_>) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -91,14 +90,8 @@
             return;
         };
         connection.close_after |= answer.close;
-        http::write_answer(
-            &mut connection.outbound,
-            answer.status,
-            answer.retry_after,
-            answer.content_type,
-            answer.body,
-            connection.close_after,
-        );
+        let answer = OutgoingAnswer { close: connection.close_after, ..answer };
+        answer.write_to(&mut connection.outbound);
         connection.role = Role::Sender { busy: false, since: now, reports };
         self.stats.record_answer(now.since(since), reports);
         self.write(id);
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -122,6 +122,10 @@
     pub lease: u64,
 }
 
+/// A body that says nothing: `{}`.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct Empty {}
+
 /// Request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseWanted {
--- a/tests/tables/http.rs
+++ b/tests/tables/http.rs
@@ -1,6 +1,10 @@
-//! HTTP requests and answers.
+//! HTTP requests and answers, as they are read and written.
 
-use millethold::http::{self, HttpError};
+use millethold::cloud::CloudCall;
+use millethold::http::{self, HttpError, OutgoingAnswer, OutgoingRequest};
+use millethold::state::StateCall;
+use millethold::time::Micros;
+use millethold::wire::{Condition, RentRequest, Txn, Write};
 
 #[test]
 fn http_requests() {
@@ -30,9 +34,93 @@
         assert_eq!(got, want, "{:.60}", text);
     }
     let mut out = Vec::new();
-    http::write_answer(&mut out, 503, Some(2), "application/json", b"{}", true);
+    let answer = OutgoingAnswer {
+        status: 503,
+        retry_after: Some(2),
+        content_type: "application/json",
+        body: b"{}",
+        close: true,
+    };
+    answer.write_to(&mut out);
     let text = String::from_utf8(out.clone()).expect("text");
     assert!(text.contains("Retry-After: 2\r\n") && text.contains("Connection: close\r\n"));
+    let head = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n\
+                Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\n";
+    assert_eq!(text, format!("{head}{{}}"));
     let (answer, used) = http::parse_answer(&out).expect("HTTP").expect("whole");
     assert_eq!((answer.status, answer.close, used), (503, true, out.len()));
 }
+
+/// The bytes of a request.
+fn text(request: OutgoingRequest) -> String {
+    let host = "10.2.0.1:70".parse().expect("an address");
+    String::from_utf8(request.to_bytes(host)).expect("text")
+}
+
+/// A request without a body.
+fn plain(line: &str) -> String {
+    format!("{line} HTTP/1.1\r\nHost: 10.2.0.1:70\r\n\r\n")
+}
+
+/// A request with a body.
+fn with_body(line: &str, body: &str) -> String {
+    format!(
+        "{line} HTTP/1.1\r\nHost: 10.2.0.1:70\r\nContent-Type: application/json\r\n\
+         Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+#[test]
+fn requests_to_the_state_service() {
+    let second = Micros::secs(1);
+    let list = |after: Option<&str>| {
+        let after = after.map(String::from);
+        StateCall::List { prefix: "j/".into(), after }
+    };
+    let follow = StateCall::Follow { prefix: "j/".into(), after: 3, block: second };
+    let txn = Txn {
+        conditions: vec![Condition { key: "a".into(), version: 4 }],
+        writes: vec![Write::Delete { key: "b".into() }],
+    };
+    let table = [
+        (StateCall::Get("j/1".into()), plain("GET /kv/j/1")),
+        (list(None), plain("GET /kv?prefix=j/&limit=100")),
+        (list(Some("j/7")), plain("GET /kv?prefix=j/&after=j/7&limit=100")),
+        (follow, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
+        (
+            StateCall::Txn(txn),
+            with_body("POST /txn", r#"{"if":[{"k":"a","mark":4}],"writes":[{"drop":"b"}]}"#),
+        ),
+        (StateCall::Grant(second), with_body("POST /leases", r#"{"ttlMs":1000}"#)),
+        (StateCall::Extend(9), with_body("POST /leases/9/extend", "{}")),
+        (StateCall::End(9), plain("DELETE /leases/9")),
+    ];
+    for (call, want) in table {
+        assert_eq!(text(call.encode()), want, "{call:?}");
+    }
+}
+
+#[test]
+fn requests_to_the_cloud() {
+    let request = RentRequest {
+        request: "r1".into(),
+        machine_type: "t4".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 2,
+    };
+    let rent = r#"{"hire":"r1","bench":"t4","yard":"a","loaners":true,"howMany":2}"#;
+    let names = r#"{"lathes":["vm-1"]}"#;
+    let later = CloudCall::List { after: Some("vm-1".into()) };
+    let table = [
+        (CloudCall::Types, plain("GET /flavors")),
+        (CloudCall::Rent(request), with_body("POST /machines", rent)),
+        (CloudCall::Return(vec!["vm-1".into()]), with_body("POST /machines/return", names)),
+        (CloudCall::List { after: None }, plain("GET /machines?limit=500")),
+        (later, plain("GET /machines?limit=500&after=vm-1")),
+    ];
+    for (call, want) in table {
+        assert_eq!(text(call.encode()), want, "{call:?}");
+    }
+}
