--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -1,7 +1,8 @@
 //! What a run has shown.
 
-use super::faults::Troubles;
+use super::faults::Faults;
 use super::jobs::{Plan, UserJob};
+use super::settings::CONTROLLERS;
 use super::world::World;
 
 impl World {
@@ -56,6 +57,11 @@
         self.store.changed(prefix)
     }
 
+    /// So many times has a controller taken or left a shard, beside the first time.
+    pub fn moves(&self) -> usize {
+        self.changed("hold/").saturating_sub(CONTROLLERS)
+    }
+
     /// Shards held by each controller that is up.
     pub fn shards(&self) -> Vec<usize> {
         self.nodes.iter().flatten().map(|n| n.controller.owned_shard_count()).collect()
@@ -76,8 +82,8 @@
 }
 
 /// Plays to the end: no rule may be broken, no job left undone.
-pub fn until_done(name: &str, seed: u64, plans: &[Plan], end_s: u64, troubles: &Troubles) -> World {
-    let mut world = World::new(seed, plans, troubles.clone());
+pub fn until_done(name: &str, seed: u64, plans: &[Plan], end_s: u64, faults: &Faults) -> World {
+    let mut world = World::new(seed, plans, faults.clone());
     world.run_until(end_s);
     judge(name, seed, world).unwrap_or_else(|wrong| panic!("{wrong}"))
 }
