--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -449,6 +449,7 @@
             } {
                 UpstreamOutcome::Free => {
                     info!("job {id} may start: all that it needs is done");
+                    self.counts.released += 1;
                     self.pipelines.waiting.remove(&id);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.waiting = false;
@@ -498,6 +499,7 @@
         match reply {
             StateReply::Applied(mark) => {
                 info!("job {id} cancelled with one that it needs");
+                self.counts.cancelled_with_upstream += 1;
                 let known =
                     CachedStage { stage: StoredStage::Cancelled, shard, tasks, mark: *mark };
                 self.cache_stage(id, known);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,11 +1,15 @@
 //! HTTP/1.1 messages over `httparse`: bounded, no pipelining, no chunks.
 
+use serde::Serialize;
 use std::fmt;
+use std::net::SocketAddrV4;
 
 /// Largest body that a sender may hand in.
 pub const MAX_BODY: usize = 64 * 1024;
 /// Largest head of a message.
 pub const MAX_HEAD: usize = 16 * 1024;
+/// Most headers of a message.
+const MAX_HEADERS: usize = 64;
 /// Largest answer taken from an outside system; watches have no limit of
 /// their own, so memory is what bounds them here.
 pub const MAX_ANSWER: usize = 8 * 1024 * 1024;
@@ -54,77 +58,120 @@
     pub close: bool,
 }
 
-fn framing(headers: &[httparse::Header<'_>]) -> Result<(Option<usize>, bool, bool), HttpError> {
-    let (mut length, mut close, mut chunked) = (None, false, false);
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(h.value).map_err(|_| HttpError::Malformed)?.trim();
-            let n: usize = text.parse().map_err(|_| HttpError::Malformed)?;
-            if length.is_some_and(|l| l != n) {
+/// A request to an outside system or a worker.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OutgoingRequest {
+    /// Method.
+    pub method: &'static str,
+    /// Path with its query.
+    pub path: String,
+    /// Body, in JSON.
+    pub body: Option<Vec<u8>>,
+}
+
+/// An answer to a sender.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OutgoingAnswer<'a> {
+    /// Status.
+    pub status: u16,
+    /// Seconds after which the sender should ask again.
+    pub retry_after: Option<u64>,
+    /// What the body is.
+    pub content_type: &'a str,
+    /// Body.
+    pub body: &'a [u8],
+    /// The connection is closed afterwards.
+    pub close: bool,
+}
+
+/// What a message's headers say of its body and its connection.
+struct Framing {
+    length: usize,
+    close: bool,
+    chunked: bool,
+}
+
+fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+    let mut length = None;
+    let mut close = false;
+    let mut chunked = false;
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let text = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?;
+            let value: usize = text.trim().parse().map_err(|_| HttpError::Malformed)?;
+            if length.is_some_and(|other| other != value) {
                 return Err(HttpError::Malformed);
             }
-            length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
+            length = Some(value);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            close |= h.value.eq_ignore_ascii_case(b"close");
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            close |= header.value.eq_ignore_ascii_case(b"close");
         }
     }
-    Ok((length, close, chunked))
+    Ok(Framing { length: length.unwrap_or(0), close, chunked })
 }
 
-/// Reads a request from the front of `buf`: the request and its length, or
-/// `None` while it has not arrived in full.
-pub fn parse_request(buf: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; 64];
-    let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(buf).map_err(|_| HttpError::Malformed)? {
-        httparse::Status::Complete(n) => n,
-        httparse::Status::Partial if buf.len() > MAX_HEAD => return Err(HttpError::Malformed),
-        httparse::Status::Partial => return Ok(None),
-    };
-    let (length, close, chunked) = framing(head.headers)?;
-    if chunked {
+/// Length of the head in `buffer`, or `None` while it has not arrived in full.
+fn head_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, HttpError> {
+    match parsed.map_err(|_| HttpError::Malformed)? {
+        httparse::Status::Complete(length) => Ok(Some(length)),
+        httparse::Status::Partial if buffer.len() > MAX_HEAD => Err(HttpError::Malformed),
+        httparse::Status::Partial => Ok(None),
+    }
+}
+
+/// The body behind a head of this length, or `None` while it has not arrived in full.
+fn body<'a>(
+    buffer: &'a [u8],
+    head: usize,
+    framing: &Framing,
+    most: usize,
+) -> Result<Option<&'a [u8]>, HttpError> {
+    if framing.chunked {
         return Err(HttpError::Malformed);
     }
-    let length = length.unwrap_or(0);
-    if length > MAX_BODY {
+    if framing.length > most {
         return Err(HttpError::TooLarge);
     }
-    if buf.len() < used + length {
+    Ok(buffer.get(head..head + framing.length))
+}
+
+/// Reads a request from the front of `buffer`: the request and its length, or
+/// `None` while it has not arrived in full.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
         return Ok(None);
-    }
+    };
+    let framing = framing(head.headers)?;
+    let Some(body) = body(buffer, head_length, &framing, MAX_BODY)? else {
+        return Ok(None);
+    };
     let request = Request {
         method: head.method.unwrap_or("").to_string(),
         path: head.path.unwrap_or("").to_string(),
-        body: buf[used..used + length].to_vec(),
-        close: close || head.version == Some(0),
+        body: body.to_vec(),
+        close: framing.close || head.version == Some(0),
     };
-    Ok(Some((request, used + length)))
+    Ok(Some((request, head_length + body.len())))
 }
 
-/// Reads an answer from the front of `buf`.
-pub fn parse_answer(buf: &[u8]) -> Result<Option<(Answer, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; 64];
+/// Reads an answer from the front of `buffer`, as [`parse_request`] reads a request.
+pub fn parse_answer(buffer: &[u8]) -> Result<Option<(Answer, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(buf).map_err(|_| HttpError::Malformed)? {
-        httparse::Status::Complete(n) => n,
-        httparse::Status::Partial if buf.len() > MAX_HEAD => return Err(HttpError::Malformed),
-        httparse::Status::Partial => return Ok(None),
+    let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
+        return Ok(None);
     };
-    let (length, close, chunked) = framing(head.headers)?;
-    if chunked {
-        return Err(HttpError::Malformed);
-    }
-    let length = length.unwrap_or(0);
-    if length > MAX_ANSWER {
-        return Err(HttpError::TooLarge);
-    }
-    if buf.len() < used + length {
+    let framing = framing(head.headers)?;
+    let Some(body) = body(buffer, head_length, &framing, MAX_ANSWER)? else {
         return Ok(None);
-    }
+    };
     let status = head.code.ok_or(HttpError::Malformed)?;
-    Ok(Some((Answer { status, body: buf[used..used + length].to_vec(), close }, used + length)))
+    let answer = Answer { status, body: body.to_vec(), close: framing.close };
+    Ok(Some((answer, head_length + body.len())))
 }
 
 fn reason(status: u16) -> &'static str {
@@ -143,41 +190,60 @@
     }
 }
 
-/// Writes an answer to the end of `out`.
-pub fn write_answer(
-    out: &mut Vec<u8>,
-    status: u16,
-    retry_after: Option<u64>,
-    content_type: &str,
-    body: &[u8],
-    close: bool,
-) {
-    use std::io::Write;
-    // Writing into a Vec cannot fail.
-    let _ = write!(
-        out,
-        "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n",
-        reason(status),
-        body.len()
-    );
-    if let Some(s) = retry_after {
-        let _ = write!(out, "Retry-After: {s}\r\n");
+impl OutgoingAnswer<'_> {
+    /// Appends its bytes.
+    pub fn write_to(&self, out: &mut Vec<u8>) {
+        let reason = reason(self.status);
+        let mut head = format!(
+            "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
+            self.status,
+            self.content_type,
+            self.body.len()
+        );
+        if let Some(seconds) = self.retry_after {
+            head.push_str(&format!("Retry-After: {seconds}\r\n"));
+        }
+        if self.close {
+            head.push_str("Connection: close\r\n");
+        }
+        head.push_str("\r\n");
+        out.extend_from_slice(head.as_bytes());
+        out.extend_from_slice(self.body);
     }
-    out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
-    out.extend_from_slice(body);
 }
 
-/// Writes a request.
-pub fn write_request(method: &str, host: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
-    let mut out = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n").into_bytes();
-    if let Some(body) = body {
-        out.extend_from_slice(
-            format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n", body.len())
-                .as_bytes(),
-        );
-        out.extend_from_slice(body);
-    } else {
-        out.extend_from_slice(b"\r\n");
+impl OutgoingRequest {
+    /// Reads something.
+    pub fn get(path: String) -> OutgoingRequest {
+        OutgoingRequest { method: "GET", path, body: None }
+    }
+
+    /// Hands something in, as JSON.
+    pub fn post<T: Serialize>(path: String, body: &T) -> OutgoingRequest {
+        let body = serde_json::to_vec(body).unwrap_or_default();
+        OutgoingRequest { method: "POST", path, body: Some(body) }
+    }
+
+    /// Ends something.
+    pub fn delete(path: String) -> OutgoingRequest {
+        OutgoingRequest { method: "DELETE", path, body: None }
+    }
+
+    /// Its bytes, for this host.
+    pub fn to_bytes(&self, host: SocketAddrV4) -> Vec<u8> {
+        let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.path);
+        if let Some(body) = &self.body {
+            head.push_str("Content-Type: application/json\r\n");
+            head.push_str(&format!("Content-Length: {}\r\n", body.len()));
+        }
+        head.push_str("\r\n");
+        let mut bytes = head.into_bytes();
+        bytes.extend_from_slice(self.body.as_deref().unwrap_or_default());
+        bytes
     }
-    out
+}
+
+/// Whether a body holds this text.
+pub fn contains(body: &[u8], text: &[u8]) -> bool {
+    body.windows(text.len()).any(|window| window == text)
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -24,6 +24,6 @@
     Phase, Shape,
 };
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
-pub use frame::Frame;
+pub use frame::{FORMAT, Frame};
 pub use shards::{Hint, MisdirectedReports, ShardClaim};
 pub use views::{AppliedUpdate, MachineView, ObservedState, ObservedTask};
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -42,8 +42,8 @@
 /// How a shard stands: its term and whether the controller acts for it.
 fn shard(solo: &Solo, shard: usize) -> (u64, bool) {
     let status = solo.controller.status(solo.now);
-    let shard = &status["seats"][shard];
-    (shard["term"].as_u64().expect("a term"), shard["mine"].as_bool().expect("a flag"))
+    let shard = &status["shards"][shard];
+    (shard["term"].as_u64().expect("a term"), shard["owned"].as_bool().expect("a flag"))
 }
 
 /// A shard that was given up is acted on again only under a new term, whatever becomes of
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -12,7 +12,7 @@
 //! - `store`, `cloud`, `worker`: the stand-ins themselves;
 //! - `jobs`, `users`, `answers`, `odd_requests`: what users hand in and are told;
 //! - `checks`: the rules; `forge`: facts that must break them;
-//! - `outcome`: what a run has shown.
+//! - `outcome`: what a run has shown; `row`: tables of runs.
 
 #![allow(dead_code)]
 
@@ -29,6 +29,7 @@
 mod network;
 mod odd_requests;
 mod outcome;
+pub mod row;
 mod settings;
 mod state_service;
 mod store;
@@ -37,7 +38,7 @@
 mod world;
 
 #[allow(unused_imports)]
-pub use faults::{CancelNow, LateWrites, Troubles};
+pub use faults::{CancelNow, Faults, LateWrites};
 pub use jobs::Plan;
 #[allow(unused_imports)]
 pub use outcome::{judge, until_done};
