--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -306,8 +306,9 @@
 
     /// Removes a batch that no job needs any more, when nothing urgent waits.
     pub(super) fn drop_batch(&mut self) {
-        let idle = |b: &Batch| b.jobs.is_empty() && !b.busy;
-        let found = self.admission.batches.iter_mut().find(|(_, b)| idle(b));
+        let unreadable = &self.unreadable;
+        let idle = |key: &str, b: &Batch| b.jobs.is_empty() && !b.busy && !unreadable.contains(key);
+        let found = self.admission.batches.iter_mut().find(|(key, b)| idle(key, b));
         let Some((key, b)) = found else {
             return;
         };
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -30,6 +30,10 @@
         let Some(batch) = self.admission.batches.get(&key) else {
             return false;
         };
+        // Rewritten, it would lose what cannot be read of it.
+        if self.unreadable.contains(&key) {
+            return false;
+        }
         if batch.busy {
             return true;
         }
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -11,7 +11,7 @@
 
 pub use keys::*;
 pub use part::{MAX_SPEC_BYTES, Part, PartSize, Placement};
-pub use stored::{StoredPlacement, decode_batch, encode_batch, stored_placements};
+pub use stored::{StoredPlacement, batch_is_sound, decode_batch, encode_batch, stored_placements};
 
 use crate::peer::{ObservedState, Shape};
 use crate::time::Micros;
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -4,12 +4,15 @@
 use super::part::stored_bytes;
 use super::{Job, PartSize, Placement};
 use crate::time::Micros;
-use crate::wire::JobSpec;
+use crate::wire::{JobSpec, MAX_TASKS};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// Latest time of day of a placement, in seconds: what is later is damaged.
+const MAX_SECOND: u64 = u64::MAX / 4_000_000;
+
 #[derive(Serialize, Deserialize)]
 struct StoredPart {
     /// Version.
@@ -96,19 +99,26 @@
     parts.iter().filter_map(read).collect()
 }
 
+/// Whether all of a batch can be read.
+pub fn batch_is_sound(value: &Value) -> bool {
+    let parts = value.get("jobs").and_then(Value::as_array);
+    parts.is_some_and(|parts| parts.len() == decode_batch(value).len())
+}
+
 impl StoredPart {
     fn placements(&self) -> Option<Vec<StoredPlacement>> {
-        let mut task = 0;
+        let mut task = 0_u64;
         let mut list = Vec::with_capacity(self.p.len() / COLUMNS);
         for row in self.p.chunks(COLUMNS) {
             let [step, head, number, session, attempt, zone, at] = *row else {
                 return None;
             };
-            task += step;
+            task = task.checked_add(step)?;
             let (head, width) = self.h.get(usize::try_from(head).ok()?)?;
             let machine = join_name(head, (*width).min(20), number);
             let zone = self.y.get(usize::try_from(zone).ok()?)?.clone();
-            list.push((u32::try_from(task).ok()?, machine, session, attempt, zone, self.b + at));
+            let at = self.b.checked_add(at).filter(|at| *at <= MAX_SECOND)?;
+            list.push((u32::try_from(task).ok()?, machine, session, attempt, zone, at));
         }
         Some(list)
     }
@@ -183,7 +193,8 @@
         stored: &BTreeMap<usize, (Value, u64)>,
     ) -> Option<Job> {
         let first: StoredPart = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
-        let spec = Rc::new(first.s?);
+        // What is stored of more tasks than can be submitted is damaged.
+        let spec = Rc::new(first.s.filter(|s| u64::from(s.tasks) <= MAX_TASKS)?);
         let size = PartSize { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
         let mut job = Job::new(spec, shard, mark, Micros(first.t.unwrap_or(0)), size);
         for (n, (value, mark)) in stored {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -95,6 +95,8 @@
     shards_read: bool,
     shards_reading: bool,
     loads: BTreeMap<usize, shard_loading::Loading>,
+    /// Jobs and keys that cannot be read, and are left as they are.
+    unreadable: BTreeSet<String>,
     follow: BTreeMap<Watch, watches::Following>,
 
     types: BTreeMap<String, MachineType>,
@@ -225,6 +227,7 @@
             shards_read: false,
             shards_reading: false,
             loads: BTreeMap::new(),
+            unreadable: BTreeSet::new(),
             follow: BTreeMap::new(),
             types: BTreeMap::new(),
             types_reading: false,
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -147,6 +147,8 @@
         };
         info!("shard {s} term {} lost: {why}", owned.term);
         self.loads.remove(&s);
+        // It is tried once more under the next term.
+        self.unreadable.clear();
         self.jobs.retain(|_, j| j.shard != s);
         self.by_machine.retain(|(shard, _), _| *shard != s);
         self.forget_batches(s);
--- a/src/controller/shard_loading.rs
+++ b/src/controller/shard_loading.rs
@@ -38,6 +38,10 @@
         if s >= self.shards.len() || !self.runs(s) || self.jobs.contains_key(id) {
             return;
         }
+        // Read again and again it would be no more readable.
+        if self.unreadable.contains(id) {
+            return;
+        }
         let under_way = self
             .ops
             .values()
@@ -113,6 +117,9 @@
                 continue;
             };
             if job::is_batch(id) {
+                if !job::batch_is_sound(&i.value) {
+                    self.note_unreadable(&i.key, "some of its jobs cannot be read");
+                }
                 let jobs = job::decode_batch(&i.value).into_iter();
                 let unknown = jobs.filter(|(id, _)| !known(id, self));
                 batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
@@ -161,6 +168,22 @@
         self.continue_load(s);
     }
 
+    /// Something stored cannot be read, which is told once: it stays as it is.
+    pub(super) fn note_unreadable(&mut self, name: &str, what: &str) {
+        if self.unreadable.insert(name.to_string()) {
+            warn!("{name}: {what}");
+        }
+    }
+
+    /// A job cannot be read, and its batch, if it is in one, is kept for it.
+    fn leave_unreadable(&mut self, id: &str, what: &str) {
+        self.note_unreadable(id, what);
+        if let Some(batch) = self.admission.batched.get(id).cloned() {
+            self.unreadable.insert(batch);
+        }
+        self.admission.unbatch(id);
+    }
+
     fn loaded(&mut self, s: usize) {
         let Some(mut l) = self.loads.remove(&s) else {
             return;
@@ -184,8 +207,7 @@
                 continue;
             }
             let Some((Some(record), mark)) = l.records.remove(&id) else {
-                warn!("tasks of job {id} without a record");
-                self.admission.unbatch(&id);
+                self.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
             self.pipelines.note(&id, &record);
@@ -194,7 +216,7 @@
                 CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, mark },
             );
             let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
-                warn!("stored tasks of job {id} cannot be read");
+                self.leave_unreadable(&id, "stored tasks cannot be read");
                 continue;
             };
             job.fit(self.part_size, self.larger);
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -101,6 +101,7 @@
                     return;
                 };
                 self.pipelines.note(id, &record);
+                self.unreadable.remove(id);
                 self.cache_stage(
                     id,
                     CachedStage {
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -9,7 +9,7 @@
 /// Largest number in a submission.
 const MAX_AMOUNT: f64 = 1e9;
 /// Most tasks of a job.
-const MAX_TASKS: u64 = 100_000;
+pub(crate) const MAX_TASKS: u64 = 100_000;
 /// Most machine types that a job may name.
 const MAX_TYPES: usize = 50;
 /// Longest name of a machine type, in bytes.
