--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -1,4 +1,4 @@
-//! One controller alone against stand-ins of the state service and the cloud.
+//! One controller alone against stand-ins of the state service, the cloud and workers.
 //!
 //! Every call of the state service can be refused, lost or held, and its watches can
 //! hang. Nothing is drawn by chance, and the clock is simulated.
@@ -9,8 +9,11 @@
 mod cloud;
 #[path = "../rehearsal/store.rs"]
 mod store;
+#[path = "../rehearsal/worker.rs"]
+mod worker;
 
 use cloud::Cloud;
+use millethold::cloud::{CloudCall, CloudReply};
 use millethold::config::{Config, Options};
 use millethold::controller::{CallId, Controller, DirectReply, Effect, Event, Reply, Ticket};
 use millethold::peer::Frame;
@@ -21,12 +24,19 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use store::Store;
+use worker::Worker;
 
+/// Workers' lease, as in the settings below.
+pub const LEASE_S: f64 = 12.0;
 /// Between turns of the clock, between ticks, and until an answer arrives.
 const TURN: Micros = Micros::millis(10);
 const TICK: Micros = Micros::millis(50);
 const DELAY: Micros = Micros::millis(5);
 /// A controller that can take requests does so by then.
+/// The run: another than that of the process which left the fixtures.
+const RUN: u64 = 8;
+/// How often workers look at what they run.
+const WORKS: Micros = Micros::millis(250);
 const STARTS_WITHIN: Micros = Micros::secs(10);
 /// Users wait for so long.
 const PATIENCE: Micros = Micros::secs(5);
@@ -82,6 +92,17 @@
     pub watches_hang: bool,
     /// Calls of the state service so far.
     pub calls: Vec<StateCall>,
+    /// Frames to each peer so far.
+    pub frames: Vec<(usize, Frame)>,
+    /// Machines that are rented come up.
+    pub boots: bool,
+    /// Seconds that a job's tasks run, where it is not one.
+    pub lengths: BTreeMap<String, f64>,
+    /// Tasks that were begun.
+    pub begun: Vec<String>,
+    workers: Vec<Worker>,
+    reports: BTreeMap<u64, (usize, Micros, u64)>,
+    works_at: Micros,
     store: Store,
     cloud: Cloud,
     due: Vec<(Micros, Event)>,
@@ -91,7 +112,7 @@
     asked: BTreeMap<u64, Micros>,
     answers: BTreeMap<u64, Answer>,
     tick_at: Micros,
-    frames: u64,
+    heard: u64,
 }
 
 /// Settings of a member among so many, with further keys of `settings.state`.
@@ -169,10 +190,17 @@
         let wall = Micros::secs(1_000_000);
         Solo {
             now,
-            controller: Controller::new(&config, Options::default(), 7, wall),
+            controller: Controller::new(&config, Options::default(), RUN, wall),
             outcome: Box::new(|_| Outcome::Served),
             watches_hang: false,
             calls: Vec::new(),
+            frames: Vec::new(),
+            boots: false,
+            lengths: BTreeMap::new(),
+            begun: Vec::new(),
+            workers: Vec::new(),
+            reports: BTreeMap::new(),
+            works_at: now,
             store,
             cloud: Cloud::default(),
             due: Vec::new(),
@@ -182,7 +210,7 @@
             asked: BTreeMap::new(),
             answers: BTreeMap::new(),
             tick_at: now,
-            frames: 0,
+            heard: 0,
         }
     }
 
@@ -227,9 +255,35 @@
             self.tick_at = now + TICK;
             self.feed(Event::Tick);
         }
+        if now >= self.works_at {
+            self.works_at = now + WORKS;
+            (0..self.workers.len()).for_each(|worker| self.work(worker));
+        }
+    }
+
+    /// A machine is there from now on.
+    pub fn add_machine(&mut self) {
+        let name = self.cloud.add(self.now, "a", false);
+        self.workers.push(Worker::new(name, "a", false, false, self.now));
+    }
+
+    fn work(&mut self, worker: usize) {
+        let lengths = self.lengths.iter().map(|(id, s)| (id.clone(), Some((*s, 0.0)))).collect();
+        let now = self.now;
+        let w = &mut self.workers[worker];
+        if w.gone {
+            return;
+        }
+        w.advance(now, &lengths);
+        if let Some((sent, report, body, _)) = w.report(now, worker) {
+            let ticket = self.asked.len() as u64 + 1;
+            self.reports.insert(ticket, (worker, sent, report));
+            self.ask("POST", "/v1/report", &body);
+        }
     }
 
-    fn feed(&mut self, event: Event) {
+    /// Takes in an event.
+    pub fn feed(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.controller.handle(self.now, event, &mut effects);
         self.controller.flush(self.now, &mut effects);
@@ -242,6 +296,11 @@
         let soon = self.now + DELAY;
         match effect {
             Effect::Respond { ticket, status, retry_after, body } => {
+                if let Some((worker, sent, report)) = self.reports.remove(&ticket.0) {
+                    let w = &mut self.workers[worker];
+                    let begun = w.answered(self.now, sent, report, status, &body);
+                    return self.begun.extend(begun);
+                }
                 let body = serde_json::from_slice(&body).expect("JSON");
                 let took = self.now.since(self.asked[&ticket.0]);
                 let answer = Answer { status, retry_after, body, took };
@@ -253,14 +312,39 @@
                 self.state_call(id, call);
             }
             Effect::Cloud { id, call } => {
-                let reply = Reply::Cloud(self.cloud.call(self.now, &call));
-                self.due.push((soon, Event::Reply { id, reply }));
+                let reply = self.cloud.call(self.now, &call);
+                if let CloudReply::Rented(names) = &reply
+                    && self.boots
+                {
+                    for name in names {
+                        let zone = self.cloud.zone(name);
+                        let worker = Worker::new(name.clone(), &zone, false, false, self.now);
+                        self.workers.push(worker);
+                    }
+                }
+                if let CloudCall::Return(names) = &call {
+                    let returned = |w: &&mut Worker| names.contains(&w.name);
+                    self.workers.iter_mut().filter(returned).for_each(|w| w.gone = true);
+                }
+                self.due.push((soon, Event::Reply { id, reply: Reply::Cloud(reply) }));
+            }
+            Effect::Direct { id, address, body } => {
+                let worker = usize::from(address.port());
+                let reply = match self.workers.get_mut(worker).filter(|w| !w.gone) {
+                    None => DirectReply::NotSent,
+                    Some(w) => {
+                        let (status, begun, body) = w.direct(self.now, worker, &body);
+                        self.begun.extend(begun);
+                        DirectReply::Answered { status, body }
+                    }
+                };
+                self.due.push((soon, Event::Reply { id, reply: Reply::Direct(reply) }));
             }
-            Effect::Direct { id, .. } | Effect::Inspect { id, .. } => {
+            Effect::Inspect { id, .. } => {
                 let reply = Reply::Direct(DirectReply::NotSent);
                 self.due.push((soon, Event::Reply { id, reply }));
             }
-            Effect::Peer { .. } => {}
+            Effect::Peer { to, frame } => self.frames.push((to, (*frame).clone())),
         }
     }
 
@@ -406,9 +490,9 @@
 
     /// Hears a frame of a peer.
     pub fn hear(&mut self, from: usize, frame: Frame) {
-        self.frames += 1;
+        self.heard += 1;
         let member = format!("n{from}");
-        let frame = Frame { member, number: self.frames, ..frame };
+        let frame = Frame { member, number: self.heard, ..frame };
         self.feed(Event::Peer { from, frame: Box::new(frame) });
     }
 
