--- a/src/controller/accept.rs
+++ b/src/controller/accept.rs
@@ -303,8 +303,10 @@
 
     /// Removes a bundle that no job needs any more, when nothing urgent waits.
     pub(super) fn drop_bundle(&mut self) {
-        let idle = |b: &Bundle| b.jobs.is_empty() && !b.busy;
-        let found = self.acceptance.bundles.iter_mut().find(|(_, b)| idle(b));
+        let unreadable = &self.unreadable;
+        let idle =
+            |key: &str, b: &Bundle| b.jobs.is_empty() && !b.busy && !unreadable.contains(key);
+        let found = self.acceptance.bundles.iter_mut().find(|(key, b)| idle(key, b));
         let Some((key, b)) = found else {
             return;
         };
--- a/src/controller/bundle.rs
+++ b/src/controller/bundle.rs
@@ -30,6 +30,10 @@
         let Some(bundle) = self.acceptance.bundles.get(&key) else {
             return false;
         };
+        // Rewritten, it would lose what cannot be read of it.
+        if self.unreadable.contains(&key) {
+            return false;
+        }
         if bundle.busy {
             return true;
         }
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -93,6 +93,12 @@
     parts.iter().filter_map(read).collect()
 }
 
+/// Whether all of a bundle can be read.
+pub fn bundle_is_sound(value: &Value) -> bool {
+    let parts = value.get("jobs").and_then(Value::as_array);
+    parts.is_some_and(|parts| parts.len() == decode_bundle(value).len())
+}
+
 /// Job and part of a key under `w/S/`.
 pub fn parse_part_key(key: &str) -> Option<(&str, usize)> {
     let mut fields = key.split('/').skip(2);
@@ -113,6 +119,10 @@
 const MOST_DOUBLINGS: u32 = 5;
 /// Machines that a job avoids at most.
 const MOST_AVOIDED: usize = 6;
+/// Most tasks of a job: what is stored of more is damaged.
+const MAX_TASKS: u32 = 100_000;
+/// Latest time of day of a placement, in seconds: what is later is damaged.
+const MAX_SECOND: u64 = u64::MAX / 4_000_000;
 /// Most tasks in a part.
 const MAX_PART: u32 = 512;
 /// In values below this a description takes much of the room, and is counted only in
@@ -288,17 +298,18 @@
 
 impl StoredPart {
     fn placements(&self) -> Option<Vec<StoredPlacement>> {
-        let mut task = 0;
+        let mut task = 0_u64;
         let mut list = Vec::with_capacity(self.p.len() / COLUMNS);
         for row in self.p.chunks(COLUMNS) {
             let [step, head, number, session, attempt, zone, at] = *row else {
                 return None;
             };
-            task += step;
+            task = task.checked_add(step)?;
             let (head, width) = self.h.get(usize::try_from(head).ok()?)?;
             let machine = join_name(head, (*width).min(20), number);
             let zone = self.y.get(usize::try_from(zone).ok()?)?.clone();
-            list.push((u32::try_from(task).ok()?, machine, session, attempt, zone, self.b + at));
+            let at = self.b.checked_add(at).filter(|at| *at <= MAX_SECOND)?;
+            list.push((u32::try_from(task).ok()?, machine, session, attempt, zone, at));
         }
         Some(list)
     }
@@ -524,7 +535,7 @@
         stored: &BTreeMap<usize, (Value, u64)>,
     ) -> Option<Job> {
         let first: StoredPart = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
-        let spec = Rc::new(first.s?);
+        let spec = Rc::new(first.s.filter(|s| s.tasks <= MAX_TASKS)?);
         let size = PartSize { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
         let mut job = Job::new(spec, seat, mark, Micros(first.t.unwrap_or(0)), size);
         for (n, (value, mark)) in stored {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -333,6 +333,8 @@
     seats_read: bool,
     seats_reading: bool,
     loads: BTreeMap<usize, seats::Loading>,
+    /// Jobs and keys that cannot be read, and are left as they are.
+    unreadable: BTreeSet<String>,
     follow: BTreeMap<Watch, seats::Following>,
 
     types: BTreeMap<String, MachineType>,
@@ -482,6 +484,7 @@
             seats_read: false,
             seats_reading: false,
             loads: BTreeMap::new(),
+            unreadable: BTreeSet::new(),
             follow: BTreeMap::new(),
             types: BTreeMap::new(),
             types_reading: false,
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -14,12 +14,15 @@
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
 use log::info;
+use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// Between looks at own waiting jobs where nothing has ended.
 const LOOK_EVERY: Micros = Micros::secs(1);
+/// Between reads of a list of needed jobs that could not be read.
+const READ_AGAIN: Micros = Micros::secs(1);
 /// Cancellations of waiting jobs under way at once.
 const CASCADES: usize = 4;
 /// How often what presses is told again: a lost message costs a delay.
@@ -66,6 +69,8 @@
     read: u32,
     more: u32,
     busy: bool,
+    /// The next key is not read before this.
+    retry: Micros,
 }
 
 /// What this process knows of pipelines.
@@ -100,6 +105,7 @@
                 read: 0,
                 more: record.more,
                 busy: false,
+                retry: Micros::ZERO,
             });
         } else {
             self.note_all(id, &record.upstream);
@@ -377,7 +383,8 @@
 
     /// Reads the further keys of jobs that need many others.
     fn read_upstream(&mut self) {
-        let open = self.pipelines.partly.iter_mut().find(|(_, p)| !p.busy);
+        let now = self.now;
+        let open = self.pipelines.partly.iter_mut().find(|(_, p)| !p.busy && now >= p.retry);
         let Some((id, partly)) = open else {
             return;
         };
@@ -392,14 +399,21 @@
             return;
         };
         partly.busy = false;
-        let StateReply::Value(Some(item)) = reply else {
+        // What cannot be read now is read later, and others first.
+        partly.retry = self.now + READ_AGAIN;
+        let StateReply::Value(item) = reply else {
             return;
         };
-        let names = item.value.get("u").and_then(serde_json::Value::as_array);
-        let names = names.into_iter().flatten().filter_map(|v| v.as_str().map(String::from));
+        // Without one of the names the job might be let go too early.
+        let names = item.as_ref().and_then(|i| Vec::<String>::deserialize(i.value.get("u")?).ok());
+        let Some(names) = names else {
+            let key = job::upstream_key(id, number);
+            return self.note_unreadable(&key, "no list of jobs that can be read");
+        };
         if number == partly.read + 1 {
             partly.needs.extend(names);
             partly.read = number;
+            partly.retry = Micros::ZERO;
         }
         if partly.read >= partly.more {
             let needs = std::mem::take(&mut partly.needs);
--- a/src/controller/seats.rs
+++ b/src/controller/seats.rs
@@ -228,6 +228,8 @@
         };
         info!("seat {s} term {} lost: {why}", mine.term);
         self.loads.remove(&s);
+        // It is tried once more under the next term.
+        self.unreadable.clear();
         self.jobs.retain(|_, j| j.seat != s);
         self.by_machine.retain(|(seat, _), _| *seat != s);
         self.lose_bundles(s);
@@ -471,6 +473,7 @@
                     return;
                 };
                 self.pipelines.note(id, &record);
+                self.unreadable.remove(id);
                 self.note_known(
                     id,
                     Known {
@@ -501,6 +504,10 @@
         if s >= self.seats.len() || !self.runs(s) || self.jobs.contains_key(id) {
             return;
         }
+        // Read again and again it would be no more readable.
+        if self.unreadable.contains(id) {
+            return;
+        }
         let under_way = self.ops.values().any(
             |op| matches!(op, Op::Accept { list, .. } if list.iter().any(|a| a.spec.id == id)),
         );
@@ -517,6 +524,22 @@
         loading.listed = false;
     }
 
+    /// Something stored cannot be read, which is told once: it stays as it is.
+    pub(super) fn note_unreadable(&mut self, name: &str, what: &str) {
+        if self.unreadable.insert(name.to_string()) {
+            warn!("{name}: {what}");
+        }
+    }
+
+    /// A job cannot be read, and its bundle, if it is in one, is kept for it.
+    fn leave_unreadable(&mut self, id: &str, what: &str) {
+        self.note_unreadable(id, what);
+        if let Some(bundle) = self.acceptance.bundled.get(id).cloned() {
+            self.unreadable.insert(bundle);
+        }
+        self.acceptance.unbundle(id);
+    }
+
     fn tend_loads(&mut self) {
         // What changes after a record was read comes by the watch, which must stand.
         let watched = self.follow.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
@@ -575,6 +598,9 @@
                 continue;
             };
             if job::is_bundle(id) {
+                if !job::bundle_is_sound(&i.value) {
+                    self.note_unreadable(&i.key, "some of its jobs cannot be read");
+                }
                 let jobs = job::decode_bundle(&i.value).into_iter();
                 let unknown = jobs.filter(|(id, _)| !known(id, self));
                 bundled.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
@@ -646,8 +672,7 @@
                 continue;
             }
             let Some((Some(record), mark)) = l.records.remove(&id) else {
-                warn!("tasks of job {id} without a record");
-                self.acceptance.unbundle(&id);
+                self.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
             self.pipelines.note(&id, &record);
@@ -656,7 +681,7 @@
                 Known { stage: record.stage, seat: record.seat, tasks: record.tasks, mark },
             );
             let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
-                warn!("stored tasks of job {id} cannot be read");
+                self.leave_unreadable(&id, "stored tasks cannot be read");
                 continue;
             };
             job.fit(self.part_size, self.larger);
