--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -4,22 +4,19 @@
 use super::desired_state::expected_s;
 use super::fleet::fits;
 use super::job::Job;
-use super::machine::Key;
 use super::place;
 use super::quota::{Amount, EPS};
-use super::slots::{Booked, PoolKey, Slot};
-use crate::peer::{Demand, Phase, Preempt};
+use super::slots::{Booked, Slot};
+use crate::peer::Demand;
 use crate::time::Micros;
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Why a job waits for which no machine has room.
-const NO_ROOM: &str = "no machine with room";
+pub(super) const NO_ROOM: &str = "no machine with room";
 /// Least time between two passes: what happens meanwhile is dealt with together.
 const PASS: Micros = Micros::millis(40);
-/// How long room that comes up on a machine is left to its own shard.
-const SETTLE: Micros = Micros::millis(250);
 /// Placements in one pass.
 const PASS_TASKS: usize = 64;
 /// Placements that their machines have not reported, at most: so many, or
@@ -31,27 +28,8 @@
 /// Searches in one pass for tasks that make room; each walks the fleet.
 const PASS_SEARCHES: usize = 8;
 
-/// How long a request to make room stands.
-const ASKED: Micros = Micros::secs(1);
-/// What a second of fetching counts, in seconds of work lost, for a start that
-/// it would make late.
-const SLOW_FETCH: f64 = 8.0;
-/// Part of a shard's machines that may be kept free of small tasks at once.
-const RESERVED: f64 = 0.3;
-/// Part of a shard's machines that large tasks have before they are late.
-const SHARE: f64 = 0.2;
-/// Seconds after which a waiting large task has its share.
-const SOON_S: f64 = 5.0;
-/// A large task that has waited for this part of its class's objective is late.
-const LATE: f64 = 0.33;
-/// A job of which nothing has begun after this part of it is starved.
-const STARVED: f64 = 0.4;
-/// Objective of classes that have none, in seconds.
-const USUAL_S: f64 = 240.0;
 /// Up to this rank work goes before large tasks that wait.
-const URGENT: u32 = 1;
-/// Objectives below this leave no time for saves.
-const SHORT_S: f64 = 10.0;
+pub(super) const URGENT: u32 = 1;
 
 impl Controller {
     /// Own jobs in order of service: teams within their guarantee first, then
@@ -90,143 +68,6 @@
         used
     }
 
-    /// A machine as placements see it; `None` if nothing may be placed on it.
-    fn slot_of(&self, name: &str) -> Option<(PoolKey, Slot)> {
-        let v = self.views.get(name)?;
-        let h = self.shard_of_machine(name);
-        if !v.known
-            || !v.healthy
-            || !self.commanded[h]
-            || v.notice_ms.is_some()
-            || v.term != self.shards[h].term
-            || self.draining.contains(name)
-            || self.terminated.contains(name)
-        {
-            return None;
-        }
-        let t = self.types.get(&v.machine_type)?;
-        let size = [t.cpus, t.gpus, t.memory_gb];
-        let foreign = self.owned_term(h).is_none();
-        let mut slot = Slot::new(Rc::from(name), v.session, foreign, size);
-        let over = |job: &str, index: u32, attempt: u64| {
-            v.tasks.iter().any(|t| {
-                t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
-            })
-        };
-        for (s, w) in self.desired.iter().enumerate() {
-            if self.has_jobs_of(s) {
-                continue;
-            }
-            let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
-            for t in tasks {
-                // Of another session: gone, and its shard will learn of it.
-                if t.session != v.session
-                    || t.phase() == Phase::Over
-                    || over(&t.job, t.index, t.attempt)
-                {
-                    continue;
-                }
-                slot.book(Booked {
-                    rank: t.rank,
-                    team: t.team.clone(),
-                    amount: [t.cpus, t.gpus, t.memory_gb],
-                    job: t.job.clone(),
-                    index: t.index,
-                    attempt: t.attempt,
-                    stopping: t.stop_ms.is_some()
-                        || self.asked_to_make_room(&t.job, t.index, t.attempt),
-                    placed: Micros::secs(t.placed_s),
-                    checkpoint_s: t.checkpoint_s,
-                    expected_s: t.expected_s,
-                });
-            }
-        }
-        for s in (0..self.shards.len()).filter(|s| self.has_jobs_of(*s)) {
-            let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&slot.machine))) else {
-                continue;
-            };
-            for (id, index) in tasks {
-                let Some(j) = self.jobs.get(id) else {
-                    continue;
-                };
-                let part = &j.parts[(*index / j.part_size) as usize];
-                let Some(p) = part.placed.get(index).filter(|p| *p.machine == *name) else {
-                    continue;
-                };
-                slot.book(Booked {
-                    rank: j.rank(),
-                    team: j.spec.team.clone(),
-                    amount: [j.spec.cpus, j.spec.gpus, j.spec.memory_gb],
-                    job: id.clone(),
-                    index: *index,
-                    attempt: p.attempt,
-                    stopping: p.stop.is_some(),
-                    placed: p.at,
-                    checkpoint_s: j.spec.checkpoint_s,
-                    expected_s: expected_s(j, &self.estimates),
-                });
-            }
-        }
-        // Tasks that nobody is known to want take room of unknown size.
-        let strange = v.tasks.iter().any(|t| {
-            !t.observed().over()
-                && !slot
-                    .tasks
-                    .iter()
-                    .any(|b| b.attempt == t.attempt && b.index == t.index && b.job == t.job)
-        });
-        let key = PoolKey {
-            machine_type: Rc::from(v.machine_type.as_str()),
-            zone: Rc::from(v.zone.as_str()),
-            spot: v.spot,
-        };
-        (!strange).then_some((key, slot))
-    }
-
-    /// Whether a shard's jobs are known here; else the desired state received from it counts.
-    fn has_jobs_of(&self, s: usize) -> bool {
-        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
-    }
-
-    /// Notes that a machine has to be looked at before the next placement.
-    pub(super) fn touch_slot(&mut self, machine: &str) {
-        if !self.dirty_slots.contains(machine) {
-            self.dirty_slots.insert(machine.to_string());
-        }
-    }
-
-    /// Brings the slots up to date: only what has changed is looked at.
-    pub(super) fn refresh_slots(&mut self) {
-        for h in 0..self.shards.len() {
-            let commanded = self.owned_term(h).is_some()
-                || self.lease_holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
-            let was = std::mem::replace(&mut self.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.owned_term(h), self.shards[h].term);
-            if was != commanded || self.slots_state.get(&h) != Some(&state) {
-                // The shard has changed hands or its holder has fallen silent.
-                self.slots_state.insert(h, state);
-                let theirs: Vec<String> =
-                    self.views.keys().filter(|m| self.shard_of_machine(m) == h).cloned().collect();
-                self.dirty_slots.extend(theirs);
-                // What it wants is read from another place from now on.
-                let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
-                self.dirty_slots.extend(wanted);
-            }
-        }
-        for machine in std::mem::take(&mut self.dirty_slots) {
-            let mut slot = self.slot_of(&machine);
-            if let Some((_, new)) = slot.as_mut().filter(|(_, s)| s.foreign) {
-                let old = self.slots.id(&machine).and_then(|id| self.slots.get(id));
-                let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
-                new.settled = match old {
-                    Some(old) if !more => old.settled,
-                    _ => self.now + SETTLE,
-                };
-            }
-            self.slots.set(&machine, slot);
-        }
-    }
-
     /// One pass over the queue. What is left when its bounds are reached goes
     /// on in the next turn, so that reports and renewals are never starved.
     pub(super) fn place(&mut self) {
@@ -549,274 +390,6 @@
             .collect()
     }
 
-    /// Seconds of work that stopping a task at once would lose, by the time
-    /// since it was placed. That is stored and told to all: counted from when
-    /// this process first saw it run, a task would look new after every restart.
-    pub(super) fn loss(&self, placed: Micros, checkpoint_s: f64) -> f64 {
-        let ran = self.wall().since(placed).as_secs_f64();
-        if checkpoint_s > 0.0 { ran % checkpoint_s } else { ran }
-    }
-
-    /// Finds a machine on which stopping other tasks makes room for a task of
-    /// the job, choosing what loses least work; the machine and which of its
-    /// tasks. Only lower priorities give way, or work that another team runs
-    /// beyond its guarantee to a team that is within its own (`entitled`).
-    fn make_room(
-        &self,
-        job: &Job,
-        pools: &[usize],
-        entitled: bool,
-        only: Option<&[usize]>,
-        passes: impl Fn(usize, &Slot) -> bool,
-    ) -> Option<(usize, Vec<usize>)> {
-        let spec = &job.spec;
-        let rank = job.rank();
-        let need = [spec.cpus, spec.gpus, spec.memory_gb];
-        let beyond: Vec<&str> = self
-            .quotas
-            .keys()
-            .map(String::as_str)
-            .filter(|t| self.may_give.get(*t).is_some_and(|left| *left > EPS))
-            .collect();
-        // More urgent work never gives way, or it would take the room back. What a
-        // team runs within its guarantee goes before borrowed work in the queue,
-        // and yields to it only where that is urgent: else it would be placed
-        // first and stopped next, over and over.
-        let presses = entitled || rank <= URGENT;
-        let gives = |b: &Booked| {
-            let borrows = || beyond.iter().any(|t| *t == b.team);
-            let others = entitled && b.rank == rank && b.team != spec.team;
-            !b.stopping
-                && ((b.rank > rank && (presses || b.team == spec.team || borrows()))
-                    || (others && borrows()))
-        };
-        let too_slow = self.fetch_too_slow(job);
-        let mut best: Option<(f64, usize, Vec<usize>)> = None;
-        let all = self.slots.iter().map(|(id, _, slot)| (id, slot));
-        let some =
-            only.unwrap_or_default().iter().filter_map(|id| Some((*id, self.slots.get(*id)?)));
-        let slots: Box<dyn Iterator<Item = (usize, &Slot)>> =
-            if only.is_some() { Box::new(some) } else { Box::new(all) };
-        for (at, slot) in slots {
-            if !slot.tasks.iter().any(&gives) || !self.slots.among(at, pools) {
-                continue;
-            }
-            let mut free = slot.room();
-            let mut cost = if self.images.holds(self.now, &spec.image, &slot.machine, slot.session)
-            {
-                0.0
-            } else {
-                let machine_type = self.slots.pool_of(at).map_or("", |k| &k.machine_type);
-                let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
-                let fetch = spec.image_gb / rate.max(0.01);
-                // A start that then waits for its image comes late, but much
-                // work thrown away for it costs more.
-                spec.cpus * if too_slow { fetch * SLOW_FETCH } else { fetch }
-            };
-            let loss = |b: &Booked| b.amount[0] * self.loss(b.placed, b.checkpoint_s);
-            let mut order: Vec<(f64, u32, usize)> = slot
-                .tasks
-                .iter()
-                .enumerate()
-                .filter(|(_, b)| gives(b))
-                .map(|(i, b)| (loss(b), b.rank, i))
-                .collect();
-            order.sort_by(|x, y| x.0.total_cmp(&y.0).then(y.1.cmp(&x.1)).then(x.2.cmp(&y.2)));
-            let mut victims = Vec::new();
-
-            for (loss, _, i) in order {
-                if fits(&free, &need) > 0 {
-                    break;
-                }
-                for (f, a) in free.iter_mut().zip(slot.tasks[i].amount) {
-                    *f += a;
-                }
-                cost += loss + 1.0;
-                victims.push(i);
-            }
-            // For the sake of a fetch no more is thrown away than the fetch takes.
-            let worth =
-                only.is_none() || cost <= spec.cpus * spec.image_gb / self.least_fetch_rate();
-            if worth
-                && fits(&free, &need) > 0
-                && best.as_ref().is_none_or(|(c, _, _)| cost < *c)
-                && passes(at, slot)
-            {
-                best = Some((cost, at, victims));
-            }
-        }
-        best.map(|(_, at, victims)| (at, victims))
-    }
-
-    fn ask_to_stop(&mut self, b: &Booked, save: bool, machine: &Rc<str>) {
-        log::debug!("task {}/{} makes room", b.job, b.index);
-        let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
-        if self.jobs.contains_key(&p.job) {
-            self.preempt_task(&p);
-        } else {
-            let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
-            self.asked.insert(key, (self.now, Rc::clone(machine)));
-            self.changes.preemptions.push(p);
-        }
-    }
-
-    /// Works out what may be stopped in the coming second for the sake of
-    /// guarantees: this node's part of what teams use beyond theirs, and of what
-    /// others lack. All nodes stopping the whole of it would stop it several
-    /// times over, and then the other way round.
-    pub(super) fn refresh_guarantees(&mut self) {
-        if !self.acting() {
-            return;
-        }
-        self.refresh_slots();
-        let nodes = self.shards.len().max(1) as f64;
-        for (team, q) in &self.quotas {
-            let used = self.slots.usage().get(team).map_or(0.0, |u| u[0]);
-            let beyond = (used - q.guarantee[0]).max(0.0);
-            let lacks = (q.guarantee[0] - used).max(0.0);
-            self.may_give.insert(team.clone(), beyond / nodes);
-            self.may_claim.insert(team.clone(), lacks / nodes);
-        }
-    }
-
-    /// Seconds within which jobs of a class are to be done.
-    fn within_s(&self, class: &str) -> f64 {
-        self.settings
-            .objectives
-            .iter()
-            .filter(|o| o.class == class && o.kind == "finished")
-            .filter_map(|o| o.within_s)
-            .fold(USUAL_S, f64::min)
-    }
-
-    /// Raises low work of which nothing has begun for long: behind a queue of
-    /// standard work that never empties, a job began after four minutes.
-    pub(super) fn raise_starved(&mut self) {
-        let wall = self.wall();
-        let starved = |j: &&Job| {
-            !j.raised
-                && !j.cancelled
-                && !j.over
-                && j.booked() == 0
-                && j.done() == 0
-                && !j.suspect()
-                && !j.waiting
-                && wall.since(j.ready).as_secs_f64() > self.within_s(&j.spec.class) * STARVED
-        };
-        let list: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| starved(j)).map(|(id, _)| id.clone()).collect();
-        for id in list {
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.raised = true;
-            }
-        }
-    }
-
-    /// Keeps machines free of further small tasks where large ones have waited
-    /// for long: filled up again task by task, no machine would ever have
-    /// room for one that needs it whole. Those are taken that have it soonest.
-    pub(super) fn reserve_for_large(&mut self) {
-        self.reserved.clear();
-        if !self.acting() {
-            return;
-        }
-        let wall = self.wall();
-        let mut waiting: Vec<(bool, u32, Rc<JobSpec>)> = Vec::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled && !j.over && j.open() > 0) {
-            let within = self.within_s(&j.spec.class);
-            let waited = wall.since(j.ready).as_secs_f64();
-            if waited > SOON_S && j.waits == NO_ROOM {
-                waiting.push((waited > within * LATE, j.pending(), Rc::clone(&j.spec)));
-            }
-        }
-        waiting.sort_by(|a, b| b.2.cpus.total_cmp(&a.2.cpus).then(b.0.cmp(&a.0)));
-        let ours = self.slots.iter().filter(|(_, _, s)| !s.foreign).count() as f64;
-        for (late, tasks, spec) in waiting {
-            let large = |s: &Slot| s.tasks.iter().any(|b| b.amount[0] >= spec.cpus);
-            let most = if late {
-                ours * RESERVED
-            } else {
-                // Those that large tasks run on already are their share, too.
-                let run = self.slots.iter().filter(|(_, _, s)| !s.foreign && large(s)).count();
-                ours * SHARE - run as f64
-            };
-            let left = (most.max(0.0) as usize).saturating_sub(self.reserved.len());
-            if left == 0 {
-                continue;
-            }
-            let need = [spec.cpus, spec.gpus, spec.memory_gb];
-            let mut soonest: Vec<(f64, Rc<str>)> = self
-                .slots
-                .iter()
-                .filter(|(_, k, s)| {
-                    !s.foreign
-                        && (spec.spot || !k.spot)
-                        && spec
-                            .types
-                            .as_ref()
-                            .is_none_or(|l| l.iter().any(|t| **t == *k.machine_type))
-                        && spec.zone.as_deref().is_none_or(|z| z == &*k.zone)
-                        && !self.reserved.contains(&s.machine)
-                })
-                .filter_map(|(_, _, s)| Some((s.room_in(wall, &need)?, Rc::clone(&s.machine))))
-                .collect();
-            soonest.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let count = (tasks as usize).min(left);
-            self.reserved.extend(soonest.into_iter().take(count).map(|(_, m)| m));
-        }
-    }
-
-    /// Lets go of requests to make room that nobody has heeded.
-    pub(super) fn expire_preemption_requests(&mut self) {
-        let now = self.now;
-        let mut stale = Vec::new();
-        self.asked.retain(|_, (at, machine)| {
-            let stands = now.since(*at) < ASKED;
-            if !stands {
-                stale.push(Rc::clone(machine));
-            }
-            stands
-        });
-        for machine in stale {
-            self.touch_slot(&machine);
-        }
-    }
-
-    /// Whether another shard's task was asked to make room a moment ago. Asked
-    /// again, it would be counted on twice; and its shard may be out of reach.
-    fn asked_to_make_room(&self, job: &str, index: u32, attempt: u64) -> bool {
-        let key = Key { job: job.to_string(), index, attempt };
-        self.asked.get(&key).is_some_and(|(at, _)| self.now.since(*at) < ASKED)
-    }
-
-    fn least_fetch_rate(&self) -> f64 {
-        self.types.values().map(|t| t.fetch_gb_per_s).fold(f64::INFINITY, f64::min).max(0.01)
-    }
-
-    /// Whether fetching a job's image takes most of the time within which its
-    /// tasks are to start. A holder with room then wins whatever its count: an
-    /// exception to the design's slack, which weighs a fetch against a queue.
-    fn fetch_too_slow(&self, job: &Job) -> bool {
-        let rate = self.least_fetch_rate();
-        self.settings
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "wait" && o.class == job.spec.class)
-            .filter_map(|o| o.within_s)
-            .any(|within| job.spec.image_gb / rate > within / 2.0)
-    }
-
-    /// Whether the objectives of a job's class leave time for the tasks that
-    /// make room to save first.
-    fn time_to_save(&self, job: &Job) -> bool {
-        self.settings
-            .objectives
-            .iter()
-            .filter(|o| o.class == job.spec.class)
-            .filter_map(|o| o.within_s)
-            .all(|within| within >= SHORT_S)
-    }
-
     /// Whether a machine still lists an earlier attempt of a task. One that
     /// ended and is kept, since a late command may start it anew, would be
     /// forgotten by a worker that takes another attempt in its place; and then
@@ -826,70 +399,10 @@
             .get(machine)
             .is_some_and(|v| v.tasks.iter().any(|t| t.index == index && t.job == job))
     }
-
-    /// Waiting tasks by shape, as far as their teams' limits let them run.
-    pub(super) fn demand(&self) -> Vec<Demand> {
-        let usage = self.slots.usage();
-        let mut room: BTreeMap<&str, Amount> = BTreeMap::new();
-        let mut list: Vec<Demand> = Vec::new();
-        for ((beyond, rank), id) in self.queue_order() {
-            let Some(j) = self.jobs.get(&id).filter(|j| self.now >= j.not_before) else {
-                continue;
-            };
-            let spec = &j.spec;
-            let Some(quota) = self.quotas.get(&spec.team) else {
-                continue;
-            };
-            let left = room.entry(&spec.team).or_insert_with(|| {
-                let used = usage.get(&spec.team).copied().unwrap_or_default();
-                [0, 1].map(|r| (quota.limit[r] - used[r]).max(0.0))
-            });
-            let can = fits(&[left[0], left[1], f64::INFINITY], &[spec.cpus, spec.gpus, 0.0]);
-            let tasks = j.open().min(can);
-            if tasks == 0 {
-                continue;
-            }
-            left[0] -= f64::from(tasks) * spec.cpus;
-            left[1] -= f64::from(tasks) * spec.gpus;
-            let one = Demand {
-                tasks,
-                cpus: spec.cpus,
-                gpus: spec.gpus,
-                memory_gb: spec.memory_gb,
-                types: spec.types.clone().unwrap_or_default(),
-                zone: spec.zone.clone(),
-                spot: spec.spot,
-                rank,
-                beyond,
-            };
-            match list.iter_mut().find(|d| Demand { tasks, ..(*d).clone() } == one) {
-                Some(same) => same.tasks += tasks,
-                None => list.push(one),
-            }
-            if list.len() >= 200 {
-                break;
-            }
-        }
-        list
-    }
-
-    /// Room that is free on known machines, for the renting shard.
-    pub(super) fn free_rooms(&self) -> Vec<super::fleet::Room> {
-        self.slots
-            .iter()
-            .filter(|(_, _, s)| s.free[0] > EPS)
-            .map(|(_, key, s)| super::fleet::Room {
-                machine_type: Rc::clone(&key.machine_type),
-                zone: Rc::clone(&key.zone),
-                spot: key.spot,
-                free: s.free,
-            })
-            .collect()
-    }
 }
 
 /// What a pass over the queue has found out so far.
-struct Pass {
+pub(super) struct Pass {
     /// What teams use, with what this pass has placed.
     usage: BTreeMap<String, Amount>,
     /// What own shards use of teams' limits, likewise.
@@ -905,7 +418,7 @@
 }
 
 /// A shape that found no room, so that others like it need not look again.
-struct Failed {
+pub(super) struct Failed {
     spec: Rc<JobSpec>,
     /// Rank, team if within its guarantee, and whether only holders of the
     /// image were looked at, where tasks were to make room; `None` for free room.
@@ -913,7 +426,7 @@
 }
 
 impl Failed {
-    fn new(spec: &Rc<JobSpec>, stops: Option<(u32, Option<String>, bool)>) -> Failed {
+    pub(super) fn new(spec: &Rc<JobSpec>, stops: Option<(u32, Option<String>, bool)>) -> Failed {
         Failed { spec: Rc::clone(spec), stops }
     }
 
--- /dev/null
+++ b/src/controller/preemption.rs
@@ -0,0 +1,203 @@
+//! Preemption: which tasks make room for more urgent ones, and within which bounds.
+
+use super::Controller;
+use super::fleet::fits;
+use super::job::Job;
+use super::machine::Key;
+use super::placer::URGENT;
+use super::quota::EPS;
+use super::slots::{Booked, Slot};
+use crate::peer::Preempt;
+use crate::time::Micros;
+use std::rc::Rc;
+
+/// How long a request to make room stands.
+const ASKED: Micros = Micros::secs(1);
+/// What a second of fetching counts, in seconds of work lost, for a start that
+/// it would make late.
+const SLOW_FETCH: f64 = 8.0;
+/// Objectives below this leave no time for saves.
+const SHORT_S: f64 = 10.0;
+
+impl Controller {
+    /// Seconds of work that stopping a task at once would lose, by the time
+    /// since it was placed. That is stored and told to all: counted from when
+    /// this process first saw it run, a task would look new after every restart.
+    pub(super) fn loss(&self, placed: Micros, checkpoint_s: f64) -> f64 {
+        let ran = self.wall().since(placed).as_secs_f64();
+        if checkpoint_s > 0.0 { ran % checkpoint_s } else { ran }
+    }
+
+    /// Finds a machine on which stopping other tasks makes room for a task of
+    /// the job, choosing what loses least work; the machine and which of its
+    /// tasks. Only lower priorities give way, or work that another team runs
+    /// beyond its guarantee to a team that is within its own (`entitled`).
+    pub(super) fn make_room(
+        &self,
+        job: &Job,
+        pools: &[usize],
+        entitled: bool,
+        only: Option<&[usize]>,
+        passes: impl Fn(usize, &Slot) -> bool,
+    ) -> Option<(usize, Vec<usize>)> {
+        let spec = &job.spec;
+        let rank = job.rank();
+        let need = [spec.cpus, spec.gpus, spec.memory_gb];
+        let beyond: Vec<&str> = self
+            .quotas
+            .keys()
+            .map(String::as_str)
+            .filter(|t| self.may_give.get(*t).is_some_and(|left| *left > EPS))
+            .collect();
+        // More urgent work never gives way, or it would take the room back. What a
+        // team runs within its guarantee goes before borrowed work in the queue,
+        // and yields to it only where that is urgent: else it would be placed
+        // first and stopped next, over and over.
+        let presses = entitled || rank <= URGENT;
+        let gives = |b: &Booked| {
+            let borrows = || beyond.iter().any(|t| *t == b.team);
+            let others = entitled && b.rank == rank && b.team != spec.team;
+            !b.stopping
+                && ((b.rank > rank && (presses || b.team == spec.team || borrows()))
+                    || (others && borrows()))
+        };
+        let too_slow = self.fetch_too_slow(job);
+        let mut best: Option<(f64, usize, Vec<usize>)> = None;
+        let all = self.slots.iter().map(|(id, _, slot)| (id, slot));
+        let some =
+            only.unwrap_or_default().iter().filter_map(|id| Some((*id, self.slots.get(*id)?)));
+        let slots: Box<dyn Iterator<Item = (usize, &Slot)>> =
+            if only.is_some() { Box::new(some) } else { Box::new(all) };
+        for (at, slot) in slots {
+            if !slot.tasks.iter().any(&gives) || !self.slots.among(at, pools) {
+                continue;
+            }
+            let mut free = slot.room();
+            let mut cost = if self.images.holds(self.now, &spec.image, &slot.machine, slot.session)
+            {
+                0.0
+            } else {
+                let machine_type = self.slots.pool_of(at).map_or("", |k| &k.machine_type);
+                let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
+                let fetch = spec.image_gb / rate.max(0.01);
+                // A start that then waits for its image comes late, but much
+                // work thrown away for it costs more.
+                spec.cpus * if too_slow { fetch * SLOW_FETCH } else { fetch }
+            };
+            let loss = |b: &Booked| b.amount[0] * self.loss(b.placed, b.checkpoint_s);
+            let mut order: Vec<(f64, u32, usize)> = slot
+                .tasks
+                .iter()
+                .enumerate()
+                .filter(|(_, b)| gives(b))
+                .map(|(i, b)| (loss(b), b.rank, i))
+                .collect();
+            order.sort_by(|x, y| x.0.total_cmp(&y.0).then(y.1.cmp(&x.1)).then(x.2.cmp(&y.2)));
+            let mut victims = Vec::new();
+
+            for (loss, _, i) in order {
+                if fits(&free, &need) > 0 {
+                    break;
+                }
+                for (f, a) in free.iter_mut().zip(slot.tasks[i].amount) {
+                    *f += a;
+                }
+                cost += loss + 1.0;
+                victims.push(i);
+            }
+            // For the sake of a fetch no more is thrown away than the fetch takes.
+            let worth =
+                only.is_none() || cost <= spec.cpus * spec.image_gb / self.least_fetch_rate();
+            if worth
+                && fits(&free, &need) > 0
+                && best.as_ref().is_none_or(|(c, _, _)| cost < *c)
+                && passes(at, slot)
+            {
+                best = Some((cost, at, victims));
+            }
+        }
+        best.map(|(_, at, victims)| (at, victims))
+    }
+
+    pub(super) fn ask_to_stop(&mut self, b: &Booked, save: bool, machine: &Rc<str>) {
+        log::debug!("task {}/{} makes room", b.job, b.index);
+        let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
+        if self.jobs.contains_key(&p.job) {
+            self.preempt_task(&p);
+        } else {
+            let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
+            self.asked.insert(key, (self.now, Rc::clone(machine)));
+            self.changes.preemptions.push(p);
+        }
+    }
+
+    /// Works out what may be stopped in the coming second for the sake of
+    /// guarantees: this node's part of what teams use beyond theirs, and of what
+    /// others lack. All nodes stopping the whole of it would stop it several
+    /// times over, and then the other way round.
+    pub(super) fn refresh_guarantees(&mut self) {
+        if !self.acting() {
+            return;
+        }
+        self.refresh_slots();
+        let nodes = self.shards.len().max(1) as f64;
+        for (team, q) in &self.quotas {
+            let used = self.slots.usage().get(team).map_or(0.0, |u| u[0]);
+            let beyond = (used - q.guarantee[0]).max(0.0);
+            let lacks = (q.guarantee[0] - used).max(0.0);
+            self.may_give.insert(team.clone(), beyond / nodes);
+            self.may_claim.insert(team.clone(), lacks / nodes);
+        }
+    }
+
+    /// Lets go of requests to make room that nobody has heeded.
+    pub(super) fn expire_preemption_requests(&mut self) {
+        let now = self.now;
+        let mut stale = Vec::new();
+        self.asked.retain(|_, (at, machine)| {
+            let stands = now.since(*at) < ASKED;
+            if !stands {
+                stale.push(Rc::clone(machine));
+            }
+            stands
+        });
+        for machine in stale {
+            self.touch_slot(&machine);
+        }
+    }
+
+    /// Whether another shard's task was asked to make room a moment ago. Asked
+    /// again, it would be counted on twice; and its shard may be out of reach.
+    pub(super) fn asked_to_make_room(&self, job: &str, index: u32, attempt: u64) -> bool {
+        let key = Key { job: job.to_string(), index, attempt };
+        self.asked.get(&key).is_some_and(|(at, _)| self.now.since(*at) < ASKED)
+    }
+
+    fn least_fetch_rate(&self) -> f64 {
+        self.types.values().map(|t| t.fetch_gb_per_s).fold(f64::INFINITY, f64::min).max(0.01)
+    }
+
+    /// Whether fetching a job's image takes most of the time within which its
+    /// tasks are to start. A holder with room then wins whatever its count: an
+    /// exception to the design's slack, which weighs a fetch against a queue.
+    pub(super) fn fetch_too_slow(&self, job: &Job) -> bool {
+        let rate = self.least_fetch_rate();
+        self.settings
+            .objectives
+            .iter()
+            .filter(|o| o.kind == "wait" && o.class == job.spec.class)
+            .filter_map(|o| o.within_s)
+            .any(|within| job.spec.image_gb / rate > within / 2.0)
+    }
+
+    /// Whether the objectives of a job's class leave time for the tasks that
+    /// make room to save first.
+    pub(super) fn time_to_save(&self, job: &Job) -> bool {
+        self.settings
+            .objectives
+            .iter()
+            .filter(|o| o.class == job.spec.class)
+            .filter_map(|o| o.within_s)
+            .all(|within| within >= SHORT_S)
+    }
+}
--- /dev/null
+++ b/src/controller/slot_updates.rs
@@ -0,0 +1,151 @@
+//! Keeping the slots up to date: machines as placements see them.
+
+use super::Controller;
+use super::desired_state::expected_s;
+use super::quota::EPS;
+use super::slots::{Booked, PoolKey, Slot};
+use crate::peer::Phase;
+use crate::time::Micros;
+use std::rc::Rc;
+
+/// How long room that comes up on a machine is left to its own shard.
+const SETTLE: Micros = Micros::millis(250);
+
+impl Controller {
+    /// A machine as placements see it; `None` if nothing may be placed on it.
+    fn slot_of(&self, name: &str) -> Option<(PoolKey, Slot)> {
+        let v = self.views.get(name)?;
+        let h = self.shard_of_machine(name);
+        if !v.known
+            || !v.healthy
+            || !self.commanded[h]
+            || v.notice_ms.is_some()
+            || v.term != self.shards[h].term
+            || self.draining.contains(name)
+            || self.terminated.contains(name)
+        {
+            return None;
+        }
+        let t = self.types.get(&v.machine_type)?;
+        let size = [t.cpus, t.gpus, t.memory_gb];
+        let foreign = self.owned_term(h).is_none();
+        let mut slot = Slot::new(Rc::from(name), v.session, foreign, size);
+        let over = |job: &str, index: u32, attempt: u64| {
+            v.tasks.iter().any(|t| {
+                t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
+            })
+        };
+        for (s, w) in self.desired.iter().enumerate() {
+            if self.has_jobs_of(s) {
+                continue;
+            }
+            let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
+            for t in tasks {
+                // Of another session: gone, and its shard will learn of it.
+                if t.session != v.session
+                    || t.phase() == Phase::Over
+                    || over(&t.job, t.index, t.attempt)
+                {
+                    continue;
+                }
+                slot.book(Booked {
+                    rank: t.rank,
+                    team: t.team.clone(),
+                    amount: [t.cpus, t.gpus, t.memory_gb],
+                    job: t.job.clone(),
+                    index: t.index,
+                    attempt: t.attempt,
+                    stopping: t.stop_ms.is_some()
+                        || self.asked_to_make_room(&t.job, t.index, t.attempt),
+                    placed: Micros::secs(t.placed_s),
+                    checkpoint_s: t.checkpoint_s,
+                    expected_s: t.expected_s,
+                });
+            }
+        }
+        for s in (0..self.shards.len()).filter(|s| self.has_jobs_of(*s)) {
+            let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&slot.machine))) else {
+                continue;
+            };
+            for (id, index) in tasks {
+                let Some(j) = self.jobs.get(id) else {
+                    continue;
+                };
+                let part = &j.parts[(*index / j.part_size) as usize];
+                let Some(p) = part.placed.get(index).filter(|p| *p.machine == *name) else {
+                    continue;
+                };
+                slot.book(Booked {
+                    rank: j.rank(),
+                    team: j.spec.team.clone(),
+                    amount: [j.spec.cpus, j.spec.gpus, j.spec.memory_gb],
+                    job: id.clone(),
+                    index: *index,
+                    attempt: p.attempt,
+                    stopping: p.stop.is_some(),
+                    placed: p.at,
+                    checkpoint_s: j.spec.checkpoint_s,
+                    expected_s: expected_s(j, &self.estimates),
+                });
+            }
+        }
+        // Tasks that nobody is known to want take room of unknown size.
+        let strange = v.tasks.iter().any(|t| {
+            !t.observed().over()
+                && !slot
+                    .tasks
+                    .iter()
+                    .any(|b| b.attempt == t.attempt && b.index == t.index && b.job == t.job)
+        });
+        let key = PoolKey {
+            machine_type: Rc::from(v.machine_type.as_str()),
+            zone: Rc::from(v.zone.as_str()),
+            spot: v.spot,
+        };
+        (!strange).then_some((key, slot))
+    }
+
+    /// Whether a shard's jobs are known here; else the desired state received from it counts.
+    fn has_jobs_of(&self, s: usize) -> bool {
+        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
+    }
+
+    /// Notes that a machine has to be looked at before the next placement.
+    pub(super) fn touch_slot(&mut self, machine: &str) {
+        if !self.dirty_slots.contains(machine) {
+            self.dirty_slots.insert(machine.to_string());
+        }
+    }
+
+    /// Brings the slots up to date: only what has changed is looked at.
+    pub(super) fn refresh_slots(&mut self) {
+        for h in 0..self.shards.len() {
+            let commanded = self.owned_term(h).is_some()
+                || self.lease_holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
+            let was = std::mem::replace(&mut self.commanded[h], commanded);
+            let state = (self.has_jobs_of(h), self.owned_term(h), self.shards[h].term);
+            if was != commanded || self.slots_state.get(&h) != Some(&state) {
+                // The shard has changed hands or its holder has fallen silent.
+                self.slots_state.insert(h, state);
+                let theirs: Vec<String> =
+                    self.views.keys().filter(|m| self.shard_of_machine(m) == h).cloned().collect();
+                self.dirty_slots.extend(theirs);
+                // What it wants is read from another place from now on.
+                let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
+                self.dirty_slots.extend(wanted);
+            }
+        }
+        for machine in std::mem::take(&mut self.dirty_slots) {
+            let mut slot = self.slot_of(&machine);
+            if let Some((_, new)) = slot.as_mut().filter(|(_, s)| s.foreign) {
+                let old = self.slots.id(&machine).and_then(|id| self.slots.get(id));
+                let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
+                new.settled = match old {
+                    Some(old) if !more => old.settled,
+                    _ => self.now + SETTLE,
+                };
+            }
+            self.slots.set(&machine, slot);
+        }
+    }
+}
