--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -5,6 +5,8 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
+/// Characters of a line at fault that an error shows.
+const MAX_SHOWN_CHARS: usize = 80;
 /// Fewest changes that a transaction must take: a seat's key and its term.
 const MIN_TXN_OPS: usize = 2;
 /// Fewest sockets with which a node can work.
@@ -271,7 +273,9 @@
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let mut config: Config = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count());
-            ConfigError(format!("line {at}: {}", e.message().replace('\n', " ")))
+            let line = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
+            let line: String = line.chars().take(MAX_SHOWN_CHARS).collect();
+            ConfigError(format!("line {at}, {line}: {}", e.message().replace('\n', " ")))
         })?;
         config.check()?;
         config.settings.state = config.settings.state.kept();
--- a/src/controller/job/keys.rs
+++ b/src/controller/job/keys.rs
@@ -26,6 +26,19 @@
     *n == 0
 }
 
+/// Most jobs named at once that are read key by key; more are read by pages.
+pub const MAX_SINGLE_READS: usize = 64;
+
+/// A key just before a job's: after all keys of jobs with smaller ids.
+pub fn key_before(id: &str) -> String {
+    let mut key = job_key(id);
+    // Before the last digit and after all that might follow it in an id.
+    let last = key.pop().unwrap_or('0');
+    key.push(char::from_u32(u32::from(last) - 1).unwrap_or('/'));
+    key.push(':');
+    key
+}
+
 /// Key of further jobs that have to be done first; numbered from 1.
 pub fn upstream_key(id: &str, number: u32) -> String {
     format!("u/{id}/{number}")
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -37,6 +37,7 @@
 mod placer;
 mod preemption;
 mod quotas;
+mod record_pages;
 mod renter;
 mod reservation;
 mod shard_leases;
@@ -171,6 +172,7 @@
     /// Terms of the shards that own shards' desired state has taken into account.
     announced_terms: Vec<u64>,
     pipelines: pipeline::Pipelines,
+    record_pages: record_pages::RecordPages,
     /// Final stages that peers may not know of yet, and who is to be told.
     terminal_states: terminal_states::TerminalStates,
     cancels: cancel::Cancels,
@@ -282,6 +284,7 @@
             seq: 0,
             announced_terms: vec![0; count],
             pipelines: pipeline::Pipelines::default(),
+            record_pages: record_pages::RecordPages::default(),
             terminal_states: terminal_states::TerminalStates::default(),
             cancels: cancel::Cancels::default(),
             frames: 0,
@@ -341,6 +344,7 @@
                 Op::StoreUpstream { ticket, spec, size, to } => {
                     self.upstream_stored(ticket, spec, size, to, &r);
                 }
+                Op::ReadRecordPage { first } => self.record_page_reply(&first, r),
                 Op::ReadUpstream { job, number } => self.upstream_read(&job, number, &r),
                 Op::Chain { ticket, status, job, sent } => {
                     self.chain_reply(ticket, status, &job, sent, &r);
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -35,6 +35,7 @@
     Admit { list: Vec<Submission>, shard: usize, term: u64, batch: Option<String> },
     LookUp { number: u64, job: String },
     StoreUpstream { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
+    ReadRecordPage { first: String },
     ReadUpstream { job: String, number: u32 },
     Chain { ticket: Ticket, status: u16, job: String, sent: Micros },
     Cascade { job: String, shard: usize, tasks: u32 },
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -7,7 +7,7 @@
 //! and nothing has to be stopped. A user is told so by any node, also before it is
 //! written: from the stages of all that come before.
 
-use super::job::{self, Job, JobRecord, StoredStage};
+use super::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
 use super::{CachedStage, Controller, Op, Ticket};
 use crate::peer::InheritedUrgency;
 use crate::state::{StateCall, StateReply};
@@ -27,8 +27,6 @@
 const CASCADES: usize = 4;
 /// How often inherited urgency is told again: a lost message costs a delay.
 const URGENCY_EVERY: Micros = Micros::secs(4);
-/// Jobs that one submission may name which are not known here.
-const MOST_UNKNOWN: usize = 64;
 /// Conditions that a transaction may have for each change that it might make.
 const CONDITIONS: usize = 4;
 /// Bytes of a transaction that values may take.
@@ -276,13 +274,21 @@
             return self.read_or(ticket, &spec.id, 422, None, &absent);
         }
         let known = |id: &&String| self.cached_stages.contains_key(*id);
-        let unknown: Vec<String> = spec.upstream.iter().filter(|id| !known(id)).cloned().collect();
+        let mut unknown: Vec<String> =
+            spec.upstream.iter().filter(|id| !known(id)).cloned().collect();
         if unknown.is_empty() {
             return self.store_upstream(ticket, spec, size, 0);
         }
-        if unknown.len() > MOST_UNKNOWN {
-            self.note_unknown(unknown);
-            return self.later(ticket, 503, "the jobs that it needs are being read");
+        if unknown.len() > MAX_SINGLE_READS {
+            let absent: Vec<String> =
+                unknown.iter().filter(|id| self.record_pages.was_absent(id)).cloned().collect();
+            if absent.is_empty() {
+                self.read_records(unknown);
+                return self.later(ticket, 503, "the jobs that it needs are being read");
+            }
+            // Perhaps accepted by now: one that still is not there decides.
+            unknown = absent;
+            unknown.truncate(MAX_SINGLE_READS);
         }
         self.pipelines.count += 1;
         let number = self.pipelines.count;
@@ -321,6 +327,9 @@
                 Refusal { error: "a job that was never accepted", field: Some("upstream") };
             return self.read_or(g.ticket, &g.spec.id, 422, None, &absent);
         }
+        if !g.spec.upstream.iter().all(|id| self.cached_stages.contains_key(id)) {
+            return self.later(g.ticket, 503, "the jobs that it needs are being read");
+        }
         self.store_upstream(g.ticket, g.spec, g.size, 0);
     }
 
@@ -435,6 +444,7 @@
     /// Looks at own waiting jobs: which may go, and which are cancelled.
     pub(super) fn maintain_pipelines(&mut self) {
         self.read_upstream();
+        self.maintain_record_pages();
         if !self.acting() || self.now < self.pipelines.look_at {
             return;
         }
@@ -473,7 +483,7 @@
                     self.place_wanted = true;
                 }
                 UpstreamOutcome::Cancelled { .. } => self.cascade(&id),
-                UpstreamOutcome::Unknown(list) => self.note_unknown(list),
+                UpstreamOutcome::Unknown(list) => self.read_records(list),
                 UpstreamOutcome::Waits => {}
             }
         }
--- /dev/null
+++ b/src/controller/record_pages.rs
@@ -0,0 +1,105 @@
+//! Records of many jobs, read by pages.
+//!
+//! A process that has just started may be asked about hundreds of jobs that it has no
+//! record of. Read one by one they would take longer than a user tries; a page of `j/`
+//! brings those beside them too.
+
+use super::job::{self, MAX_SINGLE_READS};
+use super::{Controller, Op};
+use crate::state::{StateCall, StateReply};
+use crate::time::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Jobs that wait for a page at most.
+const MAX_WANTED: usize = 20_000;
+/// How long it is remembered that a job was not there.
+const ABSENT_FOR: Micros = Micros::secs(10);
+/// Pause after a page that could not be read.
+const RETRY: Micros = Micros::secs(1);
+
+/// Jobs whose records are to be read by pages.
+#[derive(Debug, Default)]
+pub(super) struct RecordPages {
+    wanted: BTreeSet<String>,
+    reading: bool,
+    not_before: Micros,
+    /// Jobs that were in no page, and when that was seen.
+    absent: BTreeMap<String, Micros>,
+}
+
+impl RecordPages {
+    /// Whether a job was in no page a moment ago. It may have been accepted since.
+    pub fn was_absent(&self, id: &str) -> bool {
+        self.absent.contains_key(id)
+    }
+
+    fn want(&mut self, jobs: Vec<String>) {
+        let room = MAX_WANTED.saturating_sub(self.wanted.len());
+        self.wanted.extend(jobs.into_iter().take(room));
+    }
+
+    /// A page from `first` to the key `last`, or to the end, did not have these.
+    fn note_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
+        let covered = |id: &String| {
+            let key = job::job_key(id);
+            id.as_str() >= first && last.is_none_or(|last| key.as_str() <= last)
+        };
+        let absent: Vec<String> = self.wanted.iter().filter(|id| covered(id)).cloned().collect();
+        for id in absent {
+            self.wanted.remove(&id);
+            self.absent.insert(id, now);
+        }
+    }
+}
+
+impl Controller {
+    /// Jobs of which nothing is known here are to be read: each by itself, or if they
+    /// are many by pages.
+    pub(super) fn read_records(&mut self, unknown: Vec<String>) {
+        if unknown.len() <= MAX_SINGLE_READS {
+            return self.note_unknown(unknown);
+        }
+        self.record_pages.want(unknown);
+    }
+
+    /// Reads the next page, from the first job that is wanted, while more than half of
+    /// this node's share of requests is there.
+    pub(super) fn maintain_record_pages(&mut self) {
+        let now = self.now;
+        let cached = &self.cached_stages;
+        let pages = &mut self.record_pages;
+        pages.absent.retain(|_, at| now.since(*at) < ABSENT_FOR);
+        while pages.wanted.first().is_some_and(|id| cached.contains_key(id)) {
+            pages.wanted.pop_first();
+        }
+        let may_read = !pages.reading && now >= pages.not_before;
+        let Some(first) = pages.wanted.first().cloned() else {
+            return;
+        };
+        if !may_read || !self.acting() || !self.status_queries.spare(now) {
+            return;
+        }
+        self.record_pages.reading = true;
+        let after = Some(job::key_before(&first));
+        let call = StateCall::List { prefix: job::job_key(""), after };
+        self.state(Op::ReadRecordPage { first }, call);
+    }
+
+    /// Takes in a page of records.
+    pub(super) fn record_page_reply(&mut self, first: &str, reply: StateReply) {
+        self.record_pages.reading = false;
+        let StateReply::Page { items, more, .. } = reply else {
+            self.record_pages.not_before = self.now + RETRY;
+            return;
+        };
+        let last = items.last().filter(|_| more).map(|item| item.key.clone());
+        for item in items {
+            let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
+            if self.record_pages.wanted.remove(&id) {
+                self.read_record(&id, &StateReply::Value(Some(item)));
+            }
+        }
+        self.record_pages.note_absent(self.now, first, last.as_deref());
+        self.maintain_record_pages();
+    }
+}
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -68,7 +68,7 @@
                 UpstreamOutcome::Free => {}
                 UpstreamOutcome::Waits => return self.tell_waiting(ticket, status, id, known),
                 UpstreamOutcome::Unknown(list) => {
-                    self.note_unknown(list);
+                    self.read_records(list);
                     return self.later(ticket, 503, "the jobs that it needs are being read");
                 }
                 UpstreamOutcome::Cancelled { settled: false } => {
