--- a/src/config.rs
+++ b/src/config.rs
@@ -7,6 +7,9 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
+/// Characters of a line at fault that an error shows.
+const SHOWN: usize = 80;
+
 /// A setting that cannot be used, in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError(pub String);
@@ -209,7 +212,9 @@
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let mut config: Config = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count());
-            ConfigError(format!("line {at}: {}", e.message().replace('\n', " ")))
+            let line = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
+            let line: String = line.chars().take(SHOWN).collect();
+            ConfigError(format!("line {at}, {line}: {}", e.message().replace('\n', " ")))
         })?;
         config.check()?;
         config.settings.state = config.settings.state.kept();
