--- a/src/controller/finals.rs
+++ b/src/controller/finals.rs
@@ -68,7 +68,7 @@
                 Fate::Free => {}
                 Fate::Waits => return self.tell_waiting(ticket, status, id, known),
                 Fate::Unknown(list) => {
-                    self.note_unknown(list);
+                    self.look_for(list);
                     return self.later(ticket, 503, "the jobs that it needs are being read");
                 }
                 Fate::Cancelled { settled: false } => {
--- a/src/controller/job.rs
+++ b/src/controller/job.rs
@@ -61,6 +61,16 @@
     format!("j/{id}")
 }
 
+/// A key just before a job's: after all keys of jobs with smaller ids.
+pub fn key_before(id: &str) -> String {
+    let mut key = job_key(id);
+    // Before the last digit and after all that might follow it in an id.
+    let last = key.pop().unwrap_or('0');
+    key.push(char::from_u32(u32::from(last) - 1).unwrap_or('/'));
+    key.push(':');
+    key
+}
+
 /// Key of a part of a job's tasks.
 pub fn part_key(seat: usize, id: &str, part: usize) -> String {
     format!("w/{seat}/{id}/{part}")
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -201,6 +201,7 @@
     LoadJob { seat: usize, term: u64, job: String },
     Accept { list: Vec<accept::Arrival>, seat: usize, term: u64, bundle: Option<String> },
     Gather { number: u64, job: String },
+    Sweep { first: String },
     StoreUpstream { ticket: Ticket, spec: Rc<crate::wire::JobSpec>, size: usize, to: usize },
     ReadUpstream { job: String, number: u32 },
     Chain { ticket: Ticket, status: u16, job: String, sent: Micros },
@@ -608,6 +609,7 @@
                 }
                 Op::ReadUnknown { job } => self.unknown_read(&job, &r),
                 Op::Gather { number, job } => self.gathered(number, &job, &r),
+                Op::Sweep { first } => self.swept(&first, r),
                 Op::StoreUpstream { ticket, spec, size, to } => {
                     self.upstream_stored(ticket, spec, size, to, &r);
                 }
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -27,8 +27,13 @@
 const CASCADES: usize = 4;
 /// How often what presses is told again: a lost message costs a delay.
 const PRESS_EVERY: Micros = Micros::secs(4);
-/// Jobs that one submission may name which are not known here.
+/// Jobs that one submission may name which are not known here; for more, pages of the
+/// jobs' records are read.
 const MOST_UNKNOWN: usize = 64;
+/// Jobs that wait for such a page at most.
+const MOST_SWEPT: usize = 20_000;
+/// How long it is remembered that a job was not there.
+const ABSENT_FOR: Micros = Micros::secs(10);
 /// Conditions that a transaction may have for each change that it might make.
 const CONDITIONS: usize = 4;
 /// Bytes of a transaction that values may take.
@@ -85,6 +90,11 @@
     cascading: BTreeSet<String>,
     gathering: BTreeMap<u64, Gathering>,
     count: u64,
+    /// Jobs to be looked for in pages of records, by id; and those that were not there.
+    sweep: BTreeSet<String>,
+    sweeping: bool,
+    sweep_at: Micros,
+    absent: BTreeMap<String, Micros>,
     look_at: Micros,
     press_at: Micros,
     /// What was last told of jobs that own ones need.
@@ -270,9 +280,20 @@
         if unknown.is_empty() {
             return self.store_upstream(ticket, spec, size, 0);
         }
+        let mut unknown = unknown;
         if unknown.len() > MOST_UNKNOWN {
-            self.note_unknown(unknown);
-            return self.later(ticket, 503, "the jobs that it needs are being read");
+            let absent: Vec<String> = unknown
+                .iter()
+                .filter(|id| self.pipelines.absent.contains_key(*id))
+                .cloned()
+                .collect();
+            if absent.is_empty() {
+                self.look_for(unknown);
+                return self.later(ticket, 503, "the jobs that it needs are being read");
+            }
+            // Perhaps accepted by now: one that still is not there decides.
+            unknown = absent;
+            unknown.truncate(MOST_UNKNOWN);
         }
         self.pipelines.count += 1;
         let number = self.pipelines.count;
@@ -311,9 +332,72 @@
                 Refusal { error: "a job that was never accepted", field: Some("upstream") };
             return self.read_or(g.ticket, &g.spec.id, 422, None, &absent);
         }
+        if !g.spec.upstream.iter().all(|id| self.known.contains_key(id)) {
+            return self.later(g.ticket, 503, "the jobs that it needs are being read");
+        }
         self.store_upstream(g.ticket, g.spec, g.size, 0);
     }
 
+    /// Jobs of which nothing is known here are to be read: each by itself, or if they
+    /// are many with those beside them.
+    pub(super) fn look_for(&mut self, unknown: Vec<String>) {
+        if unknown.len() <= MOST_UNKNOWN {
+            return self.note_unknown(unknown);
+        }
+        let sweep = &mut self.pipelines.sweep;
+        let room = MOST_SWEPT.saturating_sub(sweep.len());
+        sweep.extend(unknown.into_iter().take(room));
+    }
+
+    /// Reads the next page of records, from the first job that is looked for.
+    fn tend_sweep(&mut self) {
+        let now = self.now;
+        self.pipelines.absent.retain(|_, at| now.since(*at) < ABSENT_FOR);
+        while let Some(id) = self.pipelines.sweep.first().filter(|id| self.known.contains_key(*id))
+        {
+            let id = id.clone();
+            self.pipelines.sweep.remove(&id);
+        }
+        let open = !self.pipelines.sweeping && now >= self.pipelines.sweep_at && self.acting();
+        let Some(first) = self.pipelines.sweep.first().filter(|_| open).cloned() else {
+            return;
+        };
+        if !self.questions.spare(now) {
+            return;
+        }
+        self.pipelines.sweeping = true;
+        let call =
+            StateCall::List { prefix: job::job_key(""), after: Some(job::key_before(&first)) };
+        self.state(Op::Sweep { first }, call);
+    }
+
+    pub(super) fn swept(&mut self, first: &str, reply: StateReply) {
+        self.pipelines.sweeping = false;
+        let StateReply::Page { items, more, .. } = reply else {
+            self.pipelines.sweep_at = self.now + READ_AGAIN;
+            return;
+        };
+        let last = items.last().filter(|_| more).map(|item| item.key.clone());
+        for item in items {
+            let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
+            if self.pipelines.sweep.remove(&id) {
+                self.read_record(&id, &StateReply::Value(Some(item)));
+            }
+        }
+        // The page goes so far, and these were not in it.
+        let covered = |id: &String| {
+            let key = job::job_key(id);
+            id.as_str() >= first && last.as_ref().is_none_or(|last| key <= *last)
+        };
+        let absent: Vec<String> =
+            self.pipelines.sweep.iter().filter(|id| covered(id)).cloned().collect();
+        for id in absent {
+            self.pipelines.sweep.remove(&id);
+            self.pipelines.absent.insert(id, self.now);
+        }
+        self.tend_sweep();
+    }
+
     /// Names of needed jobs that a value has room for.
     fn upstream_lists(&self, upstream: &[String]) -> Vec<Vec<String>> {
         let bytes = (self.settings.state.value_kb * 1024.0 * FULL) as usize;
@@ -424,6 +508,7 @@
     /// Looks at own waiting jobs: which may go, and which are cancelled.
     pub(super) fn tend_pipelines(&mut self) {
         self.read_upstream();
+        self.tend_sweep();
         if !self.acting() || self.now < self.pipelines.look_at {
             return;
         }
@@ -457,7 +542,7 @@
                     self.place_wanted = true;
                 }
                 Fate::Cancelled { .. } => self.cascade(&id),
-                Fate::Unknown(list) => self.note_unknown(list),
+                Fate::Unknown(list) => self.look_for(list),
                 Fate::Waits => {}
             }
         }
--- a/src/controller/questions.rs
+++ b/src/controller/questions.rs
@@ -88,7 +88,12 @@
 
     /// Whether a question may have a request of its own.
     fn plenty(&mut self, now: Micros) -> bool {
-        self.count == 0 && self.calls.level(now) > self.calls.burst() / 2.0
+        self.count == 0 && self.spare(now)
+    }
+
+    /// Whether more than half of this node's share of requests is there.
+    pub fn spare(&mut self, now: Micros) -> bool {
+        self.calls.level(now) > self.calls.burst() / 2.0
     }
 }
 
