--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -223,7 +223,7 @@
         if !self.terminated.insert(machine.to_string()) {
             return;
         }
-        info!("machine {machine} is gone");
+        info!("machine {machine} is terminated");
         while self.terminated.len() > 5_000 {
             // Names rise with time, so the first is the oldest.
             self.terminated.pop_first();
