--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -228,15 +228,7 @@
                 self.state_lease.renew_at = self.now + Micros::millis(300);
             }
             (Op::Extend { sent, epoch }, r) => {
-                self.state_lease.busy = false;
-                if epoch != self.state_lease.epoch {
-                    return;
-                }
-                match r {
-                    StateReply::Kept => self.state_lease.extended(sent, self.options.state_lease),
-                    StateReply::NoLease => self.lose_state_lease(),
-                    _ => self.state_lease.renew_at = self.now + Micros::millis(200),
-                }
+                self.extend_reply(sent, epoch, &r);
             }
             (Op::ListTerms, StateReply::Page { items, .. }) => {
                 for item in &items {
@@ -255,42 +247,11 @@
             (Op::ListLeases, StateReply::Page { items, .. }) => {
                 self.shards_reading = false;
                 self.shards_read = true;
-                for s in 0..self.shards.len() {
-                    let key = shard::lease_key(s);
-                    let item = items.iter().find(|i| i.key == key).cloned();
-                    self.observe_lease(s, item.as_ref());
-                }
+                self.observe_leases(&items);
             }
             (Op::ListTerms | Op::ListLeases, _) => self.shards_reading = false,
             (Op::FollowStart(watch), StateReply::Page { revision, items, .. }) => {
-                if let Some(f) = self.follow.get_mut(&watch) {
-                    f.busy = false;
-                    f.took(revision, f.sent);
-                }
-                match watch {
-                    Watch::ShardLeases => {
-                        for s in 0..self.shards.len() {
-                            let key = shard::lease_key(s);
-                            let item = items.iter().find(|i| i.key == key).cloned();
-                            self.observe_lease(s, item.as_ref());
-                        }
-                    }
-                    // Cancellations may have been missed.
-                    Watch::Jobs => {
-                        self.doubt_unfinished();
-                        for l in self.loads.values_mut() {
-                            l.todo.extend(std::mem::take(&mut l.records).into_keys());
-                            l.stale.append(&mut l.asked);
-                        }
-                        let busy = self.jobs.iter().filter(|(_, j)| j.busy);
-                        self.note_unknown(busy.map(|(id, _)| id.clone()).collect());
-                        let ids: Vec<String> = self.jobs.keys().cloned().collect();
-                        for id in ids {
-                            self.recheck(&id);
-                        }
-                    }
-                    Watch::Quotas => self.quotas_read = false,
-                }
+                self.watch_started(watch, revision, &items);
             }
             (Op::Follow(watch), StateReply::Changes(revision, changes)) => {
                 for change in changes {
@@ -324,18 +285,7 @@
                 }
             }
             (Op::Take { shard, term, epoch }, r) => {
-                self.shards[shard].busy = false;
-                match r {
-                    StateReply::Applied(mark) if epoch == self.state_lease.epoch => {
-                        self.shard_taken(shard, term, mark);
-                    }
-                    StateReply::NoLease if epoch == self.state_lease.epoch => {
-                        self.lose_state_lease()
-                    }
-                    StateReply::Refused => {}
-                    // Perhaps applied, or somebody was faster: what is stored decides.
-                    _ => self.shards_read = false,
-                }
+                self.take_reply(shard, term, epoch, &r);
             }
             (Op::Release { shard }, _) => {
                 self.shards[shard].busy = false;
@@ -347,6 +297,70 @@
         }
     }
 
+    /// A renewal of the state lease has ended; `epoch` is the lease's for which it was sent.
+    fn extend_reply(&mut self, sent: Micros, epoch: u64, reply: &StateReply) {
+        self.state_lease.busy = false;
+        if epoch != self.state_lease.epoch {
+            return;
+        }
+        match reply {
+            StateReply::Kept => self.state_lease.extended(sent, self.options.state_lease),
+            StateReply::NoLease => self.lose_state_lease(),
+            _ => self.state_lease.renew_at = self.now + Micros::millis(200),
+        }
+    }
+
+    /// Takes in all shard leases.
+    fn observe_leases(&mut self, items: &[Item]) {
+        for shard in 0..self.shards.len() {
+            let key = shard::lease_key(shard);
+            let item = items.iter().find(|i| i.key == key).cloned();
+            self.observe_lease(shard, item.as_ref());
+        }
+    }
+
+    /// A watch begins anew at a revision: what changed before it may have been missed.
+    fn watch_started(&mut self, watch: Watch, revision: u64, items: &[Item]) {
+        if let Some(f) = self.follow.get_mut(&watch) {
+            f.busy = false;
+            f.took(revision, f.sent);
+        }
+        match watch {
+            Watch::ShardLeases => {
+                self.observe_leases(items);
+            }
+            // Cancellations may have been missed.
+            Watch::Jobs => {
+                self.doubt_unfinished();
+                for l in self.loads.values_mut() {
+                    l.todo.extend(std::mem::take(&mut l.records).into_keys());
+                    l.stale.append(&mut l.asked);
+                }
+                let busy = self.jobs.iter().filter(|(_, j)| j.busy);
+                self.note_unknown(busy.map(|(id, _)| id.clone()).collect());
+                let ids: Vec<String> = self.jobs.keys().cloned().collect();
+                for id in ids {
+                    self.recheck(&id);
+                }
+            }
+            Watch::Quotas => self.quotas_read = false,
+        }
+    }
+
+    /// An attempt to take a shard has ended.
+    fn take_reply(&mut self, shard: usize, term: u64, epoch: u64, reply: &StateReply) {
+        self.shards[shard].busy = false;
+        match reply {
+            StateReply::Applied(mark) if epoch == self.state_lease.epoch => {
+                self.shard_taken(shard, term, *mark);
+            }
+            StateReply::NoLease if epoch == self.state_lease.epoch => self.lose_state_lease(),
+            StateReply::Refused => {}
+            // Perhaps applied, or somebody was faster: what is stored decides.
+            _ => self.shards_read = false,
+        }
+    }
+
     pub(super) fn observe_lease(&mut self, s: usize, item: Option<&Item>) {
         let now = self.now;
         self.shards[s].observe_lease(now, item);
