--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -6,6 +6,7 @@
 //!
 //! - `world`: the clock, the queue of events and what each event does;
 //! - `settings`: the controllers' settings;
+//! - `earlier`: jobs that an earlier version had stored, and members replaced;
 //! - `faults`: what goes wrong; `chance`: faults drawn by a seed;
 //! - `network`: delays, and who reaches whom at present;
 //! - `controllers`, `state_service`, `machines`: the messages of each party;
@@ -21,6 +22,7 @@
 mod checks;
 mod cloud;
 mod controllers;
+mod earlier;
 mod event;
 mod faults;
 mod forge;
