--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -46,6 +46,7 @@
 mod stage_cache;
 mod status;
 mod status_queries;
+mod task_placement;
 mod terminal_states;
 mod timers;
 mod watches;
