--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -61,7 +61,11 @@
         let Some(view) = self.views.get(&*machine).filter(|v| v.term == here) else {
             return;
         };
-        let ended = if view.over_through >= p.session || view.vanished || view.session > p.session {
+        // That a machine has never reported proves nothing of a later session, which a view
+        // of before may not know: only views made since this owner was heard count.
+        let heard = view.applied.iter().any(|h| h.shard as usize == s && h.term == term);
+        let vanished = view.vanished && heard;
+        let ended = if view.over_through >= p.session || vanished || view.session > p.session {
             // Its session is surely over, and everything in it.
             self.counts.lost += 1;
             Some(ObservedState::Stopped)
