--- /dev/null
+++ b/tests/solo/mod.rs
@@ -0,0 +1,452 @@
+//! One controller alone against stand-ins of the state service and the cloud.
+//!
+//! Every call of the state service can be refused, lost or held, and its watches can
+//! hang. Nothing is drawn by chance, and the clock is simulated.
+
+#![allow(dead_code)]
+
+#[path = "../rehearsal/cloud.rs"]
+mod cloud;
+#[path = "../rehearsal/store.rs"]
+mod store;
+
+use cloud::Cloud;
+use millethold::config::{Config, Options};
+use millethold::controller::{CallId, Controller, DirectReply, Effect, Event, Reply, Ticket};
+use millethold::peer::Frame;
+use millethold::state::{StateCall, StateReply};
+use millethold::time::Micros;
+use millethold::wire::{Item, Txn, Write};
+use serde_json::{Value, json};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use store::Store;
+
+/// Between turns of the clock, between ticks, and until an answer arrives.
+const TURN: Micros = Micros::millis(10);
+const TICK: Micros = Micros::millis(50);
+const DELAY: Micros = Micros::millis(5);
+/// A controller that can take requests does so by then.
+const STARTS_WITHIN: Micros = Micros::secs(10);
+/// Users wait for so long.
+const PATIENCE: Micros = Micros::secs(5);
+
+/// What becomes of a call of the state service.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Outcome {
+    /// Carried out and answered.
+    Served,
+    /// Not carried out, and said so.
+    Refused,
+    /// Carried out; the caller never hears of it.
+    AnswerLost,
+    /// Not carried out so far; the caller gives up, and [`Solo::carry_out_late`] does it.
+    Late,
+    /// Carried out and answered when [`Solo::serve_held`] says so.
+    Held,
+    /// Carried out, and answered when [`Solo::serve_held`] says so.
+    AnswerHeld,
+}
+
+/// An answer to a user.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Answer {
+    pub status: u16,
+    pub retry_after: Option<u64>,
+    pub body: Value,
+    /// How long the user waited.
+    pub took: Micros,
+}
+
+impl Answer {
+    /// Status and stage.
+    pub fn said(&self) -> (u16, &str) {
+        (self.status, self.body["stage"].as_str().unwrap_or_default())
+    }
+}
+
+struct Watch {
+    id: CallId,
+    prefix: String,
+    after: u64,
+    until: Micros,
+}
+
+/// A controller and what surrounds it.
+pub struct Solo {
+    pub now: Micros,
+    pub controller: Controller,
+    /// What becomes of a call.
+    pub outcome: Box<dyn FnMut(&StateCall) -> Outcome>,
+    /// Watches say nothing.
+    pub watches_hang: bool,
+    /// Calls of the state service so far.
+    pub calls: Vec<StateCall>,
+    store: Store,
+    cloud: Cloud,
+    due: Vec<(Micros, Event)>,
+    watches: Vec<Watch>,
+    held: Vec<(CallId, StateCall, Option<StateReply>)>,
+    late: Vec<StateCall>,
+    asked: BTreeMap<u64, Micros>,
+    answers: BTreeMap<u64, Answer>,
+    tick_at: Micros,
+    frames: u64,
+}
+
+/// Settings of a member among so many, with further keys of `settings.state`.
+pub fn settings(me: usize, members: usize, state: &str) -> String {
+    let peer =
+        |n: usize| format!("[[peers]]\nmember = \"n{n}\"\naddress = \"10.0.0.{}:81\"\n", n + 1);
+    let peers: String = (0..members).filter(|n| *n != me).map(peer).collect();
+    format!(
+        r#"member = "n{me}"
+bind = "10.0.0.{0}:80"
+peer_bind = "10.0.0.{0}:81"
+{peers}
+[endpoints]
+cloud = "10.2.0.2:1"
+state = "10.2.0.1:1"
+[settings]
+zones = ["a", "b"]
+[[settings.teams]]
+name = "red"
+cpus = 8.0
+cpus_max = 14.0
+[[settings.teams]]
+name = "blue"
+[settings.workers]
+report_s = 2.0
+lease_s = 12.0
+cancel_s = 30.0
+[settings.state]
+rps = 1000.0
+write_rps = 1000.0
+value_kb = 8.0
+txn_ops = 8
+{state}
+[settings.cloud]
+rps = 50.0
+list_lag_s = 3.0
+[settings.machine_limits]
+cores = 1.0
+mem_mb = 100.0
+fd_limit = 100
+"#,
+        me + 1
+    )
+}
+
+/// A submission of the blue team.
+pub fn body(id: &str) -> Value {
+    json!({
+        "ref": id, "grade": "c", "crew": "blue", "cut": "batch", "urgency": "standard",
+        "planks": 2, "cpus": 1.0, "gpus": 0.0, "ramGb": 1.0, "pattern": "img", "pullGb": 0.5,
+        "benches": null, "yard": null, "together": false, "apart": false, "loaners": true,
+        "expectedS": 5.0, "notchS": 0.0, "stackS": 0.0, "dueS": null,
+    })
+}
+
+/// The same after others.
+pub fn body_after(id: &str, upstream: &[&str]) -> Value {
+    let mut body = body(id);
+    body["upstream"] = json!(upstream);
+    body
+}
+
+impl Solo {
+    /// A controller that has just started, with these values stored before.
+    pub fn new(config: &str, stored: &[(String, Value)]) -> Solo {
+        collect_logs();
+        let config = Config::parse(config).expect("good settings");
+        let now = Micros::secs(1);
+        let mut store = Store::default();
+        for (key, value) in stored {
+            let write = Write::Put { key: key.clone(), value: value.clone(), lease: None };
+            let txn = Txn { conditions: Vec::new(), writes: vec![write] };
+            store.apply(now, &StateCall::Txn(txn));
+        }
+        let wall = Micros::secs(1_000_000);
+        Solo {
+            now,
+            controller: Controller::new(&config, Options::default(), 7, wall),
+            outcome: Box::new(|_| Outcome::Served),
+            watches_hang: false,
+            calls: Vec::new(),
+            store,
+            cloud: Cloud::default(),
+            due: Vec::new(),
+            watches: Vec::new(),
+            held: Vec::new(),
+            late: Vec::new(),
+            asked: BTreeMap::new(),
+            answers: BTreeMap::new(),
+            tick_at: now,
+            frames: 0,
+        }
+    }
+
+    /// The only member, once it takes requests.
+    pub fn ready(state: &str, stored: &[(String, Value)]) -> Solo {
+        let mut solo = Solo::new(&settings(0, 1, state), stored);
+        solo.start();
+        solo
+    }
+
+    /// Runs until it takes requests.
+    pub fn start(&mut self) {
+        let end = self.now + STARTS_WITHIN;
+        while self.now < end {
+            if self.request("GET", "/healthz", b"").status == 200 {
+                return;
+            }
+            self.run(TICK);
+        }
+        panic!("it takes no requests: {}", self.controller.status(self.now));
+    }
+
+    /// Lets so much time pass.
+    pub fn run(&mut self, span: Micros) {
+        let end = self.now + span;
+        while self.now < end {
+            self.turn();
+        }
+    }
+
+    fn turn(&mut self) {
+        self.now += TURN;
+        let now = self.now;
+        let (ready, rest) = std::mem::take(&mut self.due).into_iter().partition(|d| d.0 <= now);
+        self.due = rest;
+        let ready: Vec<(Micros, Event)> = ready;
+        for (_, event) in ready {
+            self.feed(event);
+        }
+        self.wake_watches();
+        if now >= self.tick_at {
+            self.tick_at = now + TICK;
+            self.feed(Event::Tick);
+        }
+    }
+
+    fn feed(&mut self, event: Event) {
+        let mut effects = Vec::new();
+        self.controller.handle(self.now, event, &mut effects);
+        self.controller.flush(self.now, &mut effects);
+        for effect in effects {
+            self.effect(effect);
+        }
+    }
+
+    fn effect(&mut self, effect: Effect) {
+        let soon = self.now + DELAY;
+        match effect {
+            Effect::Respond { ticket, status, retry_after, body } => {
+                let body = serde_json::from_slice(&body).expect("JSON");
+                let took = self.now.since(self.asked[&ticket.0]);
+                let answer = Answer { status, retry_after, body, took };
+                let before = self.answers.insert(ticket.0, answer);
+                assert_eq!(before, None, "answered twice");
+            }
+            Effect::State { id, call } => {
+                self.calls.push(call.clone());
+                self.state_call(id, call);
+            }
+            Effect::Cloud { id, call } => {
+                let reply = Reply::Cloud(self.cloud.call(self.now, &call));
+                self.due.push((soon, Event::Reply { id, reply }));
+            }
+            Effect::Direct { id, .. } | Effect::Inspect { id, .. } => {
+                let reply = Reply::Direct(DirectReply::NotSent);
+                self.due.push((soon, Event::Reply { id, reply }));
+            }
+            Effect::Peer { .. } => {}
+        }
+    }
+
+    fn reply_at(&mut self, at: Micros, id: CallId, reply: StateReply) {
+        self.due.push((at, Event::Reply { id, reply: Reply::State(reply) }));
+    }
+
+    fn state_call(&mut self, id: CallId, call: StateCall) {
+        let (soon, given_up) = (self.now + DELAY, self.now + call.timeout());
+        match (self.outcome)(&call) {
+            Outcome::Refused => self.reply_at(soon, id, StateReply::Refused),
+            Outcome::Held => self.held.push((id, call, None)),
+            Outcome::AnswerHeld => {
+                let reply = self.store.apply(self.now, &call);
+                self.held.push((id, call, Some(reply)));
+            }
+            Outcome::Late => {
+                self.late.push(call);
+                self.reply_at(given_up, id, StateReply::Unknown);
+            }
+            Outcome::AnswerLost => {
+                self.store.apply(self.now, &call);
+                self.reply_at(given_up, id, StateReply::Unknown);
+            }
+            Outcome::Served => match call {
+                StateCall::Follow { prefix, after, block } => {
+                    self.watches.push(Watch { id, prefix, after, until: self.now + block });
+                }
+                call => {
+                    let reply = self.store.apply(self.now, &call);
+                    self.reply_at(soon, id, reply);
+                }
+            },
+        }
+    }
+
+    fn wake_watches(&mut self) {
+        if self.watches_hang {
+            return;
+        }
+        for watch in std::mem::take(&mut self.watches) {
+            let changes = self.store.changes(&watch.prefix, watch.after);
+            if changes.is_empty() && self.now < watch.until {
+                self.watches.push(watch);
+            } else {
+                let reply = StateReply::Changes(self.store.ledger, changes);
+                self.reply_at(self.now + DELAY, watch.id, reply);
+            }
+        }
+    }
+
+    /// Carries the held calls out and answers them; tells how many.
+    pub fn serve_held(&mut self) -> usize {
+        let held = std::mem::take(&mut self.held);
+        let count = held.len();
+        for (id, call, reply) in held {
+            let reply = reply.unwrap_or_else(|| self.store.apply(self.now, &call));
+            self.reply_at(self.now + DELAY, id, reply);
+        }
+        count
+    }
+
+    /// Carries out what came late; tells the outcomes.
+    pub fn carry_out_late(&mut self) -> Vec<StateReply> {
+        let late = std::mem::take(&mut self.late);
+        late.iter().map(|call| self.store.apply(self.now, call)).collect()
+    }
+
+    /// Another controller, or nobody any more, changes a key.
+    pub fn put(&mut self, key: &str, value: Value) {
+        let write = Write::Put { key: key.into(), value, lease: None };
+        let txn = Txn { conditions: Vec::new(), writes: vec![write] };
+        self.store.apply(self.now, &StateCall::Txn(txn));
+    }
+
+    /// What a key holds.
+    pub fn get(&mut self, key: &str) -> Option<Item> {
+        match self.store.apply(self.now, &StateCall::Get(key.into())) {
+            StateReply::Value(item) => item,
+            other => panic!("{other:?}"),
+        }
+    }
+
+    /// Keys that begin like this, with their values.
+    pub fn list(&mut self, prefix: &str) -> Vec<Item> {
+        let mut all: Vec<Item> = Vec::new();
+        loop {
+            let after = all.last().map(|i| i.key.clone());
+            let call = StateCall::List { prefix: prefix.into(), after };
+            let StateReply::Page { items, more, .. } = self.store.apply(self.now, &call) else {
+                panic!("no page of {prefix}");
+            };
+            all.extend(items);
+            if !more {
+                return all;
+            }
+        }
+    }
+
+    /// Sends a request; the ticket tells its answer.
+    pub fn ask(&mut self, method: &str, path: &str, body: &[u8]) -> u64 {
+        let ticket = self.asked.len() as u64 + 1;
+        self.asked.insert(ticket, self.now);
+        let event = Event::Http {
+            ticket: Ticket(ticket),
+            method: method.into(),
+            path: path.into(),
+            body: body.to_vec(),
+        };
+        self.feed(event);
+        ticket
+    }
+
+    /// The answer to a request, if there is one.
+    pub fn answer(&self, ticket: u64) -> Option<Answer> {
+        self.answers.get(&ticket).cloned()
+    }
+
+    /// Sends a request and waits for its answer.
+    pub fn request(&mut self, method: &str, path: &str, body: &[u8]) -> Answer {
+        let ticket = self.ask(method, path, body);
+        let end = self.now + PATIENCE;
+        while self.now < end && self.answer(ticket).is_none() {
+            self.turn();
+        }
+        self.answer(ticket).unwrap_or_else(|| panic!("{method} {path} is not answered"))
+    }
+
+    /// Hands a job in.
+    pub fn submit(&mut self, body: &Value) -> Answer {
+        self.request("POST", "/work", body.to_string().as_bytes())
+    }
+
+    /// Asks about a job.
+    pub fn poll(&mut self, id: &str) -> Answer {
+        self.request("GET", &format!("/work/{id}"), b"")
+    }
+
+    /// Calls a job off.
+    pub fn abort(&mut self, id: &str) -> Answer {
+        self.request("POST", &format!("/work/{id}/abort"), b"")
+    }
+
+    /// Hears a frame of a peer.
+    pub fn hear(&mut self, from: usize, frame: Frame) {
+        self.frames += 1;
+        let member = format!("n{from}");
+        let frame = Frame { member, number: self.frames, ..frame };
+        self.feed(Event::Peer { from, frame: Box::new(frame) });
+    }
+
+    /// Jobs that it runs.
+    pub fn jobs(&self) -> u64 {
+        self.controller.status(self.now)["jobs"].as_u64().unwrap_or_default()
+    }
+}
+
+thread_local! {
+    static LOGGED: RefCell<Vec<(log::Level, String)>> = const { RefCell::new(Vec::new()) };
+}
+
+struct Collector;
+
+impl log::Log for Collector {
+    fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
+        metadata.level() <= log::Level::Warn
+    }
+
+    fn log(&self, record: &log::Record<'_>) {
+        if self.enabled(record.metadata()) {
+            let line = (record.level(), record.args().to_string());
+            LOGGED.with(|logged| logged.borrow_mut().push(line));
+        }
+    }
+
+    fn flush(&self) {}
+}
+
+fn collect_logs() {
+    // Another test of this process may have done so already.
+    if log::set_logger(&Collector).is_ok() {
+        log::set_max_level(log::LevelFilter::Warn);
+    }
+}
+
+/// Warnings and errors of this test's thread since the last call.
+pub fn warnings() -> Vec<String> {
+    LOGGED.with(|logged| logged.take().into_iter().map(|(_, text)| text).collect())
+}
