--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -69,6 +69,7 @@
         };
         n.controller.handle(now, event, &mut effects);
         n.controller.flush(now, &mut effects);
+        self.digest.record(now, node, &n.controller, &effects);
         let incarnation = n.incarnation;
         for effect in effects {
             self.effect(node, incarnation, effect);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -13,7 +13,7 @@
 //! - `store`, `cloud`, `worker`: the stand-ins themselves;
 //! - `jobs`, `users`, `answers`, `odd_requests`: what users hand in and are told;
 //! - `checks`: the rules; `forge`: facts that must break them;
-//! - `outcome`: what a run has shown; `row`: tables of runs.
+//! - `outcome`: what a run has shown; `row`: tables of runs; `digest`: of all effects.
 
 #![allow(dead_code)]
 
@@ -22,6 +22,7 @@
 mod checks;
 mod cloud;
 mod controllers;
+mod digest;
 mod earlier;
 mod event;
 mod faults;
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -1,6 +1,7 @@
 //! The world: its clock, the events that wait, and what each of them does.
 
 use super::cloud::Cloud;
+use super::digest::EffectDigest;
 use super::event::{Node, Origin, SimEvent};
 use super::faults::Faults;
 use super::jobs::{Plan, UserJob, job_id};
@@ -28,6 +29,7 @@
 pub struct World {
     pub now: Micros,
     pub(super) rng: StdRng,
+    pub(super) digest: EffectDigest,
     pub(super) seq: u64,
     pub(super) queue: BTreeMap<(Micros, u64), SimEvent>,
     pub(super) config: Vec<Config>,
@@ -111,6 +113,7 @@
         let [writes, reads] = [faults.writes, faults.reads].map(|r| r.unwrap_or(STATE_RATE));
         World {
             now: Micros::secs(1),
+            digest: EffectDigest::new(),
             seq: 0,
             queue: BTreeMap::new(),
             config: (0..CONTROLLERS).map(|n| settings(n, writes, reads, "")).collect(),
--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -7,12 +7,15 @@
 
 #[path = "../simulation/cloud.rs"]
 mod cloud;
+#[path = "../simulation/digest.rs"]
+mod digest;
 #[path = "../simulation/store.rs"]
 mod store;
 #[path = "../simulation/worker.rs"]
 mod worker;
 
 use cloud::Cloud;
+use digest::EffectDigest;
 use millethold::cloud::{CloudCall, CloudReply};
 use millethold::config::{Config, Options};
 use millethold::controller::{CallId, Controller, DirectReply, Effect, Event, Reply, Ticket};
@@ -89,6 +92,7 @@
 /// A controller and what surrounds it.
 pub struct Solo {
     pub now: Micros,
+    digest: EffectDigest,
     config: Config,
     run: u64,
     pub controller: Controller,
@@ -201,6 +205,7 @@
         let wall = TIME_OF_DAY;
         Solo {
             now,
+            digest: EffectDigest::new(),
             controller: Controller::new(&config, Options::default(), RUN, wall),
             config,
             run: RUN,
@@ -320,6 +325,7 @@
         let mut effects = Vec::new();
         self.controller.handle(self.now, event, &mut effects);
         self.controller.flush(self.now, &mut effects);
+        self.digest.record(self.now, 0, &self.controller, &effects);
         for effect in effects {
             self.effect(effect);
         }
