--- a/crates/rehearsal/src/addresses.rs
+++ b/crates/rehearsal/src/addresses.rs
@@ -58,7 +58,7 @@
         SocketAddrV4::new(self.host(64, from), RELAY_PORT + to as u16)
     }
 
-    /// The state service, as a controller sees it.
+    /// The key-value store, as a controller sees it.
     pub fn state(self, controller: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.host(64, controller), STATE_PORT)
     }
--- a/crates/rehearsal/src/faults.rs
+++ b/crates/rehearsal/src/faults.rs
@@ -87,14 +87,14 @@
         /// Who does not receive.
         to: usize,
     },
-    /// A controller and the state service are.
+    /// A controller and the key-value store are.
     CutState {
         /// Its number.
         controller: usize,
         /// What becomes of messages.
         cut: Cut,
     },
-    /// The state service refuses a controller.
+    /// The key-value store refuses a controller.
     RefuseOne {
         /// Its number.
         controller: usize,
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -16,7 +16,7 @@
         /// The controller.
         controller: usize,
     },
-    /// A controller to the state service.
+    /// A controller to the key-value store.
     State {
         /// The controller.
         controller: usize,
@@ -69,7 +69,7 @@
     Reset,
 }
 
-/// What becomes of a call to the state service beside its way.
+/// What becomes of a call to the key-value store beside its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Service {
     /// It is carried out and answered.
@@ -171,7 +171,7 @@
     }
 }
 
-/// What the state service does with a call of a controller; `changes` says that it
+/// What the key-value store does with a call of a controller; `changes` says that it
 /// changes what is stored.
 pub fn serve(
     faults: &[PlannedFault],
@@ -199,7 +199,7 @@
     Service::Served
 }
 
-/// Whether the state service refuses a controller at present.
+/// Whether the key-value store refuses a controller at present.
 pub fn refused(faults: &[PlannedFault], now: Micros, controller: usize) -> bool {
     let refuses = |fault: &Fault| match fault {
         Fault::RefuseAll => true,
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -22,7 +22,7 @@
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// A controller calls the state service.
+    /// A controller calls the key-value store.
     State {
         /// Its number.
         controller: usize,
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -15,7 +15,7 @@
 const STATE_LEASE_MS: u64 = 5_000;
 /// How long a shard's home must be well before the shard goes back.
 const HAND_BACK_S: u64 = 4;
-/// Requests and changes a second that the state service takes.
+/// Requests and changes a second that the key-value store takes.
 const STATE_RATE: f64 = 1_500.0;
 const STATE_CHANGES: f64 = 400.0;
 /// How far the cloud's list lags.
--- a/crates/rehearsal/src/state_calls.rs
+++ b/crates/rehearsal/src/state_calls.rs
@@ -1,10 +1,10 @@
-//! Calls of the state service, as they come over HTTP.
+//! Calls of the key-value store, as they come over HTTP.
 
 use crate::state_service::{Outcome, StateService};
 use millethold::http::Request;
-use millethold::state::StateCall;
+use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
-use millethold::wire::{Changes, LeaseGranted, LeaseWanted, Revision, path};
+use millethold::wire::{LeaseGranted, LeaseRequest, Revision, WatchResponse, path};
 use serde::Serialize;
 use serde_json::json;
 
@@ -33,78 +33,78 @@
 }
 
 /// Reads a request; `None` if it is none of the protocol's.
-pub fn read(request: &Request) -> Option<StateCall> {
+pub fn read(request: &Request) -> Option<KvRequest> {
     let (target, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     let text = |name| parameter(query, name).map(str::to_string);
     let number = |name| parameter(query, name).and_then(|n| n.parse::<u64>().ok());
     let leases = target.strip_prefix(path::LEASES);
     match request.method.as_str() {
         "GET" if target == path::KV => {
-            Some(StateCall::List { prefix: text("prefix")?, after: text("after") })
+            Some(KvRequest::List { prefix: text("prefix")?, after: text("after") })
         }
-        "GET" if target == path::FOLLOW => Some(StateCall::Follow {
+        "GET" if target == path::FOLLOW => Some(KvRequest::Watch {
             prefix: text("prefix")?,
             after: number("after")?,
             block: Micros::millis(number(path::WAIT).unwrap_or(0)),
         }),
         "GET" => {
             let key = target.strip_prefix(path::KV)?.strip_prefix('/')?;
-            Some(StateCall::Get(key.to_string()))
+            Some(KvRequest::Get(key.to_string()))
         }
         "POST" if target == path::TXN => {
-            serde_json::from_slice(&request.body).ok().map(StateCall::Txn)
+            serde_json::from_slice(&request.body).ok().map(KvRequest::Txn)
         }
         "POST" if leases == Some("") => {
-            let wanted: LeaseWanted = serde_json::from_slice(&request.body).ok()?;
-            Some(StateCall::Grant(Micros::millis(wanted.ttl_ms)))
+            let wanted: LeaseRequest = serde_json::from_slice(&request.body).ok()?;
+            Some(KvRequest::GrantLease(Micros::millis(wanted.ttl_ms)))
         }
         "POST" => {
             let (number, last) = leases?.strip_prefix('/')?.split_once('/')?;
             (last == path::EXTEND).then_some(())?;
-            number.parse().ok().map(StateCall::Extend)
+            number.parse().ok().map(KvRequest::RenewLease)
         }
-        "DELETE" => leases?.strip_prefix('/')?.parse().ok().map(StateCall::End),
+        "DELETE" => leases?.strip_prefix('/')?.parse().ok().map(KvRequest::RevokeLease),
         _ => None,
     }
 }
 
 /// Carries a call out; `None` if it is a watch that has to wait.
-pub fn carry_out(call: &StateCall, now: Micros, state: &mut StateService) -> Option<Answer> {
+pub fn carry_out(call: &KvRequest, now: Micros, state: &mut StateService) -> Option<Answer> {
     state.expire(now);
     let revision = |revision, failed| Revision { revision, failed };
     Some(match call {
-        StateCall::Get(key) => match state.get(key) {
+        KvRequest::Get(key) => match state.get(key) {
             Some(item) => Answer::new(200, &item),
             None => Answer::new(404, &json!({ "ledger": state.revision() })),
         },
-        StateCall::List { prefix, after } => {
+        KvRequest::List { prefix, after } => {
             Answer::new(200, &state.list(prefix, after.as_deref(), PAGE))
         }
-        StateCall::Txn(txn) => match state.transact(txn) {
+        KvRequest::Txn(txn) => match state.transact(txn) {
             Outcome::Applied(at) => Answer::new(200, &revision(at, Vec::new())),
             Outcome::Failed(keys) => Answer::new(409, &revision(state.revision(), keys)),
             Outcome::NoLease => Answer::new(400, &json!({ "error": "no such lease" })),
         },
-        StateCall::Grant(lives) => {
+        KvRequest::GrantLease(lives) => {
             Answer::new(200, &LeaseGranted { lease: state.grant(now, *lives) })
         }
-        StateCall::Extend(lease) => match state.extend(now, *lease) {
+        KvRequest::RenewLease(lease) => match state.extend(now, *lease) {
             true => Answer::new(200, &json!({})),
             false => Answer::new(404, &json!({ "error": "no such lease" })),
         },
-        StateCall::End(lease) => {
+        KvRequest::RevokeLease(lease) => {
             state.end(*lease);
             Answer::new(200, &json!({}))
         }
-        StateCall::Follow { prefix, after, .. } => match state.changes(prefix, *after) {
+        KvRequest::Watch { prefix, after, .. } => match state.changes(prefix, *after) {
             None => Answer::new(410, &json!({ "error": "too old" })),
             Some(events) if events.is_empty() => return None,
-            Some(events) => Answer::new(200, &Changes { revision: state.revision(), events }),
+            Some(events) => Answer::new(200, &WatchResponse { revision: state.revision(), events }),
         },
     })
 }
 
 /// The answer to a watch that nothing has happened for.
 pub fn nothing_changed(state: &StateService) -> Answer {
-    Answer::new(200, &Changes { revision: state.revision(), events: Vec::new() })
+    Answer::new(200, &WatchResponse { revision: state.revision(), events: Vec::new() })
 }
--- a/crates/rehearsal/src/state_service.rs
+++ b/crates/rehearsal/src/state_service.rs
@@ -1,8 +1,8 @@
-//! A stand-in of the state service: keys with versions, transactions, leases and the
+//! A stand-in of the key-value store: keys with versions, transactions, leases and the
 //! changes that watches follow.
 
 use millethold::time::Micros;
-use millethold::wire::{Change, Item, Items, Txn, Write};
+use millethold::wire::{KeyValue, KeyValuePage, Txn, WatchEvent, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
 pub struct StateService {
     keys: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
-    changes: Vec<Change>,
+    changes: Vec<WatchEvent>,
     /// Revision of the oldest change that is not kept any more.
     forgotten: u64,
     next_lease: u64,
@@ -107,15 +107,15 @@
     }
 
     /// A key's value.
-    pub fn get(&self, key: &str) -> Option<Item> {
+    pub fn get(&self, key: &str) -> Option<KeyValue> {
         self.keys.get(key).map(|stored| item(key, stored))
     }
 
     /// A page of the keys that begin like this, in their order.
-    pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> Items {
+    pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> KeyValuePage {
         let limit = limit.clamp(1, MOST_OF_A_PAGE);
         let wanted = |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
-        let mut items: Vec<Item> = self
+        let mut items: Vec<KeyValue> = self
             .keys
             .range(prefix.to_string()..)
             .take_while(|(key, _)| key.starts_with(prefix))
@@ -125,7 +125,7 @@
             .collect();
         let more = items.len() > limit;
         items.truncate(limit);
-        Items { items, more, revision: self.revision }
+        KeyValuePage { items, more, revision: self.revision }
     }
 
     /// Compares and changes.
@@ -138,7 +138,7 @@
             return Outcome::NoLease;
         }
         let version = |key: &str| self.keys.get(key).map_or(0, |stored| stored.version);
-        let failed = txn.conditions.iter().filter(|c| version(&c.key) != c.version);
+        let failed = txn.conditions.iter().filter(|c| version(&c.key) != c.revision);
         let failed: Vec<String> = failed.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return Outcome::Failed(failed);
@@ -160,18 +160,23 @@
     fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
         let stored = Stored { value: value.clone(), version: self.revision, lease };
         self.keys.insert(key.to_string(), stored);
-        self.changes.push(Change {
+        self.changes.push(WatchEvent {
             put: Some(key.to_string()),
             delete: None,
             value: value.clone(),
-            version: self.revision,
+            revision: self.revision,
         });
     }
 
     fn remove(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
             let version = self.revision;
-            self.changes.push(Change { put: None, delete: Some(key), value: Value::Null, version });
+            self.changes.push(WatchEvent {
+                put: None,
+                delete: Some(key),
+                value: Value::Null,
+                revision: version,
+            });
         }
     }
 
@@ -179,23 +184,23 @@
         if self.changes.len() > 2 * KEPT_CHANGES {
             let dropped = self.changes.drain(..KEPT_CHANGES);
             self.forgotten =
-                dropped.into_iter().next_back().map_or(self.forgotten, |change| change.version);
+                dropped.into_iter().next_back().map_or(self.forgotten, |change| change.revision);
         }
     }
 
     /// Changes of keys that begin like this, after a revision; `None` if they are not all
     /// kept any more.
-    pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Change>> {
+    pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<WatchEvent>> {
         if after < self.forgotten {
             return None;
         }
-        let first = self.changes.partition_point(|change| change.version <= after);
-        let key = |change: &Change| change.put.clone().or(change.delete.clone());
-        let wanted = |change: &&Change| key(change).is_some_and(|key| key.starts_with(prefix));
+        let first = self.changes.partition_point(|change| change.revision <= after);
+        let key = |change: &WatchEvent| change.put.clone().or(change.delete.clone());
+        let wanted = |change: &&WatchEvent| key(change).is_some_and(|key| key.starts_with(prefix));
         Some(self.changes[first..].iter().filter(wanted).cloned().collect())
     }
 }
 
-fn item(key: &str, stored: &Stored) -> Item {
-    Item { key: key.to_string(), value: stored.value.clone(), version: stored.version }
+fn item(key: &str, stored: &Stored) -> KeyValue {
+    KeyValue { key: key.to_string(), value: stored.value.clone(), revision: stored.version }
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - this file: the clock, the queue of actions, the phases of a run;
 //! - `setup`: files, sockets and processes;
-//! - `outside`: calls to the state service and the cloud;
+//! - `outside`: calls to the key-value store and the cloud;
 //! - `machines`: reports and commands;
 //! - `users`: what users ask and are told;
 //! - `peers`: links between controllers;
@@ -33,7 +33,7 @@
 use calloop::EventLoop;
 use machines::ReportConnection;
 use millethold::http::Request;
-use millethold::state::StateCall;
+use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use millethold::wire::DirectCommands;
 use outside::Watch;
@@ -56,10 +56,10 @@
 
 /// Something that is to happen at a certain time.
 enum Action {
-    /// A call reaches the state service.
-    StateCall { connection: ConnectionId, controller: usize, call: StateCall },
+    /// A call reaches the key-value store.
+    KvRequest { connection: ConnectionId, controller: usize, call: KvRequest },
     /// A transaction is carried out whose answer nobody awaits.
-    LateCall { call: StateCall },
+    LateCall { call: KvRequest },
     /// A call reaches the cloud.
     CloudCall { connection: ConnectionId, controller: usize, request: Request },
     /// Direct commands reach a worker.
@@ -230,7 +230,7 @@
 
     fn happen(&mut self, action: Action) {
         match action {
-            Action::StateCall { connection, controller, call } => {
+            Action::KvRequest { connection, controller, call } => {
                 self.state_call(connection, controller, call);
             }
             Action::LateCall { call } => self.late_call(call),
--- a/crates/rehearsal/src/world/outside.rs
+++ b/crates/rehearsal/src/world/outside.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and the cloud.
+//! Calls to the key-value store and the cloud.
 
 use super::{Action, World};
 use crate::cloud::CloudEffect;
@@ -7,7 +7,7 @@
 use crate::net::ConnectionId;
 use crate::state_calls::{self, Answer, nothing_changed};
 use millethold::http::Request;
-use millethold::state::StateCall;
+use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use rand::RngExt;
 use serde_json::json;
@@ -20,27 +20,27 @@
 pub(super) struct Watch {
     pub(super) connection: ConnectionId,
     controller: usize,
-    call: StateCall,
+    call: KvRequest,
     until: Micros,
 }
 
 impl World {
-    /// A controller sends a call to the state service.
+    /// A controller sends a call to the key-value store.
     pub(super) fn state_request(&mut self, id: ConnectionId, controller: usize, asked: &Request) {
         let Some(call) = state_calls::read(asked) else {
             return self.net.answer(id, 400, b"{\"error\":\"malformed\"}");
         };
         match self.pass(Link::State { controller }, Direction::Request) {
             Passage::At(at) => {
-                self.at(at, Action::StateCall { connection: id, controller, call });
+                self.at(at, Action::KvRequest { connection: id, controller, call });
             }
             Passage::Lost => {}
             Passage::Reset => self.net.close(id),
         }
     }
 
-    /// A call arrives at the state service.
-    pub(super) fn state_call(&mut self, id: ConnectionId, controller: usize, call: StateCall) {
+    /// A call arrives at the key-value store.
+    pub(super) fn state_call(&mut self, id: ConnectionId, controller: usize, call: KvRequest) {
         let changes = call.puts() > 0;
         match links::serve(&self.faults, &mut self.rng, self.now, controller, changes) {
             Service::Refused => {
@@ -59,7 +59,7 @@
                 }
                 None => {
                     let block = match &call {
-                        StateCall::Follow { block, .. } => *block,
+                        KvRequest::Watch { block, .. } => *block,
                         _ => Micros::ZERO,
                     };
                     let until = self.now + block;
@@ -71,7 +71,7 @@
     }
 
     /// A transaction that its caller has given up is carried out.
-    pub(super) fn late_call(&mut self, call: StateCall) {
+    pub(super) fn late_call(&mut self, call: KvRequest) {
         let outage = self.outage_until();
         if outage > self.now {
             return self.at(outage, Action::LateCall { call });
@@ -80,7 +80,7 @@
         self.wake_watches();
     }
 
-    /// Until when the state service refuses everybody.
+    /// Until when the key-value store refuses everybody.
     fn outage_until(&self) -> Micros {
         let outages = self.faults.iter().filter(|fault| fault.fault == Fault::RefuseAll);
         let active = outages.filter(|fault| fault.active(self.now));
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -203,7 +203,7 @@
 #[test]
 fn state_service() {
     let put = |key: &str, lease| Write::Put { key: key.into(), value: json!(1), lease };
-    let on = |key: &str, version| Condition { key: key.into(), version };
+    let on = |key: &str, version| Condition { key: key.into(), revision };
     let mut state = StateService::default();
     let lease = state.grant(NOW, Micros::secs(5));
     // Conditions, writes, what becomes of it.
@@ -220,7 +220,12 @@
         assert_eq!(state.transact(&txn), want, "{txn:?}");
     }
     let versions = |state: &StateService| {
-        state.list("", None, 9).items.iter().map(|i| (i.key.clone(), i.version)).collect::<Vec<_>>()
+        state
+            .list("", None, 9)
+            .items
+            .iter()
+            .map(|i| (i.key.clone(), i.revision))
+            .collect::<Vec<_>>()
     };
     assert_eq!(versions(&state), [("a".to_string(), 1), ("b".to_string(), 2)]);
     assert!(state.extend(NOW + Micros::secs(4), lease));
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -17,7 +17,7 @@
     /// `[placement] index_age_min`: entries older than this are ignored.
     pub index_age: Micros,
     /// `[seats] lease_ms`: state lease under which shards are held.
-    pub state_lease: Micros,
+    pub controller_lease: Micros,
     /// `[seats] hand_back_s`: how long a shard's home must be well first.
     pub hand_back: Micros,
     /// `[jobs] queued_tasks`: accepted tasks a node holds before it refuses.
@@ -41,7 +41,7 @@
             slack_tasks: [1, 2, 4],
             index_entries: 50_000,
             index_age: Micros::secs(90 * 60),
-            state_lease: Micros::millis(10_000),
+            controller_lease: Micros::millis(10_000),
             hand_back: Micros::secs(15),
             queued_tasks: 300_000,
             waiting_submissions: 64,
@@ -86,7 +86,7 @@
                 self.index_age = Micros::from_secs_f64(number(value, 0.0, 1e5)? * 60.0)
             }
             ("seats", "lease_ms") => {
-                self.state_lease = Micros::millis(number(value, 1000.0, 60_000.0)? as u64)
+                self.controller_lease = Micros::millis(number(value, 1000.0, 60_000.0)? as u64)
             }
             ("seats", "hand_back_s") => {
                 self.hand_back = Micros::from_secs_f64(number(value, 1.0, 1e5)?)
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -47,7 +47,7 @@
 pub struct Endpoints {
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// The key-value store.
     pub state: SocketAddrV4,
 }
 
@@ -107,7 +107,7 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
     /// Requests per second of all nodes.
@@ -126,7 +126,7 @@
     pub value_kb_now: f64,
 }
 
-/// Limits that the state service will have later.
+/// Limits that the key-value store will have later.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
     /// Requests per second of all nodes.
@@ -204,7 +204,7 @@
     pub objectives: Vec<Objective>,
     /// Workers.
     pub workers: Workers,
-    /// State service.
+    /// Key-value store.
     pub state: StateLimits,
     /// Cloud.
     pub cloud: CloudLimits,
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -7,7 +7,7 @@
 use super::job::{self, Job, StoredStage};
 use super::pipeline::UpstreamOutcome;
 use super::{CachedStage, Controller, Op, Ticket, shard};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
 use log::info;
@@ -26,7 +26,7 @@
 /// Bytes that a job takes in a batch beside its description, at most.
 const PART_BYTES: f64 = 100.0;
 
-/// A submission on its way to the state service.
+/// A submission on its way to the key-value store.
 #[derive(Debug, Clone)]
 pub(super) struct Submission {
     pub ticket: Ticket,
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Batch {
     pub shard: usize,
-    pub mark: u64,
+    pub revision: u64,
     /// Jobs whose description stands nowhere else.
     pub jobs: BTreeSet<String>,
     /// It is being written, read or removed.
@@ -80,11 +80,11 @@
     }
 
     /// Takes in a batch that was read or written.
-    pub fn batch(&mut self, key: &str, shard: usize, mark: u64, jobs: BTreeSet<String>) {
+    pub fn batch(&mut self, key: &str, shard: usize, revision: u64, jobs: BTreeSet<String>) {
         for id in &jobs {
             self.batched.insert(id.clone(), key.to_string());
         }
-        self.batches.entry(key.to_string()).or_insert(Batch { shard, mark, jobs, busy: false });
+        self.batches.entry(key.to_string()).or_insert(Batch { shard, revision, jobs, busy: false });
     }
 
     /// Forgets what belonged to a shard that is lost.
@@ -114,7 +114,7 @@
         if self.now < self.admitting_until { self.puts.burst() / 2.0 } else { 0.0 }
     }
 
-    /// Sends waiting submissions to the state service: one by one while there is
+    /// Sends waiting submissions to the key-value store: one by one while there is
     /// plenty of this node's share, together where there is not.
     pub(super) fn admit_waiting(&mut self) {
         while self.admission.len() > 0 {
@@ -153,14 +153,14 @@
 
     fn admit(&mut self, s: usize, owned: &shard::OwnedShard, list: Vec<Submission>) {
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(s), version: owned.mark }],
+            conditions: vec![Condition { key: shard::lease_key(s), revision: owned.revision }],
             writes: Vec::new(),
         };
         let mut values: Vec<Value> = Vec::new();
         for a in &list {
             let record = self.record_of(s, &a.spec);
             let key = job::job_key(&a.spec.id);
-            txn.conditions.push(Condition { key: key.clone(), version: 0 });
+            txn.conditions.push(Condition { key: key.clone(), revision: 0 });
             txn.writes.push(Write::Put { key, value: json!(record), lease: None });
             let mut job = Job::new(Rc::clone(&a.spec), s, 0, a.accepted, self.part_size);
             job.parts[0].version = 1;
@@ -178,9 +178,9 @@
             }
             (_, None) => return,
         };
-        txn.conditions.push(Condition { key: key.clone(), version: 0 });
+        txn.conditions.push(Condition { key: key.clone(), revision: 0 });
         txn.writes.push(Write::Put { key, value, lease: None });
-        self.state(Op::Admit { list, shard: s, term: owned.term, batch }, StateCall::Txn(txn));
+        self.state(Op::Admit { list, shard: s, term: owned.term, batch }, KvRequest::Txn(txn));
     }
 
     pub(super) fn admission_reply(
@@ -189,22 +189,22 @@
         s: usize,
         term: u64,
         batch: Option<String>,
-        reply: StateReply,
+        reply: KvResponse,
     ) {
         self.submissions = self.submissions.saturating_sub(list.len());
         match reply {
-            StateReply::Applied(mark) => {
+            KvResponse::Applied(revision) => {
                 // The shard may have been lost meanwhile; whoever has it reads the jobs.
                 let held = self.shards[s].owned.as_ref().is_some_and(|m| m.term == term);
                 if let Some(key) = batch.as_ref().filter(|_| held) {
                     let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
-                    self.admission.batch(key, s, mark, jobs);
+                    self.admission.batch(key, s, revision, jobs);
                 }
                 for a in list {
-                    self.accepted(a, s, mark, held, batch.is_some());
+                    self.accepted(a, s, revision, held, batch.is_some());
                 }
             }
-            StateReply::Conflict(failed) => {
+            KvResponse::Conflict(failed) => {
                 let lost = failed.contains(&shard::lease_key(s));
                 if lost {
                     self.suspect_shard(s, term);
@@ -235,7 +235,7 @@
         }
     }
 
-    fn accepted(&mut self, a: Submission, s: usize, mark: u64, held: bool, batched: bool) {
+    fn accepted(&mut self, a: Submission, s: usize, revision: u64, held: bool, batched: bool) {
         let spec = a.spec;
         info!(
             "job {} accepted: {} tasks of {}, team {}",
@@ -245,16 +245,17 @@
         log::debug!("job {} was written {took} ms after it had come", spec.id);
         self.counts.accepted += 1;
         self.pipelines.note_all(&spec.id, &spec.upstream);
-        let known = CachedStage { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, mark };
+        let known =
+            CachedStage { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, revision };
         self.cache_stage(&spec.id, known);
         let cancelled =
             self.cached_stages.get(&spec.id).is_some_and(|k| k.stage == StoredStage::Cancelled);
         if held && !self.jobs.contains_key(&spec.id) {
-            let mut job = Job::new(Rc::clone(&spec), s, mark, a.accepted, self.part_size);
+            let mut job = Job::new(Rc::clone(&spec), s, revision, a.accepted, self.part_size);
             let part = &mut job.parts[0];
             // In a batch it has no key of its own yet.
             (part.version, part.stored) = (1, 1);
-            part.mark = if batched { 0 } else { mark };
+            part.revision = if batched { 0 } else { revision };
             job.cancelled = cancelled;
             if job.waiting {
                 self.pipelines.wait(&spec.id);
@@ -318,30 +319,30 @@
         b.busy = true;
         let txn = Txn {
             conditions: vec![
-                Condition { key: shard::lease_key(b.shard), version: owned.mark },
-                Condition { key: key.clone(), version: b.mark },
+                Condition { key: shard::lease_key(b.shard), revision: owned.revision },
+                Condition { key: key.clone(), revision: b.revision },
             ],
             writes: vec![Write::Delete { key: key.clone() }],
         };
         let op = Op::DropBatch { key: key.clone(), term: owned.term };
-        self.state(op, StateCall::Txn(txn));
+        self.state(op, KvRequest::Txn(txn));
     }
 
-    pub(super) fn batch_reply(&mut self, key: &str, term: u64, reply: StateReply) {
+    pub(super) fn batch_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
         let Some(b) = self.admission.batches.get_mut(key) else {
             return;
         };
         b.busy = false;
         let s = b.shard;
         match reply {
-            StateReply::Applied(_) => {
+            KvResponse::Applied(_) => {
                 self.admission.batches.remove(key);
             }
-            StateReply::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
+            KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
                 self.suspect_shard(s, term);
             }
             // An earlier try was applied after all.
-            StateReply::Conflict(_) => {
+            KvResponse::Conflict(_) => {
                 self.admission.batches.remove(key);
             }
             _ => {}
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -4,7 +4,7 @@
 use super::job::{self, JobRecord, StoredStage};
 use super::pipeline::UpstreamOutcome;
 use super::{CachedStage, Controller, Effect, Op, Ticket, shard};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{self, Condition, JobAnswer, JobSpec, JobStage, Refusal, Txn, Write, path};
 use log::info;
 use serde::Serialize;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Why users should not be sent here, if so. In an outage of the state service
+    /// Why users should not be sent here, if so. In an outage of the key-value store
     /// all nodes stay in, so that service resumes the moment that it returns;
     /// a node that alone lost it steps back, which its peers' frames tell.
     fn unhealthy(&self) -> Option<&'static str> {
@@ -101,11 +101,13 @@
         // they renew apart: for so long another's being well proves nothing.
         let others_well = self.peers.iter().any(|(n, p)| self.peer_alive(*n) && p.state_ok);
         if others_well
-            && self.now.since(self.acted_at) > shard::renew_every(self.options.state_lease)
+            && self.now.since(self.acted_at) > shard::renew_every(self.options.controller_lease)
         {
             return Some("the state service is away from here alone");
         }
-        let held = self.state_lease.epoch > 0 && self.shards_read && self.state_lease.id.is_some();
+        let held = self.controller_lease.epoch > 0
+            && self.shards_read
+            && self.controller_lease.id.is_some();
         (!held).then_some("no state lease was held")
     }
 
@@ -226,7 +228,7 @@
         let body = serde_json::to_vec(answer).unwrap_or_default();
         let otherwise = (status, retry_after, body);
         let op = Op::SubmitRead { ticket, job: id.to_string(), sent: self.now, otherwise };
-        self.state(op, StateCall::Get(job::job_key(id)));
+        self.state(op, KvRequest::Get(job::job_key(id)));
     }
 
     fn cancel(&mut self, ticket: Ticket, id: &str) {
@@ -243,7 +245,7 @@
             return self.later(ticket, 503, "undecided");
         }
         let op = Op::CancelRead { ticket, job: id.to_string(), tries: tries - 1 };
-        self.state(op, StateCall::Get(job::job_key(id)));
+        self.state(op, KvRequest::Get(job::job_key(id)));
     }
 
     /// What a user is told of a job.
@@ -267,14 +269,15 @@
     pub(super) fn read_record(
         &mut self,
         job: &str,
-        reply: &StateReply,
+        reply: &KvResponse,
     ) -> Option<Option<(CachedStage, u64)>> {
         match reply {
-            StateReply::Value(None) => Some(None),
-            StateReply::Value(Some(item)) => {
+            KvResponse::Value(None) => Some(None),
+            KvResponse::Value(Some(item)) => {
                 let r: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
-                let mark = item.version;
-                let known = CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
+                let revision = item.revision;
+                let known =
+                    CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, revision };
                 self.pipelines.note(job, &r);
                 self.cache_stage(job, known);
                 // This answer may have been overtaken by a later one.
@@ -287,13 +290,13 @@
                     StoredStage::Accepted => self.adopt(job, known.shard),
                     StoredStage::Done => {}
                 }
-                Some(Some((known, item.version)))
+                Some(Some((known, item.revision)))
             }
             _ => None,
         }
     }
 
-    pub(super) fn api_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn api_reply(&mut self, op: Op, reply: KvResponse) {
         match op {
             Op::Admit { list, shard, term, batch } => {
                 self.admission_reply(list, shard, term, batch, reply);
@@ -330,7 +333,7 @@
                 {
                     self.tell(ticket, 200, &job, known);
                 }
-                Some(Some((known, mark))) if known.stage == StoredStage::Accepted => {
+                Some(Some((known, revision))) if known.stage == StoredStage::Accepted => {
                     let record = JobRecord {
                         shard: known.shard,
                         stage: StoredStage::Cancelled,
@@ -340,7 +343,7 @@
                     };
                     let key = job::job_key(&job);
                     let txn = Txn {
-                        conditions: vec![Condition { key: key.clone(), version: mark }],
+                        conditions: vec![Condition { key: key.clone(), revision }],
                         writes: vec![Write::Put { key, value: json!(record), lease: None }],
                     };
                     let op = Op::CancelWrite {
@@ -350,7 +353,7 @@
                         tasks: known.tasks,
                         tries,
                     };
-                    self.state(op, StateCall::Txn(txn));
+                    self.state(op, KvRequest::Txn(txn));
                 }
                 Some(Some((known, _))) => {
                     self.tell(ticket, 200, &job, known);
@@ -359,16 +362,17 @@
                 None => self.later(ticket, 503, "state service away"),
             },
             Op::CancelWrite { ticket, job, shard, tasks, tries } => match reply {
-                StateReply::Applied(mark) => {
+                KvResponse::Applied(revision) => {
                     info!("job {job} cancelled by its user");
-                    let known = CachedStage { stage: StoredStage::Cancelled, shard, tasks, mark };
+                    let known =
+                        CachedStage { stage: StoredStage::Cancelled, shard, tasks, revision };
                     self.cache_stage(&job, known);
-                    self.announce_cancelled(&job, mark);
+                    self.announce_cancelled(&job, revision);
                     self.job_cancelled(&job);
                     self.tell(ticket, 200, &job, known);
                 }
                 // Changed in between, or perhaps applied: what is stored decides.
-                StateReply::Conflict(_) | StateReply::Unknown => {
+                KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => {
                     self.cancel_read(ticket, &job, tries)
                 }
                 _ => self.later(ticket, 503, "state service away"),
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -8,7 +8,7 @@
 
 use super::job::{self, Job};
 use super::{Controller, Op, shard};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeMap;
 
@@ -43,8 +43,8 @@
         };
         let term = owned.term;
         let mut conditions = vec![
-            Condition { key: shard::lease_key(s), version: owned.mark },
-            Condition { key: key.clone(), version: batch.mark },
+            Condition { key: shard::lease_key(s), revision: owned.revision },
+            Condition { key: key.clone(), revision: batch.revision },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
         let known = batch.jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
@@ -57,7 +57,7 @@
                 // Nothing of a cancelled job may be written ahead any more.
                 values.push(job.encode_stored(0));
             } else {
-                conditions.push(Condition { key: job::job_key(id), version: job.mark });
+                conditions.push(Condition { key: job::job_key(id), revision: job.revision });
                 changed.push((id.clone(), part.version));
                 values.push(job.encode_part(0));
             }
@@ -82,7 +82,7 @@
         self.stores += 1;
         let writes = vec![Write::Put { key: key.clone(), value, lease: None }];
         let op = Op::StoreBatch { key, term, jobs: changed };
-        self.state(op, StateCall::Txn(Txn { conditions, writes }));
+        self.state(op, KvRequest::Txn(Txn { conditions, writes }));
         true
     }
 
@@ -91,7 +91,7 @@
         key: &str,
         term: u64,
         jobs: Vec<(String, u64)>,
-        reply: StateReply,
+        reply: KvResponse,
     ) {
         self.stores = self.stores.saturating_sub(1);
         let Some(batch) = self.admission.batches.get_mut(key) else {
@@ -103,8 +103,8 @@
             return;
         }
         batch.busy = false;
-        if let StateReply::Applied(mark) = reply {
-            batch.mark = mark;
+        if let KvResponse::Applied(revision) = reply {
+            batch.revision = revision;
         }
         for (id, _) in &jobs {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -113,16 +113,16 @@
             }
         }
         match reply {
-            StateReply::Applied(_) => {
+            KvResponse::Applied(_) => {
                 for (id, version) in jobs {
                     self.stored(&id, 0, &[(0, version)], false, &[]);
                 }
             }
-            StateReply::Refused => {}
-            StateReply::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
+            KvResponse::NotExecuted => {}
+            KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
                 self.suspect_shard(s, term);
             }
-            StateReply::Conflict(failed) => {
+            KvResponse::Conflict(failed) => {
                 let other = |(id, _): &&(String, u64)| failed.contains(&job::job_key(id));
                 for (id, _) in jobs.iter().filter(other) {
                     self.recheck(id);
@@ -141,11 +141,11 @@
         if let Some(batch) = self.admission.batches.get_mut(key) {
             batch.busy = true;
             let op = Op::ReadBatch { key: key.to_string(), term };
-            self.state(op, StateCall::Get(key.to_string()));
+            self.state(op, KvRequest::Get(key.to_string()));
         }
     }
 
-    pub(super) fn batch_read(&mut self, key: &str, term: u64, reply: StateReply) {
+    pub(super) fn batch_read(&mut self, key: &str, term: u64, reply: KvResponse) {
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
@@ -154,17 +154,17 @@
         }
         batch.busy = false;
         // Unread, the next write fails on its mark and leads here again.
-        let StateReply::Value(Some(item)) = reply else {
+        let KvResponse::Value(Some(item)) = reply else {
             return;
         };
-        batch.mark = item.version;
+        batch.revision = item.revision;
         let version = |(id, v): (String, serde_json::Value)| Some((id, v.get("v")?.as_u64()?));
         let stored: BTreeMap<String, u64> =
             job::decode_batch(&item.value).into_iter().filter_map(version).collect();
         for (id, version) in stored {
             let applied = self.jobs.get(&id).is_some_and(|j| {
                 let part = &j.parts[0];
-                part.mark == 0 && version > part.stored && version <= part.version
+                part.revision == 0 && version > part.stored && version <= part.version
             });
             if applied {
                 self.stored(&id, 0, &[(0, version)], false, &[]);
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -2,7 +2,7 @@
 //!
 //! A job's owner stops its tasks by what it wants on machines. Its word may not
 //! get through: the controllers are out of each other's reach, or the owner is
-//! gone and nobody can take its shard while the state service is away. Whoever
+//! gone and nobody can take its shard while the key-value store is away. Whoever
 //! answers a machine's reports keeps its tasks alive, so that one acts on what it
 //! knows itself, and answers only while it is sure to learn of cancellations.
 
@@ -10,7 +10,7 @@
 use super::machine::{self, Key};
 use super::{CachedStage, Controller, Op, Watch, job};
 use crate::config::Workers;
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,8 +60,8 @@
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
     pub(super) fn cancellations_up_to_date(&self) -> bool {
-        let most = unanswered_limit(&self.settings.workers).max(self.options.state_lease);
-        let most = most.min(Micros(2 * self.options.state_lease.0));
+        let most = unanswered_limit(&self.settings.workers).max(self.options.controller_lease);
+        let most = most.min(Micros(2 * self.options.controller_lease.0));
         let watched = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
         self.now.since(watched) <= most
     }
@@ -109,28 +109,28 @@
             self.cancels.reading += 1;
             self.cancels.read_at = self.now + READ_EVERY;
             let key = job::job_key(&id);
-            return self.state(Op::ReadUnknown { job: id }, StateCall::Get(key));
+            return self.state(Op::ReadUnknown { job: id }, KvRequest::Get(key));
         }
     }
 
-    pub(super) fn unknown_read(&mut self, id: &str, reply: &StateReply) {
+    pub(super) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
         self.cancels.reading = self.cancels.reading.saturating_sub(1);
         self.read_record(id, reply);
     }
 
     /// A cancellation was confirmed here: peers are told now, and again until each
     /// is known to have received it.
-    pub(super) fn announce_cancelled(&mut self, id: &str, mark: u64) {
+    pub(super) fn announce_cancelled(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
         let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
-        self.cancels.repeated.insert(id.to_string(), (mark, until));
+        self.cancels.repeated.insert(id.to_string(), (revision, until));
     }
 
     /// Cancellations to be told once more.
     pub(super) fn cancellations_to_repeat(&mut self) -> Vec<String> {
         let now = self.now;
         let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
-        self.cancels.repeated.retain(|_, (mark, until)| *mark > watched && now < *until);
+        self.cancels.repeated.retain(|_, (revision, until)| *revision > watched && now < *until);
         self.cancels.repeated.keys().take(MOST_REPEATED).cloned().collect()
     }
 
@@ -138,9 +138,9 @@
     pub(super) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
         let known = match self.cached_stages.get(id).copied() {
-            Some(known) => CachedStage { stage: cancelled, mark: 0, ..known },
+            Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
             // Which shard runs it does not matter any more.
-            None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, mark: 0 },
+            None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
         };
         self.cache_stage(id, known);
         self.job_cancelled(id);
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -59,7 +59,7 @@
 pub(super) fn shard_taken(shard: usize, owned: &OwnedShard, lease_until: Micros) {
     log::info!(
         target: TARGET,
-        shard = shard, term = owned.term, revision = owned.mark,
+        shard = shard, term = owned.term, revision = owned.revision,
         at_us = owned.taken.0, lease_until_us = lease_until.0;
         "shard_taken"
     );
@@ -69,7 +69,7 @@
 pub(super) fn shard_lost(shard: usize, owned: &OwnedShard, now: Micros, why: &str) {
     log::info!(
         target: TARGET,
-        shard = shard, term = owned.term, revision = owned.mark, at_us = now.0, reason = why;
+        shard = shard, term = owned.term, revision = owned.revision, at_us = now.0, reason = why;
         "shard_lost"
     );
 }
@@ -78,7 +78,7 @@
 pub(super) fn job_over(job: &str, known: CachedStage) {
     log::debug!(
         target: TARGET,
-        job = job, job_stage:? = known.stage, revision = known.mark;
+        job = job, job_stage:? = known.stage, revision = known.revision;
         "job_over"
     );
 }
@@ -93,7 +93,7 @@
         let followed = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
         log::debug!(
             target: TARGET,
-            job = job, job_stage:? = known.stage, revision = known.mark,
+            job = job, job_stage:? = known.stage, revision = known.revision,
             followed_revision = followed;
             "final_answer"
         );
@@ -105,7 +105,7 @@
         log::debug!(
             target: TARGET,
             request = request, shard = RENTING_SHARD, term = term,
-            lease_left_ms = self.state_lease.valid_until.since(self.now).as_millis();
+            lease_left_ms = self.controller_lease.valid_until.since(self.now).as_millis();
             "rent"
         );
     }
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -4,8 +4,8 @@
 //! happened into [`Event`]s and carries out the [`Effect`]s that it returns.
 
 use crate::cloud::{CloudCall, CloudReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Frame;
-use crate::state::{StateCall, StateReply};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
@@ -36,8 +36,8 @@
 /// The end of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The state service's.
-    State(StateReply),
+    /// The key-value store's.
+    KvStore(KvResponse),
     /// The cloud's.
     Cloud(CloudReply),
     /// A worker's.
@@ -94,12 +94,12 @@
         /// JSON.
         body: Vec<u8>,
     },
-    /// Call the state service.
-    State {
+    /// Call the key-value store.
+    KvStore {
         /// Goes with the reply.
         id: CallId,
         /// The call.
-        call: StateCall,
+        call: KvRequest,
     },
     /// Call the cloud.
     Cloud {
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -29,7 +29,7 @@
     pub(super) number: u64,
     /// A frame of it was lost, and it has not told all since.
     pub(super) behind: bool,
-    /// Revision of the state service up to which it has followed the jobs.
+    /// Revision of the key-value store up to which it has followed the jobs.
     pub(super) watched: u64,
     /// Format of what it stores and sends; 0 in versions that do not tell it.
     pub(super) format: u32,
--- a/src/controller/job/keys.rs
+++ b/src/controller/job/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and records of jobs in the state service.
+//! Keys and records of jobs in the key-value store.
 
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +44,7 @@
     format!("u/{id}/{number}")
 }
 
-/// Stage of a job in the state service.
+/// Stage of a job in the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredStage {
     /// Accepted, and neither done nor cancelled.
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -36,7 +36,7 @@
     /// Shard.
     pub shard: usize,
     /// Version of `j/REF`.
-    pub mark: u64,
+    pub revision: u64,
     /// Time of day of the acceptance, by the accepting node.
     pub accepted: Micros,
     /// Its tasks.
@@ -60,7 +60,7 @@
     pub lazy_since: Option<Micros>,
     /// Its user cancelled it.
     pub cancelled: bool,
-    /// It is over in the state service; its parts remain to be dropped.
+    /// It is over in the key-value store; its parts remain to be dropped.
     pub over: bool,
     /// Nothing of it had begun after a good part of its objective: from then on
     /// it counts as standard work, so that more urgent work cannot starve it.
@@ -92,7 +92,7 @@
     pub fn new(
         spec: Rc<JobSpec>,
         shard: usize,
-        mark: u64,
+        revision: u64,
         accepted: Micros,
         size: PartSize,
     ) -> Job {
@@ -113,7 +113,7 @@
         Job {
             spec,
             shard,
-            mark,
+            revision,
             accepted,
             parts,
             part_size,
--- a/src/controller/job/part.rs
+++ b/src/controller/job/part.rs
@@ -1,4 +1,4 @@
-//! Parts of a job's tasks, and how many of them a value of the state service holds.
+//! Parts of a job's tasks, and how many of them a value of the key-value store holds.
 
 use super::names::split_name;
 use crate::peer::ObservedState;
@@ -139,10 +139,10 @@
     pub attempt: u64,
     /// Version in memory.
     pub version: u64,
-    /// Version in the state service.
+    /// Version in the key-value store.
     pub stored: u64,
     /// Revision of its key, 0 while it has none.
-    pub mark: u64,
+    pub revision: u64,
     /// Version of the newest placement.
     pub put: u64,
     /// Bytes that its placements take in its value at most.
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -1,4 +1,4 @@
-//! How jobs stand in the state service's values: parts, batches, and how they are
+//! How jobs stand in the key-value store's values: parts, batches, and how they are
 //! read again. Field names are a letter each, since values are small.
 
 use super::names::{join_name, split_name};
@@ -174,7 +174,7 @@
     /// is written with the acceptance and dropped last.
     pub fn restore(
         shard: usize,
-        mark: u64,
+        revision: u64,
         size: PartSize,
         stored: &BTreeMap<usize, (Value, u64)>,
     ) -> Option<Job> {
@@ -182,14 +182,14 @@
         // What is stored of more tasks than can be submitted is damaged.
         let spec = Rc::new(first.s.filter(|s| u64::from(s.tasks) <= MAX_TASKS)?);
         let size = PartSize { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
-        let mut job = Job::new(spec, shard, mark, Micros(first.t.unwrap_or(0)), size);
-        for (n, (value, mark)) in stored {
+        let mut job = Job::new(spec, shard, revision, Micros(first.t.unwrap_or(0)), size);
+        for (n, (value, revision)) in stored {
             let read: StoredPart = serde_json::from_value(value.clone()).ok()?;
             let part = job.parts.get_mut(*n)?;
             part.attempt = read.a;
             part.version = read.v;
             part.stored = read.v;
-            part.mark = *mark;
+            part.revision = *revision;
             part.put = read.v;
             let begin = *n as u32 * size.tasks;
             for (at, digit) in read.d.chars().enumerate() {
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -1,11 +1,11 @@
 //! What is written down of own jobs: which changes go into which transaction, and
-//! what follows from the state service's answers.
+//! what follows from the key-value store's answers.
 
 use super::job::{self, Job, JobRecord, StoredStage, TaskEnd};
 use super::shard;
 use super::{CachedStage, Controller, Op};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::ObservedState;
-use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
 use log::{info, warn};
@@ -51,7 +51,7 @@
         };
         job.busy = true;
         let op = Op::Recheck { job: id.to_string(), term };
-        self.state(op, StateCall::Get(job::job_key(id)));
+        self.state(op, KvRequest::Get(job::job_key(id)));
     }
 
     /// Begins transactions for jobs with changes: starts that wait for their
@@ -110,7 +110,7 @@
         let Some(owned) = self.shards[s].owned.as_ref().filter(ready) else {
             return;
         };
-        let (lease_mark, term) = (owned.mark, owned.term);
+        let (lease_revision, term) = (owned.revision, owned.term);
         if self.stays_batched(id) && self.store_batch(id) {
             return;
         }
@@ -118,7 +118,7 @@
             return;
         };
         let most = self.settings.state.txn_ops.min(PARTS_PER_TXN);
-        // What is larger is refused once the state service has its new limits.
+        // What is larger is refused once the key-value store has its new limits.
         let limit =
             self.larger.map_or(self.settings.state.value_kb, |_| self.settings.state.value_kb_now);
         let limit = (limit * 1024.0) as usize;
@@ -136,7 +136,7 @@
             job.over = true;
         }
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(s), version: lease_mark }],
+            conditions: vec![Condition { key: shard::lease_key(s), revision: lease_revision }],
             writes: Vec::new(),
         };
         let record = job::job_key(id);
@@ -151,16 +151,16 @@
                 upstream: Vec::new(),
                 more: 0,
             };
-            txn.conditions.push(Condition { key: record.clone(), version: job.mark });
+            txn.conditions.push(Condition { key: record.clone(), revision: job.revision });
             txn.writes.push(Write::Put { key: record, value: json!(value), lease: None });
             // Its parts are dropped later, when nothing urgent waits.
             rest = true;
         } else if job.over {
             for (n, part) in job.parts.iter().enumerate().rev() {
-                if part.mark > 0 && txn.writes.len() < most {
+                if part.revision > 0 && txn.writes.len() < most {
                     drops.push(n);
                     let key = job::part_key(s, id, n);
-                    txn.conditions.push(Condition { key: key.clone(), version: part.mark });
+                    txn.conditions.push(Condition { key: key.clone(), revision: part.revision });
                     txn.writes.push(Write::Delete { key });
                 }
             }
@@ -169,7 +169,7 @@
                 return;
             }
         } else {
-            txn.conditions.push(Condition { key: record, version: job.mark });
+            txn.conditions.push(Condition { key: record, revision: job.revision });
             let fresh = urgency == WriteUrgency::Now && job.fresh_parts() > 0;
             let changed = |p: &job::Part| p.version > p.stored;
             let mut order: Vec<usize> = Vec::new();
@@ -198,7 +198,7 @@
                     continue;
                 }
                 parts.push((n, part.version));
-                txn.conditions.push(Condition { key: key.clone(), version: part.mark });
+                txn.conditions.push(Condition { key: key.clone(), revision: part.revision });
                 txn.writes.push(Write::Put { key, value, lease: None });
             }
             if parts.is_empty() {
@@ -215,10 +215,10 @@
         }
         self.stores += 1;
         let op = Op::Store { job: id.to_string(), term, parts, done, drops };
-        self.state(op, StateCall::Txn(txn));
+        self.state(op, KvRequest::Txn(txn));
     }
 
-    /// The state service refuses values that it took before: it has its new limits.
+    /// The key-value store refuses values that it took before: it has its new limits.
     fn limits_lowered(&mut self) {
         info!("the state service takes only smaller values from now on");
         self.larger = None;
@@ -265,7 +265,7 @@
         }
     }
 
-    pub(super) fn store_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn store_reply(&mut self, op: Op, reply: KvResponse) {
         if matches!(op, Op::Store { .. }) {
             self.stores = self.stores.saturating_sub(1);
         }
@@ -287,31 +287,32 @@
         job.busy = false;
         self.changes.jobs.insert(id.clone());
         match (op, reply) {
-            (Op::Store { parts, done, drops, .. }, StateReply::Applied(mark)) => {
-                self.stored(&id, mark, &parts, done, &drops);
+            (Op::Store { parts, done, drops, .. }, KvResponse::Applied(revision)) => {
+                self.stored(&id, revision, &parts, done, &drops);
             }
-            (Op::Store { term, .. }, StateReply::Conflict(failed)) => {
+            (Op::Store { term, .. }, KvResponse::Conflict(failed)) => {
                 if failed.contains(&shard::lease_key(s)) {
                     self.suspect_shard(s, term);
                 } else {
                     self.recheck(&id);
                 }
             }
-            (Op::Store { .. }, StateReply::Refused) => {}
-            (Op::Store { .. }, StateReply::Invalid) if self.larger.is_some() => {
+            (Op::Store { .. }, KvResponse::NotExecuted) => {}
+            (Op::Store { .. }, KvResponse::Rejected) if self.larger.is_some() => {
                 self.limits_lowered();
                 self.recheck(&id);
             }
             // It may have been applied, or may be later: what is stored decides,
             // and a late one fails on the parts' marks.
             (Op::Store { .. }, _) => self.recheck(&id),
-            (Op::Recheck { term, .. }, StateReply::Value(Some(item))) => {
+            (Op::Recheck { term, .. }, KvResponse::Value(Some(item))) => {
                 let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
                     warn!("unreadable record of job {id}");
                     return;
                 };
-                let mark = item.version;
-                let known = CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, mark };
+                let revision = item.revision;
+                let known =
+                    CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, revision };
                 self.pipelines.note(&id, &r);
                 self.cache_stage(&id, known);
                 match r.stage {
@@ -324,18 +325,18 @@
                     StoredStage::Accepted => {}
                 }
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.mark = item.version;
+                    job.revision = item.revision;
                     job.busy = true;
                     let op = Op::RecheckParts { job: id.clone(), term, read: BTreeMap::new() };
                     let prefix = format!("w/{s}/{id}/");
-                    self.state(op, StateCall::List { prefix, after: None });
+                    self.state(op, KvRequest::List { prefix, after: None });
                 }
             }
-            (Op::RecheckParts { term, mut read, .. }, StateReply::Page { items, more, .. }) => {
+            (Op::RecheckParts { term, mut read, .. }, KvResponse::Page { items, more, .. }) => {
                 for item in &items {
                     if let Some((_, n)) = job::parse_part_key(&item.key) {
                         let v = item.value.get("v").and_then(serde_json::Value::as_u64);
-                        read.insert(n, (v.unwrap_or(0), item.version));
+                        read.insert(n, (v.unwrap_or(0), item.revision));
                     }
                 }
                 match items.last().filter(|_| more) {
@@ -347,7 +348,7 @@
                         let after = Some(last.key.clone());
                         let op = Op::RecheckParts { job: id.clone(), term, read };
                         let prefix = format!("w/{s}/{id}/");
-                        self.state(op, StateCall::List { prefix, after });
+                        self.state(op, KvRequest::List { prefix, after });
                     }
                     None => self.parts_read(&id, &read),
                 }
@@ -371,24 +372,24 @@
             return;
         };
         let mut applied: Vec<(usize, u64)> = Vec::new();
-        let mut marks: Vec<(usize, u64)> = Vec::new();
+        let mut revisions: Vec<(usize, u64)> = Vec::new();
         for (n, part) in job.parts.iter_mut().enumerate() {
             match stored.get(&n) {
-                Some((v, mark)) => {
-                    marks.push((n, *mark));
+                Some((v, revision)) => {
+                    revisions.push((n, *revision));
                     if *v > part.stored && *v <= part.version {
                         applied.push((n, *v));
                     }
                 }
-                None => part.mark = 0,
+                None => part.revision = 0,
             }
         }
-        for (n, mark) in marks {
-            job.parts[n].mark = mark;
+        for (n, revision) in revisions {
+            job.parts[n].revision = revision;
         }
         for (n, v) in applied {
-            let mark = self.jobs.get(id).map_or(0, |j| j.parts[n].mark);
-            self.stored(id, mark, &[(n, v)], false, &[]);
+            let revision = self.jobs.get(id).map_or(0, |j| j.parts[n].revision);
+            self.stored(id, revision, &[(n, v)], false, &[]);
         }
     }
 
@@ -396,7 +397,7 @@
     pub(super) fn stored(
         &mut self,
         id: &str,
-        mark: u64,
+        revision: u64,
         parts: &[(usize, u64)],
         done: bool,
         drops: &[usize],
@@ -410,7 +411,7 @@
             let part = &mut job.parts[*n];
             let before = part.stored;
             part.stored = (*version).max(before);
-            part.mark = mark;
+            part.revision = revision;
             let fresh = part.placed.iter().filter(|(_, p)| p.version > before);
             touched.extend(fresh.map(|(i, p)| (Rc::clone(&p.machine), *i)));
             let stored = part.stored;
@@ -421,10 +422,10 @@
             part.releasing.retain(|ended| ended.version > stored);
         }
         for n in drops {
-            job.parts[*n].mark = 0;
+            job.parts[*n].revision = 0;
         }
         // Without a mark it was written in the batch, where it stays.
-        if mark > 0 && parts.iter().any(|(n, _)| *n == 0) {
+        if revision > 0 && parts.iter().any(|(n, _)| *n == 0) {
             self.admission.unbatch(id);
         }
         if done {
@@ -437,7 +438,7 @@
                 }
             }
             let tasks = job.spec.tasks;
-            let known = CachedStage { stage: StoredStage::Done, shard: s, tasks, mark };
+            let known = CachedStage { stage: StoredStage::Done, shard: s, tasks, revision };
             self.cache_stage(id, known);
         }
         for (machine, index) in touched {
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -20,7 +20,7 @@
             term,
             token: managed.token(term)?,
             session: managed.session,
-            lease_until: self.state_lease.valid_until,
+            lease_until: self.controller_lease.valid_until,
             cancellations_known: self.cancellations_up_to_date(),
         })
     }
--- a/src/controller/machine_work.rs
+++ b/src/controller/machine_work.rs
@@ -304,7 +304,7 @@
     for here in desired.iter().filter_map(|w| w.machines.get(machine)) {
         list.extend(here.tasks.iter().map(|task| {
             let known = stages.get(&task.job);
-            let job = known.map(|k| JobEvidence { stage: k.stage, revision: k.mark });
+            let job = known.map(|k| JobEvidence { stage: k.stage, revision: k.revision });
             Wanted { task, right: right.examine(task, here.known, job) }
         }));
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -58,8 +58,8 @@
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
+use crate::kv_store::{Bucket, KvRequest, WRITE_RATE_SHARE};
 use crate::peer::{self, Frame, MachineView};
-use crate::state::{Bucket, StateCall, WRITE_SHARE};
 use crate::time::Micros;
 use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
@@ -75,7 +75,7 @@
 use quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use shard::{Shard, StateLease};
+use shard::{ControllerLease, Shard};
 use stage_cache::CachedStage;
 use status::Counts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -101,7 +101,7 @@
     next_call: u64,
     ops: BTreeMap<CallId, Op>,
 
-    state_lease: StateLease,
+    controller_lease: ControllerLease,
     shards: Vec<Shard>,
     shards_read: bool,
     shards_reading: bool,
@@ -111,7 +111,7 @@
     follow: BTreeMap<Watch, watches::Following>,
 
     types: BTreeMap<String, MachineType>,
-    /// They are being read from the state service, since the cloud is away.
+    /// They are being read from the key-value store, since the cloud is away.
     types_reading: bool,
     /// Term of the renting shard under which they were written down.
     types_stored: u64,
@@ -122,7 +122,7 @@
     /// Own shards' tasks by shard and machine.
     by_machine: BTreeMap<(usize, Rc<str>), TaskSet>,
     part_size: job::PartSize,
-    /// How an earlier version divides jobs, as long as the state service takes values
+    /// How an earlier version divides jobs, as long as the key-value store takes values
     /// that are larger than it will later.
     larger: Option<job::PartSize>,
     submissions: usize,
@@ -138,7 +138,7 @@
     /// Shards whose machines somebody commands, as last looked at.
     commanded: Vec<bool>,
     slots_state: BTreeMap<usize, (bool, Option<u64>, u64)>,
-    /// This node's share of the state service's changes, as far as used.
+    /// This node's share of the key-value store's changes, as far as used.
     puts: Bucket,
     /// Writes of tasks under way.
     stores: usize,
@@ -205,16 +205,16 @@
     /// must outlive the process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let workers = &config.settings.workers;
-        let (state_lease, fits) = cancel::fitting_lease(options.state_lease, workers);
+        let (controller_lease, fits) = cancel::fitting_lease(options.controller_lease, workers);
         if !fits {
             log::warn!(
                 "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
                  when the state service is away"
             );
-        } else if state_lease < options.state_lease {
-            log::info!("the state lease is shortened to {} ms", state_lease.as_millis());
+        } else if controller_lease < options.controller_lease {
+            log::info!("the state lease is shortened to {} ms", controller_lease.as_millis());
         }
-        let options = Options { state_lease, ..options };
+        let options = Options { controller_lease, ..options };
         let members = config.members();
         let me = members.iter().position(|m| *m == config.member).unwrap_or(0);
         let count = members.len();
@@ -234,7 +234,7 @@
             out: Vec::new(),
             next_call: 1,
             ops: BTreeMap::new(),
-            state_lease: StateLease::default(),
+            controller_lease: ControllerLease::default(),
             shards: vec![Shard::default(); count],
             shards_read: false,
             shards_reading: false,
@@ -262,7 +262,7 @@
             commanded: vec![false; count],
             slots_state: BTreeMap::new(),
             puts: {
-                let share = config.settings.state.write_rps * WRITE_SHARE / count as f64;
+                let share = config.settings.state.write_rps * WRITE_RATE_SHARE / count as f64;
                 Bucket::new(share, share)
             },
             stores: 0,
@@ -335,7 +335,7 @@
 
     fn reply(&mut self, op: Op, reply: Reply) {
         match reply {
-            Reply::State(r) => match op {
+            Reply::KvStore(r) => match op {
                 Op::Admit { .. }
                 | Op::SubmitRead { .. }
                 | Op::Poll { .. }
@@ -459,12 +459,12 @@
         id
     }
 
-    fn state(&mut self, op: Op, call: StateCall) {
+    fn state(&mut self, op: Op, call: KvRequest) {
         self.puts.level(self.now);
         self.puts.take(call.puts() as f64);
         self.status_queries.note_call(self.now, &call);
         let id = self.call_id(op);
-        self.out.push(Effect::State { id, call });
+        self.out.push(Effect::KvStore { id, call });
     }
 
     fn cloud(&mut self, op: Op, call: CloudCall) {
@@ -480,7 +480,7 @@
     /// True while this process may act for the shards it owns. Past the end of
     /// its lease another may have taken them.
     fn acting(&self) -> bool {
-        self.state_lease.valid(self.now)
+        self.controller_lease.valid(self.now)
     }
 
     /// The term under which this process acts for a shard, if it does.
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -1,4 +1,4 @@
-//! What the calls under way to the state service, the cloud and workers are for.
+//! What the calls under way to the key-value store, the cloud and workers are for.
 
 use super::admission::Submission;
 use super::event::Ticket;
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -9,8 +9,8 @@
 
 use super::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
 use super::{CachedStage, Controller, Op, Ticket};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::InheritedUrgency;
-use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
 use log::info;
@@ -204,7 +204,7 @@
                 if let Some(k) =
                     self.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
                 {
-                    list.push((n.clone(), k.mark));
+                    list.push((n.clone(), k.revision));
                     todo.push(n);
                 }
             }
@@ -226,15 +226,15 @@
             return self.later(ticket, 503, "cancellations are not heard");
         }
         let most = (self.settings.state.txn_ops * CONDITIONS).max(2) - 1;
-        let mut marks = self.unfinished_before(id);
-        marks.truncate(most);
-        marks.push((id.to_string(), known.mark));
-        let conditions = marks.iter().filter(|(_, mark)| *mark > 0);
-        let conditions =
-            conditions.map(|(id, mark)| Condition { key: job::job_key(id), version: *mark });
+        let mut revisions = self.unfinished_before(id);
+        revisions.truncate(most);
+        revisions.push((id.to_string(), known.revision));
+        let conditions = revisions.iter().filter(|(_, revision)| *revision > 0);
+        let conditions = conditions
+            .map(|(id, revision)| Condition { key: job::job_key(id), revision: *revision });
         let txn = Txn { conditions: conditions.collect(), writes: Vec::new() };
         let op = Op::Chain { ticket, status, job: id.to_string(), sent: self.now };
-        self.state(op, StateCall::Txn(txn));
+        self.state(op, KvRequest::Txn(txn));
     }
 
     pub(super) fn chain_reply(
@@ -243,7 +243,7 @@
         status: u16,
         id: &str,
         sent: Micros,
-        reply: &StateReply,
+        reply: &KvResponse,
     ) {
         let Some(known) = self.cached_stages.get(id).copied() else {
             return self.later(ticket, 503, "undecided");
@@ -256,13 +256,13 @@
             {
                 self.tell(ticket, status, id, known);
             }
-            StateReply::Applied(_) if self.fresh(sent) => {
+            KvResponse::Applied(_) if self.fresh(sent) => {
                 let answer = self.job_answer(id, known);
                 self.respond(ticket, status, None, &answer);
             }
-            StateReply::Applied(_) => self.later(ticket, 503, "the state service is slow"),
+            KvResponse::Applied(_) => self.later(ticket, 503, "the state service is slow"),
             // Somebody has said more of one of them, which is on its way here.
-            StateReply::Conflict(_) => self.later(ticket, 503, "undecided"),
+            KvResponse::Conflict(_) => self.later(ticket, 503, "undecided"),
             _ => self.later(ticket, 503, "state service away"),
         }
     }
@@ -297,11 +297,11 @@
         self.pipelines.lookups.insert(number, lookups);
         for id in unknown {
             let key = job::job_key(&id);
-            self.state(Op::LookUp { number, job: id }, StateCall::Get(key));
+            self.state(Op::LookUp { number, job: id }, KvRequest::Get(key));
         }
     }
 
-    pub(super) fn lookup_reply(&mut self, number: u64, id: &str, reply: &StateReply) {
+    pub(super) fn lookup_reply(&mut self, number: u64, id: &str, reply: &KvResponse) {
         let found = self.read_record(id, reply);
         let known = self.cached_stages.contains_key(id);
         let Some(g) = self.pipelines.lookups.get_mut(&number) else {
@@ -363,8 +363,8 @@
             return self.queue_submission(ticket, spec, size);
         }
         let owned =
-            self.admitting_shard().and_then(|s| Some((s, self.shards[s].owned.as_ref()?.mark)));
-        let Some((s, mark)) = owned else {
+            self.admitting_shard().and_then(|s| Some((s, self.shards[s].owned.as_ref()?.revision)));
+        let Some((s, revision)) = owned else {
             return self.later(ticket, 503, "no seat is held");
         };
         let by_size = TXN_BYTES / (self.settings.state.value_kb * 1024.0) as usize;
@@ -376,11 +376,11 @@
         };
         let to = (from + 1 + most).min(lists.len());
         let conditions = vec![
-            Condition { key: super::shard::lease_key(s), version: mark },
-            Condition { key: job::job_key(&spec.id), version: 0 },
+            Condition { key: super::shard::lease_key(s), revision },
+            Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
-        self.state(Op::StoreUpstream { ticket, spec, size, to: to - 1 }, StateCall::Txn(txn));
+        self.state(Op::StoreUpstream { ticket, spec, size, to: to - 1 }, KvRequest::Txn(txn));
     }
 
     pub(super) fn upstream_stored(
@@ -389,11 +389,11 @@
         spec: Rc<JobSpec>,
         size: usize,
         to: usize,
-        reply: &StateReply,
+        reply: &KvResponse,
     ) {
         match reply {
-            StateReply::Applied(_) => self.store_upstream(ticket, spec, size, to),
-            StateReply::Conflict(_) => {
+            KvResponse::Applied(_) => self.store_upstream(ticket, spec, size, to),
+            KvResponse::Conflict(_) => {
                 let otherwise = Refusal::new("undecided");
                 self.read_or(ticket, &spec.id, 503, Some(1), &otherwise);
             }
@@ -411,17 +411,17 @@
         partly.busy = true;
         let (job, number) = (id.clone(), partly.read + 1);
         let key = job::upstream_key(id, number);
-        self.state(Op::ReadUpstream { job, number }, StateCall::Get(key));
+        self.state(Op::ReadUpstream { job, number }, KvRequest::Get(key));
     }
 
-    pub(super) fn upstream_read(&mut self, id: &str, number: u32, reply: &StateReply) {
+    pub(super) fn upstream_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
         let Some(partly) = self.pipelines.partly.get_mut(id) else {
             return;
         };
         partly.busy = false;
         // What cannot be read now is read later, and others first.
         partly.retry = self.now + READ_AGAIN;
-        let StateReply::Value(item) = reply else {
+        let KvResponse::Value(item) = reply else {
             return;
         };
         // Without one of the names the job might be let go too early.
@@ -511,27 +511,31 @@
         };
         let key = job::job_key(id);
         let txn = Txn {
-            conditions: vec![Condition { key: key.clone(), version: job.mark }],
+            conditions: vec![Condition { key: key.clone(), revision: job.revision }],
             writes: vec![Write::Put { key, value: json!(record), lease: None }],
         };
         self.pipelines.cascading.insert(id.to_string());
-        self.state(Op::Cascade { job: id.to_string(), shard, tasks }, StateCall::Txn(txn));
+        self.state(Op::Cascade { job: id.to_string(), shard, tasks }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn cascaded(&mut self, id: &str, shard: usize, tasks: u32, reply: &StateReply) {
+    pub(super) fn cascaded(&mut self, id: &str, shard: usize, tasks: u32, reply: &KvResponse) {
         self.pipelines.cascading.remove(id);
         match reply {
-            StateReply::Applied(mark) => {
+            KvResponse::Applied(revision) => {
                 info!("job {id} cancelled with one that it needs");
                 self.counts.cancelled_with_upstream += 1;
-                let known =
-                    CachedStage { stage: StoredStage::Cancelled, shard, tasks, mark: *mark };
+                let known = CachedStage {
+                    stage: StoredStage::Cancelled,
+                    shard,
+                    tasks,
+                    revision: *revision,
+                };
                 self.cache_stage(id, known);
-                self.announce_cancelled(id, *mark);
+                self.announce_cancelled(id, *revision);
                 self.job_cancelled(id);
             }
             // Perhaps applied, or its user was faster: what is stored decides.
-            StateReply::Conflict(_) | StateReply::Unknown => self.recheck(id),
+            KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.recheck(id),
             _ => {}
         }
     }
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -29,7 +29,7 @@
     /// Grants by shard, as stored.
     pub grants: BTreeMap<usize, Amount>,
     /// Version of the key, 0 for none.
-    pub mark: u64,
+    pub revision: u64,
     /// A change is under way.
     pub busy: bool,
     /// Grants of own shards that changes under way may already have lowered.
@@ -47,7 +47,7 @@
             limit: [limit(team.cpus_max), limit(team.gpus_max)],
             guarantee: [team.cpus, team.gpus],
             grants: BTreeMap::new(),
-            mark: 0,
+            revision: 0,
             busy: false,
             lowered: BTreeMap::new(),
             unsure: false,
@@ -60,8 +60,8 @@
     }
 
     /// Takes in the stored grants.
-    pub fn see(&mut self, value: &Value, mark: u64) {
-        self.mark = mark;
+    pub fn see(&mut self, value: &Value, revision: u64) {
+        self.revision = revision;
         // Whatever was under way is conditional on the older version and dead.
         self.lowered.clear();
         self.unsure = false;
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -2,8 +2,8 @@
 
 use super::quota::{self, EPS, Need};
 use super::{Controller, Op, shard};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::{DesiredTask, Phase, Preempt, QuotaNeed};
-use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
 use serde_json::Value;
@@ -68,7 +68,7 @@
         }
         if !self.quotas_read {
             self.quotas_read = true;
-            let call = StateCall::List { prefix: "quota/".into(), after: None };
+            let call = KvRequest::List { prefix: "quota/".into(), after: None };
             return self.state(Op::QuotaList, call);
         }
         let own = self.quota_needs();
@@ -86,7 +86,7 @@
         if !self.runs(s) {
             return;
         }
-        let mark = self.shards[s].owned.as_ref().map_or(0, |m| m.mark);
+        let revision = self.shards[s].owned.as_ref().map_or(0, |m| m.revision);
         let (waits, used) = (self.shard_waits(s, team), self.shard_usage(s, team));
         let (shards, reserve) = (self.shards.len(), self.admission_reserve());
         let all: Vec<&QuotaNeed> = self
@@ -126,13 +126,13 @@
         let key = quota::key(team);
         let txn = Txn {
             conditions: vec![
-                Condition { key: key.clone(), version: q.mark },
-                Condition { key: shard::lease_key(s), version: mark },
+                Condition { key: key.clone(), revision: q.revision },
+                Condition { key: shard::lease_key(s), revision },
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
         let op = Op::QuotaWrite { team: team.to_string(), value };
-        self.state(op, StateCall::Txn(txn));
+        self.state(op, KvRequest::Txn(txn));
     }
 
     /// The team's limit is used up and more urgent tasks of it wait: this
@@ -192,32 +192,32 @@
     }
 
     /// Takes in a team's grants as stored at a revision.
-    pub(super) fn see_quota(&mut self, team: &str, value: &Value, mark: u64) {
+    pub(super) fn see_quota(&mut self, team: &str, value: &Value, revision: u64) {
         if let Some(q) = self.quotas.get_mut(team)
-            && mark > q.mark
+            && revision > q.revision
         {
-            q.see(value, mark);
+            q.see(value, revision);
             self.place_wanted = true;
         }
     }
 
-    pub(super) fn quota_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn quota_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
-            (Op::QuotaList, StateReply::Page { items, .. }) => {
+            (Op::QuotaList, KvResponse::Page { items, .. }) => {
                 for item in items {
                     if let Some(team) = item.key.strip_prefix("quota/") {
-                        self.see_quota(team, &item.value, item.version);
+                        self.see_quota(team, &item.value, item.revision);
                     }
                 }
             }
             (Op::QuotaList, _) => self.quotas_read = false,
-            (Op::QuotaWrite { team, value }, StateReply::Applied(mark)) => {
-                self.see_quota(&team, &value, mark);
+            (Op::QuotaWrite { team, value }, KvResponse::Applied(revision)) => {
+                self.see_quota(&team, &value, revision);
                 if let Some(q) = self.quotas.get_mut(&team) {
                     q.busy = false;
                 }
             }
-            (Op::QuotaWrite { team, .. }, StateReply::Refused) => {
+            (Op::QuotaWrite { team, .. }, KvResponse::NotExecuted) => {
                 if let Some(q) = self.quotas.get_mut(&team) {
                     q.refused();
                 }
@@ -226,13 +226,13 @@
             // holds, and a late one fails once the key has changed again.
             (Op::QuotaWrite { team, .. }, reply) => {
                 if let Some(q) = self.quotas.get_mut(&team) {
-                    q.unsure |= !matches!(reply, StateReply::Conflict(_));
+                    q.unsure |= !matches!(reply, KvResponse::Conflict(_));
                 }
                 self.read_quota(&team);
             }
-            (Op::QuotaRead { team }, StateReply::Value(item)) => {
+            (Op::QuotaRead { team }, KvResponse::Value(item)) => {
                 if let Some(item) = item {
-                    self.see_quota(&team, &item.value, item.version);
+                    self.see_quota(&team, &item.value, item.revision);
                 }
                 if let Some(q) = self.quotas.get_mut(&team) {
                     q.busy = false;
@@ -245,6 +245,6 @@
 
     fn read_quota(&mut self, team: &str) {
         let op = Op::QuotaRead { team: team.to_string() };
-        self.state(op, StateCall::Get(quota::key(team)));
+        self.state(op, KvRequest::Get(quota::key(team)));
     }
 }
--- a/src/controller/record_pages.rs
+++ b/src/controller/record_pages.rs
@@ -6,7 +6,7 @@
 
 use super::job::{self, MAX_SINGLE_READS};
 use super::{Controller, Op};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -81,14 +81,14 @@
         }
         self.record_pages.reading = true;
         let after = Some(job::key_before(&first));
-        let call = StateCall::List { prefix: job::job_key(""), after };
+        let call = KvRequest::List { prefix: job::job_key(""), after };
         self.state(Op::ReadRecordPage { first }, call);
     }
 
     /// Takes in a page of records.
-    pub(super) fn record_page_reply(&mut self, first: &str, reply: StateReply) {
+    pub(super) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
         self.record_pages.reading = false;
-        let StateReply::Page { items, more, .. } = reply else {
+        let KvResponse::Page { items, more, .. } = reply else {
             self.record_pages.not_before = self.now + RETRY;
             return;
         };
@@ -96,7 +96,7 @@
         for item in items {
             let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
             if self.record_pages.wanted.remove(&id) {
-                self.read_record(&id, &StateReply::Value(Some(item)));
+                self.read_record(&id, &KvResponse::Value(Some(item)));
             }
         }
         self.record_pages.note_absent(self.now, first, last.as_deref());
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -3,8 +3,8 @@
 use super::fleet::{self, RENTING_SHARD, Rented, Room};
 use super::{Controller, Op, shard};
 use crate::cloud::{CloudCall, CloudReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
-use crate::state::{StateCall, StateReply};
 use crate::time::Micros;
 use crate::wire::{Condition, ListedMachine, MachineStage, MachineType, RentRequest, Txn, Write};
 use log::{info, warn};
@@ -201,7 +201,7 @@
                 self.fleet.types_at = now + Micros::secs(1);
                 if self.types.is_empty() && !self.types_reading {
                     self.types_reading = true;
-                    self.state(Op::StoredTypes, StateCall::Get(TYPES_KEY.into()));
+                    self.state(Op::StoredTypes, KvRequest::Get(TYPES_KEY.into()));
                 }
             }
             (Op::Rent { term }, reply) => {
@@ -247,7 +247,7 @@
         else {
             return;
         };
-        let (mark, term) = (owned.mark, owned.term);
+        let (revision, term) = (owned.revision, owned.term);
         let list: Vec<&MachineType> = self.types.values().collect();
         let value = serde_json::json!(list);
         let most = self.settings.state.value_kb * 1024.0;
@@ -256,15 +256,15 @@
         }
         self.types_stored = term;
         let txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(RENTING_SHARD), version: mark }],
+            conditions: vec![Condition { key: shard::lease_key(RENTING_SHARD), revision }],
             writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
         };
-        self.state(Op::StoreTypes, StateCall::Txn(txn));
+        self.state(Op::StoreTypes, KvRequest::Txn(txn));
     }
 
-    pub(super) fn types_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn types_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
-            (Op::StoredTypes, StateReply::Value(Some(item))) => {
+            (Op::StoredTypes, KvResponse::Value(Some(item))) => {
                 self.types_reading = false;
                 // What the cloud itself said meanwhile is newer.
                 if self.types.is_empty()
@@ -274,7 +274,7 @@
                 }
             }
             (Op::StoredTypes, _) => self.types_reading = false,
-            (Op::StoreTypes, StateReply::Applied(_)) => {}
+            (Op::StoreTypes, KvResponse::Applied(_)) => {}
             // Tried again with the next plan.
             _ => self.types_stored = 0,
         }
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -6,7 +6,7 @@
 //! on that version: a late transaction of an earlier holder fails.
 
 use crate::time::Micros;
-use crate::wire::{Condition, Item, Txn, Write};
+use crate::wire::{Condition, KeyValue, Txn, Write};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -48,7 +48,7 @@
     pub term: u64,
     /// State lease that it ends with; the stored word stays.
     #[serde(rename = "lease")]
-    pub state_lease: u64,
+    pub controller_lease: u64,
 }
 
 /// Value of `seat/S`.
@@ -64,7 +64,7 @@
     /// Term.
     pub term: u64,
     /// Version of `hold/S`: condition of every write.
-    pub mark: u64,
+    pub revision: u64,
     /// When this process learnt that it owns the shard: no earlier holder
     /// acted after that.
     pub taken: Micros,
@@ -77,10 +77,10 @@
 /// A shard as this process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Shard {
-    /// Lease in the state service, with the version of `hold/S`.
+    /// Lease in the key-value store, with the version of `hold/S`.
     pub lease: Option<(ShardLease, u64)>,
     /// Version of `seat/S`, 0 for none.
-    pub term_mark: u64,
+    pub term_revision: u64,
     /// Highest term known.
     pub term: u64,
     /// Since when nobody has its lease.
@@ -127,19 +127,19 @@
 
 impl Shard {
     /// Takes in what `hold/S` holds.
-    pub fn observe_lease(&mut self, now: Micros, item: Option<&Item>) {
+    pub fn observe_lease(&mut self, now: Micros, item: Option<&KeyValue>) {
         let held = item.and_then(|i| {
             let lease: ShardLease = serde_json::from_value(i.value.clone()).ok()?;
-            Some((lease, i.version))
+            Some((lease, i.revision))
         });
         match held {
-            Some((lease, mark)) => {
+            Some((lease, revision)) => {
                 // Both keys change in one transaction and so share its revision.
-                if mark >= self.term_mark {
-                    self.term_mark = mark;
+                if revision >= self.term_revision {
+                    self.term_revision = revision;
                     self.term = self.term.max(lease.term);
                 }
-                self.lease = Some((lease, mark));
+                self.lease = Some((lease, revision));
             }
             None => {
                 if self.lease.take().is_some() || self.free_since == Micros::ZERO {
@@ -150,11 +150,11 @@
     }
 
     /// Takes in what `seat/S` holds.
-    pub fn observe_term(&mut self, item: &Item) {
+    pub fn observe_term(&mut self, item: &KeyValue) {
         if let Ok(term) = serde_json::from_value::<Term>(item.value.clone())
-            && item.version >= self.term_mark
+            && item.revision >= self.term_revision
         {
-            self.term_mark = item.version;
+            self.term_revision = item.revision;
             self.term = self.term.max(term.term);
         }
     }
@@ -165,11 +165,11 @@
     pub fn takeable(&self, member: &str, run: u64) -> Option<u64> {
         match &self.lease {
             None => Some(0),
-            Some((h, mark)) if h.member == member && h.run != run => Some(*mark),
+            Some((h, revision)) if h.member == member && h.run != run => Some(*revision),
             // Given up by this very process, whose release may still be carried out
             // late: only a new mark makes it fail, and only a new term shows which of
             // its commands are still under way.
-            Some((h, mark)) if h.member == member && h.term <= self.acted => Some(*mark),
+            Some((h, revision)) if h.member == member && h.term <= self.acted => Some(*revision),
             Some(_) => None,
         }
     }
@@ -178,20 +178,24 @@
     pub fn take(
         &self,
         shard: usize,
-        mark: u64,
+        revision: u64,
         member: &str,
         run: u64,
-        state_lease: u64,
+        controller_lease: u64,
     ) -> (Txn, u64) {
         let term = next_term(self.term);
-        let lease = ShardLease { member: member.to_string(), run, term, state_lease };
+        let lease = ShardLease { member: member.to_string(), run, term, controller_lease };
         let txn = Txn {
             conditions: vec![
-                Condition { key: lease_key(shard), version: mark },
-                Condition { key: term_key(shard), version: self.term_mark },
+                Condition { key: lease_key(shard), revision },
+                Condition { key: term_key(shard), revision: self.term_revision },
             ],
             writes: vec![
-                Write::Put { key: lease_key(shard), value: json!(lease), lease: Some(state_lease) },
+                Write::Put {
+                    key: lease_key(shard),
+                    value: json!(lease),
+                    lease: Some(controller_lease),
+                },
                 Write::Put { key: term_key(shard), value: json!(Term { term }), lease: None },
             ],
         };
@@ -199,9 +203,9 @@
     }
 
     /// The transaction that gives the shard up.
-    pub fn release(shard: usize, mark: u64) -> Txn {
+    pub fn release(shard: usize, revision: u64) -> Txn {
         Txn {
-            conditions: vec![Condition { key: lease_key(shard), version: mark }],
+            conditions: vec![Condition { key: lease_key(shard), revision }],
             writes: vec![Write::Delete { key: lease_key(shard) }],
         }
     }
@@ -214,7 +218,7 @@
 
 /// This process's state lease.
 #[derive(Debug, Clone, Default)]
-pub struct StateLease {
+pub struct ControllerLease {
     /// Its number.
     pub id: Option<u64>,
     /// Until when it is surely valid, by this process's clock.
@@ -227,7 +231,7 @@
     pub epoch: u64,
 }
 
-impl StateLease {
+impl ControllerLease {
     /// A grant or renewal that was *sent* at `sent` succeeded. Counting from
     /// the answer would overstate it by the time that the answer took.
     pub fn extended(&mut self, sent: Micros, ttl: Micros) {
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -4,9 +4,9 @@
 use super::shard_loading::Loading;
 use super::watches::prefix;
 use super::{Controller, Op, Watch, decision_log};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use log::{info, warn};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -17,14 +17,14 @@
 impl Controller {
     pub(super) fn maintain_shards(&mut self) {
         let now = self.now;
-        let ttl = self.options.state_lease;
-        if !self.state_lease.busy && now >= self.state_lease.renew_at {
-            self.state_lease.busy = true;
-            match self.state_lease.id {
-                None => self.state(Op::Grant { sent: now }, StateCall::Grant(ttl)),
+        let ttl = self.options.controller_lease;
+        if !self.controller_lease.busy && now >= self.controller_lease.renew_at {
+            self.controller_lease.busy = true;
+            match self.controller_lease.id {
+                None => self.state(Op::Grant { sent: now }, KvRequest::GrantLease(ttl)),
                 Some(id) => {
-                    let op = Op::Extend { sent: now, epoch: self.state_lease.epoch };
-                    self.state(op, StateCall::Extend(id));
+                    let op = Op::Extend { sent: now, epoch: self.controller_lease.epoch };
+                    self.state(op, KvRequest::RenewLease(id));
                 }
             }
         }
@@ -32,7 +32,7 @@
             self.shards_reading = true;
             self.state(
                 Op::ListTerms,
-                StateCall::List { prefix: shard::TERM_KEYS.into(), after: None },
+                KvRequest::List { prefix: shard::TERM_KEYS.into(), after: None },
             );
         }
         for watch in [Watch::ShardLeases, Watch::Jobs, Watch::Quotas] {
@@ -46,18 +46,18 @@
             let prefix = prefix(watch).to_string();
             match f.after {
                 Some(after) => {
-                    self.state(Op::Follow(watch), StateCall::Follow { prefix, after, block })
+                    self.state(Op::Follow(watch), KvRequest::Watch { prefix, after, block })
                 }
                 // The jobs' own list grows without end; any list tells the
                 // present revision, and the shard leases are few.
                 None => self.state(
                     Op::FollowStart(watch),
-                    StateCall::List { prefix: shard::LEASE_KEYS.into(), after: None },
+                    KvRequest::List { prefix: shard::LEASE_KEYS.into(), after: None },
                 ),
             }
         }
         self.look_beside_watch();
-        if self.shards_read && self.state_lease.valid(now + Micros::millis(500)) {
+        if self.shards_read && self.controller_lease.valid(now + Micros::millis(500)) {
             for s in 0..self.shards.len() {
                 self.maintain_shard(s);
             }
@@ -86,10 +86,10 @@
             self.finish_release(s);
             return;
         }
-        let Some(mark) = shard.takeable(&self.member, self.run) else {
+        let Some(revision) = shard.takeable(&self.member, self.run) else {
             return;
         };
-        if mark == 0 {
+        if revision == 0 {
             // Its home takes it at once; others leave it time, longer while
             // the home is observed to be well, and not all at the same moment.
             let wait = if s == self.me {
@@ -107,13 +107,13 @@
                 return;
             }
         }
-        let Some(lease) = self.state_lease.id else {
+        let Some(lease) = self.controller_lease.id else {
             return;
         };
-        let (txn, term) = shard.take(s, mark, &self.member, self.run, lease);
+        let (txn, term) = shard.take(s, revision, &self.member, self.run, lease);
         self.shards[s].busy = true;
-        let op = Op::Take { shard: s, term, epoch: self.state_lease.epoch };
-        self.state(op, StateCall::Txn(txn));
+        let op = Op::Take { shard: s, term, epoch: self.controller_lease.epoch };
+        self.state(op, KvRequest::Txn(txn));
     }
 
     /// Hands a shard back once nothing of it is being written.
@@ -124,12 +124,12 @@
         if self.jobs.values().any(|j| j.shard == s && j.busy) {
             return;
         }
-        let txn = Shard::release(s, owned.mark);
+        let txn = Shard::release(s, owned.revision);
         // It stops acting before the release can be applied, and does not
         // begin again whatever the answer: the outcome may come late.
         self.lose_shard(s, "handed back");
         self.shards[s].busy = true;
-        self.state(Op::Release { shard: s }, StateCall::Txn(txn));
+        self.state(Op::Release { shard: s }, KvRequest::Txn(txn));
     }
 
     /// The store says that a shard's mark has changed.
@@ -162,31 +162,31 @@
         }
     }
 
-    fn lose_state_lease(&mut self) {
+    fn lose_controller_lease(&mut self) {
         warn!("state lease lost");
-        self.state_lease.lost();
-        self.state_lease.renew_at = self.now;
+        self.controller_lease.lost();
+        self.controller_lease.renew_at = self.now;
         for s in 0..self.shards.len() {
             self.lose_shard(s, "the state lease ended");
         }
         self.shards_read = false;
     }
 
-    fn shard_taken(&mut self, s: usize, term: u64, mark: u64) {
-        let owned = OwnedShard { term, mark, taken: self.now, loaded: false, releasing: false };
-        decision_log::shard_taken(s, &owned, self.state_lease.valid_until);
+    fn shard_taken(&mut self, s: usize, term: u64, revision: u64) {
+        let owned = OwnedShard { term, revision, taken: self.now, loaded: false, releasing: false };
+        decision_log::shard_taken(s, &owned, self.controller_lease.valid_until);
         let shard = &mut self.shards[s];
         shard.term = shard.term.max(term);
-        shard.term_mark = shard.term_mark.max(mark);
+        shard.term_revision = shard.term_revision.max(revision);
         shard.acted = term;
         shard.owned = Some(owned);
         let lease = shard::ShardLease {
             member: self.member.clone(),
             run: self.run,
             term,
-            state_lease: self.state_lease.id.unwrap_or(0),
+            controller_lease: self.controller_lease.id.unwrap_or(0),
         };
-        shard.lease = Some((lease, mark));
+        shard.lease = Some((lease, revision));
         self.loads.insert(s, Loading { term, ..Loading::default() });
         // Machines that some shard wants tasks on: each is unknown until it
         // reports under the new term, or has been silent for a whole lease.
@@ -214,23 +214,23 @@
         self.probes.extend(ours);
     }
 
-    pub(super) fn shard_reply(&mut self, op: Op, reply: StateReply) {
+    pub(super) fn shard_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
-            (Op::Grant { sent }, StateReply::Granted(id)) => {
-                self.state_lease.busy = false;
-                self.state_lease.id = Some(id);
-                self.state_lease.epoch += 1;
-                self.state_lease.valid_until = Micros::ZERO;
-                self.state_lease.extended(sent, self.options.state_lease);
+            (Op::Grant { sent }, KvResponse::LeaseGranted(id)) => {
+                self.controller_lease.busy = false;
+                self.controller_lease.id = Some(id);
+                self.controller_lease.epoch += 1;
+                self.controller_lease.valid_until = Micros::ZERO;
+                self.controller_lease.extended(sent, self.options.controller_lease);
             }
             (Op::Grant { .. }, _) => {
-                self.state_lease.busy = false;
-                self.state_lease.renew_at = self.now + Micros::millis(300);
+                self.controller_lease.busy = false;
+                self.controller_lease.renew_at = self.now + Micros::millis(300);
             }
             (Op::Extend { sent, epoch }, r) => {
                 self.extend_reply(sent, epoch, &r);
             }
-            (Op::ListTerms, StateReply::Page { items, .. }) => {
+            (Op::ListTerms, KvResponse::Page { items, .. }) => {
                 for item in &items {
                     if let Some(s) =
                         shard::shard_of_key(&item.key).filter(|s| *s < self.shards.len())
@@ -241,19 +241,19 @@
                 // Leases after terms: a take in between shows in the leases.
                 self.state(
                     Op::ListLeases,
-                    StateCall::List { prefix: shard::LEASE_KEYS.into(), after: None },
+                    KvRequest::List { prefix: shard::LEASE_KEYS.into(), after: None },
                 );
             }
-            (Op::ListLeases, StateReply::Page { items, .. }) => {
+            (Op::ListLeases, KvResponse::Page { items, .. }) => {
                 self.shards_reading = false;
                 self.shards_read = true;
                 self.observe_leases(&items);
             }
             (Op::ListTerms | Op::ListLeases, _) => self.shards_reading = false,
-            (Op::FollowStart(watch), StateReply::Page { revision, items, .. }) => {
+            (Op::FollowStart(watch), KvResponse::Page { revision, items, .. }) => {
                 self.watch_started(watch, revision, &items);
             }
-            (Op::Follow(watch), StateReply::Changes(revision, changes)) => {
+            (Op::Follow(watch), KvResponse::WatchEvents(revision, changes)) => {
                 for change in changes {
                     self.change(watch, change);
                 }
@@ -262,7 +262,7 @@
                     f.took(revision, f.sent);
                 }
             }
-            (Op::Look { sent }, StateReply::Changes(revision, changes)) => {
+            (Op::Look { sent }, KvResponse::WatchEvents(revision, changes)) => {
                 for change in changes {
                     self.change(Watch::Jobs, change);
                 }
@@ -272,7 +272,7 @@
             }
             // The watch itself will say so.
             (Op::Look { .. }, _) => {}
-            (Op::Follow(watch), StateReply::TooOld) => {
+            (Op::Follow(watch), KvResponse::Compacted) => {
                 if let Some(f) = self.follow.get_mut(&watch) {
                     (f.busy, f.after) = (false, None);
                 }
@@ -298,20 +298,22 @@
     }
 
     /// A renewal of the state lease has ended; `epoch` is the lease's for which it was sent.
-    fn extend_reply(&mut self, sent: Micros, epoch: u64, reply: &StateReply) {
-        self.state_lease.busy = false;
-        if epoch != self.state_lease.epoch {
+    fn extend_reply(&mut self, sent: Micros, epoch: u64, reply: &KvResponse) {
+        self.controller_lease.busy = false;
+        if epoch != self.controller_lease.epoch {
             return;
         }
         match reply {
-            StateReply::Kept => self.state_lease.extended(sent, self.options.state_lease),
-            StateReply::NoLease => self.lose_state_lease(),
-            _ => self.state_lease.renew_at = self.now + Micros::millis(200),
+            KvResponse::LeaseRenewed => {
+                self.controller_lease.extended(sent, self.options.controller_lease)
+            }
+            KvResponse::LeaseNotFound => self.lose_controller_lease(),
+            _ => self.controller_lease.renew_at = self.now + Micros::millis(200),
         }
     }
 
     /// Takes in all shard leases.
-    fn observe_leases(&mut self, items: &[Item]) {
+    fn observe_leases(&mut self, items: &[KeyValue]) {
         for shard in 0..self.shards.len() {
             let key = shard::lease_key(shard);
             let item = items.iter().find(|i| i.key == key).cloned();
@@ -320,7 +322,7 @@
     }
 
     /// A watch begins anew at a revision: what changed before it may have been missed.
-    fn watch_started(&mut self, watch: Watch, revision: u64, items: &[Item]) {
+    fn watch_started(&mut self, watch: Watch, revision: u64, items: &[KeyValue]) {
         if let Some(f) = self.follow.get_mut(&watch) {
             f.busy = false;
             f.took(revision, f.sent);
@@ -348,37 +350,39 @@
     }
 
     /// An attempt to take a shard has ended.
-    fn take_reply(&mut self, shard: usize, term: u64, epoch: u64, reply: &StateReply) {
+    fn take_reply(&mut self, shard: usize, term: u64, epoch: u64, reply: &KvResponse) {
         self.shards[shard].busy = false;
         match reply {
-            StateReply::Applied(mark) if epoch == self.state_lease.epoch => {
-                self.shard_taken(shard, term, *mark);
+            KvResponse::Applied(revision) if epoch == self.controller_lease.epoch => {
+                self.shard_taken(shard, term, *revision);
+            }
+            KvResponse::LeaseNotFound if epoch == self.controller_lease.epoch => {
+                self.lose_controller_lease()
             }
-            StateReply::NoLease if epoch == self.state_lease.epoch => self.lose_state_lease(),
-            StateReply::Refused => {}
+            KvResponse::NotExecuted => {}
             // Perhaps applied, or somebody was faster: what is stored decides.
             _ => self.shards_read = false,
         }
     }
 
-    pub(super) fn observe_lease(&mut self, s: usize, item: Option<&Item>) {
+    pub(super) fn observe_lease(&mut self, s: usize, item: Option<&KeyValue>) {
         let now = self.now;
         self.shards[s].observe_lease(now, item);
         let shard = &self.shards[s];
         match (&shard.lease, &shard.owned) {
             // A watch may tell of what was before the take.
-            (Some((_, mark)), Some(m)) if *mark <= m.mark => {}
+            (Some((_, revision)), Some(m)) if *revision <= m.revision => {}
             (None, Some(_)) | (Some(_), Some(_)) => self.lose_shard(s, "the store says so"),
-            (Some((h, mark)), None)
+            (Some((h, revision)), None)
                 if h.member == self.member
                     && h.run == self.run
                     && !shard.busy
                     && h.term > shard.acted
-                    && Some(h.state_lease) == self.state_lease.id =>
+                    && Some(h.controller_lease) == self.controller_lease.id =>
             {
                 // A take whose answer was lost.
-                let (term, mark) = (h.term, *mark);
-                self.shard_taken(s, term, mark);
+                let (term, revision) = (h.term, *revision);
+                self.shard_taken(s, term, revision);
             }
             _ => {}
         }
--- a/src/controller/shard_loading.rs
+++ b/src/controller/shard_loading.rs
@@ -2,7 +2,7 @@
 
 use super::job::{self, Job, JobRecord, StoredStage};
 use super::{CachedStage, Controller, Op, Watch};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use log::{info, warn};
 use serde_json::Value;
@@ -82,7 +82,7 @@
         let term = l.term;
         if !l.listed {
             l.busy = true;
-            let call = StateCall::List { prefix: format!("w/{s}/"), after: l.after.clone() };
+            let call = KvRequest::List { prefix: format!("w/{s}/"), after: l.after.clone() };
             return self.state(Op::Load { shard: s, term }, call);
         }
         let asked: Vec<String> =
@@ -94,17 +94,17 @@
         let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
         for job in asked {
             let key = job::job_key(&job);
-            self.state(Op::LoadJob { shard: s, term, job }, StateCall::Get(key));
+            self.state(Op::LoadJob { shard: s, term, job }, KvRequest::Get(key));
         }
         if finished {
             self.loaded(s);
         }
     }
 
-    pub(super) fn load_reply(&mut self, s: usize, term: u64, reply: StateReply) {
+    pub(super) fn load_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
         let now = self.now;
         let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
-        let StateReply::Page { items, more, .. } = reply else {
+        let KvResponse::Page { items, more, .. } = reply else {
             if let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) {
                 l.busy = false;
                 l.retry = now + Micros::millis(200);
@@ -122,7 +122,7 @@
                 }
                 let jobs = job::decode_batch(&i.value).into_iter();
                 let unknown = jobs.filter(|(id, _)| !known(id, self));
-                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.version, v))));
+                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.revision, v))));
             } else if !known(id, self) {
                 new.push((id.to_string(), part, i.clone()));
             }
@@ -135,7 +135,7 @@
         l.listed = !more || items.is_empty();
         for (id, part, item) in new {
             l.todo.insert(id.clone());
-            l.parts.entry(id).or_default().insert(part, (item.value, item.version));
+            l.parts.entry(id).or_default().insert(part, (item.value, item.revision));
         }
         for (id, found) in batched {
             l.todo.insert(id.clone());
@@ -144,7 +144,7 @@
         self.continue_load(s);
     }
 
-    pub(super) fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: StateReply) {
+    pub(super) fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: KvResponse) {
         let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
@@ -153,11 +153,11 @@
             _ if l.stale.remove(job) => {
                 l.todo.insert(job.to_string());
             }
-            StateReply::Value(item) => {
+            KvResponse::Value(item) => {
                 let record =
                     item.as_ref().and_then(|i| serde_json::from_value(i.value.clone()).ok());
-                let mark = item.map_or(0, |i| i.version);
-                l.records.insert(job.to_string(), (record, mark));
+                let revision = item.map_or(0, |i| i.revision);
+                l.records.insert(job.to_string(), (record, revision));
             }
             _ => {
                 l.todo.insert(job.to_string());
@@ -206,16 +206,21 @@
             if self.jobs.contains_key(&id) {
                 continue;
             }
-            let Some((Some(record), mark)) = l.records.remove(&id) else {
+            let Some((Some(record), revision)) = l.records.remove(&id) else {
                 self.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
             self.pipelines.note(&id, &record);
             self.cache_stage(
                 &id,
-                CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, mark },
+                CachedStage {
+                    stage: record.stage,
+                    shard: record.shard,
+                    tasks: record.tasks,
+                    revision,
+                },
             );
-            let Some(mut job) = Job::restore(s, mark, self.part_size, &parts) else {
+            let Some(mut job) = Job::restore(s, revision, self.part_size, &parts) else {
                 self.leave_unreadable(&id, "stored tasks cannot be read");
                 continue;
             };
--- a/src/controller/stage_cache.rs
+++ b/src/controller/stage_cache.rs
@@ -1,4 +1,4 @@
-//! What is known of jobs' stages from the state service.
+//! What is known of jobs' stages from the key-value store.
 
 use super::job::StoredStage;
 use super::{Controller, decision_log};
@@ -7,14 +7,14 @@
 /// Jobs whose terminal state is remembered in memory; older ones are read again.
 const CACHED_JOBS: usize = 40_000;
 
-/// What is known of a job's stage from the state service.
+/// What is known of a job's stage from the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CachedStage {
     pub(super) stage: StoredStage,
     pub(super) shard: usize,
     pub(super) tasks: u32,
     /// Version of its key that says so; it changes once, with the terminal state.
-    pub(super) mark: u64,
+    pub(super) revision: u64,
 }
 
 impl Controller {
@@ -23,7 +23,7 @@
             // A stage that is final stays: an answer read earlier may come later.
             Some(old) if old.stage != StoredStage::Accepted => {
                 self.cached_stages.insert(job.to_string(), old);
-                self.terminal_states.correct(job, known.mark);
+                self.terminal_states.correct(job, known.revision);
                 return;
             }
             Some(_) => {}
@@ -31,7 +31,7 @@
         }
         if known.stage != StoredStage::Accepted {
             decision_log::job_over(job, known);
-            self.terminal_states.add(self.now, job, known.mark);
+            self.terminal_states.add(self.now, job, known.revision);
             self.pipelines.over(job);
         }
         if known.stage == StoredStage::Cancelled {
--- a/src/controller/start_gate.rs
+++ b/src/controller/start_gate.rs
@@ -40,7 +40,7 @@
     pub cancellations_known: bool,
 }
 
-/// What is known of a job from the state service, as far as starts depend on it.
+/// What is known of a job from the key-value store, as far as starts depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobEvidence {
     /// Stage.
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -39,7 +39,7 @@
     format: Option<u32>,
 }
 
-/// The limits of the state service that are kept.
+/// The limits of the key-value store that are kept.
 #[derive(Serialize)]
 struct StateLimitsStatus {
     rps: f64,
@@ -130,7 +130,7 @@
         let page = StatusPage {
             member: &self.member,
             format: peer::FORMAT,
-            lease_valid: self.state_lease.valid(now),
+            lease_valid: self.controller_lease.valid(now),
             peers: self.peer_statuses(),
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
--- a/src/controller/status_queries.rs
+++ b/src/controller/status_queries.rs
@@ -1,6 +1,6 @@
 //! Status queries about jobs.
 //!
-//! What is final is answered from memory. Otherwise only the state service knows
+//! What is final is answered from memory. Otherwise only the key-value store knows
 //! whether some node has said more by now, so every status query is followed by a
 //! look at it. While there is plenty of this node's share of requests each reads
 //! its job's key; in a storm those that wait are put together: one transaction
@@ -10,7 +10,7 @@
 use super::pipeline::UpstreamOutcome;
 use super::{Controller, Op, Ticket};
 use crate::config;
-use crate::state::{Bucket, CALL_SHARE, StateCall, StateReply};
+use crate::kv_store::{Bucket, KvRequest, KvResponse, REQUEST_RATE_SHARE};
 use crate::time::Micros;
 use crate::wire::{Condition, Refusal, Txn};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct StatusQuery {
     /// Version of its key that is known.
-    mark: u64,
+    revision: u64,
     /// Who asks, and since when.
     who: Vec<(Ticket, Micros)>,
 }
@@ -58,7 +58,7 @@
 
 impl StatusQueries {
     pub fn new(state: &config::StateLimits, nodes: usize) -> StatusQueries {
-        let share = state.rps * CALL_SHARE / nodes.max(1) as f64;
+        let share = state.rps * REQUEST_RATE_SHARE / nodes.max(1) as f64;
         StatusQueries {
             waiting: QueriedJobs::new(),
             count: 0,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// A call goes to the state service.
-    pub fn note_call(&mut self, now: Micros, call: &StateCall) {
+    /// A call goes to the key-value store.
+    pub fn note_call(&mut self, now: Micros, call: &KvRequest) {
         if !call.urgent() {
             self.calls.level(now);
             self.calls.take(1.0);
@@ -109,14 +109,15 @@
         {
             return self.tell(ticket, 200, id, known);
         }
-        match known.filter(|k| k.mark > 0) {
+        match known.filter(|k| k.revision > 0) {
             Some(known) if !self.status_queries.plenty(now) => {
                 if self.status_queries.count >= MOST_WAITING {
                     return self.later(ticket, 429, "too many questions wait");
                 }
                 self.status_queries.count += 1;
                 let asked = self.status_queries.waiting.entry(id.to_string());
-                let asked = asked.or_insert(StatusQuery { mark: known.mark, who: Vec::new() });
+                let asked =
+                    asked.or_insert(StatusQuery { revision: known.revision, who: Vec::new() });
                 asked.who.push((ticket, now));
             }
             _ => self.read_job(vec![ticket], id),
@@ -125,7 +126,7 @@
 
     fn read_job(&mut self, tickets: Vec<Ticket>, id: &str) {
         let op = Op::Poll { tickets, job: id.to_string(), sent: self.now };
-        self.state(op, StateCall::Get(job::job_key(id)));
+        self.state(op, KvRequest::Get(job::job_key(id)));
     }
 
     /// Sends comparisons for the status queries that wait.
@@ -148,26 +149,26 @@
             }
             let condition = |(id, asked): (&String, &StatusQuery)| Condition {
                 key: job::job_key(id),
-                version: asked.mark,
+                revision: asked.revision,
             };
             let conditions = jobs.iter().map(condition).collect();
             self.status_queries.under_way += 1;
             let txn = Txn { conditions, writes: Vec::new() };
-            self.state(Op::CompareStages { jobs, sent: self.now }, StateCall::Txn(txn));
+            self.state(Op::CompareStages { jobs, sent: self.now }, KvRequest::Txn(txn));
         }
     }
 
-    pub(super) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: StateReply) {
+    pub(super) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: KvResponse) {
         self.status_queries.under_way = self.status_queries.under_way.saturating_sub(1);
         let failed = match reply {
-            StateReply::Applied(_) => Vec::new(),
-            StateReply::Conflict(failed) => failed,
+            KvResponse::Applied(_) => Vec::new(),
+            KvResponse::Conflict(failed) => failed,
             _ => {
                 let tickets = jobs.into_values().flat_map(|asked| asked.who);
                 return tickets.for_each(|(t, _)| self.later(t, 503, "state service away"));
             }
         };
-        for (id, StatusQuery { mark, who: asked }) in jobs {
+        for (id, StatusQuery { revision, who: asked }) in jobs {
             // What is known by now may be newer than the comparison.
             let known = self.cached_stages.get(&id).copied();
             match known {
@@ -186,7 +187,7 @@
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
                     self.status_queries.count += asked.len();
                     let again = self.status_queries.waiting.entry(id);
-                    again.or_insert(StatusQuery { mark, who: Vec::new() }).who.extend(asked);
+                    again.or_insert(StatusQuery { revision, who: Vec::new() }).who.extend(asked);
                 }
                 _ => self.read_job(asked.into_iter().map(|(t, _)| t).collect(), &id),
             }
@@ -204,7 +205,7 @@
         tickets: Vec<Ticket>,
         job: &str,
         sent: Micros,
-        reply: &StateReply,
+        reply: &KvResponse,
     ) {
         let slow = "the state service is slow";
         match self.read_record(job, reply) {
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -32,10 +32,10 @@
 
 impl TerminalStates {
     /// A job was found to be over.
-    pub fn add(&mut self, now: Micros, job: &str, mark: u64) {
+    pub fn add(&mut self, now: Micros, job: &str, revision: u64) {
         self.acknowledge = true;
-        let mark = if mark == 0 { UNKNOWN } else { mark };
-        self.unsettled.insert(job.to_string(), (now, mark));
+        let revision = if revision == 0 { UNKNOWN } else { revision };
+        self.unsettled.insert(job.to_string(), (now, revision));
     }
 
     /// Whether every peer knows that a job is over, or has had the time to.
@@ -44,12 +44,12 @@
     }
 
     /// The revision of a terminal state that a peer had told without it.
-    pub fn correct(&mut self, job: &str, mark: u64) {
+    pub fn correct(&mut self, job: &str, revision: u64) {
         if let Some((_, known)) = self.unsettled.get_mut(job)
             && *known == UNKNOWN
-            && mark > 0
+            && revision > 0
         {
-            *known = mark;
+            *known = revision;
             self.acknowledge = true;
         }
     }
@@ -95,8 +95,8 @@
         }
         let now = self.now;
         let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
-        let settled = |at: Micros, mark: u64| mark <= watched || now.since(at) >= SETTLED;
-        self.terminal_states.unsettled.retain(|_, (at, mark)| !settled(*at, *mark));
+        let settled = |at: Micros, revision: u64| revision <= watched || now.since(at) >= SETTLED;
+        self.terminal_states.unsettled.retain(|_, (at, revision)| !settled(*at, *revision));
         let unsettled = &self.terminal_states.unsettled;
         let ready =
             self.terminal_states.waiting.extract_if(.., |(_, id)| !unsettled.contains_key(id));
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -1,11 +1,11 @@
-//! Watches of the state service: how this process learns of changes.
+//! Watches of the key-value store: how this process learns of changes.
 
 use super::job::{JobRecord, StoredStage};
 use super::shard;
 use super::{CachedStage, Controller, Op, Watch};
-use crate::state::StateCall;
+use crate::kv_store::KvRequest;
 use crate::time::Micros;
-use crate::wire::{Change, Item};
+use crate::wire::{KeyValue, WatchEvent};
 use log::warn;
 
 /// Between looks at changes beside a watch that has said nothing for long.
@@ -68,18 +68,18 @@
         };
         f.look_at = now + LOOK_EVERY;
         let prefix = prefix(Watch::Jobs).to_string();
-        let call = StateCall::Follow { prefix, after, block: Micros::ZERO };
+        let call = KvRequest::Watch { prefix, after, block: Micros::ZERO };
         self.state(Op::Look { sent: now }, call);
     }
 
-    pub(super) fn change(&mut self, watch: Watch, change: Change) {
+    pub(super) fn change(&mut self, watch: Watch, change: WatchEvent) {
         let Some(key) = change.put.as_ref().or(change.delete.as_ref()).cloned() else {
             return;
         };
-        let item = change.put.is_some().then(|| Item {
+        let item = change.put.is_some().then(|| KeyValue {
             key: key.clone(),
             value: change.value,
-            version: change.version,
+            revision: change.revision,
         });
         match watch {
             Watch::ShardLeases => {
@@ -87,7 +87,7 @@
                     return;
                 };
                 // News older than the own take: the shard has been taken since.
-                if self.shards[s].owned.as_ref().is_some_and(|m| change.version <= m.mark) {
+                if self.shards[s].owned.as_ref().is_some_and(|m| change.revision <= m.revision) {
                     return;
                 }
                 self.observe_lease(s, item.as_ref());
@@ -108,7 +108,7 @@
                         stage: record.stage,
                         shard: record.shard,
                         tasks: record.tasks,
-                        mark: item.version,
+                        revision: item.revision,
                     },
                 );
                 match record.stage {
@@ -120,7 +120,7 @@
             Watch::Quotas => {
                 if let Some(team) = key.strip_prefix("quota/") {
                     let value = item.map(|i| i.value).unwrap_or_default();
-                    self.see_quota(team, &value, change.version);
+                    self.see_quota(team, &value, change.revision);
                 }
             }
         }
--- a/src/state/mod.rs
+++ b/src/kv_store/mod.rs
@@ -1,13 +1,14 @@
-//! The state service: its calls and its answers.
+//! The key-value store: its calls and its answers.
 
 mod rate;
 
-pub use rate::{Bucket, Budget, CALL_SHARE, WRITE_SHARE};
+pub use rate::{Bucket, Budget, REQUEST_RATE_SHARE, WRITE_RATE_SHARE};
 
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
 use crate::wire::{
-    self, Change, Changes, Empty, Item, Items, LeaseGranted, LeaseWanted, Revision, Txn, path,
+    self, Empty, KeyValue, KeyValuePage, LeaseGranted, LeaseRequest, Revision, Txn, WatchEvent,
+    WatchResponse, path,
 };
 
 /// Keys asked for at once.
@@ -21,9 +22,9 @@
 /// What the service says where a lease does not exist any more.
 const NO_SUCH_LEASE: &[u8] = b"no such ";
 
-/// A call to the state service.
+/// A call to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateCall {
+pub enum KvRequest {
     /// Read a key.
     Get(String),
     /// Read a page of keys.
@@ -36,13 +37,13 @@
     /// Compare and change.
     Txn(Txn),
     /// Ask for a lease.
-    Grant(Micros),
+    GrantLease(Micros),
     /// Renew a lease.
-    Extend(u64),
+    RenewLease(u64),
     /// End a lease.
-    End(u64),
+    RevokeLease(u64),
     /// Wait for changes.
-    Follow {
+    Watch {
         /// Prefix of the keys.
         prefix: String,
         /// Changes after this revision.
@@ -54,13 +55,13 @@
 
 /// What became of a call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
+pub enum KvResponse {
     /// The key's value, if it exists.
-    Value(Option<Item>),
+    Value(Option<KeyValue>),
     /// A page.
     Page {
         /// The values.
-        items: Vec<Item>,
+        items: Vec<KeyValue>,
         /// Another follows.
         more: bool,
         /// Revision of the store.
@@ -71,38 +72,41 @@
     /// A condition failed; nothing was changed.
     Conflict(Vec<String>),
     /// A lease was granted.
-    Granted(u64),
+    LeaseGranted(u64),
     /// The lease was renewed or ended.
-    Kept,
+    LeaseRenewed,
     /// The lease does not exist any more.
-    NoLease,
+    LeaseNotFound,
     /// Changes up to a revision.
-    Changes(u64, Vec<Change>),
+    WatchEvents(u64, Vec<WatchEvent>),
     /// The watch asked too far back.
-    TooOld,
+    Compacted,
     /// Surely not executed: refused, or never sent.
-    Refused,
+    NotExecuted,
     /// May have been executed, or may still be.
-    Unknown,
+    OutcomeUnknown,
     /// The service says that the request is wrong; our defect.
-    Invalid,
+    Rejected,
 }
 
-impl StateCall {
+impl KvRequest {
     /// Renewals come first: without them every shard is lost.
     pub fn urgent(&self) -> bool {
-        matches!(self, StateCall::Grant(_) | StateCall::Extend(_) | StateCall::End(_))
+        matches!(
+            self,
+            KvRequest::GrantLease(_) | KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)
+        )
     }
 
     /// A watch occupies its connection while it waits.
     pub fn waits(&self) -> bool {
-        matches!(self, StateCall::Follow { .. })
+        matches!(self, KvRequest::Watch { .. })
     }
 
     /// Puts and deletes that count towards the write rate.
     pub fn puts(&self) -> usize {
         match self {
-            StateCall::Txn(t) => t.writes.len(),
+            KvRequest::Txn(t) => t.writes.len(),
             _ => 0,
         }
     }
@@ -110,7 +114,7 @@
     /// How long an answer may take before the outcome counts as unknown.
     pub fn timeout(&self) -> Micros {
         match self {
-            StateCall::Follow { block, .. } => *block + WATCH_GRACE,
+            KvRequest::Watch { block, .. } => *block + WATCH_GRACE,
             call if call.urgent() => LEASE_TIMEOUT,
             _ => CALL_TIMEOUT,
         }
@@ -119,23 +123,23 @@
     /// The request that it is sent as.
     pub fn encode(&self) -> OutgoingRequest {
         match self {
-            StateCall::Get(key) => OutgoingRequest::get(format!("{}/{key}", path::KV)),
-            StateCall::List { prefix, after } => {
+            KvRequest::Get(key) => OutgoingRequest::get(format!("{}/{key}", path::KV)),
+            KvRequest::List { prefix, after } => {
                 let after = after.as_ref().map_or(String::new(), |key| format!("&after={key}"));
                 let query = format!("prefix={prefix}{after}&limit={PAGE}");
                 OutgoingRequest::get(format!("{}?{query}", path::KV))
             }
-            StateCall::Txn(txn) => OutgoingRequest::post(path::TXN.into(), txn),
-            StateCall::Grant(ttl) => {
-                let wanted = LeaseWanted { ttl_ms: ttl.as_millis() };
+            KvRequest::Txn(txn) => OutgoingRequest::post(path::TXN.into(), txn),
+            KvRequest::GrantLease(ttl) => {
+                let wanted = LeaseRequest { ttl_ms: ttl.as_millis() };
                 OutgoingRequest::post(path::LEASES.into(), &wanted)
             }
-            StateCall::Extend(id) => {
+            KvRequest::RenewLease(id) => {
                 let path = format!("{}/{id}/{}", path::LEASES, path::EXTEND);
                 OutgoingRequest::post(path, &Empty {})
             }
-            StateCall::End(id) => OutgoingRequest::delete(format!("{}/{id}", path::LEASES)),
-            StateCall::Follow { prefix, after, block } => {
+            KvRequest::RevokeLease(id) => OutgoingRequest::delete(format!("{}/{id}", path::LEASES)),
+            KvRequest::Watch { prefix, after, block } => {
                 let wait = format!("{}={}", path::WAIT, block.as_millis());
                 let query = format!("prefix={prefix}&after={after}&{wait}");
                 OutgoingRequest::get(format!("{}?{query}", path::FOLLOW))
@@ -144,36 +148,41 @@
     }
 
     /// Reads the answer. What cannot be read counts as unknown.
-    pub fn decode(&self, status: u16, body: &[u8]) -> StateReply {
+    pub fn decode(&self, status: u16, body: &[u8]) -> KvResponse {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
             wire::read_answer("state", body)
         }
         match (status, self) {
-            (429 | 503, _) => StateReply::Refused,
-            (200, StateCall::Get(_)) => {
-                read::<Item>(body).map_or(StateReply::Unknown, |i| StateReply::Value(Some(i)))
+            (429 | 503, _) => KvResponse::NotExecuted,
+            (200, KvRequest::Get(_)) => read::<KeyValue>(body)
+                .map_or(KvResponse::OutcomeUnknown, |i| KvResponse::Value(Some(i))),
+            (404, KvRequest::Get(_)) => KvResponse::Value(None),
+            (200, KvRequest::List { .. }) => {
+                read::<KeyValuePage>(body).map_or(KvResponse::OutcomeUnknown, |p| {
+                    KvResponse::Page { items: p.items, more: p.more, revision: p.revision }
+                })
             }
-            (404, StateCall::Get(_)) => StateReply::Value(None),
-            (200, StateCall::List { .. }) => read::<Items>(body).map_or(StateReply::Unknown, |p| {
-                StateReply::Page { items: p.items, more: p.more, revision: p.revision }
-            }),
-            (200, StateCall::Txn(_)) => read::<Revision>(body)
-                .map_or(StateReply::Unknown, |r| StateReply::Applied(r.revision)),
-            (409, StateCall::Txn(_)) => read::<Revision>(body)
-                .map_or(StateReply::Unknown, |r| StateReply::Conflict(r.failed)),
-            (400, StateCall::Txn(_)) if contains(body, NO_SUCH_LEASE) => StateReply::NoLease,
-            (200, StateCall::Grant(_)) => read::<LeaseGranted>(body)
-                .map_or(StateReply::Unknown, |g| StateReply::Granted(g.lease)),
-            (200, StateCall::Extend(_) | StateCall::End(_)) => StateReply::Kept,
-            (404, StateCall::Extend(_) | StateCall::End(_)) => StateReply::NoLease,
-            (200, StateCall::Follow { .. }) => read::<Changes>(body)
-                .map_or(StateReply::Unknown, |c| StateReply::Changes(c.revision, c.events)),
-            (410, StateCall::Follow { .. }) => StateReply::TooOld,
+            (200, KvRequest::Txn(_)) => read::<Revision>(body)
+                .map_or(KvResponse::OutcomeUnknown, |r| KvResponse::Applied(r.revision)),
+            (409, KvRequest::Txn(_)) => read::<Revision>(body)
+                .map_or(KvResponse::OutcomeUnknown, |r| KvResponse::Conflict(r.failed)),
+            (400, KvRequest::Txn(_)) if contains(body, NO_SUCH_LEASE) => KvResponse::LeaseNotFound,
+            (200, KvRequest::GrantLease(_)) => read::<LeaseGranted>(body)
+                .map_or(KvResponse::OutcomeUnknown, |g| KvResponse::LeaseGranted(g.lease)),
+            (200, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => KvResponse::LeaseRenewed,
+            (404, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => {
+                KvResponse::LeaseNotFound
+            }
+            (200, KvRequest::Watch { .. }) => read::<WatchResponse>(body)
+                .map_or(KvResponse::OutcomeUnknown, |c| {
+                    KvResponse::WatchEvents(c.revision, c.events)
+                }),
+            (410, KvRequest::Watch { .. }) => KvResponse::Compacted,
             (400..=499, _) => {
                 log::error!("state: {status} for {self:?}: {}", String::from_utf8_lossy(body));
-                StateReply::Invalid
+                KvResponse::Rejected
             }
-            _ => StateReply::Unknown,
+            _ => KvResponse::OutcomeUnknown,
         }
     }
 }
--- a/src/state/rate.rs
+++ b/src/kv_store/rate.rs
@@ -1,6 +1,6 @@
-//! This node's share of the state service's rates.
+//! This node's share of the key-value store's rates.
 
-use super::StateCall;
+use super::KvRequest;
 use crate::time::Micros;
 
 /// What rounding may take off a bucket's level.
@@ -54,15 +54,15 @@
     }
 }
 
-/// Part of the state service's request rate that is used; the rest is for
+/// Part of the key-value store's request rate that is used; the rest is for
 /// renewals, which are never held back.
-pub const CALL_SHARE: f64 = 0.9;
+pub const REQUEST_RATE_SHARE: f64 = 0.9;
 
 /// Part of its rate of changes that is used; renewals are none, so what is left
 /// is for clocks that differ.
-pub const WRITE_SHARE: f64 = 0.97;
+pub const WRITE_RATE_SHARE: f64 = 0.97;
 
-/// This node's share of the state service's rates. The service counts all
+/// This node's share of the key-value store's rates. The service counts all
 /// nodes together, so each takes an equal part and leaves a little unused for
 /// renewals, which are never held back.
 #[derive(Debug, Clone)]
@@ -75,13 +75,13 @@
     /// The share of one of `nodes` nodes.
     pub fn new(rps: f64, write_rps: f64, nodes: usize) -> Budget {
         let nodes = nodes.max(1) as f64;
-        let calls = rps * CALL_SHARE / nodes;
-        let puts = write_rps * WRITE_SHARE / nodes;
+        let calls = rps * REQUEST_RATE_SHARE / nodes;
+        let puts = write_rps * WRITE_RATE_SHARE / nodes;
         Budget { calls: Bucket::new(calls, calls), puts: Bucket::new(puts, puts) }
     }
 
     /// Takes a call's cost if it may go out now.
-    pub fn admit(&mut self, now: Micros, call: &StateCall) -> bool {
+    pub fn admit(&mut self, now: Micros, call: &KvRequest) -> bool {
         let puts = call.puts() as f64;
         let allowed = call.urgent() || (self.calls.allows(now, 1.0) && self.puts.allows(now, puts));
         if allowed {
@@ -92,7 +92,7 @@
     }
 
     /// When a call of this cost could go out.
-    pub fn wait(&self, call: &StateCall) -> Micros {
+    pub fn wait(&self, call: &KvRequest) -> Micros {
         self.calls.wait(1.0).max(self.puts.wait(call.puts() as f64))
     }
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -80,7 +80,7 @@
     /// It tells everything: what was missed before does not matter any more.
     #[prost(bool, tag = "21")]
     pub full: bool,
-    /// Revision of the state service up to which the sender has followed the jobs.
+    /// Revision of the key-value store up to which the sender has followed the jobs.
     #[prost(uint64, tag = "22")]
     pub watched: u64,
     /// Jobs that the sender's waiting jobs need.
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls: to the state service, the cloud and the workers.
+//! Outgoing calls: to the key-value store, the cloud and the workers.
 
 use super::Runtime;
 use super::connection::{ConnectionId, Role, take_front};
@@ -10,7 +10,7 @@
 use crate::cloud::{CloudCall, CloudReply};
 use crate::controller::{CallId, DirectReply, Event, Reply};
 use crate::http::{self, OutgoingRequest};
-use crate::state::{StateCall, StateReply};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire;
 use log::{debug, warn};
@@ -25,11 +25,11 @@
 /// Where a call goes; each destination has its own connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Destination {
-    /// The state service, for calls that are answered at once.
+    /// The key-value store, for calls that are answered at once.
     State,
-    /// The state service, for calls that wait for changes.
+    /// The key-value store, for calls that wait for changes.
     Watch,
-    /// The state service, for leases.
+    /// The key-value store, for leases.
     Lease,
     /// The cloud.
     Cloud,
@@ -53,8 +53,8 @@
 /// What is asked, as far as it is needed to read the answer.
 #[derive(Debug)]
 pub(super) enum CallKind {
-    /// Of the state service.
-    State(StateCall),
+    /// Of the key-value store.
+    State(KvRequest),
     /// Of the cloud.
     Cloud(CloudCall),
     /// Of a worker, without going through the cloud.
@@ -88,8 +88,8 @@
 }
 
 impl Runtime {
-    /// Starts a call to the state service, or lets it wait for the rate.
-    pub(super) fn start_state(&mut self, id: CallId, call: StateCall) {
+    /// Starts a call to the key-value store, or lets it wait for the rate.
+    pub(super) fn start_state(&mut self, id: CallId, call: KvRequest) {
         let bytes = call.encode().to_bytes(self.config.endpoints.state);
         let destination = if call.waits() {
             Destination::Watch
@@ -107,7 +107,7 @@
             self.register_call(id, Call::new(CallKind::State(call), destination, bytes, deadline));
             self.throttled[queue].push_back(id);
         } else {
-            self.dispatch(Event::Reply { id, reply: Reply::State(StateReply::Refused) });
+            self.dispatch(Event::Reply { id, reply: Reply::KvStore(KvResponse::NotExecuted) });
         }
     }
 
@@ -325,10 +325,10 @@
                     let begun = call.deadline.since(state_call.timeout());
                     self.stats.record_state_call(self.now.since(begun));
                 }
-                Reply::State(state_call.decode(answer.status, &answer.body))
+                Reply::KvStore(state_call.decode(answer.status, &answer.body))
             }
-            (CallKind::State(_), None) if unsent => Reply::State(StateReply::Refused),
-            (CallKind::State(_), None) => Reply::State(StateReply::Unknown),
+            (CallKind::State(_), None) if unsent => Reply::KvStore(KvResponse::NotExecuted),
+            (CallKind::State(_), None) => Reply::KvStore(KvResponse::OutcomeUnknown),
             (CallKind::Cloud(cloud_call), Some(answer)) => {
                 Reply::Cloud(cloud_call.decode(answer.status, &answer.body))
             }
--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -24,17 +24,17 @@
 /// Part of the memory that may wait to be written to one peer.
 const PEER_BACKLOG_SHARE: f64 = 1.0 / 16.0;
 
-/// Connections to the state service for calls that do not wait.
+/// Connections to the key-value store for calls that do not wait.
 pub(super) const STATE_CONNECTIONS: usize = 8;
-/// Connections to the state service for watches.
+/// Connections to the key-value store for watches.
 pub(super) const WATCH_CONNECTIONS: usize = 8;
-/// Connections to the state service for leases.
+/// Connections to the key-value store for leases.
 pub(super) const LEASE_CONNECTIONS: usize = 2;
 /// Connections to the cloud.
 pub(super) const CLOUD_CONNECTIONS: usize = 2;
 /// Connections for commands to one worker.
 pub(super) const WORKER_CONNECTIONS: usize = 1;
-/// Calls that may wait for the state service's rate.
+/// Calls that may wait for the key-value store's rate.
 pub(super) const STATE_QUEUE: usize = 512;
 
 /// Connections that may wait to be accepted: after a restart the whole fleet
@@ -43,7 +43,7 @@
 /// Connections accepted in one turn, so that a flood of them leaves the other
 /// sockets their turn.
 pub(super) const ACCEPTED_PER_TURN: usize = 32;
-/// Sockets kept for listening, the state service, the cloud and peers.
+/// Sockets kept for listening, the key-value store, the cloud and peers.
 const RESERVED_SOCKETS: usize = 24;
 /// Commands to workers may take one part in this many of the sockets. A
 /// connection for reports and one for commands for every machine would not fit
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -25,7 +25,7 @@
 use crate::config::{Config, Options};
 use crate::controller::{CallId, Controller, Effect, Event};
 use crate::http::OutgoingAnswer;
-use crate::state::Budget;
+use crate::kv_store::Budget;
 use crate::time::Micros;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -208,7 +208,7 @@
                     };
                     self.answer(ticket.0, answer);
                 }
-                Effect::State { id, call } => self.start_state(id, call),
+                Effect::KvStore { id, call } => self.start_state(id, call),
                 Effect::Cloud { id, call } => self.start_cloud(id, call),
                 Effect::Direct { id, address, body } => self.start_commands(id, address, body),
                 Effect::Inspect { id, address } => self.start_inspect(id, address),
--- a/src/runtime/status.rs
+++ b/src/runtime/status.rs
@@ -48,7 +48,7 @@
         histogram.saturating_record(took.0.max(1));
     }
 
-    /// Counts an answer of the state service.
+    /// Counts an answer of the key-value store.
     pub(super) fn record_state_call(&mut self, took: Micros) {
         self.state_calls.saturating_record(took.0.max(1));
     }
--- a/src/wire/state_service.rs
+++ b/src/wire/kv_store.rs
@@ -1,4 +1,4 @@
-//! The state service: keys, transactions, leases and watches.
+//! The key-value store: keys, transactions, leases and watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,7 +11,7 @@
     pub key: String,
     /// Version that it must have, 0 for none.
     #[serde(rename = "mark")]
-    pub version: u64,
+    pub revision: u64,
 }
 
 /// A change in a transaction.
@@ -50,7 +50,7 @@
 
 /// A stored value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
     #[serde(rename = "k")]
     pub key: String,
@@ -58,15 +58,15 @@
     pub value: Value,
     /// Revision of its last change.
     #[serde(rename = "mark")]
-    pub version: u64,
+    pub revision: u64,
 }
 
 /// A page of stored values.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Items {
+pub struct KeyValuePage {
     /// The values, in order of their keys.
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Another page follows.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
@@ -77,7 +77,7 @@
 
 /// A change that a watch tells of.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// Key that was set.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
@@ -89,18 +89,18 @@
     pub value: Value,
     /// Revision of the change.
     #[serde(rename = "mark")]
-    pub version: u64,
+    pub revision: u64,
 }
 
 /// Answer of a watch.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Revision up to which it is complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// The changes.
     #[serde(default)]
-    pub events: Vec<Change>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// Any answer that carries a revision: a transaction's, or a missing key's.
@@ -128,7 +128,7 @@
 
 /// Request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct LeaseWanted {
+pub struct LeaseRequest {
     /// Time to live.
     #[serde(rename = "ttlMs")]
     pub ttl_ms: u64,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,17 +1,17 @@
 //! The protocol's JSON, and the only place that knows its odd words.
 //!
-//! Field names that users, workers, cloud and state service speak are mapped
+//! Field names that users, workers, cloud and key-value store speak are mapped
 //! here by serde; the rest of the program says job, task, machine, session.
 
 mod cloud;
+mod kv_store;
 pub mod path;
-mod state_service;
 mod submission;
 mod users;
 mod workers;
 
 pub use cloud::*;
-pub use state_service::*;
+pub use kv_store::*;
 pub use submission::*;
 pub use users::*;
 pub use workers::*;
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -5,8 +5,8 @@
 
 use millethold::controller::job::stored_placements;
 use millethold::controller::shard::shard_of_machine;
+use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::peer::{Frame, QuotaNeed};
-use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
 use millethold::wire::{Txn, Write};
 use serde_json::{Value, json};
@@ -20,23 +20,23 @@
 }
 
 /// Whether a call is a transaction that changes keys which begin like this.
-fn writes(call: &StateCall, prefix: &str) -> bool {
-    let StateCall::Txn(txn) = call else {
+fn writes(call: &KvRequest, prefix: &str) -> bool {
+    let KvRequest::Txn(txn) = call else {
         return false;
     };
     txn.writes.iter().any(|w| key_of(w).starts_with(prefix))
 }
 
 /// Whether a call only compares versions.
-fn compares(call: &StateCall) -> bool {
-    matches!(call, StateCall::Txn(Txn { writes, .. }) if writes.is_empty())
+fn compares(call: &KvRequest) -> bool {
+    matches!(call, KvRequest::Txn(Txn { writes, .. }) if writes.is_empty())
 }
 
 /// Whether a call gives a shard up.
-fn releases(call: &StateCall, shard: usize) -> bool {
+fn releases(call: &KvRequest, shard: usize) -> bool {
     let key = format!("hold/{shard}");
     let gone = |w: &Write| matches!(w, Write::Delete { key: k } if *k == key);
-    matches!(call, StateCall::Txn(txn) if txn.writes.iter().any(gone))
+    matches!(call, KvRequest::Txn(txn) if txn.writes.iter().any(gone))
 }
 
 /// How a shard stands: its term and whether the controller acts for it.
@@ -62,7 +62,7 @@
         solo.run(Micros::secs(5));
         let (term, owned) = shard(&solo, 0);
         assert!(owned, "{name}: seat 0 is nobody else's");
-        let mark = solo.get("hold/0").expect("a holder").version;
+        let revision = solo.get("hold/0").expect("a holder").revision;
         solo.outcome = Box::new(move |call| match releases(call, 0) {
             true => outcome,
             false => Outcome::Served,
@@ -88,15 +88,15 @@
         let (now, owned) = shard(&solo, 0);
         assert!(owned && now > term, "{name}: not taken anew, term {now}");
         for call in &solo.calls[released + 1..] {
-            let StateCall::Txn(txn) = call else {
+            let KvRequest::Txn(txn) = call else {
                 continue;
             };
-            let old = txn.conditions.iter().any(|c| c.key == "hold/0" && c.version == mark);
+            let old = txn.conditions.iter().any(|c| c.key == "hold/0" && c.revision == revision);
             let takes = writes(call, "hold/0");
             assert!(!old || takes, "{name}: written under the old mark: {txn:?}");
         }
         for reply in solo.carry_out_late() {
-            let failed = matches!(&reply, StateReply::Conflict(keys) if keys == &["hold/0"]);
+            let failed = matches!(&reply, KvResponse::Conflict(keys) if keys == &["hold/0"]);
             assert!(failed, "{name}: carried out late: {reply:?}");
         }
     }
@@ -258,7 +258,7 @@
             "cancellations are not heard for too long",
             |s| {
                 s.outcome = Box::new(|call| match call {
-                    StateCall::Follow { .. } => Outcome::Refused,
+                    KvRequest::Watch { .. } => Outcome::Refused,
                     _ => Outcome::Served,
                 });
                 s.run(Micros::secs(40));
@@ -409,7 +409,7 @@
         shop.changes_are(Outcome::Served, Outcome::Served);
         shop.run(6, 14.0);
         for reply in shop.solo.carry_out_late() {
-            assert!(matches!(reply, StateReply::Conflict(_)), "{name}: {reply:?}");
+            assert!(matches!(reply, KvResponse::Conflict(_)), "{name}: {reply:?}");
         }
         let grants = shop.solo.get("quota/red").expect("grants").value;
         let granted = grants["1"][0].as_f64().expect("a grant");
@@ -429,7 +429,7 @@
     shop.run(6, 0.0);
     assert_eq!(shop.changes(), 2, "the same grants are written once more");
     let late = shop.solo.carry_out_late();
-    assert!(matches!(&late[..], [StateReply::Conflict(_)]), "{late:?}");
+    assert!(matches!(&late[..], [KvResponse::Conflict(_)]), "{late:?}");
     assert_eq!(shop.solo.get("quota/red").expect("grants").value["1"][0], json!(12.0));
 }
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -33,7 +33,7 @@
     vec![CancelNow { at_ms, count, hang_s }]
 }
 
-/// One controller is refused by the state service while another confirms
+/// One controller is refused by the key-value store while another confirms
 /// cancellations, of which it cannot hear there; then the service is away for all.
 /// Nobody can ask it, and the tasks still have to be gone in time.
 #[test]
@@ -122,7 +122,7 @@
     );
 }
 
-/// A leader loses the state service and the others, while workers and users reach it.
+/// A leader loses the key-value store and the others, while workers and users reach it.
 #[test]
 fn cut_off_leaders() {
     let alone = |node, from, to| Faults {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -297,7 +297,7 @@
     );
 }
 
-/// Nobody can ask the state service, and what waits for a cancelled job still has to be
+/// Nobody can ask the key-value store, and what waits for a cancelled job still has to be
 /// called cancelled in time.
 #[test]
 fn cancelled_and_apart() {
@@ -637,7 +637,7 @@
     assert!(!found.iter().any(|b| b.contains("too_early")), "{found:?}");
 }
 
-/// The state service takes smaller values and transactions from some moment on. Jobs that
+/// The key-value store takes smaller values and transactions from some moment on. Jobs that
 /// were divided for larger ones, and those that wait, go on.
 #[test]
 fn lowered_limits() {
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -83,11 +83,11 @@
                 let left = self.now;
                 self.at(at, SimEvent::Answer { ticket: ticket.0, left, status, body });
             }
-            Effect::State { id, call } => {
+            Effect::KvStore { id, call } => {
                 let lose = self.chance(self.faults.lost);
                 let at = at + self.state_slow();
                 let sent = self.now;
-                self.at(at, SimEvent::State { node, incarnation, id, call, lose, sent });
+                self.at(at, SimEvent::KvStore { node, incarnation, id, call, lose, sent });
             }
             Effect::Cloud { id, call } => {
                 let reply = self.call_cloud(&call);
--- a/tests/simulation/digest.rs
+++ b/tests/simulation/digest.rs
@@ -66,7 +66,7 @@
                 self.number(retry_after.map_or(u64::MAX, |seconds| seconds));
                 self.bytes(body);
             }
-            Effect::State { call, .. } => {
+            Effect::KvStore { call, .. } => {
                 self.bytes(b"state");
                 self.request(&call.encode());
             }
--- a/tests/simulation/earlier.rs
+++ b/tests/simulation/earlier.rs
@@ -4,7 +4,7 @@
 use super::event::SimEvent;
 use super::jobs::{job_id, submission};
 use super::world::World;
-use millethold::state::{StateCall, StateReply};
+use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::time::Micros;
 use millethold::wire::{Txn, Write};
 use serde_json::{Value, json};
@@ -42,8 +42,8 @@
         let put = |(key, value)| Write::Put { key, value, lease: None };
         let writes = writes.into_iter().map(put).collect();
         let reply =
-            self.store.apply(self.now, &StateCall::Txn(Txn { conditions: Vec::new(), writes }));
-        assert!(matches!(reply, StateReply::Applied(_)), "{reply:?}");
+            self.store.apply(self.now, &KvRequest::Txn(Txn { conditions: Vec::new(), writes }));
+        assert!(matches!(reply, KvResponse::Applied(_)), "{reply:?}");
     }
 
     /// A member ends at that second and comes back: as a new version, with the settings of
--- a/tests/simulation/event.rs
+++ b/tests/simulation/event.rs
@@ -2,8 +2,8 @@
 
 use super::faults::CancelNow;
 use millethold::controller::{CallId, Controller, Event};
+use millethold::kv_store::KvRequest;
 use millethold::peer::Frame;
-use millethold::state::StateCall;
 use millethold::time::Micros;
 
 /// A controller that is up.
@@ -42,10 +42,10 @@
     Node { node: usize, incarnation: u64, event: Event },
     /// A copy of a report reaches whatever run there is.
     Copy { node: usize, event: Event },
-    /// A call reaches the state service.
-    State { node: usize, incarnation: u64, id: CallId, call: StateCall, lose: bool, sent: Micros },
-    /// A transaction reaches the state service whose answer nobody awaits.
-    LateTxn { call: StateCall },
+    /// A call reaches the key-value store.
+    KvStore { node: usize, incarnation: u64, id: CallId, call: KvRequest, lose: bool, sent: Micros },
+    /// A transaction reaches the key-value store whose answer nobody awaits.
+    LateTxn { call: KvRequest },
     /// Direct commands reach a worker.
     Direct { node: usize, incarnation: u64, id: CallId, worker: usize, body: Vec<u8> },
     /// Direct commands that were held reach a worker; their sender has given them up.
@@ -68,7 +68,7 @@
     Poll(String),
     /// The cloud takes a machine.
     Taken { worker: usize },
-    /// The state service goes away.
+    /// The key-value store goes away.
     OutageBegins,
     /// It is back.
     OutageOver,
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -10,9 +10,9 @@
     pub crashes: Vec<(u64, usize)>,
     /// Time until a crashed controller is back, in milliseconds.
     pub back_ms: u64,
-    /// State service away: from, to, in seconds.
+    /// Key-value store away: from, to, in seconds.
     pub outages: Vec<(u64, u64)>,
-    /// A controller alone cannot reach the state service.
+    /// A controller alone cannot reach the key-value store.
     pub state_cuts: Vec<(usize, u64, u64)>,
     /// A controller stands still while its clocks run on; what reaches it waits.
     pub frozen: Vec<(usize, u64, u64)>,
@@ -50,15 +50,15 @@
     pub taken: Vec<(u64, usize)>,
     /// Machines at the start, if not the usual five.
     pub machines: Option<usize>,
-    /// Changes a second that the state service takes, if that is little.
+    /// Changes a second that the key-value store takes, if that is little.
     pub writes: Option<f64>,
     /// Users ask so many times as often: from, to, factor.
     pub storm: Option<(u64, u64, u64)>,
     /// Watches tell of changes so much later, in milliseconds.
     pub slow_watches: u64,
-    /// Requests a second that the state service takes, if that is little.
+    /// Requests a second that the key-value store takes, if that is little.
     pub reads: Option<f64>,
-    /// The state service lowers its limits: controllers that start from the first second
+    /// The key-value store lowers its limits: controllers that start from the first second
     /// on know that they will be, as an upgraded version does; and when they are.
     pub lowered: Option<(u64, u64)>,
     /// Workers on which every task fails.
@@ -94,7 +94,7 @@
     /// Users ask at all controllers within milliseconds after a job was accepted,
     /// ended or cancelled, and some cancel at once: from, to.
     pub close_looks: Option<(u64, u64)>,
-    /// Calls of the state service take longer by up to so many milliseconds: from,
+    /// Calls of the key-value store take longer by up to so many milliseconds: from,
     /// to, milliseconds.
     pub slow_state: Option<(u64, u64, u64)>,
     /// All messages take longer by up to so many milliseconds: from, to, milliseconds.
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -11,19 +11,19 @@
         Micros(self.rng.random_range(300..8_000) + more)
     }
 
-    /// Further time that a call of the state service takes at present.
+    /// Further time that a call of the key-value store takes at present.
     pub(super) fn state_slow(&mut self) -> Micros {
         let slow = self.faults.slow_state.filter(|s| self.during(s.0, s.1));
         Micros(slow.map_or(0, |s| self.rng.random_range(0..s.2 * 1_000)))
     }
 
-    /// Whether the state service refuses a controller, alone or with all others.
+    /// Whether the key-value store refuses a controller, alone or with all others.
     pub(super) fn refused(&self, node: usize) -> bool {
         let cut = |(n, f, t): &(usize, u64, u64)| *n == node && self.during(*f, *t);
         self.out() || self.faults.state_cuts.iter().any(cut)
     }
 
-    /// Whether the state service is away.
+    /// Whether the key-value store is away.
     pub(super) fn out(&self) -> bool {
         self.faults.outages.iter().any(|(f, t)| self.during(*f, *t))
     }
--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -47,7 +47,7 @@
         self.store.attempts(&self.workers[worker].name)
     }
 
-    /// Keys in the state service that begin like this, now and ever.
+    /// Keys in the key-value store that begin like this, now and ever.
     pub fn stored(&self, prefix: &str) -> (usize, usize) {
         self.store.count(prefix)
     }
--- a/tests/simulation/settings.rs
+++ b/tests/simulation/settings.rs
@@ -13,12 +13,12 @@
 pub(super) const CONTROLLERS: usize = 3;
 /// Machines at the start, if the faults do not say otherwise.
 pub(super) const MACHINES: usize = 5;
-/// Requests and changes a second that the state service takes, likewise.
+/// Requests and changes a second that the key-value store takes, likewise.
 pub(super) const STATE_RATE: f64 = 1_000.0;
 /// Between two ticks of a controller.
 pub(super) const TICK: Micros = Micros::millis(50);
 
-/// What the state service takes in a transaction.
+/// What the key-value store takes in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TransactionLimits {
     /// Largest value, in KiB.
@@ -32,7 +32,7 @@
 /// Those that `Faults::lowered` speaks of.
 pub(super) const LOWERED: TransactionLimits = TransactionLimits { value_kb: 2.0, operations: 4 };
 
-/// Settings of a controller; `next` is a further line about the state service.
+/// Settings of a controller; `next` is a further line about the key-value store.
 pub(super) fn settings(node: usize, writes: f64, reads: f64, next: &str) -> Config {
     let peers: String = (0..3)
         .filter(|n| *n != node)
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service as the controllers reach it: outages, watches, lost answers.
+//! The key-value store as the controllers reach it: outages, watches, lost answers.
 
 use super::event::SimEvent;
 use super::settings::{CONTROLLERS, LIMITS, LOWERED};
@@ -6,7 +6,7 @@
 use super::world::{Watch, World};
 use millethold::controller::shard::{shard_of_key, shard_of_machine};
 use millethold::controller::{CallId, Event, Reply};
-use millethold::state::{StateCall, StateReply};
+use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::time::Micros;
 use millethold::wire::Txn;
 use rand::RngExt;
@@ -18,14 +18,14 @@
 const HUNG_WATCH: Micros = Micros::secs(5);
 
 impl World {
-    /// A call reaches the state service. `lose` says that the answer to a
+    /// A call reaches the key-value store. `lose` says that the answer to a
     /// transaction is lost.
     pub(super) fn state_call(
         &mut self,
         node: usize,
         incarnation: u64,
         id: CallId,
-        call: StateCall,
+        call: KvRequest,
         lose: bool,
         sent: Micros,
     ) {
@@ -35,37 +35,37 @@
         let reply = |reply| SimEvent::Node {
             node,
             incarnation,
-            event: Event::Reply { id, reply: Reply::State(reply) },
+            event: Event::Reply { id, reply: Reply::KvStore(reply) },
         };
         if self.refused(node) {
             let at = if call.waits() { reply_at + Micros::secs(1) } else { reply_at };
-            return self.at(at, reply(StateReply::Refused));
+            return self.at(at, reply(KvResponse::NotExecuted));
         }
-        if let StateCall::Follow { prefix, after, block } = call {
+        if let KvRequest::Watch { prefix, after, block } = call {
             let until = self.now + block;
             self.watches.push(Watch { node, incarnation, call: id, prefix, after, until });
             return self.wake_watches();
         }
-        if let StateCall::Txn(txn) = &call {
+        if let KvRequest::Txn(txn) = &call {
             if self.too_large(txn) {
-                return self.at(reply_at, reply(StateReply::Invalid));
+                return self.at(reply_at, reply(KvResponse::Rejected));
             }
             if self.leaves_unanswered(&call, lose) {
-                return self.at(self.now + NO_ANSWER, reply(StateReply::Unknown));
+                return self.at(self.now + NO_ANSWER, reply(KvResponse::OutcomeUnknown));
             }
         }
         let answer = self.store.apply(self.now, &call);
         // Who has waited for too long hears nothing more of its call.
         let patience = sent + call.timeout();
         let (at, answer) = match reply_at > patience {
-            true => (patience, StateReply::Unknown),
+            true => (patience, KvResponse::OutcomeUnknown),
             false => (reply_at, answer),
         };
         self.at(at.max(self.now), reply(answer));
         self.wake_watches();
     }
 
-    /// Whether a transaction is larger than what the state service takes; checks
+    /// Whether a transaction is larger than what the key-value store takes; checks
     /// that it is fenced, and that it keeps to limits that were not lowered.
     fn too_large(&mut self, txn: &Txn) -> bool {
         self.broken.extend(store::unfenced(txn));
@@ -82,7 +82,7 @@
     }
 
     /// Whether a transaction gets no answer; it may be carried out all the same.
-    fn leaves_unanswered(&mut self, txn: &StateCall, lose: bool) -> bool {
+    fn leaves_unanswered(&mut self, txn: &KvRequest, lose: bool) -> bool {
         if lose {
             if self.chance(self.faults.late) {
                 let late = Micros::millis(self.rng.random_range(0..10_000));
@@ -107,7 +107,7 @@
     }
 
     /// A transaction without an answer is carried out, after an outage if there is one.
-    pub(super) fn late_transaction(&mut self, call: StateCall) {
+    pub(super) fn late_transaction(&mut self, call: KvRequest) {
         if self.out() {
             let later = Micros::millis(self.rng.random_range(0..2_000));
             return self.at(self.now + Micros::secs(1) + later, SimEvent::LateTxn { call });
@@ -137,14 +137,14 @@
             (0..CONTROLLERS).map(|n| self.refused(n) || self.watches_hang(n)).collect();
         self.watches.retain(|watch| {
             let mut answer = |reply| {
-                let event = Event::Reply { id: watch.call, reply: Reply::State(reply) };
+                let event = Event::Reply { id: watch.call, reply: Reply::KvStore(reply) };
                 ready.push((watch.node, watch.incarnation, event));
             };
             if refused[watch.node] {
                 // It waits until this is over, or its node has waited for too long.
                 let given_up = now >= watch.until + HUNG_WATCH;
                 if given_up {
-                    answer(StateReply::Unknown);
+                    answer(KvResponse::OutcomeUnknown);
                 }
                 return !given_up;
             }
@@ -152,7 +152,7 @@
             if changes.is_empty() && now < watch.until {
                 return true;
             }
-            answer(StateReply::Changes(store.ledger, changes));
+            answer(KvResponse::WatchEvents(store.ledger, changes));
             false
         });
         for (node, incarnation, event) in ready {
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,9 +1,9 @@
-//! A stand-in of the state service.
+//! A stand-in of the key-value store.
 
 use millethold::controller::job::{StoredPlacement, decode_batch, is_batch, stored_placements};
-use millethold::state::{StateCall, StateReply};
+use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::time::Micros;
-use millethold::wire::{Change, Item, Txn, Write};
+use millethold::wire::{KeyValue, Txn, WatchEvent, Write};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 pub struct Store {
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     leases: BTreeMap<u64, (Micros, Micros)>,
-    log: Vec<Change>,
+    log: Vec<WatchEvent>,
     next_lease: u64,
     pub ledger: u64,
 }
@@ -50,59 +50,64 @@
         for key in keys {
             self.keys.remove(&key);
             let version = self.ledger;
-            self.log.push(Change { put: None, delete: Some(key), value: Value::Null, version });
+            self.log.push(WatchEvent {
+                put: None,
+                delete: Some(key),
+                value: Value::Null,
+                revision: version,
+            });
         }
     }
 
     /// Carries out a call, except a watch.
-    pub fn apply(&mut self, now: Micros, call: &StateCall) -> StateReply {
+    pub fn apply(&mut self, now: Micros, call: &KvRequest) -> KvResponse {
         self.expire(now);
         match call {
-            StateCall::Get(key) => StateReply::Value(self.get(key)),
-            StateCall::List { prefix, after } => self.list(prefix, after.as_ref()),
-            StateCall::Txn(txn) => self.transact(txn),
-            StateCall::Grant(ttl) => {
+            KvRequest::Get(key) => KvResponse::Value(self.get(key)),
+            KvRequest::List { prefix, after } => self.list(prefix, after.as_ref()),
+            KvRequest::Txn(txn) => self.transact(txn),
+            KvRequest::GrantLease(ttl) => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + *ttl, *ttl));
-                StateReply::Granted(self.next_lease)
+                KvResponse::LeaseGranted(self.next_lease)
             }
-            StateCall::Extend(lease) => match self.leases.get_mut(lease) {
+            KvRequest::RenewLease(lease) => match self.leases.get_mut(lease) {
                 Some((until, ttl)) => {
                     *until = now + *ttl;
-                    StateReply::Kept
+                    KvResponse::LeaseRenewed
                 }
-                None => StateReply::NoLease,
+                None => KvResponse::LeaseNotFound,
             },
-            StateCall::End(lease) => {
+            KvRequest::RevokeLease(lease) => {
                 self.end(*lease);
-                StateReply::Kept
+                KvResponse::LeaseRenewed
             }
-            StateCall::Follow { .. } => StateReply::Invalid,
+            KvRequest::Watch { .. } => KvResponse::Rejected,
         }
     }
 
-    fn get(&self, key: &str) -> Option<Item> {
-        self.keys.get(key).map(|(value, version, _)| Item {
+    fn get(&self, key: &str) -> Option<KeyValue> {
+        self.keys.get(key).map(|(value, version, _)| KeyValue {
             key: key.to_string(),
             value: value.clone(),
-            version: *version,
+            revision: *version,
         })
     }
 
-    fn list(&self, prefix: &str, after: Option<&String>) -> StateReply {
+    fn list(&self, prefix: &str, after: Option<&String>) -> KvResponse {
         let wanted = |key: &String| key.starts_with(prefix) && after.is_none_or(|a| key > a);
         let keys = self.keys.keys().filter(|key| wanted(key));
-        let mut items: Vec<Item> = keys.filter_map(|key| self.get(key)).collect();
+        let mut items: Vec<KeyValue> = keys.filter_map(|key| self.get(key)).collect();
         let more = items.len() > PAGE;
         items.truncate(PAGE);
-        StateReply::Page { items, more, revision: self.ledger }
+        KvResponse::Page { items, more, revision: self.ledger }
     }
 
-    fn transact(&mut self, txn: &Txn) -> StateReply {
+    fn transact(&mut self, txn: &Txn) -> KvResponse {
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.version)
+            .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.revision)
             .map(|c| c.key.clone())
             .collect();
         let dead = txn.writes.iter().any(|w| match w {
@@ -110,10 +115,10 @@
             _ => false,
         });
         if dead {
-            return StateReply::NoLease;
+            return KvResponse::LeaseNotFound;
         }
         if !failed.is_empty() {
-            return StateReply::Conflict(failed);
+            return KvResponse::Conflict(failed);
         }
         self.ledger += 1;
         let version = self.ledger;
@@ -121,16 +126,26 @@
             let change = match write {
                 Write::Put { key, value, lease } => {
                     self.keys.insert(key.clone(), (value.clone(), version, *lease));
-                    Change { put: Some(key.clone()), delete: None, value: value.clone(), version }
+                    WatchEvent {
+                        put: Some(key.clone()),
+                        delete: None,
+                        value: value.clone(),
+                        revision: version,
+                    }
                 }
                 Write::Delete { key } => {
                     self.keys.remove(key);
-                    Change { put: None, delete: Some(key.clone()), value: Value::Null, version }
+                    WatchEvent {
+                        put: None,
+                        delete: Some(key.clone()),
+                        value: Value::Null,
+                        revision: version,
+                    }
                 }
             };
             self.log.push(change);
         }
-        StateReply::Applied(version)
+        KvResponse::Applied(version)
     }
 
     /// Whether an attempt of a task was ever written down for a machine. The
@@ -208,12 +223,12 @@
         }
     }
 
-    pub fn changes(&self, prefix: &str, after: u64) -> Vec<Change> {
+    pub fn changes(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         self.log
             .iter()
             .filter(|c| {
                 let key = c.put.as_ref().or(c.delete.as_ref());
-                c.version > after && key.is_some_and(|k| k.starts_with(prefix))
+                c.revision > after && key.is_some_and(|k| k.starts_with(prefix))
             })
             .cloned()
             .collect()
@@ -248,7 +263,7 @@
             Write::Delete { key } => (key, false),
         };
         let shard = key.starts_with("w/") || key.starts_with("quota/");
-        if shard && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.version > 0) {
+        if shard && !txn.conditions.iter().any(|c| c.key.starts_with("hold/") && c.revision > 0) {
             lacks.push(format!("{key} is written without a seat's mark"));
         }
         if put && key.starts_with("w/") && !on("j/") {
@@ -258,7 +273,7 @@
     lacks
 }
 
-/// What of a transaction is more than the state service takes.
+/// What of a transaction is more than the key-value store takes.
 pub fn too_large(txn: &Txn, value_kb: f64, ops: usize) -> Option<String> {
     if txn.writes.len() > ops || txn.conditions.len() > 4 * ops {
         return Some(format!("{} changes, {} conditions", txn.writes.len(), txn.conditions.len()));
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -49,7 +49,7 @@
     pub(super) hanging: BTreeMap<usize, Micros>,
     /// Copies of reports that are kept for the next leader.
     pub(super) kept: BTreeMap<usize, Vec<Event>>,
-    /// Changes of the state service that were looked at for leaders.
+    /// Changes of the key-value store that were looked at for leaders.
     pub(super) seen: u64,
     /// From when on no fault is left.
     pub(super) calm: Micros,
@@ -74,7 +74,7 @@
     /// Tasks that were stopped while their owner wanted them.
     pub stopped: Vec<String>,
     /// Questions of a storm, those of them that were answered, and calls of the
-    /// state service meanwhile.
+    /// key-value store meanwhile.
     pub asked: u64,
     pub answered: u64,
     pub calls: u64,
@@ -285,7 +285,7 @@
                 }
             }
             SimEvent::Copy { node, event } => self.feed(node, event),
-            SimEvent::State { node, incarnation, id, call, lose, sent } => {
+            SimEvent::KvStore { node, incarnation, id, call, lose, sent } => {
                 self.state_call(node, incarnation, id, call, lose, sent)
             }
             SimEvent::LateTxn { call } => self.late_transaction(call),
--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -1,6 +1,6 @@
-//! One controller alone against stand-ins of the state service, the cloud and workers.
+//! One controller alone against stand-ins of the key-value store, the cloud and workers.
 //!
-//! Every call of the state service can be refused, lost or held, and its watches can
+//! Every call of the key-value store can be refused, lost or held, and its watches can
 //! hang. Nothing is drawn by chance, and the clock is simulated.
 
 #![allow(dead_code)]
@@ -19,10 +19,10 @@
 use millethold::cloud::{CloudCall, CloudReply};
 use millethold::config::{Config, Options};
 use millethold::controller::{CallId, Controller, DirectReply, Effect, Event, Reply, Ticket};
+use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::peer::Frame;
-use millethold::state::{StateCall, StateReply};
 use millethold::time::Micros;
-use millethold::wire::{Command, DirectCommands, Item, Txn, Write};
+use millethold::wire::{Command, DirectCommands, KeyValue, Txn, Write};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
 /// Users wait for so long.
 const PATIENCE: Micros = Micros::secs(5);
 
-/// What becomes of a call of the state service.
+/// What becomes of a call of the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Carried out and answered.
@@ -97,11 +97,11 @@
     run: u64,
     pub controller: Controller,
     /// What becomes of a call.
-    pub outcome: Box<dyn FnMut(&StateCall) -> Outcome>,
+    pub outcome: Box<dyn FnMut(&KvRequest) -> Outcome>,
     /// Watches say nothing.
     pub watches_hang: bool,
-    /// Calls of the state service so far.
-    pub calls: Vec<StateCall>,
+    /// Calls of the key-value store so far.
+    pub calls: Vec<KvRequest>,
     /// Frames to each peer so far.
     pub frames: Vec<(usize, Frame)>,
     /// Machines that are rented come up.
@@ -122,8 +122,8 @@
     cloud: Cloud,
     due: Vec<(Micros, Event)>,
     watches: Vec<Watch>,
-    held: Vec<(CallId, StateCall, Option<StateReply>)>,
-    late: Vec<StateCall>,
+    held: Vec<(CallId, KvRequest, Option<KvResponse>)>,
+    late: Vec<KvRequest>,
     asked: BTreeMap<u64, Micros>,
     answers: BTreeMap<u64, Answer>,
     tick_at: Micros,
@@ -200,7 +200,7 @@
         for (key, value) in stored {
             let write = Write::Put { key: key.clone(), value: value.clone(), lease: None };
             let txn = Txn { conditions: Vec::new(), writes: vec![write] };
-            store.apply(now, &StateCall::Txn(txn));
+            store.apply(now, &KvRequest::Txn(txn));
         }
         let wall = TIME_OF_DAY;
         Solo {
@@ -346,7 +346,7 @@
                 let before = self.answers.insert(ticket.0, answer);
                 assert_eq!(before, None, "answered twice");
             }
-            Effect::State { id, call } => {
+            Effect::KvStore { id, call } => {
                 self.calls.push(call.clone());
                 self.state_call(id, call);
             }
@@ -396,14 +396,14 @@
         }
     }
 
-    fn reply_at(&mut self, at: Micros, id: CallId, reply: StateReply) {
-        self.due.push((at, Event::Reply { id, reply: Reply::State(reply) }));
+    fn reply_at(&mut self, at: Micros, id: CallId, reply: KvResponse) {
+        self.due.push((at, Event::Reply { id, reply: Reply::KvStore(reply) }));
     }
 
-    fn state_call(&mut self, id: CallId, call: StateCall) {
+    fn state_call(&mut self, id: CallId, call: KvRequest) {
         let (soon, given_up) = (self.now + DELAY, self.now + call.timeout());
         match (self.outcome)(&call) {
-            Outcome::Refused => self.reply_at(soon, id, StateReply::Refused),
+            Outcome::Refused => self.reply_at(soon, id, KvResponse::NotExecuted),
             Outcome::Held => self.held.push((id, call, None)),
             Outcome::AnswerHeld => {
                 let reply = self.store.apply(self.now, &call);
@@ -411,14 +411,14 @@
             }
             Outcome::Late => {
                 self.late.push(call);
-                self.reply_at(given_up, id, StateReply::Unknown);
+                self.reply_at(given_up, id, KvResponse::OutcomeUnknown);
             }
             Outcome::AnswerLost => {
                 self.store.apply(self.now, &call);
-                self.reply_at(given_up, id, StateReply::Unknown);
+                self.reply_at(given_up, id, KvResponse::OutcomeUnknown);
             }
             Outcome::Served => match call {
-                StateCall::Follow { prefix, after, block } => {
+                KvRequest::Watch { prefix, after, block } => {
                     self.watches.push(Watch { id, prefix, after, until: self.now + block });
                 }
                 call => {
@@ -438,7 +438,7 @@
             if changes.is_empty() && self.now < watch.until {
                 self.watches.push(watch);
             } else {
-                let reply = StateReply::Changes(self.store.ledger, changes);
+                let reply = KvResponse::WatchEvents(self.store.ledger, changes);
                 self.reply_at(self.now + DELAY, watch.id, reply);
             }
         }
@@ -456,7 +456,7 @@
     }
 
     /// Carries out what came late; tells the outcomes.
-    pub fn carry_out_late(&mut self) -> Vec<StateReply> {
+    pub fn carry_out_late(&mut self) -> Vec<KvResponse> {
         let late = std::mem::take(&mut self.late);
         late.iter().map(|call| self.store.apply(self.now, call)).collect()
     }
@@ -476,24 +476,24 @@
     pub fn put(&mut self, key: &str, value: Value) {
         let write = Write::Put { key: key.into(), value, lease: None };
         let txn = Txn { conditions: Vec::new(), writes: vec![write] };
-        self.store.apply(self.now, &StateCall::Txn(txn));
+        self.store.apply(self.now, &KvRequest::Txn(txn));
     }
 
     /// What a key holds.
-    pub fn get(&mut self, key: &str) -> Option<Item> {
-        match self.store.apply(self.now, &StateCall::Get(key.into())) {
-            StateReply::Value(item) => item,
+    pub fn get(&mut self, key: &str) -> Option<KeyValue> {
+        match self.store.apply(self.now, &KvRequest::Get(key.into())) {
+            KvResponse::Value(item) => item,
             other => panic!("{other:?}"),
         }
     }
 
     /// Keys that begin like this, with their values.
-    pub fn list(&mut self, prefix: &str) -> Vec<Item> {
-        let mut all: Vec<Item> = Vec::new();
+    pub fn list(&mut self, prefix: &str) -> Vec<KeyValue> {
+        let mut all: Vec<KeyValue> = Vec::new();
         loop {
             let after = all.last().map(|i| i.key.clone());
-            let call = StateCall::List { prefix: prefix.into(), after };
-            let StateReply::Page { items, more, .. } = self.store.apply(self.now, &call) else {
+            let call = KvRequest::List { prefix: prefix.into(), after };
+            let KvResponse::Page { items, more, .. } = self.store.apply(self.now, &call) else {
                 panic!("no page of {prefix}");
             };
             all.extend(items);
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -5,7 +5,7 @@
 
 use millethold::config::Config;
 use millethold::http::{self, HttpError};
-use millethold::state::StateCall;
+use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use serde_json::{Value, json};
 use solo::{Outcome, Solo, body, body_after, settings};
@@ -85,10 +85,10 @@
 
 #[test]
 fn what_cannot_be_known_at_the_moment() {
-    let gets = |call: &StateCall| matches!(call, StateCall::Get(_));
-    let all = |call: &StateCall| !call.waits();
-    // What becomes of which calls, how long the state service is away, the longest wait.
-    type Calls = fn(&StateCall) -> bool;
+    let gets = |call: &KvRequest| matches!(call, KvRequest::Get(_));
+    let all = |call: &KvRequest| !call.waits();
+    // What becomes of which calls, how long the key-value store is away, the longest wait.
+    type Calls = fn(&KvRequest) -> bool;
     let table: [(&str, Outcome, Calls, u64, u64); 5] = [
         ("its reads are refused", Outcome::Refused, gets, 0, 100),
         ("its reads get no answer", Outcome::Late, gets, 0, 3_000),
--- a/tests/tables/http.rs
+++ b/tests/tables/http.rs
@@ -2,7 +2,7 @@
 
 use millethold::cloud::CloudCall;
 use millethold::http::{self, HttpError, OutgoingAnswer, OutgoingRequest};
-use millethold::state::StateCall;
+use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use millethold::wire::{Condition, RentRequest, Txn, Write};
 
@@ -76,25 +76,25 @@
     let second = Micros::secs(1);
     let list = |after: Option<&str>| {
         let after = after.map(String::from);
-        StateCall::List { prefix: "j/".into(), after }
+        KvRequest::List { prefix: "j/".into(), after }
     };
-    let follow = StateCall::Follow { prefix: "j/".into(), after: 3, block: second };
+    let follow = KvRequest::Watch { prefix: "j/".into(), after: 3, block: second };
     let txn = Txn {
-        conditions: vec![Condition { key: "a".into(), version: 4 }],
+        conditions: vec![Condition { key: "a".into(), revision: 4 }],
         writes: vec![Write::Delete { key: "b".into() }],
     };
     let table = [
-        (StateCall::Get("j/1".into()), plain("GET /kv/j/1")),
+        (KvRequest::Get("j/1".into()), plain("GET /kv/j/1")),
         (list(None), plain("GET /kv?prefix=j/&limit=100")),
         (list(Some("j/7")), plain("GET /kv?prefix=j/&after=j/7&limit=100")),
         (follow, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
         (
-            StateCall::Txn(txn),
-            with_body("POST /txn", r#"{"if":[{"k":"a","mark":4}],"writes":[{"drop":"b"}]}"#),
+            KvRequest::Txn(txn),
+            with_body("POST /txn", r#"{"if":[{"k":"a","revision":4}],"writes":[{"drop":"b"}]}"#),
         ),
-        (StateCall::Grant(second), with_body("POST /leases", r#"{"ttlMs":1000}"#)),
-        (StateCall::Extend(9), with_body("POST /leases/9/extend", "{}")),
-        (StateCall::End(9), plain("DELETE /leases/9")),
+        (KvRequest::GrantLease(second), with_body("POST /leases", r#"{"ttlMs":1000}"#)),
+        (KvRequest::RenewLease(9), with_body("POST /leases/9/extend", "{}")),
+        (KvRequest::RevokeLease(9), plain("DELETE /leases/9")),
     ];
     for (call, want) in table {
         assert_eq!(text(call.encode()), want, "{call:?}");
--- a/tests/tables/jobs.rs
+++ b/tests/tables/jobs.rs
@@ -142,7 +142,7 @@
         assert_eq!(restored.spec, j.spec);
         let first = &restored.parts[0];
         // Its first change must create its own key, not change one.
-        assert_eq!((first.version, first.stored, first.mark), (1, 1, 0));
+        assert_eq!((first.version, first.stored, first.revision), (1, 1, 0));
         assert_eq!(restored.accepted, j.accepted);
     }
     let strange = [json!(null), json!({}), json!({"jobs": 3}), json!({"jobs": [1, {"v": 1}]})];
--- a/tests/tables/shards.rs
+++ b/tests/tables/shards.rs
@@ -2,17 +2,17 @@
 
 use millethold::config::Workers;
 use millethold::controller::cancel;
-use millethold::controller::shard::{self, Shard, ShardLease, StateLease};
+use millethold::controller::shard::{self, ControllerLease, Shard, ShardLease};
 use millethold::time::Micros;
-use millethold::wire::{Item, Write};
+use millethold::wire::{KeyValue, Write};
 use serde_json::json;
 
 #[test]
 fn seats_and_terms() {
-    let item = |member: &str, run, term, version| Item {
+    let item = |member: &str, run, term, version| KeyValue {
         key: "hold/0".into(),
-        value: json!(ShardLease { member: member.into(), run, term, state_lease: 5 }),
-        version,
+        value: json!(ShardLease { member: member.into(), run, term, controller_lease: 5 }),
+        revision: version,
     };
     // What is stored, whether member `a` in run 7 may take it, and on which mark.
     let table = [
@@ -55,13 +55,13 @@
         }
         assert_eq!(shard::raised_token(next, shard::FIRST_RAISED), None, "{before}");
     }
-    let versions: Vec<u64> = txn.conditions.iter().map(|c| c.version).collect();
+    let versions: Vec<u64> = txn.conditions.iter().map(|c| c.revision).collect();
     assert_eq!(versions, [0, 40], "both keys are conditions");
     assert!(matches!(&txn.writes[0], Write::Put { lease: Some(12), .. }));
     assert!(matches!(&txn.writes[1], Write::Put { lease: None, .. }), "the term stays");
 
     let ttl = Micros::secs(8);
-    let mut lease = StateLease { id: Some(1), ..StateLease::default() };
+    let mut lease = ControllerLease { id: Some(1), ..ControllerLease::default() };
     lease.extended(Micros::secs(100), ttl);
     assert!(lease.valid(Micros::secs(107)));
     assert!(!lease.valid(Micros::millis(107_950)), "drift and margin are taken off");
--- a/tests/three_controllers.rs
+++ b/tests/three_controllers.rs
@@ -270,7 +270,7 @@
     }
 }
 
-/// Users ask many times as often, about more jobs than the state service has
+/// Users ask many times as often, about more jobs than the key-value store has
 /// requests: they are answered, by few calls, and never with an older state.
 #[test]
 fn poll_storm() {
@@ -364,7 +364,7 @@
     }
 }
 
-/// A controller loses the state service and the others, and half of the machines hear
+/// A controller loses the key-value store and the others, and half of the machines hear
 /// it alone. Its own clock is all that tells it to stop answering them: their new
 /// holder begins their tasks elsewhere as soon as nobody can have kept them alive.
 #[test]
