--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -27,7 +27,7 @@
         controller: usize,
     },
     /// A worker's reports.
-    Report {
+    Heartbeat {
         /// The worker.
         worker: usize,
         /// The controller.
@@ -117,7 +117,7 @@
 
 fn effect(rng: &mut StdRng, fault: &Fault, link: Link, direction: Direction) -> Effect {
     let worker_link = match link {
-        Link::Report { worker, controller } | Link::Command { worker, controller } => {
+        Link::Heartbeat { worker, controller } | Link::Command { worker, controller } => {
             Some((worker, controller))
         }
         _ => None,
@@ -149,7 +149,7 @@
             _ => Effect::None,
         },
         Fault::Deaf { workers } => match (link, direction) {
-            (Link::Report { worker, .. }, Direction::Answer)
+            (Link::Heartbeat { worker, .. }, Direction::Answer)
             | (Link::Command { worker, .. }, Direction::Request)
                 if workers.has(worker) =>
             {
@@ -158,7 +158,7 @@
             _ => Effect::None,
         },
         Fault::Mute { workers } => match link {
-            Link::Report { worker, .. } if workers.has(worker) => Effect::Cut(Cut::Reset),
+            Link::Heartbeat { worker, .. } if workers.has(worker) => Effect::Cut(Cut::Reset),
             _ => Effect::None,
         },
         Fault::HeldCommands { percent, least, most } => match (link, direction) {
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -40,7 +40,7 @@
         worker: usize,
     },
     /// A worker reports to a controller.
-    Report {
+    Heartbeat {
         /// Number of the worker.
         worker: usize,
         /// Number of the controller.
@@ -259,7 +259,7 @@
                 let (request, used) = http::parse_request(&self.inbound).ok()??;
                 (NetEvent::Request(request), used)
             }
-            Role::Report { .. } | Role::User { .. } => {
+            Role::Heartbeat { .. } | Role::User { .. } => {
                 let (answer, used) = http::parse_answer(&self.inbound).ok()??;
                 (NetEvent::Answer(answer), used)
             }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 /// Between two reports of a worker.
-pub const REPORT: Micros = Micros::millis(800);
+pub const HEARTBEAT: Micros = Micros::millis(800);
 /// A worker goes on for so long after the last answered report was sent.
 pub const WORKER_LEASE: Micros = Micros::secs(8);
 /// Time that a cancellation has.
@@ -88,7 +88,7 @@
          value_kb = 8.0\ntxn_ops = 8\n\
          [settings.cloud]\nrps = 20.0\nlist_lag_s = {:.1}\n\
          [settings.machine_limits]\ncores = 1.0\nmem_mb = 200.0\nfd_limit = 4000\n",
-        REPORT.as_secs_f64(),
+        HEARTBEAT.as_secs_f64(),
         WORKER_LEASE.as_secs_f64(),
         CANCEL.as_secs_f64(),
         LIST_LAG.as_secs_f64(),
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -4,9 +4,9 @@
 use crate::cloud::{CPUS, MACHINE_TYPE, MEMORY_GB};
 use crate::history::{Off, Seen, TaskId};
 use crate::jobs::{JobPlan, Jobs};
-use crate::settings::{REPORT, WORKER_LEASE};
+use crate::settings::{HEARTBEAT, WORKER_LEASE};
 use millethold::time::Micros;
-use millethold::wire::{Cause, Command, DirectCommands, Report, ReportedTask, TaskState};
+use millethold::wire::{Cause, Command, DirectCommands, Heartbeat, ReportedTask, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Reports about changes come at most this often.
@@ -52,13 +52,13 @@
 
 /// A report that is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportUnderWay {
+pub struct HeartbeatInFlight {
     /// Its number.
     pub number: u64,
     /// When it was sent.
     pub sent: Micros,
     /// The session that it told of.
-    pub session: u64,
+    pub incarnation: u64,
 }
 
 /// Something seen on the machine, and when.
@@ -73,9 +73,9 @@
     spot: bool,
     /// The cloud has taken it.
     pub gone: bool,
-    session: u64,
+    incarnation: u64,
     sequence: u64,
-    token: u64,
+    fencing_token: u64,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
     images: BTreeSet<String>,
     fetching: BTreeMap<TaskId, String>,
@@ -88,8 +88,8 @@
     last_report: Micros,
     changed: bool,
     /// The report that awaits its answer.
-    pub under_way: Option<ReportUnderWay>,
-    reports: u64,
+    pub under_way: Option<HeartbeatInFlight>,
+    heartbeats: u64,
 }
 
 impl Worker {
@@ -100,9 +100,9 @@
             zone: zone.to_string(),
             spot,
             gone: false,
-            session: 1,
+            incarnation: 1,
             sequence: 0,
-            token: 0,
+            fencing_token: 0,
             attempts: BTreeMap::new(),
             images: BTreeSet::new(),
             fetching: BTreeMap::new(),
@@ -113,7 +113,7 @@
             last_report: Micros::ZERO,
             changed: true,
             under_way: None,
-            reports: 0,
+            heartbeats: 0,
         }
     }
 
@@ -187,7 +187,7 @@
     /// The lease ran out: all tasks are killed and forgotten, and a session begins.
     fn end_session(&mut self, at: Micros) -> Vec<SeenAt> {
         let seen = self.end_all(at, Off::LeaseOver);
-        self.session += 1;
+        self.incarnation += 1;
         self.sequence = 0;
         self.lease_from = at;
         self.under_way = None;
@@ -237,18 +237,19 @@
     }
 
     /// Makes a report to be sent now, `spread` after which the next one is due.
-    pub fn make_report(&mut self, now: Micros, spread: Micros, address: String) -> Report {
-        self.reports += 1;
+    pub fn make_heartbeat(&mut self, now: Micros, spread: Micros, address: String) -> Heartbeat {
+        self.heartbeats += 1;
         self.changed = false;
         self.last_report = now;
-        self.next_report = now + Micros(REPORT.0 * 3 / 4) + spread;
-        let under_way = ReportUnderWay { number: self.reports, sent: now, session: self.session };
+        self.next_report = now + Micros(HEARTBEAT.0 * 3 / 4) + spread;
+        let under_way =
+            HeartbeatInFlight { number: self.heartbeats, sent: now, incarnation: self.incarnation };
         self.under_way = Some(under_way);
         self.body(address)
     }
 
     /// How the machine stands.
-    pub fn body(&mut self, address: String) -> Report {
+    pub fn body(&mut self, address: String) -> Heartbeat {
         self.sequence += 1;
         let task = |((task, number), attempt): (&(TaskId, u64), &Attempt)| ReportedTask {
             task: format!("{}/{}", task.job, task.index),
@@ -256,15 +257,15 @@
             state: attempt.state,
             cause: attempt.cause,
         };
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address,
             machine_type: MACHINE_TYPE.to_string(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: self.sequence,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self.attempts.iter().map(task).collect(),
         }
@@ -274,18 +275,18 @@
     pub fn answered(
         &mut self,
         now: Micros,
-        report: ReportUnderWay,
-        token: u64,
+        heartbeat: HeartbeatInFlight,
+        fencing_token: u64,
         commands: Vec<Command>,
         jobs: &Jobs,
     ) -> Vec<SeenAt> {
         // Of an earlier session, or by one whose time is over.
-        if report.session != self.session || token < self.token {
+        if heartbeat.incarnation != self.incarnation || fencing_token < self.fencing_token {
             return Vec::new();
         }
-        self.changed |= token > self.token;
-        self.token = token;
-        self.lease_from = self.lease_from.max(report.sent);
+        self.changed |= fencing_token > self.fencing_token;
+        self.fencing_token = fencing_token;
+        self.lease_from = self.lease_from.max(heartbeat.sent);
         self.execute(now, commands, jobs)
     }
 
@@ -296,11 +297,11 @@
         direct: DirectCommands,
         jobs: &Jobs,
     ) -> (bool, Vec<SeenAt>) {
-        if direct.token < self.token || direct.session != self.session {
+        if direct.fencing_token < self.fencing_token || direct.incarnation != self.incarnation {
             return (false, Vec::new());
         }
-        self.changed |= direct.token > self.token;
-        self.token = direct.token;
+        self.changed |= direct.fencing_token > self.fencing_token;
+        self.fencing_token = direct.fencing_token;
         (true, self.execute(now, direct.commands, jobs))
     }
 
--- a/crates/rehearsal/src/world/machines.rs
+++ b/crates/rehearsal/src/world/machines.rs
@@ -5,12 +5,12 @@
 use crate::history::Seen;
 use crate::links::{Direction, Link, Passage};
 use crate::net::{ConnectionId, Role};
-use crate::settings::{REPORT, member_number};
+use crate::settings::{HEARTBEAT, member_number};
 use crate::state_calls::Answer;
-use crate::worker::{ReportUnderWay, SeenAt};
+use crate::worker::{HeartbeatInFlight, SeenAt};
 use millethold::http::{self, OutgoingRequest, Request};
 use millethold::time::Micros;
-use millethold::wire::{Command, DirectCommands, ReportReply, path};
+use millethold::wire::{Command, DirectCommands, HeartbeatResponse, path};
 use rand::RngExt;
 use serde::Deserialize;
 use serde_json::json;
@@ -26,11 +26,11 @@
 
 /// A worker's connection to the controller that it reports to.
 #[derive(Debug)]
-pub(super) struct ReportConnection {
+pub(super) struct HeartbeatConnection {
     id: ConnectionId,
     controller: usize,
     /// The report whose answer it awaits.
-    report: Option<ReportUnderWay>,
+    heartbeat: Option<HeartbeatInFlight>,
 }
 
 /// The answer that sends a worker elsewhere.
@@ -59,35 +59,35 @@
             self.send_report(worker);
         }
         let machine = &self.workers[worker];
-        let report = match machine.under_way {
+        let heartbeat = match machine.under_way {
             Some(_) => Micros::FAR,
             None => machine.report_due().max(now + Micros::millis(1)),
         };
         // Reports of a machine that hangs come afterwards; it is looked at meanwhile.
         let pause = if machine.hangs(now) { Micros::millis(50) } else { Micros::ZERO };
-        let next = machine.next_change().min(report.max(now + pause)).max(now + Micros(1));
+        let next = machine.next_change().min(heartbeat.max(now + pause)).max(now + Micros(1));
         self.at(next, Action::Worker { worker });
     }
 
     fn send_report(&mut self, worker: usize) {
-        let spread = Micros(self.rng.random_range(0..REPORT.0 / 2));
+        let spread = Micros(self.rng.random_range(0..HEARTBEAT.0 / 2));
         let controller = self.workers[worker].controller;
         let address = self.addresses.worker(controller, worker).to_string();
         let machine = &mut self.workers[worker];
-        let report = machine.make_report(self.now, spread, address);
+        let heartbeat = machine.make_heartbeat(self.now, spread, address);
         let Some(under_way) = machine.under_way else {
             return;
         };
-        let body = serde_json::to_vec(&report).unwrap_or_default();
+        let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
         let number = under_way.number;
         self.at(self.now + REPORT_PATIENCE, Action::ReportGivenUp { worker, number });
         self.copy_report(&body);
-        match self.pass(Link::Report { worker, controller }, Direction::Request) {
+        match self.pass(Link::Heartbeat { worker, controller }, Direction::Request) {
             Passage::At(at) => {
-                self.at(at, Action::Report { worker, controller, report: under_way, body });
+                self.at(at, Action::Heartbeat { worker, controller, heartbeat: under_way, body });
             }
             Passage::Lost => {}
-            Passage::Reset => self.report_failed(worker, number),
+            Passage::Reset => self.heartbeat_failed(worker, number),
         }
     }
 
@@ -107,32 +107,32 @@
     }
 
     /// A report arrives at a controller's socket.
-    pub(super) fn deliver_report(
+    pub(super) fn deliver_heartbeat(
         &mut self,
         worker: usize,
         controller: usize,
-        report: ReportUnderWay,
+        heartbeat: HeartbeatInFlight,
         body: Vec<u8>,
     ) {
         let host = self.controller_address(controller);
         let request =
-            OutgoingRequest { method: "POST", path: path::REPORT.to_string(), body: Some(body) };
+            OutgoingRequest { method: "POST", path: path::HEARTBEAT.to_string(), body: Some(body) };
         let usable = self
-            .report_connections
+            .heartbeat_connections
             .get(&worker)
-            .is_some_and(|c| c.controller == controller && c.report.is_none());
+            .is_some_and(|c| c.controller == controller && c.heartbeat.is_none());
         if !usable {
-            if let Some(old) = self.report_connections.remove(&worker) {
+            if let Some(old) = self.heartbeat_connections.remove(&worker) {
                 self.net.close(old.id);
             }
-            let Ok(id) = self.net.connect(host, Role::Report { worker, controller }) else {
-                return self.report_failed(worker, report.number);
+            let Ok(id) = self.net.connect(host, Role::Heartbeat { worker, controller }) else {
+                return self.heartbeat_failed(worker, heartbeat.number);
             };
-            let connection = ReportConnection { id, controller, report: None };
-            self.report_connections.insert(worker, connection);
+            let connection = HeartbeatConnection { id, controller, heartbeat: None };
+            self.heartbeat_connections.insert(worker, connection);
         }
-        if let Some(connection) = self.report_connections.get_mut(&worker) {
-            connection.report = Some(report);
+        if let Some(connection) = self.heartbeat_connections.get_mut(&worker) {
+            connection.heartbeat = Some(heartbeat);
             let id = connection.id;
             self.net.request(id, &request, host);
         }
@@ -142,7 +142,7 @@
     pub(super) fn deliver_copy(&mut self, controller: usize, body: Vec<u8>) {
         let host = self.controller_address(controller);
         let request =
-            OutgoingRequest { method: "POST", path: path::REPORT.to_string(), body: Some(body) };
+            OutgoingRequest { method: "POST", path: path::HEARTBEAT.to_string(), body: Some(body) };
         if let Ok(id) = self.net.connect(host, Role::User { request: NOBODY }) {
             self.net.request(id, &request, host);
         }
@@ -155,53 +155,55 @@
         worker: usize,
         answer: http::Answer,
     ) {
-        let Some(connection) = self.report_connections.get_mut(&worker).filter(|c| c.id == id)
+        let Some(connection) = self.heartbeat_connections.get_mut(&worker).filter(|c| c.id == id)
         else {
             return;
         };
-        let (controller, report) = (connection.controller, connection.report.take());
-        let Some(report) = report else {
+        let (controller, heartbeat) = (connection.controller, connection.heartbeat.take());
+        let Some(heartbeat) = heartbeat else {
             return;
         };
-        match self.pass(Link::Report { worker, controller }, Direction::Answer) {
+        match self.pass(Link::Heartbeat { worker, controller }, Direction::Answer) {
             Passage::At(at) => {
                 let http::Answer { status, body, .. } = answer;
-                self.at(at, Action::ReportAnswer { worker, report, status, body });
+                self.at(at, Action::HeartbeatAnswer { worker, heartbeat, status, body });
             }
             Passage::Lost => {}
-            Passage::Reset => self.report_failed(worker, report.number),
+            Passage::Reset => self.heartbeat_failed(worker, heartbeat.number),
         }
     }
 
-    pub(super) fn report_connection_closed(&mut self, id: ConnectionId, worker: usize) {
-        if self.report_connections.get(&worker).is_none_or(|c| c.id != id) {
+    pub(super) fn heartbeat_connection_closed(&mut self, id: ConnectionId, worker: usize) {
+        if self.heartbeat_connections.get(&worker).is_none_or(|c| c.id != id) {
             return;
         }
-        if let Some(report) = self.report_connections.remove(&worker).and_then(|c| c.report) {
-            self.report_failed(worker, report.number);
+        if let Some(heartbeat) =
+            self.heartbeat_connections.remove(&worker).and_then(|c| c.heartbeat)
+        {
+            self.heartbeat_failed(worker, heartbeat.number);
         }
     }
 
     /// The answer to a report arrives at its worker.
-    pub(super) fn report_answered(
+    pub(super) fn heartbeat_answered(
         &mut self,
         worker: usize,
-        report: ReportUnderWay,
+        heartbeat: HeartbeatInFlight,
         status: u16,
         body: &[u8],
     ) {
         let now = self.now;
         let machine = &mut self.workers[worker];
         let seen = machine.advance(now);
-        let awaited = machine.under_way == Some(report);
+        let awaited = machine.under_way == Some(heartbeat);
         if machine.gone || !awaited || machine.hangs(now) {
             // Given up, of an earlier session, or nobody is there to read it.
             return self.see_all(seen);
         }
         machine.under_way = None;
-        let more = match (status, serde_json::from_slice::<ReportReply>(body)) {
+        let more = match (status, serde_json::from_slice::<HeartbeatResponse>(body)) {
             (200, Ok(reply)) => {
-                machine.answered(now, report, reply.token, reply.commands, &self.jobs)
+                machine.answered(now, heartbeat, reply.fencing_token, reply.commands, &self.jobs)
             }
             (421, _) => {
                 let named = serde_json::from_slice::<Misdirected>(body).ok();
@@ -240,15 +242,15 @@
 
     /// A worker has waited long enough.
     pub(super) fn report_given_up(&mut self, worker: usize, number: u64) {
-        self.report_failed(worker, number);
+        self.heartbeat_failed(worker, number);
     }
 
-    fn report_failed(&mut self, worker: usize, number: u64) {
-        if self.workers[worker].under_way.is_none_or(|report| report.number != number) {
+    fn heartbeat_failed(&mut self, worker: usize, number: u64) {
+        if self.workers[worker].under_way.is_none_or(|heartbeat| heartbeat.number != number) {
             return;
         }
         self.workers[worker].under_way = None;
-        if let Some(connection) = self.report_connections.remove(&worker) {
+        if let Some(connection) = self.heartbeat_connections.remove(&worker) {
             self.net.close(connection.id);
         }
         self.try_next_controller(worker);
@@ -355,7 +357,7 @@
         let mut seen = machine.advance(self.now);
         seen.extend(machine.take(self.now));
         self.see_all(seen);
-        if let Some(connection) = self.report_connections.remove(&worker) {
+        if let Some(connection) = self.heartbeat_connections.remove(&worker) {
             self.net.close(connection.id);
         }
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -29,9 +29,9 @@
 use crate::rules;
 use crate::state_calls::Answer;
 use crate::state_service::StateService;
-use crate::worker::{ReportUnderWay, Worker};
+use crate::worker::{HeartbeatInFlight, Worker};
 use calloop::EventLoop;
-use machines::ReportConnection;
+use machines::HeartbeatConnection;
 use millethold::http::Request;
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
@@ -77,11 +77,11 @@
     /// A worker's time has come.
     Worker { worker: usize },
     /// A report reaches a controller.
-    Report { worker: usize, controller: usize, report: ReportUnderWay, body: Vec<u8> },
+    Heartbeat { worker: usize, controller: usize, heartbeat: HeartbeatInFlight, body: Vec<u8> },
     /// A copy of a report reaches a controller.
     ReportCopy { controller: usize, body: Vec<u8> },
     /// The answer to a report reaches its worker.
-    ReportAnswer { worker: usize, report: ReportUnderWay, status: u16, body: Vec<u8> },
+    HeartbeatAnswer { worker: usize, heartbeat: HeartbeatInFlight, status: u16, body: Vec<u8> },
     /// A worker has waited long enough for the answer to a report.
     ReportGivenUp { worker: usize, number: u64 },
     /// A rented machine is up.
@@ -124,7 +124,7 @@
     watches: Vec<Watch>,
     cloud: Cloud,
     workers: Vec<Worker>,
-    report_connections: BTreeMap<usize, ReportConnection>,
+    heartbeat_connections: BTreeMap<usize, HeartbeatConnection>,
     jobs: Jobs,
     user_jobs: BTreeMap<String, UserJob>,
     requests: BTreeMap<u64, UserRequest>,
@@ -247,12 +247,12 @@
                 self.net.answer(connection, answer.status, &answer.body);
             }
             Action::Worker { worker } => self.worker_turn(worker),
-            Action::Report { worker, controller, report, body } => {
-                self.deliver_report(worker, controller, report, body);
+            Action::Heartbeat { worker, controller, heartbeat, body } => {
+                self.deliver_heartbeat(worker, controller, heartbeat, body);
             }
             Action::ReportCopy { controller, body } => self.deliver_copy(controller, body),
-            Action::ReportAnswer { worker, report, status, body } => {
-                self.report_answered(worker, report, status, &body);
+            Action::HeartbeatAnswer { worker, heartbeat, status, body } => {
+                self.heartbeat_answered(worker, heartbeat, status, &body);
             }
             Action::ReportGivenUp { worker, number } => self.report_given_up(worker, number),
             Action::MachineUp { name } => self.machine_up(name),
@@ -296,7 +296,7 @@
             (Role::Commands { controller, worker }, NetEvent::Request(request)) => {
                 self.command_request(id, controller, worker, &request);
             }
-            (Role::Report { worker, .. }, NetEvent::Answer(answer)) => {
+            (Role::Heartbeat { worker, .. }, NetEvent::Answer(answer)) => {
                 self.report_answer_sent(id, worker, answer);
             }
             (Role::User { request }, NetEvent::Answer(answer)) => {
@@ -316,7 +316,7 @@
 
     fn socket_closed(&mut self, id: ConnectionId, role: Role) {
         match role {
-            Role::Report { worker, .. } => self.report_connection_closed(id, worker),
+            Role::Heartbeat { worker, .. } => self.heartbeat_connection_closed(id, worker),
             Role::User { request } => self.user_connection_closed(request),
             Role::Relay { pipe, near } => self.relay_closed(pipe, near),
             Role::State { .. } => self.watches.retain(|watch| watch.connection != id),
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -71,7 +71,7 @@
             watches: Vec::new(),
             cloud: Cloud::new(count + count.div_ceil(SPARE_PART)),
             workers: Vec::new(),
-            report_connections: BTreeMap::new(),
+            heartbeat_connections: BTreeMap::new(),
             jobs: Jobs::default(),
             user_jobs: BTreeMap::new(),
             requests: BTreeMap::new(),
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -62,14 +62,14 @@
     Command::Forget { task: task.into(), attempt }
 }
 
-fn direct(token: u64, session: u64, commands: Vec<Command>) -> DirectCommands {
-    DirectCommands { token, session, commands }
+fn direct(fencing_token: u64, incarnation: u64, commands: Vec<Command>) -> DirectCommands {
+    DirectCommands { fencing_token, incarnation, commands }
 }
 
 /// What the worker reports: task, attempt, state, cause.
 fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<Cause>)> {
-    let report = worker.body("10.1.0.1:1".into());
-    report.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
+    let heartbeat = worker.body("10.1.0.1:1".into());
+    heartbeat.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
 }
 
 fn ons(seen: &[SeenAt]) -> usize {
@@ -150,28 +150,31 @@
 fn who_may_command() {
     // Token and session of the commands, whether a worker in its first session that has
     // seen token 5 executes them.
-    for (token, session, want) in [(5, 1, true), (6, 1, true), (4, 1, false), (5, 2, false)] {
+    for (fencing_token, incarnation, want) in
+        [(5, 1, true), (6, 1, true), (4, 1, false), (5, 2, false)]
+    {
         let mut worker = worker();
         worker.direct(NOW, direct(5, 1, Vec::new()), &jobs());
-        let commands = direct(token, session, vec![start("j-1/0", 1)]);
+        let commands = direct(fencing_token, incarnation, vec![start("j-1/0", 1)]);
         let (executed, _) = worker.direct(NOW, commands, &jobs());
-        assert_eq!(executed, want, "token {token}, session {session}");
+        assert_eq!(executed, want, "token {fencing_token}, session {incarnation}");
         assert_eq!(reported(&mut worker).len(), usize::from(want));
     }
     // An answer renews the lease from when its report was sent; one below the token, or
     // to a report of an earlier session, does not.
     let mut worker = worker();
-    worker.make_report(NOW + Micros::secs(4), Micros::ZERO, String::new());
-    let report = worker.under_way.expect("a report");
-    worker.answered(NOW + Micros::secs(7), report, 5, vec![start("j-1/0", 1)], &jobs());
-    let low = worker.answered(NOW + Micros::secs(7), report, 4, vec![start("j-1/1", 1)], &jobs());
+    worker.make_heartbeat(NOW + Micros::secs(4), Micros::ZERO, String::new());
+    let heartbeat = worker.under_way.expect("a report");
+    worker.answered(NOW + Micros::secs(7), heartbeat, 5, vec![start("j-1/0", 1)], &jobs());
+    let low =
+        worker.answered(NOW + Micros::secs(7), heartbeat, 4, vec![start("j-1/1", 1)], &jobs());
     assert_eq!((low.len(), reported(&mut worker).len()), (0, 1));
     let over = NOW + Micros::secs(4) + WORKER_LEASE;
     let seen = worker.advance(over);
-    assert_eq!(worker.body(String::new()).session, 1, "{seen:?}");
+    assert_eq!(worker.body(String::new()).incarnation, 1, "{seen:?}");
     worker.advance(over + Micros(1));
-    assert_eq!((worker.body(String::new()).session, reported(&mut worker).len()), (2, 0));
-    let late = worker.answered(over + Micros(2), report, 5, vec![start("j-1/2", 1)], &jobs());
+    assert_eq!((worker.body(String::new()).incarnation, reported(&mut worker).len()), (2, 0));
+    let late = worker.answered(over + Micros(2), heartbeat, 5, vec![start("j-1/2", 1)], &jobs());
     assert_eq!((late.len(), reported(&mut worker).len()), (0, 0), "an earlier session's");
 }
 
@@ -203,7 +206,7 @@
 #[test]
 fn state_service() {
     let put = |key: &str, lease| Write::Put { key: key.into(), value: json!(1), lease };
-    let on = |key: &str, version| Condition { key: key.into(), revision };
+    let on = |key: &str, version| Condition { key: key.into(), revision: version };
     let mut state = StateService::default();
     let lease = state.grant(NOW, Micros::secs(5));
     // Conditions, writes, what becomes of it.
@@ -242,7 +245,7 @@
 #[test]
 fn faults_and_messages() {
     let some = SomeWorkers { of: 2, rest: 1 };
-    let report = Link::Report { worker: 1, controller: 0 };
+    let heartbeat = Link::Heartbeat { worker: 1, controller: 0 };
     let command = Link::Command { worker: 1, controller: 0 };
     let peers = Link::Peer { from: 0, to: 1 };
     let state = Link::State { controller: 0 };
@@ -260,18 +263,23 @@
         (Fault::CutOneWay { from: 1, to: 0 }, peers, request, Passage::At(NOW)),
         (Fault::CutState { controller: 0, cut: Cut::Held }, state, request, later),
         (Fault::CutState { controller: 1, cut: Cut::Held }, state, request, Passage::At(NOW)),
-        (Fault::CutWorkers { controller: 0, cut: Cut::Reset }, report, request, Passage::Reset),
-        (Fault::CutWorkers { controller: 1, cut: Cut::Reset }, report, request, Passage::At(NOW)),
+        (Fault::CutWorkers { controller: 0, cut: Cut::Reset }, heartbeat, request, Passage::Reset),
+        (
+            Fault::CutWorkers { controller: 1, cut: Cut::Reset },
+            heartbeat,
+            request,
+            Passage::At(NOW),
+        ),
         (Fault::CutSome { workers: some, cut: Cut::Held }, command, request, later),
-        (Fault::Deaf { workers: some }, report, request, Passage::At(NOW)),
-        (Fault::Deaf { workers: some }, report, answer, Passage::Lost),
+        (Fault::Deaf { workers: some }, heartbeat, request, Passage::At(NOW)),
+        (Fault::Deaf { workers: some }, heartbeat, answer, Passage::Lost),
         (Fault::Deaf { workers: some }, command, request, Passage::Lost),
-        (Fault::Mute { workers: some }, report, request, Passage::Reset),
+        (Fault::Mute { workers: some }, heartbeat, request, Passage::Reset),
         (Fault::Mute { workers: some }, command, request, Passage::At(NOW)),
         // Reports go on while commands are held.
         (all_held, command, request, Passage::At(NOW + held)),
         (all_held, command, answer, Passage::At(NOW)),
-        (all_held, report, request, Passage::At(NOW)),
+        (all_held, heartbeat, request, Passage::At(NOW)),
         (Fault::CutUsers { controller: 0 }, Link::User { controller: 0 }, request, Passage::Reset),
         (Fault::RefuseAll, state, request, Passage::At(NOW)),
     ];
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -19,7 +19,7 @@
     /// `[seats] lease_ms`: state lease under which shards are held.
     pub controller_lease: Micros,
     /// `[seats] hand_back_s`: how long a shard's home must be well first.
-    pub hand_back: Micros,
+    pub failback_delay: Micros,
     /// `[jobs] queued_tasks`: accepted tasks a node holds before it refuses.
     pub queued_tasks: usize,
     /// `[jobs] waiting_submissions`: undecided submissions before it refuses.
@@ -42,7 +42,7 @@
             index_entries: 50_000,
             index_age: Micros::secs(90 * 60),
             controller_lease: Micros::millis(10_000),
-            hand_back: Micros::secs(15),
+            failback_delay: Micros::secs(15),
             queued_tasks: 300_000,
             waiting_submissions: 64,
             retry_after_s: 2,
@@ -89,7 +89,7 @@
                 self.controller_lease = Micros::millis(number(value, 1000.0, 60_000.0)? as u64)
             }
             ("seats", "hand_back_s") => {
-                self.hand_back = Micros::from_secs_f64(number(value, 1.0, 1e5)?)
+                self.failback_delay = Micros::from_secs_f64(number(value, 1.0, 1e5)?)
             }
             ("jobs", "queued_tasks") => self.queued_tasks = number(value, 1.0, 1e7)? as usize,
             ("jobs", "waiting_submissions") => {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -100,7 +100,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Between reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// Until an unanswered worker kills its tasks.
     pub lease_s: f64,
     /// Until a cancelled job's tasks must be gone.
@@ -214,7 +215,7 @@
 
 impl Settings {
     fn check(&self) -> Result<(), ConfigError> {
-        check_positive("settings.workers.report_s", self.workers.report_s)?;
+        check_positive("settings.workers.report_s", self.workers.heartbeat_interval_s)?;
         check_positive("settings.workers.lease_s", self.workers.lease_s)?;
         check_positive("settings.workers.cancel_s", self.workers.cancel_s)?;
         check_positive("settings.state.rps", self.state.rps)?;
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -119,8 +119,8 @@
     pub(super) fn admit_waiting(&mut self) {
         while self.admission.len() > 0 {
             let shard = self.admitting_shard();
-            let owned = shard.and_then(|s| Some((s, self.shards[s].owned.clone()?)));
-            let Some((s, owned)) = owned else {
+            let leadership = shard.and_then(|s| Some((s, self.shards[s].leadership.clone()?)));
+            let Some((s, leadership)) = leadership else {
                 return self.refuse_waiting("no seat is held");
             };
             let waiting = self.admission.len();
@@ -134,7 +134,7 @@
                 return;
             }
             let list: Vec<Submission> = self.admission.waiting.drain(..count).collect();
-            self.admit(s, &owned, list);
+            self.admit(s, &leadership, list);
         }
     }
 
@@ -151,9 +151,9 @@
         self.admission.waiting[..most].iter().take_while(fits).count().max(1)
     }
 
-    fn admit(&mut self, s: usize, owned: &shard::OwnedShard, list: Vec<Submission>) {
+    fn admit(&mut self, s: usize, leadership: &shard::ShardLeadership, list: Vec<Submission>) {
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(s), revision: owned.revision }],
+            conditions: vec![Condition { key: shard::lease_key(s), revision: leadership.revision }],
             writes: Vec::new(),
         };
         let mut values: Vec<Value> = Vec::new();
@@ -168,7 +168,7 @@
         }
         let batch = (list.len() > 1).then(|| {
             self.admission.count += 1;
-            job::batch_key(s, owned.term, self.admission.count)
+            job::batch_key(s, leadership.term, self.admission.count)
         });
         let (key, value) = match (&batch, values.pop()) {
             (None, Some(one)) => (job::part_key(s, &list[0].spec.id, 0), one),
@@ -180,7 +180,7 @@
         };
         txn.conditions.push(Condition { key: key.clone(), revision: 0 });
         txn.writes.push(Write::Put { key, value, lease: None });
-        self.state(Op::Admit { list, shard: s, term: owned.term, batch }, KvRequest::Txn(txn));
+        self.state(Op::Admit { list, shard: s, term: leadership.term, batch }, KvRequest::Txn(txn));
     }
 
     pub(super) fn admission_reply(
@@ -195,7 +195,7 @@
         match reply {
             KvResponse::Applied(revision) => {
                 // The shard may have been lost meanwhile; whoever has it reads the jobs.
-                let held = self.shards[s].owned.as_ref().is_some_and(|m| m.term == term);
+                let held = self.shards[s].leadership.as_ref().is_some_and(|m| m.term == term);
                 if let Some(key) = batch.as_ref().filter(|_| held) {
                     let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
                     self.admission.batch(key, s, revision, jobs);
@@ -207,11 +207,11 @@
             KvResponse::Conflict(failed) => {
                 let lost = failed.contains(&shard::lease_key(s));
                 if lost {
-                    self.suspect_shard(s, term);
+                    self.lease_revision_changed(s, term);
                 }
                 for a in list {
                     let known = failed.contains(&job::job_key(&a.spec.id));
-                    if !lost && !known && batch.is_some() && self.acting() {
+                    if !lost && !known && batch.is_some() && self.holds_lease() {
                         // Another of them was known already; this one is not.
                         self.submissions += 1;
                         self.admission.waiting.push(a);
@@ -279,7 +279,7 @@
     /// Answers submissions that have waited for too long, or that nothing can
     /// be done for: their users are told when to come back.
     pub(super) fn expire_submissions(&mut self) {
-        if !self.acting() {
+        if !self.holds_lease() {
             return self.refuse_waiting("state service away");
         }
         let now = self.now;
@@ -313,18 +313,19 @@
         let Some((key, b)) = found else {
             return;
         };
-        let Some(owned) = self.shards[b.shard].owned.as_ref().filter(|m| m.loaded) else {
+        let Some(leadership) = self.shards[b.shard].leadership.as_ref().filter(|m| m.recovered)
+        else {
             return;
         };
         b.busy = true;
         let txn = Txn {
             conditions: vec![
-                Condition { key: shard::lease_key(b.shard), revision: owned.revision },
+                Condition { key: shard::lease_key(b.shard), revision: leadership.revision },
                 Condition { key: key.clone(), revision: b.revision },
             ],
             writes: vec![Write::Delete { key: key.clone() }],
         };
-        let op = Op::DropBatch { key: key.clone(), term: owned.term };
+        let op = Op::DropBatch { key: key.clone(), term: leadership.term };
         self.state(op, KvRequest::Txn(txn));
     }
 
@@ -339,7 +340,7 @@
                 self.admission.batches.remove(key);
             }
             KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
-                self.suspect_shard(s, term);
+                self.lease_revision_changed(s, term);
             }
             // An earlier try was applied after all.
             KvResponse::Conflict(_) => {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -49,7 +49,7 @@
 
     pub(super) fn http(&mut self, ticket: Ticket, method: &str, target: &str, body: &[u8]) {
         let target = target.split('?').next().unwrap_or("");
-        let allowed = if target == path::REPORT || target == path::JOBS {
+        let allowed = if target == path::HEARTBEAT || target == path::JOBS {
             "POST"
         } else if target == path::HEALTH {
             "GET"
@@ -69,7 +69,7 @@
             return self.respond(ticket, 405, None, &Refusal::new("method not allowed"));
         }
         match target {
-            path::REPORT => self.report(ticket, body),
+            path::HEARTBEAT => self.heartbeat(ticket, body),
             path::JOBS => self.submit(ticket, body),
             path::HEALTH => self.health(ticket),
             _ => {
@@ -93,15 +93,16 @@
         if self.types.is_empty() {
             return Some("machine types are not known yet");
         }
-        if self.acting() {
-            let runs = (0..self.shards.len()).any(|s| self.runs(s));
+        if self.holds_lease() {
+            let runs = (0..self.shards.len()).any(|s| self.serves_shard(s));
             return (!runs).then_some("no seat is held");
         }
         // In an outage the nodes' leases end one after the other, by as much as
         // they renew apart: for so long another's being well proves nothing.
         let others_well = self.peers.iter().any(|(n, p)| self.peer_alive(*n) && p.state_ok);
         if others_well
-            && self.now.since(self.acted_at) > shard::renew_every(self.options.controller_lease)
+            && self.now.since(self.lease_held_at)
+                > shard::renew_every(self.options.controller_lease)
         {
             return Some("the state service is away from here alone");
         }
@@ -125,10 +126,10 @@
 
     /// The shard that accepts new jobs here: the home shard if it is owned.
     pub(super) fn admitting_shard(&self) -> Option<usize> {
-        if self.runs(self.me) {
+        if self.serves_shard(self.me) {
             return Some(self.me);
         }
-        (0..self.shards.len()).find(|s| self.runs(*s))
+        (0..self.shards.len()).find(|s| self.serves_shard(*s))
     }
 
     fn submit(&mut self, ticket: Ticket, body: &[u8]) {
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -38,12 +38,12 @@
             return true;
         }
         let s = batch.shard;
-        let Some(owned) = self.shards[s].owned.as_ref() else {
+        let Some(leadership) = self.shards[s].leadership.as_ref() else {
             return true;
         };
-        let term = owned.term;
+        let term = leadership.term;
         let mut conditions = vec![
-            Condition { key: shard::lease_key(s), revision: owned.revision },
+            Condition { key: shard::lease_key(s), revision: leadership.revision },
             Condition { key: key.clone(), revision: batch.revision },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
@@ -99,7 +99,7 @@
         };
         let s = batch.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
@@ -120,7 +120,7 @@
             }
             KvResponse::NotExecuted => {}
             KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
-                self.suspect_shard(s, term);
+                self.lease_revision_changed(s, term);
             }
             KvResponse::Conflict(failed) => {
                 let other = |(id, _): &&(String, u64)| failed.contains(&job::job_key(id));
@@ -149,7 +149,7 @@
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
-        if self.shards[batch.shard].owned.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[batch.shard].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -62,7 +62,7 @@
     pub(super) fn cancellations_up_to_date(&self) -> bool {
         let most = unanswered_limit(&self.settings.workers).max(self.options.controller_lease);
         let most = most.min(Micros(2 * self.options.controller_lease.0));
-        let watched = self.follow.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
+        let watched = self.watches.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
         self.now.since(watched) <= most
     }
 
@@ -99,7 +99,7 @@
 
     /// Reads unknown jobs, a few at a time.
     pub(super) fn read_unknown_jobs(&mut self) {
-        if !self.acting() || self.cancels.reading >= READS || self.now < self.cancels.read_at {
+        if !self.holds_lease() || self.cancels.reading >= READS || self.now < self.cancels.read_at {
             return;
         }
         while let Some(id) = self.cancels.unknown.pop_first() {
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -8,7 +8,7 @@
 //! worker answers it, and later each time, since a cut may be one-way.
 
 use super::{Controller, DirectReply, Effect, Op};
-use crate::peer::MisdirectedReports;
+use crate::peer::MisdirectedHeartbeats;
 use crate::time::Micros;
 use log::info;
 use rand::seq::IteratorRandom;
@@ -53,7 +53,7 @@
 
 impl Connectivity {
     /// Whether this node gives its shards up.
-    pub fn cut_off(&self) -> bool {
+    pub fn partitioned(&self) -> bool {
         self.cut
     }
 
@@ -84,24 +84,24 @@
 }
 
 /// How long it takes until silence of all of so many machines means something.
-pub fn silence(machines: usize, report_s: f64) -> Micros {
+pub fn silence(machines: usize, heartbeat_interval_s: f64) -> Micros {
     // Each reports within a quarter more than its period; of many, one does
     // at nearly any moment.
-    let all = report_s * 1.25 + 1.0;
-    let s = if machines < 16 { all } else { (report_s / 2.0).max(2.5).min(all) };
+    let all = heartbeat_interval_s * 1.25 + 1.0;
+    let s = if machines < 16 { all } else { (heartbeat_interval_s / 2.0).max(2.5).min(all) };
     Micros::from_secs_f64(s)
 }
 
 impl Controller {
     /// Machines of others' shards that report here, for those who own their shards.
-    pub(super) fn misdirected(&self) -> Vec<MisdirectedReports> {
+    pub(super) fn misdirected(&self) -> Vec<MisdirectedHeartbeats> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for m in self.connectivity.misdirected.keys() {
             *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
         }
         counts
             .into_iter()
-            .map(|(s, machines)| MisdirectedReports { shard: s as u32, machines })
+            .map(|(s, machines)| MisdirectedHeartbeats { shard: s as u32, machines })
             .collect()
     }
 
@@ -124,25 +124,26 @@
         if self.connectivity.cut {
             return self.look_for_workers();
         }
-        if !self.acting() {
+        if !self.holds_lease() {
             self.connectivity.suspected = None;
             return;
         }
         let mut known = vec![0_usize; self.shards.len()];
         let mut all = 0;
-        for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.session > p.over_through) {
+        for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.incarnation > p.over_through) {
             known[super::shard::shard_of_machine(m, self.shards.len())] += 1;
             all += 1;
         }
         let silent = now.since(self.connectivity.last_contact)
-            > silence(all, self.settings.workers.report_s);
+            > silence(all, self.settings.workers.heartbeat_interval_s);
         let found = (0..self.shards.len())
             .filter(|s| {
-                let owned = self.shards[*s].owned.as_ref();
-                owned.is_some_and(|m| m.loaded && now.since(m.taken) > SETTLED)
+                let leadership = self.shards[*s].leadership.as_ref();
+                leadership.is_some_and(|m| m.recovered && now.since(m.acquired_at) > SETTLED)
             })
             .filter_map(|s| {
-                let alive = self.peers.iter().filter(|(n, p)| self.peer_alive(**n) && !p.cut_off);
+                let alive =
+                    self.peers.iter().filter(|(n, p)| self.peer_alive(**n) && !p.partitioned);
                 let misdirected = alive.filter_map(|(_, p)| p.misdirected.get(&s)).max().copied();
                 signs(known[s], misdirected.unwrap_or(0), silent)
             })
@@ -163,8 +164,8 @@
     }
 
     fn give_up_shards(&mut self) {
-        for owned in self.shards.iter_mut().filter_map(|s| s.owned.as_mut()) {
-            owned.releasing = true;
+        for leadership in self.shards.iter_mut().filter_map(|s| s.leadership.as_mut()) {
+            leadership.releasing = true;
         }
     }
 
@@ -172,14 +173,14 @@
     /// that grows with every cut, shards may come back.
     fn look_for_workers(&mut self) {
         let now = self.now;
-        let well = |p: &super::PeerInfo| p.state_ok && !p.cut_off;
+        let well = |p: &super::PeerInfo| p.state_ok && !p.partitioned;
         if self.peers.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
             // Also what was taken meanwhile because nobody else was there.
             self.give_up_shards();
         }
         if let Some(at) = self.connectivity.back {
             let doublings = (self.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
-            let pause = Micros(self.options.hand_back.0 * ((1 << doublings) - 1));
+            let pause = Micros(self.options.failback_delay.0 * ((1 << doublings) - 1));
             if now.since(at) >= pause {
                 info!("workers answer again; shards may come back");
                 self.connectivity.cut = false;
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -8,7 +8,7 @@
 use super::fleet::RENTING_SHARD;
 use super::job::StoredStage;
 use super::machine::{ManagedMachine, Revocation};
-use super::shard::OwnedShard;
+use super::shard::ShardLeadership;
 use super::stage_cache::CachedStage;
 use super::start_gate::{ManagerRight, StartViolation};
 use crate::time::Micros;
@@ -31,7 +31,8 @@
     /// Direct commands with starts that got no answer.
     pub(super) unanswered_starts: u64,
     /// Workers shown a higher token, so that starts on their way are not executed.
-    pub(super) raised_tokens: u64,
+    #[serde(rename = "raised_tokens")]
+    pub(super) raised_fencing_tokens: u64,
     /// Tasks that were on these workers: ending their sessions instead would have
     /// lost them.
     pub(super) tasks_beside_raises: u64,
@@ -56,20 +57,20 @@
 }
 
 /// A shard's lease was taken.
-pub(super) fn shard_taken(shard: usize, owned: &OwnedShard, lease_until: Micros) {
+pub(super) fn shard_acquired(shard: usize, leadership: &ShardLeadership, lease_until: Micros) {
     log::info!(
         target: TARGET,
-        shard = shard, term = owned.term, revision = owned.revision,
-        at_us = owned.taken.0, lease_until_us = lease_until.0;
+        shard = shard, term = leadership.term, revision = leadership.revision,
+        at_us = leadership.acquired_at.0, lease_until_us = lease_until.0;
         "shard_taken"
     );
 }
 
 /// A shard is not acted for any more.
-pub(super) fn shard_lost(shard: usize, owned: &OwnedShard, now: Micros, why: &str) {
+pub(super) fn leadership_lost(shard: usize, leadership: &ShardLeadership, now: Micros, why: &str) {
     log::info!(
         target: TARGET,
-        shard = shard, term = owned.term, revision = owned.revision, at_us = now.0, reason = why;
+        shard = shard, term = leadership.term, revision = leadership.revision, at_us = now.0, reason = why;
         "shard_lost"
     );
 }
@@ -90,7 +91,7 @@
             return;
         }
         self.counts.decisions.final_answers += 1;
-        let followed = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        let followed = self.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
         log::debug!(
             target: TARGET,
             job = job, job_stage:? = known.stage, revision = known.revision,
@@ -113,7 +114,7 @@
     /// Machines are returned.
     pub(super) fn note_return(&mut self, names: &[String]) {
         self.counts.decisions.returned_machines += names.len() as u64;
-        let term = self.owned_term(RENTING_SHARD);
+        let term = self.leading_term(RENTING_SHARD);
         for name in names {
             let machine = name.as_str();
             let tasks = self.views.get(name).map_or(0, |view| view.tasks.len());
@@ -126,12 +127,12 @@
     }
 
     /// A decision would break a rule: it is told with its evidence, and tests fail.
-    pub(super) fn report_violation(&mut self, machine: &str, right: ManagerRight, what: Violation) {
+    pub(super) fn record_violation(&mut self, machine: &str, right: ManagerRight, what: Violation) {
         self.counts.decisions.violations += 1;
         log::error!(
             target: TARGET,
-            machine = machine, session = right.session,
-            shard = right.shard, term = right.term, token = right.token,
+            machine = machine, incarnation = right.incarnation,
+            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
             now_us = right.now.0, lease_until_us = right.lease_until.0,
             cancellations_known = right.cancellations_known,
             violation:? = what;
@@ -141,16 +142,21 @@
     }
 
     /// A worker is shown a higher token from now on.
-    pub(super) fn note_raised_token(&mut self, machine: &str, right: ManagerRight, r: &Revocation) {
-        self.counts.decisions.raised_tokens += 1;
+    pub(super) fn note_raised_fencing_token(
+        &mut self,
+        machine: &str,
+        right: ManagerRight,
+        r: &Revocation,
+    ) {
+        self.counts.decisions.raised_fencing_tokens += 1;
         let beside = self.managed_machines.get(machine).map_or(0, ManagedMachine::present_count);
         self.counts.decisions.tasks_beside_raises += beside as u64;
         log::info!(
             target: TARGET,
             job = r.start.job.as_str(), task = r.start.index, attempt = r.start.attempt,
-            machine = machine, session = right.session,
-            shard = right.shard, term = right.term, token = right.token,
-            revoked_token = r.revoked_token, tasks_beside = beside,
+            machine = machine, incarnation = right.incarnation,
+            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
+            revoked_fencing_token = r.revoked_fencing_token, tasks_beside = beside,
             reason:? = r.reason;
             "raise_token"
         );
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -26,7 +26,7 @@
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
     pub(super) fn repeat_unobserved(&mut self) {
-        if !self.acting() || self.now < self.timers.reminder {
+        if !self.holds_lease() || self.now < self.timers.reminder {
             return;
         }
         self.timers.reminder = self.now + REMIND;
@@ -74,7 +74,7 @@
                 shape: Rc::clone(&shape),
                 index,
                 attempt: p.attempt,
-                session: p.session,
+                incarnation: p.incarnation,
                 stop_ms: p.stop.map(Micros::as_millis),
                 placed_s: p.at.0 / 1_000_000,
                 phase: phase as i32,
@@ -121,7 +121,7 @@
             }
         }
         for (s, (complete, machines)) in changed {
-            let (Some(term), true) = (self.owned_term(s), self.runs_or_releases(s)) else {
+            let (Some(term), true) = (self.leading_term(s), self.runs_or_releases(s)) else {
                 continue;
             };
             self.seq += 1;
@@ -138,7 +138,7 @@
     }
 
     fn runs_or_releases(&self, s: usize) -> bool {
-        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
     }
 }
 
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -87,7 +87,7 @@
                     o.attempt == t.attempt && o.index == t.index && o.job == t.job
                 };
                 if t.stop_ms.is_none() && !old.iter().any(there) {
-                    self.images.note(now, &t.image, &machine, t.session);
+                    self.images.note(now, &t.image, &machine, t.incarnation);
                 }
             }
             current.count(&tasks, 1.0);
@@ -109,7 +109,7 @@
     fn desired_state_changed(&mut self, machine: &str) {
         self.place_wanted = true;
         self.touch_slot(machine);
-        if self.owned_term(self.shard_of_machine(machine)).is_none()
+        if self.leading_term(self.shard_of_machine(machine)).is_none()
             || self.terminated.contains(machine)
         {
             return;
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -4,7 +4,7 @@
 use super::start_gate::Way;
 use super::{Controller, DirectReply, Effect, Op};
 use crate::time::Micros;
-use crate::wire::{Command, DirectCommands, Report};
+use crate::wire::{Command, DirectCommands, Heartbeat};
 use log::debug;
 
 /// After direct commands that were not executed, none are sent for so long: reports
@@ -21,7 +21,7 @@
             return;
         };
         // A worker that is silent is not waited for with further connections.
-        let quiet = managed.last_report.is_none_or(|at| self.now.since(at) > self.silent());
+        let quiet = managed.last_heartbeat.is_none_or(|at| self.now.since(at) > self.silent());
         if !managed.known || managed.direct_busy || quiet || self.now < managed.direct_after {
             return;
         }
@@ -42,7 +42,11 @@
         if let Some(managed) = self.managed_machines.get_mut(machine) {
             managed.direct_busy = true;
         }
-        let body = DirectCommands { token: right.token, session: right.session, commands };
+        let body = DirectCommands {
+            fencing_token: right.fencing_token,
+            incarnation: right.incarnation,
+            commands,
+        };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let op = Op::Direct { machine: machine.to_string(), starts, term: right.term };
         let id = self.call_id(op);
@@ -57,7 +61,7 @@
         reply: DirectReply,
     ) {
         let s = self.shard_of_machine(machine);
-        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != term) {
+        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         let now = self.now;
@@ -86,10 +90,10 @@
         if executed != Some(true) {
             managed.direct_after = now + DIRECT_PAUSE;
         }
-        let report = body.and_then(|b| serde_json::from_slice::<Report>(&b).ok());
-        if let Some(report) =
-            report.filter(|r| r.machine == machine && Some(r.token) <= managed.token(term))
-            && let Some(outcomes) = managed.take_report(now, &report, term, false)
+        let heartbeat = body.and_then(|b| serde_json::from_slice::<Heartbeat>(&b).ok());
+        if let Some(heartbeat) = heartbeat.filter(|r| {
+            r.machine == machine && Some(r.fencing_token) <= managed.fencing_token(term)
+        }) && let Some(outcomes) = managed.apply_heartbeat(now, &heartbeat, term, false)
         {
             self.note_outcomes(machine, outcomes);
         }
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -2,7 +2,7 @@
 //! has changed here is told to them.
 
 use super::fleet;
-use super::timers::{DEMAND_EVERY, HEARTBEAT_EVERY, MISSED_EVERY, PROGRESS_EVERY};
+use super::timers::{DEMAND_EVERY, MISSED_EVERY, PEER_HEARTBEAT_INTERVAL, PROGRESS_EVERY};
 use super::{Controller, Effect, Watch};
 use crate::peer::{self, DesiredUpdate, Frame};
 use crate::time::Micros;
@@ -18,11 +18,11 @@
     pub(super) last_frame: Option<Micros>,
     pub(super) well_since: Option<Micros>,
     pub(super) state_ok: bool,
-    pub(super) run: u64,
+    pub(super) incarnation: u64,
     pub(super) demand: Vec<peer::Demand>,
     pub(super) needs: Vec<peer::QuotaNeed>,
     /// It gives its shards up, since it and its workers cannot reach each other.
-    pub(super) cut_off: bool,
+    pub(super) partitioned: bool,
     /// Machines of others' shards that report to it, by shard.
     pub(super) misdirected: BTreeMap<usize, u32>,
     /// Number of its last frame.
@@ -48,14 +48,14 @@
         let Some(info) = self.peers.get_mut(&from) else {
             return;
         };
-        let next = info.run == frame.run && info.number + 1 == frame.number;
+        let next = info.incarnation == frame.incarnation && info.number + 1 == frame.number;
         info.number = frame.number;
         info.behind = !frame.full && (info.behind || !next);
         if !frame.full && !next {
             // What was lost is not known, so nothing follows from what the rest
             // does not name.
             for s in 0..self.shards.len() {
-                if self.lease_holder(s) == Some(from) {
+                if self.shard_leader(s) == Some(from) {
                     self.desired[s].complete = 0;
                 }
             }
@@ -63,16 +63,16 @@
         let Some(info) = self.peers.get_mut(&from) else {
             return;
         };
-        if info.run != frame.run {
-            info.run = frame.run;
+        if info.incarnation != frame.incarnation {
+            info.incarnation = frame.incarnation;
             info.well_since = None;
         }
-        info.cut_off = frame.cut_off;
+        info.partitioned = frame.partitioned;
         info.watched = frame.watched;
         info.format = frame.format;
         if info.last_frame.is_none_or(|at| now.since(at) > PEER_SILENT)
             || !frame.state_ok
-            || frame.cut_off
+            || frame.partitioned
         {
             info.well_since = None;
         }
@@ -84,7 +84,7 @@
             info.needs.clear();
             info.misdirected.clear();
         }
-        if frame.state_ok && !frame.cut_off {
+        if frame.state_ok && !frame.partitioned {
             info.well_since.get_or_insert(now);
         }
         if frame.has_demand {
@@ -101,8 +101,8 @@
                 // Not yet received from the watch: only the term is taken over,
                 // the holder's mark comes with the watch.
                 shard.term = h.term;
-                if shard.owned.as_ref().is_some_and(|m| m.term < h.term) {
-                    self.lose_shard(h.shard as usize, "a peer holds it under a higher term");
+                if shard.leadership.as_ref().is_some_and(|m| m.term < h.term) {
+                    self.step_down(h.shard as usize, "a peer holds it under a higher term");
                 }
             }
         }
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn send_frames(&mut self, mut frame: Frame) {
-        let acting = self.acting();
+        let holds_lease = self.holds_lease();
         // For display alone, and counted anew for every job: now and then will do.
         if self.now >= self.timers.progress {
             self.timers.progress = self.now + PROGRESS_EVERY;
@@ -168,12 +168,12 @@
                 self.timers.missed_frames = self.now + MISSED_EVERY;
             }
         }
-        let beat = self.now >= self.timers.heartbeat;
+        let beat = self.now >= self.timers.peer_heartbeat;
         let idle =
             frame == Frame::default() && !std::mem::take(&mut self.terminal_states.acknowledge);
         if beat || self.now >= self.timers.demand {
             self.timers.demand = self.now + DEMAND_EVERY;
-            if acting {
+            if holds_lease {
                 frame.has_demand = true;
                 frame.demand = self.demand();
                 frame.needs = self.quota_needs();
@@ -184,25 +184,25 @@
             return;
         }
         if beat {
-            self.timers.heartbeat = self.now + HEARTBEAT_EVERY;
+            self.timers.peer_heartbeat = self.now + PEER_HEARTBEAT_INTERVAL;
             let again = self.cancellations_to_repeat();
             frame.cancelled.extend(again);
         }
         frame.format = peer::FORMAT;
-        frame.watched = self.follow.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        frame.watched = self.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
         self.frames += 1;
         frame.number = self.frames;
         frame.member.clone_from(&self.member);
-        frame.run = self.run;
-        frame.state_ok = acting;
-        frame.cut_off = self.connectivity.cut_off();
-        if acting {
+        frame.incarnation = self.incarnation;
+        frame.state_ok = holds_lease;
+        frame.partitioned = self.connectivity.partitioned();
+        if holds_lease {
             for (n, shard) in self.shards.iter().enumerate() {
-                if let Some(m) = &shard.owned {
+                if let Some(m) = &shard.leadership {
                     frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
-            if self.owned_term(fleet::RENTING_SHARD).is_some() {
+            if self.leading_term(fleet::RENTING_SHARD).is_some() {
                 frame.rents = true;
                 frame.draining = self.fleet.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
@@ -212,14 +212,14 @@
         let sync = std::mem::take(&mut self.changes.peers_to_sync);
         let peers: Vec<usize> = self.peers.keys().copied().collect();
         for to in peers {
-            let frame = if sync.contains(&to) && acting {
+            let frame = if sync.contains(&to) && holds_lease {
                 Rc::new(self.full_frame((*frame).clone()))
             } else {
                 Rc::clone(&frame)
             };
             self.out.push(Effect::Peer { to, frame });
         }
-        if !acting {
+        if !holds_lease {
             // Nothing could be said yet; the new connections still need all of it.
             self.changes.peers_to_sync = sync;
         }
@@ -237,8 +237,8 @@
         frame.desired.clear();
         for shard in 0..self.shards.len() {
             let desired = &self.desired[shard];
-            if !self.runs(shard)
-                || self.owned_term(shard) != Some(desired.term)
+            if !self.serves_shard(shard)
+                || self.leading_term(shard) != Some(desired.term)
                 || desired.complete == 0
             {
                 continue;
@@ -272,7 +272,7 @@
             .filter(|v| !self.managed_machines.contains_key(&v.machine) && !v.address.is_empty())
             .map(|v| peer::Hint {
                 machine: v.machine.clone(),
-                session: v.session,
+                incarnation: v.incarnation,
                 address: v.address.clone(),
             })
             .collect();
--- a/src/controller/machine_reports.rs
+++ b/src/controller/heartbeats.rs
@@ -6,7 +6,7 @@
 use super::start_gate::Way;
 use super::{Controller, Effect, Ticket};
 use crate::time::Micros;
-use crate::wire::{Refusal, Report, ReportReply, ReportTo};
+use crate::wire::{Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
 use log::{debug, info};
 
 /// Added to a worker's lease before its tasks count as gone.
@@ -27,32 +27,32 @@
         Micros::from_secs_f64(self.settings.workers.lease_s).stretched(DRIFT) + LEASE_MARGIN
     }
 
-    pub(super) fn report(&mut self, ticket: Ticket, body: &[u8]) {
-        let report: Report = match serde_json::from_slice(body) {
+    pub(super) fn heartbeat(&mut self, ticket: Ticket, body: &[u8]) {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
             Err(e) => {
-                self.counts.bad_reports += 1;
+                self.counts.bad_heartbeats += 1;
                 debug!("malformed report: {e}");
                 return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
             }
         };
-        if report.machine.is_empty()
-            || report.machine.len() > MAX_NAME
-            || report.zone.len() > MAX_NAME
-            || report.session == 0
+        if heartbeat.machine.is_empty()
+            || heartbeat.machine.len() > MAX_NAME
+            || heartbeat.zone.len() > MAX_NAME
+            || heartbeat.incarnation == 0
         {
-            self.counts.bad_reports += 1;
+            self.counts.bad_heartbeats += 1;
             return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
         }
-        self.counts.reports += 1;
-        let s = self.shard_of_machine(&report.machine);
-        let Some(term) = self.owned_term(s) else {
+        self.counts.heartbeats += 1;
+        let s = self.shard_of_machine(&heartbeat.machine);
+        let Some(term) = self.leading_term(s) else {
             let away = Refusal::new("seat not held here");
-            return match self.lease_holder(s) {
+            return match self.shard_leader(s) {
                 Some(h) if h != self.me => {
-                    self.connectivity.note_misdirected(self.now, &report.machine);
+                    self.connectivity.note_misdirected(self.now, &heartbeat.machine);
                     let member = self.members[h].clone();
-                    self.respond(ticket, 421, None, &ReportTo { member: &member })
+                    self.respond(ticket, 421, None, &HeartbeatRedirect { member: &member })
                 }
                 _ => self.respond(ticket, 503, Some(1), &away),
             };
@@ -63,28 +63,30 @@
             let lags = Refusal::new("cancellations are not heard");
             return self.respond(ticket, 503, Some(1), &lags);
         }
-        let shown =
-            self.managed_machines.get(&report.machine).map_or(Some(term), |m| m.token(term));
-        if shown.is_none_or(|shown| report.token > shown)
-            || self.terminated.contains(&report.machine)
+        let shown = self
+            .managed_machines
+            .get(&heartbeat.machine)
+            .map_or(Some(term), |m| m.fencing_token(term));
+        if shown.is_none_or(|shown| heartbeat.fencing_token > shown)
+            || self.terminated.contains(&heartbeat.machine)
         {
             return self.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
         }
         let now = self.now;
         self.connectivity.hear(now);
         let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
-        let machine = report.machine.clone();
+        let machine = heartbeat.machine.clone();
         let managed = self.managed_machines.entry(machine.clone()).or_default();
-        if managed.session == 0 {
-            info!("machine {machine} reports: {} in {}", report.machine_type, report.zone);
+        if managed.incarnation == 0 {
+            info!("machine {machine} reports: {} in {}", heartbeat.machine_type, heartbeat.zone);
         }
-        let before = managed.session;
-        let Some(outcomes) = managed.take_report(now, &report, term, true) else {
+        let before = managed.incarnation;
+        let Some(outcomes) = managed.apply_heartbeat(now, &heartbeat, term, true) else {
             // Overtaken on its way: the worker has long given it up, and an
             // answer would claim a lease that has been declared over.
             return self.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
         };
-        managed.judge_connectivity(now, before, lease);
+        managed.update_responsiveness(now, before, lease);
         managed.answered = Some(now);
         let known = managed.known;
         self.note_outcomes(&machine, outcomes);
@@ -96,7 +98,7 @@
         };
         self.check_answer(&machine, right);
         self.changes.machines.insert(machine);
-        let reply = ReportReply { token: right.token, commands };
+        let reply = HeartbeatResponse { fencing_token: right.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
         self.out.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
--- a/src/controller/image.rs
+++ b/src/controller/image.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    session: u64,
+    incarnation: u64,
     at: Micros,
     stamp: u64,
 }
@@ -31,9 +31,9 @@
     }
 
     /// Notes that a machine has, or is about to fetch, an image.
-    pub fn note(&mut self, now: Micros, image: &str, machine: &str, session: u64) {
+    pub fn note(&mut self, now: Micros, image: &str, machine: &str, incarnation: u64) {
         if let Some(e) = self.images.get_mut(image).and_then(|m| m.get_mut(machine))
-            && e.session == session
+            && e.incarnation == incarnation
             && now.since(e.at) < Micros::secs(1)
         {
             // Just noted: reports repeat themselves every few seconds.
@@ -41,7 +41,7 @@
         }
         let stamp = self.next;
         self.next += 1;
-        let entry = Entry { session, at: now, stamp };
+        let entry = Entry { incarnation, at: now, stamp };
         let holders = self.images.entry(image.to_string()).or_default();
         if let Some(old) = holders.insert(machine.to_string(), entry) {
             self.order.remove(&old.stamp);
@@ -61,11 +61,11 @@
     }
 
     /// True if the machine holds the image in its present session.
-    pub fn holds(&self, now: Micros, image: &str, machine: &str, session: u64) -> bool {
+    pub fn holds(&self, now: Micros, image: &str, machine: &str, incarnation: u64) -> bool {
         self.images
             .get(image)
             .and_then(|m| m.get(machine))
-            .is_some_and(|e| e.session == session && now.since(e.at) <= self.age)
+            .is_some_and(|e| e.incarnation == incarnation && now.since(e.at) <= self.age)
     }
 
     /// Machines that hold an image, with the session in which they got it.
@@ -75,7 +75,7 @@
             .into_iter()
             .flatten()
             .filter(move |(_, e)| now.since(e.at) <= self.age)
-            .map(|(machine, e)| (machine.as_str(), e.session))
+            .map(|(machine, e)| (machine.as_str(), e.incarnation))
     }
 
     /// Number of entries.
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -260,7 +260,7 @@
         wall: Micros,
         index: u32,
         machine: &str,
-        session: u64,
+        incarnation: u64,
         zone: &str,
     ) -> Option<u64> {
         let part = self.part_of(index)?;
@@ -271,13 +271,13 @@
         part.attempt += 1;
         part.put = part.version;
         let (attempt, version) = (part.attempt, part.version);
-        let bytes = stored_bytes(machine, session, attempt, zone);
+        let bytes = stored_bytes(machine, incarnation, attempt, zone);
         part.bytes += bytes;
         part.placed.insert(
             index,
             Placement {
                 machine: machine.into(),
-                session,
+                incarnation,
                 attempt,
                 version,
                 at: wall,
--- a/src/controller/job/part.rs
+++ b/src/controller/job/part.rs
@@ -45,12 +45,12 @@
 }
 
 /// Most bytes that a placement takes in its part's value.
-pub(super) fn stored_bytes(machine: &str, session: u64, attempt: u64, zone: &str) -> usize {
+pub(super) fn stored_bytes(machine: &str, incarnation: u64, attempt: u64, zone: &str) -> usize {
     let (head, width, _) = split_name(machine);
     // Numbers with their commas; a beginning or a zone that no other placement
     // has needs a line of its own, which for short ones the overhead holds.
     let names = head.len().saturating_sub(8) + zone.len().saturating_sub(12);
-    width.max(1) + digits(session) + digits(attempt) + 16 + names
+    width.max(1) + digits(incarnation) + digits(attempt) + 16 + names
 }
 
 /// Where a task was put.
@@ -59,7 +59,7 @@
     /// Machine.
     pub machine: Rc<str>,
     /// Its session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Attempt.
     pub attempt: u64,
     /// Version of the part that first holds it: it is acted on once that is stored.
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -96,7 +96,7 @@
         let mut task = 0_u64;
         let mut list = Vec::with_capacity(self.p.len() / COLUMNS);
         for row in self.p.chunks(COLUMNS) {
-            let [step, head, number, session, attempt, zone, at] = *row else {
+            let [step, head, number, incarnation, attempt, zone, at] = *row else {
                 return None;
             };
             task = task.checked_add(step)?;
@@ -104,7 +104,7 @@
             let machine = join_name(head, (*width).min(20), number);
             let zone = self.y.get(usize::try_from(zone).ok()?)?.clone();
             let at = self.b.checked_add(at).filter(|at| *at <= MAX_SECOND)?;
-            list.push((u32::try_from(task).ok()?, machine, session, attempt, zone, at));
+            list.push((u32::try_from(task).ok()?, machine, incarnation, attempt, zone, at));
         }
         Some(list)
     }
@@ -147,7 +147,7 @@
                 u64::from(i - last),
                 place_in(&mut heads, (head.to_string(), width)),
                 number,
-                p.session,
+                p.incarnation,
                 p.attempt,
                 place_in(&mut zones, p.zone.to_string()),
                 p.at.0 / 1_000_000 - base,
@@ -201,13 +201,13 @@
                     }
                 }
             }
-            for (i, machine, session, attempt, zone, at) in read.placements()? {
+            for (i, machine, incarnation, attempt, zone, at) in read.placements()? {
                 if part.pending.remove(&i) {
-                    let bytes = stored_bytes(&machine, session, attempt, &zone);
+                    let bytes = stored_bytes(&machine, incarnation, attempt, &zone);
                     part.bytes += bytes;
                     let placement = Placement {
                         machine: machine.into(),
-                        session,
+                        incarnation,
                         attempt,
                         version: read.v,
                         at: Micros::secs(at),
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// Looks at all tasks of a shard on a machine.
     pub(super) fn evaluate_machine(&mut self, s: usize, machine: &str) {
-        if !self.runs(s) {
+        if !self.serves_shard(s) {
             return;
         }
         let Some(tasks) = self.by_machine.get(&(s, Rc::from(machine))).cloned() else {
@@ -36,7 +36,7 @@
 
     /// Works out what became of a task from what its machine's shard says.
     fn evaluate_task(&mut self, id: &str, index: u32) {
-        let Some(term) = self.jobs.get(id).and_then(|j| self.owned_term(j.shard)) else {
+        let Some(term) = self.jobs.get(id).and_then(|j| self.leading_term(j.shard)) else {
             return;
         };
         let (now, wall) = (self.now, self.wall());
@@ -65,47 +65,48 @@
         // of before may not know: only views made since this owner was heard count.
         let heard = view.applied.iter().any(|h| h.shard as usize == s && h.term == term);
         let vanished = view.vanished && heard;
-        let ended = if view.over_through >= p.session || vanished || view.session > p.session {
-            // Its session is surely over, and everything in it.
-            self.counts.lost += 1;
-            Some(TaskEnd::known(ObservedState::Stopped))
-        } else if !view.known || view.session != p.session {
-            None
-        } else {
-            let found = view
-                .tasks
-                .iter()
-                .find(|t| t.attempt == p.attempt && t.index == index && t.job == id)
-                .map(|t| t.observed());
-            match found {
-                Some(observed) if observed.over() => Some(TaskEnd::listed(observed)),
-                Some(observed) => {
-                    if p.observed != Some(observed) {
-                        p.observed = Some(observed);
-                        if observed == ObservedState::Running && p.running_since.is_none() {
-                            let took = wall.since(p.at);
-                            let began = if p.restored { now.since(took) } else { now };
-                            p.running_since = Some(began);
-                            let took = took.as_millis();
-                            log::debug!("task {id}/{index} runs on {machine} after {took} ms");
-                            job.refused = 0;
+        let ended =
+            if view.over_through >= p.incarnation || vanished || view.incarnation > p.incarnation {
+                // Its session is surely over, and everything in it.
+                self.counts.lost += 1;
+                Some(TaskEnd::known(ObservedState::Stopped))
+            } else if !view.known || view.incarnation != p.incarnation {
+                None
+            } else {
+                let found = view
+                    .tasks
+                    .iter()
+                    .find(|t| t.attempt == p.attempt && t.index == index && t.job == id)
+                    .map(|t| t.observed());
+                match found {
+                    Some(observed) if observed.over() => Some(TaskEnd::listed(observed)),
+                    Some(observed) => {
+                        if p.observed != Some(observed) {
+                            p.observed = Some(observed);
+                            if observed == ObservedState::Running && p.running_since.is_none() {
+                                let took = wall.since(p.at);
+                                let began = if p.restored { now.since(took) } else { now };
+                                p.running_since = Some(began);
+                                let took = took.as_millis();
+                                log::debug!("task {id}/{index} runs on {machine} after {took} ms");
+                                job.refused = 0;
+                            }
+                            self.changes.progress.insert(id.to_string());
                         }
-                        self.changes.progress.insert(id.to_string());
+                        None
+                    }
+                    // Absence proves something only once the machine's shard has
+                    // learnt that the task is not wanted: until then it may be
+                    // about to send the start.
+                    None => {
+                        let applied = view.applied.iter().find(|h| h.shard as usize == s);
+                        let stopped = p
+                            .stop_seq
+                            .is_some_and(|q| applied.is_some_and(|h| h.term == term && h.seq >= q));
+                        stopped.then_some(TaskEnd::never_begun())
                     }
-                    None
-                }
-                // Absence proves something only once the machine's shard has
-                // learnt that the task is not wanted: until then it may be
-                // about to send the start.
-                None => {
-                    let applied = view.applied.iter().find(|h| h.shard as usize == s);
-                    let stopped = p
-                        .stop_seq
-                        .is_some_and(|q| applied.is_some_and(|h| h.term == term && h.seq >= q));
-                    stopped.then_some(TaskEnd::never_begun())
                 }
-            }
-        };
+            };
         match ended {
             Some(end) => self.end_task(id, index, end),
             None => self.handle_spot_notice(id, index),
@@ -290,7 +291,7 @@
 
     /// Times out what waits for nothing else.
     pub(super) fn check_spot_notices(&mut self) {
-        if !self.acting() {
+        if !self.holds_lease() {
             return;
         }
         // Notices run down between reports.
@@ -319,7 +320,7 @@
             return;
         }
         let now = self.now;
-        let old = self.views.get(&view.machine).filter(|old| old.session == view.session);
+        let old = self.views.get(&view.machine).filter(|old| old.incarnation == view.incarnation);
         for t in &view.tasks {
             // What was there already has been noted.
             let there = old.is_some_and(|old| old.tasks.contains(t));
@@ -337,7 +338,7 @@
                     .find(|w| w.index == t.index && w.attempt == t.attempt && w.job == t.job)
                     .map(|w| &w.image);
                 if let Some(image) = image {
-                    self.images.note(now, image, &view.machine, view.session);
+                    self.images.note(now, image, &view.machine, view.incarnation);
                 }
             }
         }
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -46,7 +46,7 @@
         if job.busy {
             return;
         }
-        let Some(term) = self.shards[job.shard].owned.as_ref().map(|m| m.term) else {
+        let Some(term) = self.shards[job.shard].leadership.as_ref().map(|m| m.term) else {
             return;
         };
         job.busy = true;
@@ -61,7 +61,7 @@
         if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
             self.drop_batch();
         }
-        if self.changes.jobs.is_empty() || self.stores >= STORES || !self.acting() {
+        if self.changes.jobs.is_empty() || self.stores >= STORES || !self.holds_lease() {
             return;
         }
         let now = self.now;
@@ -106,11 +106,11 @@
             return;
         }
         // A shard that is being handed over waits for its writes, so none begins.
-        let ready = |m: &&super::shard::OwnedShard| m.loaded && !m.releasing;
-        let Some(owned) = self.shards[s].owned.as_ref().filter(ready) else {
+        let ready = |m: &&super::shard::ShardLeadership| m.recovered && !m.releasing;
+        let Some(leadership) = self.shards[s].leadership.as_ref().filter(ready) else {
             return;
         };
-        let (lease_revision, term) = (owned.revision, owned.term);
+        let (lease_revision, term) = (leadership.revision, leadership.term);
         if self.stays_batched(id) && self.store_batch(id) {
             return;
         }
@@ -281,7 +281,7 @@
         };
         let s = job.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.shards[s].owned.as_ref().is_none_or(|m| m.term != *term) {
+        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != *term) {
             return;
         }
         job.busy = false;
@@ -292,7 +292,7 @@
             }
             (Op::Store { term, .. }, KvResponse::Conflict(failed)) => {
                 if failed.contains(&shard::lease_key(s)) {
-                    self.suspect_shard(s, term);
+                    self.lease_revision_changed(s, term);
                 } else {
                     self.recheck(&id);
                 }
--- a/src/controller/machine.rs
+++ b/src/controller/machine.rs
@@ -5,7 +5,7 @@
 use super::start_gate::StartRefusal;
 use crate::peer::{DesiredTask, ObservedState, ObservedTask};
 use crate::time::Micros;
-use crate::wire::{Cause, Command, Report, TaskState};
+use crate::wire::{Cause, Command, Heartbeat, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
@@ -57,7 +57,7 @@
     /// token and session match.
     pub late: bool,
     /// Token of the last direct command with it.
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 /// A start that may still arrive and must not be executed: the worker is shown a higher
@@ -67,7 +67,7 @@
     /// The start.
     pub start: Key,
     /// Token that its command carries.
-    pub revoked_token: u64,
+    pub revoked_fencing_token: u64,
     /// Why it must not be executed; `None` if nobody wants it any more.
     pub reason: Option<StartRefusal>,
 }
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ManagedMachine {
     /// Session of the newest report, 0 before the first.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the newest message of that session.
     pub seq: u64,
     /// It has reported under this term: nothing older can reach it any more.
@@ -109,7 +109,7 @@
     /// When a report was last answered with 200.
     pub answered: Option<Micros>,
     /// When a report last arrived.
-    pub last_report: Option<Micros>,
+    pub last_heartbeat: Option<Micros>,
     /// Tasks in the newest report.
     pub tasks: BTreeMap<Key, ObservedState>,
     /// Starts that were sent and not reported yet.
@@ -118,9 +118,9 @@
     /// start, with its token: clearing them would let that command start them again.
     pub late: BTreeMap<Key, u64>,
     /// How often the token of its commands was raised above the term.
-    raises: u64,
+    fencing_token_raises: u64,
     /// Highest token that it has reported: no command with a lower one is executed.
-    seen_token: u64,
+    highest_fencing_token: u64,
     /// Starts that found no room. They are never sent.
     pub refused: BTreeSet<Key>,
     /// Starts that wait for a stopping task's room.
@@ -148,7 +148,7 @@
     /// Its reports arrive, but nothing shows that it receives its answers.
     pub unresponsive: bool,
     /// When its present session was first reported.
-    pub session_since: Micros,
+    pub incarnation_since: Micros,
     /// Direct commands under way.
     pub direct_busy: bool,
     /// It counted as reporting in time when its view was last made.
@@ -157,7 +157,7 @@
 
 impl ManagedMachine {
     /// Forgets what belonged to a session that is over.
-    fn end_session(&mut self) {
+    fn end_incarnation(&mut self) {
         self.tasks.clear();
         self.sent.clear();
         self.late.clear();
@@ -173,47 +173,47 @@
     ///
     /// Only what came as a report shows that the answer to the one before was
     /// either executed or dropped: the worker has one report under way at a time.
-    pub fn take_report(
+    pub fn apply_heartbeat(
         &mut self,
         now: Micros,
-        report: &Report,
+        heartbeat: &Heartbeat,
         term: u64,
         answerable: bool,
     ) -> Option<Vec<Outcome>> {
-        if report.session <= self.over_through
-            || report.session < self.session
-            || (report.session == self.session && report.seq <= self.seq)
+        if heartbeat.incarnation <= self.over_through
+            || heartbeat.incarnation < self.incarnation
+            || (heartbeat.incarnation == self.incarnation && heartbeat.seq <= self.seq)
         {
             return None;
         }
-        if report.session > self.session {
-            self.end_session();
-            self.session = report.session;
-            self.session_since = now;
+        if heartbeat.incarnation > self.incarnation {
+            self.end_incarnation();
+            self.incarnation = heartbeat.incarnation;
+            self.incarnation_since = now;
             // The worker has begun a new session, so the earlier ones are over.
-            self.over_through = self.over_through.max(report.session - 1);
+            self.over_through = self.over_through.max(heartbeat.incarnation - 1);
             self.known = false;
         }
-        self.seq = report.seq;
-        self.seen_token = self.seen_token.max(report.token);
-        self.last_report = Some(now);
+        self.seq = heartbeat.seq;
+        self.highest_fencing_token = self.highest_fencing_token.max(heartbeat.fencing_token);
+        self.last_heartbeat = Some(now);
         self.vanished = false;
-        self.machine_type.clone_from(&report.machine_type);
-        self.zone.clone_from(&report.zone);
-        self.spot = report.spot;
-        self.address = report.address.parse().ok();
-        self.reclaimed_at = report.notice_s.map(|s| now + Micros::from_secs_f64(s));
+        self.machine_type.clone_from(&heartbeat.machine_type);
+        self.zone.clone_from(&heartbeat.zone);
+        self.spot = heartbeat.spot;
+        self.address = heartbeat.address.parse().ok();
+        self.reclaimed_at = heartbeat.notice_s.map(|s| now + Micros::from_secs_f64(s));
         // A report that does not carry this term's token may be followed by
         // commands of an earlier holder: its list proves no absence.
-        if report.token < term {
+        if heartbeat.fencing_token < term {
             return Some(Vec::new());
         }
         self.known = true;
         let mut outcomes = Vec::new();
         let mut tasks = BTreeMap::new();
-        for t in &report.tasks {
+        for t in &heartbeat.tasks {
             let Some(key) = Key::parse(&t.task, t.attempt) else {
-                log::warn!("{} reports a task of unknown form", report.machine);
+                log::warn!("{} reports a task of unknown form", heartbeat.machine);
                 continue;
             };
             let observed = observed(t.state, t.cause);
@@ -230,7 +230,7 @@
                 // It has what it was told to start.
                 self.unresponsive = false;
                 if s.sent_directly() {
-                    self.late.insert(key.clone(), s.token);
+                    self.late.insert(key.clone(), s.fencing_token);
                 }
             }
             self.refused.remove(&key);
@@ -240,9 +240,9 @@
         self.tasks = tasks;
         // This list was made after the worker had seen the token: what it lacks was not
         // begun before, and commands with a lower one are not executed any more.
-        let seen = self.seen_token;
-        self.late.retain(|k, token| self.tasks.contains_key(k) && *token >= seen);
-        for s in self.sent.values_mut().filter(|s| s.token < seen) {
+        let seen = self.highest_fencing_token;
+        self.late.retain(|k, fencing_token| self.tasks.contains_key(k) && *fencing_token >= seen);
+        for s in self.sent.values_mut().filter(|s| s.fencing_token < seen) {
             s.late = false;
         }
         self.stops_sent.retain(|k| self.tasks.contains_key(k));
@@ -255,18 +255,19 @@
     }
 
     /// The token of its commands under a term; `None` if the term has no further ones.
-    pub fn token(&self, term: u64) -> Option<u64> {
-        shard::raised_token(term, self.raises)
+    pub fn fencing_token(&self, term: u64) -> Option<u64> {
+        shard::raised_fencing_token(term, self.fencing_token_raises)
     }
 
     /// A start that may still arrive by a direct command with the present token, though
     /// `refusal` says that it must not be executed.
     pub fn to_be_revoked(
         &self,
-        token: u64,
+        fencing_token: u64,
         refusal: impl Fn(&Key) -> Option<Option<StartRefusal>>,
     ) -> Option<Revocation> {
-        let open = self.sent.iter().filter(|(_, s)| s.sent_directly() && s.token >= token);
+        let open =
+            self.sent.iter().filter(|(_, s)| s.sent_directly() && s.fencing_token >= fencing_token);
         for (key, sent) in open {
             let Some(reason) = refusal(key) else {
                 continue;
@@ -275,15 +276,19 @@
             // belongs to a job that is over cannot wait for that.
             if sent.late || reason == Some(StartRefusal::JobOver) {
                 let start = key.clone();
-                return Some(Revocation { start, revoked_token: sent.token, reason });
+                return Some(Revocation {
+                    start,
+                    revoked_fencing_token: sent.fencing_token,
+                    reason,
+                });
             }
         }
         None
     }
 
     /// Shows the worker a higher token from now on.
-    pub fn raise_token(&mut self) {
-        self.raises += 1;
+    pub fn raise_fencing_token(&mut self) {
+        self.fencing_token_raises += 1;
     }
 
     /// All attempts of which something is known here.
@@ -297,8 +302,8 @@
     }
 
     /// Starts that may still arrive by direct commands which the token does not outrank.
-    pub fn direct_starts(&self, token: u64) -> impl Iterator<Item = &Key> {
-        let open = move |sent: &Sent| sent.sent_directly() && sent.token >= token;
+    pub fn direct_starts(&self, fencing_token: u64) -> impl Iterator<Item = &Key> {
+        let open = move |sent: &Sent| sent.sent_directly() && sent.fencing_token >= fencing_token;
         self.sent.iter().filter(move |(_, sent)| open(sent)).map(|(key, _)| key)
     }
 
@@ -313,11 +318,11 @@
     /// An answered report is no proof that the answer was received. A session that
     /// ended although reports were answered a moment ago proves the contrary;
     /// such a machine begins one session after the other, and always looks free.
-    pub fn judge_connectivity(&mut self, now: Micros, before: u64, lease: Micros) {
-        if self.session > before {
+    pub fn update_responsiveness(&mut self, now: Micros, before: u64, lease: Micros) {
+        if self.incarnation > before {
             let lately = self.answered.is_some_and(|at| now.since(at) < Micros(lease.0 / 2));
             self.unresponsive |= before > 0 && lately;
-        } else if now.since(self.session_since) > Micros(lease.0 * 2) {
+        } else if now.since(self.incarnation_since) > Micros(lease.0 * 2) {
             // A session that lasts has received answers. Twice the lease, since
             // what arrives may have been sent long ago.
             self.unresponsive = false;
@@ -328,17 +333,17 @@
     /// last moment at which anybody may have answered a report. A session that was
     /// reported later, in the answer to a direct command, began at most a moment
     /// before and has its own full lease.
-    pub fn expire_session(&mut self, now: Micros, base: Micros, lease: Micros) -> bool {
-        if now <= base.max(self.session_since) + lease {
+    pub fn expire_incarnation(&mut self, now: Micros, base: Micros, lease: Micros) -> bool {
+        if now <= base.max(self.incarnation_since) + lease {
             return false;
         }
-        if self.session > self.over_through {
-            self.over_through = self.session;
+        if self.incarnation > self.over_through {
+            self.over_through = self.incarnation;
             self.known = false;
-            self.end_session();
+            self.end_incarnation();
             return true;
         }
-        if self.session == 0 && !self.vanished {
+        if self.incarnation == 0 && !self.vanished {
             self.vanished = true;
             return true;
         }
@@ -347,10 +352,10 @@
 
     /// Whether it reports, and its reports are answered: a machine that only direct
     /// commands reach loses all it is given when its lease ends. `base` as for
-    /// [`ManagedMachine::expire_session`].
+    /// [`ManagedMachine::expire_incarnation`].
     pub fn in_time(&self, now: Micros, base: Micros, silent: Micros) -> bool {
-        let last_report = self.last_report.is_some_and(|at| now.since(at) < silent);
-        last_report && now.since(base) < silent
+        let last_heartbeat = self.last_heartbeat.is_some_and(|at| now.since(at) < silent);
+        last_heartbeat && now.since(base) < silent
     }
 
     /// Tasks for the view.
@@ -374,7 +379,7 @@
         for key in starts {
             if let Some(s) = self.sent.get_mut(key) {
                 s.direct = s.direct.saturating_sub(1);
-                s.late |= executed.is_none() && s.token >= self.seen_token;
+                s.late |= executed.is_none() && s.fencing_token >= self.highest_fencing_token;
             } else if executed.is_some() {
                 self.late.remove(key);
             }
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -12,14 +12,14 @@
     /// command it, or has no further token for it.
     pub(super) fn manager_right(&self, machine: &str) -> Option<ManagerRight> {
         let shard = self.shard_of_machine(machine);
-        let term = self.owned_term(shard)?;
+        let term = self.leading_term(shard)?;
         let managed = self.managed_machines.get(machine)?;
         Some(ManagerRight {
             now: self.now,
             shard,
             term,
-            token: managed.token(term)?,
-            session: managed.session,
+            fencing_token: managed.fencing_token(term)?,
+            incarnation: managed.incarnation,
             lease_until: self.controller_lease.valid_until,
             cancellations_known: self.cancellations_up_to_date(),
         })
@@ -41,7 +41,7 @@
             *kept = managed;
         }
         for violation in violations {
-            self.report_violation(machine, right, Violation::Start(violation));
+            self.record_violation(machine, right, Violation::Start(violation));
         }
         self.note_unknown(unknown);
         self.count_commands(&commands, way);
@@ -63,12 +63,13 @@
             return;
         }
         let work = Work::collect(self, machine, managed, right);
-        let Some(revocation) = managed.to_be_revoked(right.token, |key| work.refusal(key)) else {
+        let Some(revocation) = managed.to_be_revoked(right.fencing_token, |key| work.refusal(key))
+        else {
             return;
         };
-        self.note_raised_token(machine, right, &revocation);
+        self.note_raised_fencing_token(machine, right, &revocation);
         if let Some(managed) = self.managed_machines.get_mut(machine) {
-            managed.raise_token();
+            managed.raise_fencing_token();
         }
     }
 
@@ -81,8 +82,8 @@
         let over = |job: &str| {
             self.cached_stages.get(job).is_some_and(|known| known.stage != StoredStage::Accepted)
         };
-        if managed.direct_starts(right.token).any(|start| over(&start.job)) {
-            self.report_violation(machine, right, Violation::OpenStartOfEndedJob);
+        if managed.direct_starts(right.fencing_token).any(|start| over(&start.job)) {
+            self.record_violation(machine, right, Violation::OpenStartOfEndedJob);
         }
     }
 
--- a/src/controller/machine_views.rs
+++ b/src/controller/machine_views.rs
@@ -2,20 +2,20 @@
 //! the jobs that have tasks there; and the end of sessions that went silent.
 
 use super::Controller;
-use super::machine_reports::FAILING_FOR;
+use super::heartbeats::FAILING_FOR;
 use crate::peer::{AppliedUpdate, Frame, MachineView};
 use crate::time::Micros;
 use log::{info, warn};
 
 impl Controller {
     /// Looks for machines that have been silent for longer than a lease.
-    pub(super) fn expire_machine_sessions(&mut self) {
-        if !self.acting() {
+    pub(super) fn expire_machine_incarnations(&mut self) {
+        if !self.holds_lease() {
             return;
         }
         let (now, lease) = (self.now, self.worker_lease());
         let taken: Vec<Option<Micros>> =
-            self.shards.iter().map(|s| s.owned.as_ref().map(|m| m.taken)).collect();
+            self.shards.iter().map(|s| s.leadership.as_ref().map(|m| m.acquired_at)).collect();
         let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
         let silent = self.silent();
         let shards = self.shards.len();
@@ -24,7 +24,7 @@
                 continue;
             };
             let base = managed.answered.unwrap_or(*taken).max(*taken);
-            if managed.expire_session(now, base, lease) {
+            if managed.expire_incarnation(now, base, lease) {
                 info!("machine {name} has been silent for a whole lease");
                 changed.push(name.clone());
             } else {
@@ -40,13 +40,13 @@
                     && now >= managed.direct_after
                     && let Some(address) = managed.address
                 {
-                    unresponsive.push((name.clone(), managed.session, address));
+                    unresponsive.push((name.clone(), managed.incarnation, address));
                 }
             }
         }
         self.changes.machines.extend(changed);
-        for (machine, session, address) in unresponsive {
-            self.ask(&machine, session, address);
+        for (machine, incarnation, address) in unresponsive {
+            self.ask(&machine, incarnation, address);
         }
     }
 
@@ -54,7 +54,7 @@
     pub(super) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let s = self.shard_of_machine(&machine);
-            let Some(term) = self.owned_term(s) else {
+            let Some(term) = self.leading_term(s) else {
                 continue;
             };
             if self.managed_machines.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
@@ -86,7 +86,7 @@
 
     /// A machine silent for longer is not counted on.
     pub(super) fn silent(&self) -> Micros {
-        Micros::from_secs_f64(self.settings.workers.report_s * 2.0 + 1.0)
+        Micros::from_secs_f64(self.settings.workers.heartbeat_interval_s * 2.0 + 1.0)
     }
 
     fn view_of(&mut self, machine: &str, term: u64) -> MachineView {
@@ -95,7 +95,7 @@
         let failing_tasks =
             self.managed_machines.get(machine).is_some_and(|p| self.seems_faulty(p));
         let at = self.shard_of_machine(machine);
-        let taken = self.shards[at].owned.as_ref().map_or(Micros::ZERO, |m| m.taken);
+        let taken = self.shards[at].leadership.as_ref().map_or(Micros::ZERO, |m| m.acquired_at);
         let Some(managed) = self.managed_machines.get_mut(machine) else {
             return MachineView::default();
         };
@@ -125,7 +125,7 @@
             term,
             seq: 0,
             known: managed.known,
-            session: managed.session,
+            incarnation: managed.incarnation,
             over_through: managed.over_through,
             vanished: managed.vanished,
             machine_type: managed.machine_type.clone(),
--- a/src/controller/machine_work.rs
+++ b/src/controller/machine_work.rs
@@ -218,7 +218,7 @@
                 Way::Answer => sent.answered = true,
                 Way::Direct => {
                     sent.direct += 1;
-                    sent.token = self.right.token;
+                    sent.fencing_token = self.right.fencing_token;
                 }
             }
         }
@@ -274,8 +274,8 @@
         debug!(
             target: decision_log::TARGET,
             job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, session = right.session,
-            shard = right.shard, term = right.term, token = right.token,
+            machine = self.machine, incarnation = right.incarnation,
+            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
             reason:? = reason;
             "stop"
         );
@@ -286,8 +286,8 @@
         debug!(
             target: decision_log::TARGET,
             job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, session = right.session,
-            shard = right.shard, term = right.term, token = right.token;
+            machine = self.machine, incarnation = right.incarnation,
+            shard = right.shard, term = right.term, fencing_token = right.fencing_token;
             "forget"
         );
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -29,10 +29,10 @@
 mod desired_tracking;
 mod direct_commands;
 mod frames;
+mod heartbeats;
 mod job_manager;
 mod job_writer;
 mod machine_commands;
-mod machine_reports;
 mod machine_views;
 mod machine_work;
 mod op;
@@ -42,10 +42,10 @@
 mod probes;
 mod quotas;
 mod record_pages;
+mod recovery;
 mod renter;
 mod reservation;
 mod shard_leases;
-mod shard_loading;
 mod slot_updates;
 mod stage_cache;
 pub mod start_gate;
@@ -91,7 +91,7 @@
     member: String,
     me: usize,
     members: Vec<String>,
-    run: u64,
+    incarnation: u64,
     settings: Settings,
     options: Options,
     rng: StdRng,
@@ -105,10 +105,10 @@
     shards: Vec<Shard>,
     shards_read: bool,
     shards_reading: bool,
-    loads: BTreeMap<usize, shard_loading::Loading>,
+    recoveries: BTreeMap<usize, recovery::ShardRecovery>,
     /// Jobs and keys that cannot be read, and are left as they are.
     unreadable: BTreeSet<String>,
-    follow: BTreeMap<Watch, watches::Following>,
+    watches: BTreeMap<Watch, watches::WatchState>,
 
     types: BTreeMap<String, MachineType>,
     /// They are being read from the key-value store, since the cloud is away.
@@ -170,9 +170,9 @@
     /// What the last health check was told: why this node takes no requests.
     told_health: Option<Option<&'static str>>,
     /// When this process last might act.
-    acted_at: Micros,
+    lease_held_at: Micros,
     /// It might act when last looked at.
-    was_acting: bool,
+    held_lease: bool,
 
     seq: u64,
     /// Terms of the shards that own shards' desired state has taken into account.
@@ -226,7 +226,7 @@
             me,
             members,
             // Zero stands for no run.
-            run: seed.max(1),
+            incarnation: seed.max(1),
             settings: config.settings.clone(),
             rng: StdRng::seed_from_u64(seed),
             wall,
@@ -238,9 +238,9 @@
             shards: vec![Shard::default(); count],
             shards_read: false,
             shards_reading: false,
-            loads: BTreeMap::new(),
+            recoveries: BTreeMap::new(),
             unreadable: BTreeSet::new(),
-            follow: BTreeMap::new(),
+            watches: BTreeMap::new(),
             types: BTreeMap::new(),
             types_reading: false,
             types_stored: 0,
@@ -285,8 +285,8 @@
             counts: Counts::default(),
             refusals: BTreeMap::new(),
             told_health: None,
-            acted_at: Micros::ZERO,
-            was_acting: false,
+            lease_held_at: Micros::ZERO,
+            held_lease: false,
             seq: 0,
             announced_terms: vec![0; count],
             pipelines: pipeline::Pipelines::default(),
@@ -377,13 +377,13 @@
     }
 
     fn tick(&mut self) {
-        if self.acting() {
-            if !std::mem::replace(&mut self.was_acting, true) {
+        if self.holds_lease() {
+            if !std::mem::replace(&mut self.held_lease, true) {
                 self.evaluate_all();
             }
-            self.acted_at = self.now;
+            self.lease_held_at = self.now;
         } else {
-            self.was_acting = false;
+            self.held_lease = false;
         }
         self.check_connectivity();
         self.maintain_shards();
@@ -394,7 +394,7 @@
         self.send_probes();
         if self.now >= self.timers.upkeep {
             self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
-            self.expire_machine_sessions();
+            self.expire_machine_incarnations();
             self.check_spot_notices();
             self.repeat_unobserved();
             self.expire_preemption_requests();
@@ -424,7 +424,7 @@
     pub fn flush(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
         self.send_status_comparisons();
-        if self.acting() {
+        if self.holds_lease() {
             self.admit_waiting();
             self.announce_terms();
             self.place();
@@ -445,7 +445,7 @@
             }
             self.store_dirty();
             self.send_frames(frame);
-        } else if self.now >= self.timers.heartbeat || !self.changes.cancelled.is_empty() {
+        } else if self.now >= self.timers.peer_heartbeat || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
         self.answer_settled();
@@ -479,19 +479,20 @@
 
     /// True while this process may act for the shards it owns. Past the end of
     /// its lease another may have taken them.
-    fn acting(&self) -> bool {
+    fn holds_lease(&self) -> bool {
         self.controller_lease.valid(self.now)
     }
 
     /// The term under which this process acts for a shard, if it does.
-    fn owned_term(&self, shard: usize) -> Option<u64> {
-        let owned = self.shards.get(shard)?.owned.as_ref()?;
-        self.acting().then_some(owned.term)
+    fn leading_term(&self, shard: usize) -> Option<u64> {
+        let leadership = self.shards.get(shard)?.leadership.as_ref()?;
+        self.holds_lease().then_some(leadership.term)
     }
 
     /// True if this process runs the shard's jobs.
-    fn runs(&self, shard: usize) -> bool {
-        self.acting() && self.shards[shard].owned.as_ref().is_some_and(|m| m.loaded && !m.releasing)
+    fn serves_shard(&self, shard: usize) -> bool {
+        self.holds_lease()
+            && self.shards[shard].leadership.as_ref().is_some_and(|m| m.recovered && !m.releasing)
     }
 
     fn shard_of_machine(&self, machine: &str) -> usize {
@@ -499,7 +500,7 @@
     }
 
     /// The member that has a shard's lease, as far as known.
-    fn lease_holder(&self, shard: usize) -> Option<usize> {
+    fn shard_leader(&self, shard: usize) -> Option<usize> {
         let (lease, _) = self.shards[shard].lease.as_ref()?;
         self.member_number(&lease.member)
     }
--- a/src/controller/pipeline.rs
+++ b/src/controller/pipeline.rs
@@ -83,7 +83,7 @@
     cascading: BTreeSet<String>,
     lookups: BTreeMap<u64, Lookup>,
     count: u64,
-    look_at: Micros,
+    next_check: Micros,
     urgency_at: Micros,
     /// What was last told of jobs that own ones need.
     inherited_urgency: BTreeMap<String, (u32, Micros)>,
@@ -115,7 +115,7 @@
         if !upstream.is_empty() && !self.needs.contains_key(id) {
             self.needs.insert(id.to_string(), upstream.into());
             self.partly.remove(id);
-            self.look_at = Micros::ZERO;
+            self.next_check = Micros::ZERO;
         }
     }
 
@@ -124,13 +124,13 @@
         self.needs.remove(id);
         self.partly.remove(id);
         // What needs it may go on, or is cancelled.
-        self.look_at = Micros::ZERO;
+        self.next_check = Micros::ZERO;
     }
 
     /// An own job waits for others.
     pub fn wait(&mut self, id: &str) {
         self.waiting.insert(id.to_string());
-        self.look_at = Micros::ZERO;
+        self.next_check = Micros::ZERO;
     }
 }
 
@@ -362,9 +362,10 @@
             self.submissions += 1;
             return self.queue_submission(ticket, spec, size);
         }
-        let owned =
-            self.admitting_shard().and_then(|s| Some((s, self.shards[s].owned.as_ref()?.revision)));
-        let Some((s, revision)) = owned else {
+        let leadership = self
+            .admitting_shard()
+            .and_then(|s| Some((s, self.shards[s].leadership.as_ref()?.revision)));
+        let Some((s, revision)) = leadership else {
             return self.later(ticket, 503, "no seat is held");
         };
         let by_size = TXN_BYTES / (self.settings.state.value_kb * 1024.0) as usize;
@@ -445,10 +446,10 @@
     pub(super) fn maintain_pipelines(&mut self) {
         self.read_upstream();
         self.maintain_record_pages();
-        if !self.acting() || self.now < self.pipelines.look_at {
+        if !self.holds_lease() || self.now < self.pipelines.next_check {
             return;
         }
-        self.pipelines.look_at = self.now + LOOK_EVERY;
+        self.pipelines.next_check = self.now + LOOK_EVERY;
         let wall = self.wall();
         for id in self.pipelines.waiting.iter().cloned().collect::<Vec<_>>() {
             let waits = |j: &&Job| j.waiting && !j.cancelled && !j.over;
@@ -496,9 +497,10 @@
             return;
         };
         let full = self.pipelines.cascading.len() >= CASCADES;
-        if full || self.pipelines.cascading.contains(id) || !self.runs(job.shard) {
+        if full || self.pipelines.cascading.contains(id) || !self.serves_shard(job.shard) {
             // The next look comes soon.
-            self.pipelines.look_at = self.pipelines.look_at.min(self.now + Micros::millis(100));
+            self.pipelines.next_check =
+                self.pipelines.next_check.min(self.now + Micros::millis(100));
             return;
         }
         let (shard, tasks) = (job.shard, job.spec.tasks);
@@ -578,7 +580,7 @@
             self.place_wanted = true;
             if self.pipelines.waiting.contains(id) {
                 // What it needs itself is as urgent.
-                self.pipelines.look_at = Micros::ZERO;
+                self.pipelines.next_check = Micros::ZERO;
             }
         }
     }
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -73,17 +73,17 @@
                 continue;
             }
             let mut free = slot.room();
-            let mut cost = if self.images.holds(self.now, &spec.image, &slot.machine, slot.session)
-            {
-                0.0
-            } else {
-                let machine_type = self.slots.pool_of(at).map_or("", |k| &k.machine_type);
-                let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
-                let fetch = spec.image_gb / rate.max(0.01);
-                // A start that then waits for its image comes late, but much
-                // work thrown away for it costs more.
-                spec.cpus * if too_slow { fetch * SLOW_FETCH } else { fetch }
-            };
+            let mut cost =
+                if self.images.holds(self.now, &spec.image, &slot.machine, slot.incarnation) {
+                    0.0
+                } else {
+                    let machine_type = self.slots.pool_of(at).map_or("", |k| &k.machine_type);
+                    let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
+                    let fetch = spec.image_gb / rate.max(0.01);
+                    // A start that then waits for its image comes late, but much
+                    // work thrown away for it costs more.
+                    spec.cpus * if too_slow { fetch * SLOW_FETCH } else { fetch }
+                };
             let loss = |b: &Booked| b.amount[0] * self.loss(b.placed, b.checkpoint_s);
             let mut order: Vec<(f64, u32, usize)> = slot
                 .tasks
@@ -136,7 +136,7 @@
     /// others lack. All nodes stopping the whole of it would stop it several
     /// times over, and then the other way round.
     pub(super) fn refresh_guarantees(&mut self) {
-        if !self.acting() {
+        if !self.holds_lease() {
             return;
         }
         self.refresh_slots();
--- a/src/controller/probes.rs
+++ b/src/controller/probes.rs
@@ -16,7 +16,7 @@
     /// A peer tells where a machine was when it last knew of it.
     pub(super) fn apply_hint(&mut self, hint: Hint) {
         let known =
-            self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_report.is_some());
+            self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_heartbeat.is_some());
         if known
             || self.terminated.contains(&hint.machine)
             || hint.machine.len() > MAX_NAME
@@ -25,7 +25,7 @@
             return;
         }
         if let Ok(address) = hint.address.parse() {
-            self.hints.insert(hint.machine.clone(), (hint.session, address));
+            self.hints.insert(hint.machine.clone(), (hint.incarnation, address));
             self.probes.insert(hint.machine);
         }
     }
@@ -34,7 +34,7 @@
     /// that order nothing. They would report within their period only, and a
     /// second time under the new term before anything may be sent to them.
     pub(super) fn send_probes(&mut self) {
-        if !self.acting() {
+        if !self.holds_lease() {
             return;
         }
         let mut sent = 0;
@@ -42,40 +42,40 @@
             && let Some(machine) = self.probes.pop_first()
         {
             let s = self.shard_of_machine(&machine);
-            if self.owned_term(s).is_none() {
+            if self.leading_term(s).is_none() {
                 // Kept among the hints until the shard is taken.
                 continue;
             }
-            let Some((session, address)) = self.hints.remove(&machine) else {
+            let Some((incarnation, address)) = self.hints.remove(&machine) else {
                 continue;
             };
             if self.terminated.contains(&machine) {
                 continue;
             }
             let managed = self.managed_machines.entry(machine.clone()).or_default();
-            if managed.known || managed.last_report.is_some() || managed.direct_busy {
+            if managed.known || managed.last_heartbeat.is_some() || managed.direct_busy {
                 continue;
             }
             // The session is not taken over: what it is now, its answer says.
-            self.ask(&machine, session, address);
+            self.ask(&machine, incarnation, address);
             sent += 1;
         }
     }
 
     /// Sends commands that order nothing: the answer shows that it receives commands.
-    pub(super) fn ask(&mut self, machine: &str, session: u64, address: SocketAddrV4) {
-        let Some(term) = self.owned_term(self.shard_of_machine(machine)) else {
+    pub(super) fn ask(&mut self, machine: &str, incarnation: u64, address: SocketAddrV4) {
+        let Some(term) = self.leading_term(self.shard_of_machine(machine)) else {
             return;
         };
         let Some(managed) = self.managed_machines.get_mut(machine).filter(|p| !p.direct_busy)
         else {
             return;
         };
-        let Some(token) = managed.token(term) else {
+        let Some(fencing_token) = managed.fencing_token(term) else {
             return;
         };
         managed.direct_busy = true;
-        let body = DirectCommands { token, session, commands: Vec::new() };
+        let body = DirectCommands { fencing_token, incarnation, commands: Vec::new() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let op = Op::Direct { machine: machine.to_string(), starts: Vec::new(), term };
         let id = self.call_id(op);
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -30,7 +30,7 @@
     pub(super) fn quota_needs(&self) -> Vec<QuotaNeed> {
         let mut list = Vec::new();
         for (team, q) in self.quotas.iter().filter(|(_, q)| q.limited()) {
-            for s in (0..self.shards.len()).filter(|s| self.runs(*s)) {
+            for s in (0..self.shards.len()).filter(|s| self.serves_shard(*s)) {
                 let (used, grant) = (self.shard_usage(s, team), q.grant(s));
                 let room = [grant[0] - used[0], grant[1] - used[1]];
                 for n in quota::lacking(room, &self.shard_waits(s, team)) {
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn maintain_quotas(&mut self) {
-        if !self.acting() {
+        if !self.holds_lease() {
             return;
         }
         if !self.quotas_read {
@@ -83,10 +83,10 @@
     }
 
     fn maintain_quota(&mut self, team: &str, s: usize, own: &[QuotaNeed]) {
-        if !self.runs(s) {
+        if !self.serves_shard(s) {
             return;
         }
-        let revision = self.shards[s].owned.as_ref().map_or(0, |m| m.revision);
+        let revision = self.shards[s].leadership.as_ref().map_or(0, |m| m.revision);
         let (waits, used) = (self.shard_waits(s, team), self.shard_usage(s, team));
         let (shards, reserve) = (self.shards.len(), self.admission_reserve());
         let all: Vec<&QuotaNeed> = self
--- a/src/controller/record_pages.rs
+++ b/src/controller/record_pages.rs
@@ -76,7 +76,7 @@
         let Some(first) = pages.wanted.first().cloned() else {
             return;
         };
-        if !may_read || !self.acting() || !self.status_queries.spare(now) {
+        if !may_read || !self.holds_lease() || !self.status_queries.spare(now) {
             return;
         }
         self.record_pages.reading = true;
--- a/src/controller/shard_loading.rs
+++ b/src/controller/recovery.rs
@@ -14,7 +14,7 @@
 
 /// A shard's jobs, being read after a take.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Loading {
+pub(super) struct ShardRecovery {
     pub(super) term: u64,
     pub(super) after: Option<String>,
     pub(super) listed: bool,
@@ -35,7 +35,7 @@
     /// A job that the store holds and this process does not: its acceptance
     /// was applied after the answer had been given up.
     pub(super) fn adopt(&mut self, id: &str, s: usize) {
-        if s >= self.shards.len() || !self.runs(s) || self.jobs.contains_key(id) {
+        if s >= self.shards.len() || !self.serves_shard(s) || self.jobs.contains_key(id) {
             return;
         }
         // Read again and again it would be no more readable.
@@ -49,31 +49,34 @@
         if under_way {
             return;
         }
-        let Some(term) = self.owned_term(s) else {
+        let Some(term) = self.leading_term(s) else {
             return;
         };
         info!("job {id} found in the store");
         // The whole list again: it is short, and only unknown jobs are taken.
-        let loading = self.loads.entry(s).or_insert_with(|| Loading { term, ..Loading::default() });
+        let loading = self
+            .recoveries
+            .entry(s)
+            .or_insert_with(|| ShardRecovery { term, ..ShardRecovery::default() });
         loading.after = None;
         loading.listed = false;
     }
 
-    pub(super) fn continue_loads(&mut self) {
+    pub(super) fn continue_recoveries(&mut self) {
         // What changes after a record was read comes by the watch, which must stand.
-        let watched = self.follow.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
-        if !self.acting() || !watched {
+        let watched = self.watches.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
+        if !self.holds_lease() || !watched {
             return;
         }
-        let shards: Vec<usize> = self.loads.keys().copied().collect();
+        let shards: Vec<usize> = self.recoveries.keys().copied().collect();
         for s in shards {
-            self.continue_load(s);
+            self.continue_recovery(s);
         }
     }
 
-    fn continue_load(&mut self, s: usize) {
+    fn continue_recovery(&mut self, s: usize) {
         let now = self.now;
-        let Some(l) = self.loads.get_mut(&s) else {
+        let Some(l) = self.recoveries.get_mut(&s) else {
             return;
         };
         if l.busy || now < l.retry {
@@ -83,7 +86,7 @@
         if !l.listed {
             l.busy = true;
             let call = KvRequest::List { prefix: format!("w/{s}/"), after: l.after.clone() };
-            return self.state(Op::Load { shard: s, term }, call);
+            return self.state(Op::ReadRecoveryPage { shard: s, term }, call);
         }
         let asked: Vec<String> =
             l.todo.iter().take(LOADS.saturating_sub(l.asked.len())).cloned().collect();
@@ -94,18 +97,18 @@
         let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
         for job in asked {
             let key = job::job_key(&job);
-            self.state(Op::LoadJob { shard: s, term, job }, KvRequest::Get(key));
+            self.state(Op::ReadRecoveredRecord { shard: s, term, job }, KvRequest::Get(key));
         }
         if finished {
-            self.loaded(s);
+            self.finish_recovery(s);
         }
     }
 
-    pub(super) fn load_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
+    pub(super) fn recovery_page_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
         let now = self.now;
         let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
         let KvResponse::Page { items, more, .. } = reply else {
-            if let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) {
+            if let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) {
                 l.busy = false;
                 l.retry = now + Micros::millis(200);
             }
@@ -127,7 +130,7 @@
                 new.push((id.to_string(), part, i.clone()));
             }
         }
-        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
+        let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
         l.busy = false;
@@ -141,11 +144,17 @@
             l.todo.insert(id.clone());
             l.batched.insert(id, found);
         }
-        self.continue_load(s);
+        self.continue_recovery(s);
     }
 
-    pub(super) fn load_job_reply(&mut self, s: usize, term: u64, job: &str, reply: KvResponse) {
-        let Some(l) = self.loads.get_mut(&s).filter(|l| l.term == term) else {
+    pub(super) fn recovery_record_reply(
+        &mut self,
+        s: usize,
+        term: u64,
+        job: &str,
+        reply: KvResponse,
+    ) {
+        let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
         l.asked.remove(job);
@@ -165,7 +174,7 @@
                 return;
             }
         }
-        self.continue_load(s);
+        self.continue_recovery(s);
     }
 
     /// Something stored cannot be read, which is told once: it stays as it is.
@@ -184,8 +193,8 @@
         self.admission.unbatch(id);
     }
 
-    fn loaded(&mut self, s: usize) {
-        let Some(mut l) = self.loads.remove(&s) else {
+    fn finish_recovery(&mut self, s: usize) {
+        let Some(mut l) = self.recoveries.remove(&s) else {
             return;
         };
         // A job's own part 0 is newer than what it was accepted with.
@@ -252,8 +261,8 @@
             self.changes.progress.insert(id.clone());
             self.jobs.insert(id, job);
         }
-        let first = match &mut self.shards[s].owned {
-            Some(m) if m.term == l.term => !std::mem::replace(&mut m.loaded, true),
+        let first = match &mut self.shards[s].leadership {
+            Some(m) if m.term == l.term => !std::mem::replace(&mut m.recovered, true),
             _ => return,
         };
         info!("shard {s} term {}: {count} unfinished jobs read", l.term);
--- a/src/controller/renter.rs
+++ b/src/controller/renter.rs
@@ -43,7 +43,7 @@
             self.fleet.types_at = now + wait;
             self.cloud(Op::Types, CloudCall::Types);
         }
-        let Some(term) = self.owned_term(RENTING_SHARD) else {
+        let Some(term) = self.leading_term(RENTING_SHARD) else {
             return;
         };
         if now >= self.fleet.list_at && self.fleet.listing.is_none() {
@@ -205,7 +205,7 @@
                 }
             }
             (Op::Rent { term }, reply) => {
-                if self.owned_term(RENTING_SHARD) == Some(term) {
+                if self.leading_term(RENTING_SHARD) == Some(term) {
                     self.rent_reply(reply);
                 }
             }
@@ -223,7 +223,7 @@
                 }
             }
             (Op::ListMachines { asked, term }, reply) => {
-                if self.owned_term(RENTING_SHARD) == Some(term) {
+                if self.leading_term(RENTING_SHARD) == Some(term) {
                     self.list_reply(asked, term, reply);
                 }
             }
@@ -243,11 +243,12 @@
     /// Writes the types down, once a term of the renting shard: a process that
     /// starts while the cloud is away could otherwise accept and place nothing.
     fn store_types(&mut self) {
-        let Some(owned) = self.shards[RENTING_SHARD].owned.as_ref().filter(|_| self.acting())
+        let Some(leadership) =
+            self.shards[RENTING_SHARD].leadership.as_ref().filter(|_| self.holds_lease())
         else {
             return;
         };
-        let (revision, term) = (owned.revision, owned.term);
+        let (revision, term) = (leadership.revision, leadership.term);
         let list: Vec<&MachineType> = self.types.values().collect();
         let value = serde_json::json!(list);
         let most = self.settings.state.value_kb * 1024.0;
--- a/src/controller/reservation.rs
+++ b/src/controller/reservation.rs
@@ -59,7 +59,7 @@
     /// room for one that needs it whole. Those are taken that have it soonest.
     pub(super) fn reserve_for_large(&mut self) {
         self.reserved.clear();
-        if !self.acting() {
+        if !self.holds_lease() {
             return;
         }
         let wall = self.wall();
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -27,12 +27,13 @@
 
 /// The token of a worker that has been shown so many higher ones under a term; `None` if
 /// the term has no further ones.
-pub fn raised_token(term: u64, raises: u64) -> Option<u64> {
-    match raises {
+pub fn raised_fencing_token(term: u64, fencing_token_raises: u64) -> Option<u64> {
+    match fencing_token_raises {
         0 => Some(term),
         _ => {
-            let token = term.checked_add(FIRST_RAISED.checked_add(raises)?)?;
-            (token < next_term(term)).then_some(token)
+            let fencing_token =
+                term.checked_add(FIRST_RAISED.checked_add(fencing_token_raises)?)?;
+            (fencing_token < next_term(term)).then_some(fencing_token)
         }
     }
 }
@@ -43,7 +44,8 @@
     /// Holder.
     pub member: String,
     /// Its run: tells an earlier process of the same name from this one.
-    pub run: u64,
+    #[serde(rename = "run")]
+    pub incarnation: u64,
     /// Term.
     pub term: u64,
     /// State lease that it ends with; the stored word stays.
@@ -60,16 +62,16 @@
 
 /// A shard that this process owns: it has the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnedShard {
+pub struct ShardLeadership {
     /// Term.
     pub term: u64,
     /// Version of `hold/S`: condition of every write.
     pub revision: u64,
     /// When this process learnt that it owns the shard: no earlier holder
     /// acted after that.
-    pub taken: Micros,
+    pub acquired_at: Micros,
     /// Its jobs have been read.
-    pub loaded: bool,
+    pub recovered: bool,
     /// It is about to be handed back; nothing new is begun.
     pub releasing: bool,
 }
@@ -84,13 +86,13 @@
     /// Highest term known.
     pub term: u64,
     /// Since when nobody has its lease.
-    pub free_since: Micros,
+    pub vacant_since: Micros,
     /// Set while this process owns it.
-    pub owned: Option<OwnedShard>,
+    pub leadership: Option<ShardLeadership>,
     /// A take or a release is under way.
     pub busy: bool,
     /// Highest term under which this process has acted.
-    pub acted: u64,
+    pub last_led_term: u64,
 }
 
 /// Beginning of the keys of shards' terms: `seat/S`. The stored word stays.
@@ -142,8 +144,8 @@
                 self.lease = Some((lease, revision));
             }
             None => {
-                if self.lease.take().is_some() || self.free_since == Micros::ZERO {
-                    self.free_since = now;
+                if self.lease.take().is_some() || self.vacant_since == Micros::ZERO {
+                    self.vacant_since = now;
                 }
             }
         }
@@ -162,14 +164,18 @@
     /// The version of `hold/S` on which a take may be conditional: 0 if it is
     /// gone, its own if an earlier run of `member` left it; `None` if it is
     /// somebody's. Taking a living holder's shard would let two act at once.
-    pub fn takeable(&self, member: &str, run: u64) -> Option<u64> {
+    pub fn acquirable_at(&self, member: &str, incarnation: u64) -> Option<u64> {
         match &self.lease {
             None => Some(0),
-            Some((h, revision)) if h.member == member && h.run != run => Some(*revision),
+            Some((h, revision)) if h.member == member && h.incarnation != incarnation => {
+                Some(*revision)
+            }
             // Given up by this very process, whose release may still be carried out
             // late: only a new mark makes it fail, and only a new term shows which of
             // its commands are still under way.
-            Some((h, revision)) if h.member == member && h.term <= self.acted => Some(*revision),
+            Some((h, revision)) if h.member == member && h.term <= self.last_led_term => {
+                Some(*revision)
+            }
             Some(_) => None,
         }
     }
@@ -180,11 +186,11 @@
         shard: usize,
         revision: u64,
         member: &str,
-        run: u64,
+        incarnation: u64,
         controller_lease: u64,
     ) -> (Txn, u64) {
         let term = next_term(self.term);
-        let lease = ShardLease { member: member.to_string(), run, term, controller_lease };
+        let lease = ShardLease { member: member.to_string(), incarnation, term, controller_lease };
         let txn = Txn {
             conditions: vec![
                 Condition { key: lease_key(shard), revision },
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -1,7 +1,7 @@
 //! Lease, shards and watches: how this process learns what it may do.
 
-use super::shard::{self, OwnedShard, Shard};
-use super::shard_loading::Loading;
+use super::recovery::ShardRecovery;
+use super::shard::{self, Shard, ShardLeadership};
 use super::watches::prefix;
 use super::{Controller, Op, Watch, decision_log};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -21,9 +21,9 @@
         if !self.controller_lease.busy && now >= self.controller_lease.renew_at {
             self.controller_lease.busy = true;
             match self.controller_lease.id {
-                None => self.state(Op::Grant { sent: now }, KvRequest::GrantLease(ttl)),
+                None => self.state(Op::GrantLease { sent: now }, KvRequest::GrantLease(ttl)),
                 Some(id) => {
-                    let op = Op::Extend { sent: now, epoch: self.controller_lease.epoch };
+                    let op = Op::RenewLease { sent: now, epoch: self.controller_lease.epoch };
                     self.state(op, KvRequest::RenewLease(id));
                 }
             }
@@ -36,7 +36,7 @@
             );
         }
         for watch in [Watch::ShardLeases, Watch::Jobs, Watch::Quotas] {
-            let f = self.follow.entry(watch).or_default();
+            let f = self.watches.entry(watch).or_default();
             if f.busy || now < f.retry {
                 continue;
             }
@@ -46,23 +46,23 @@
             let prefix = prefix(watch).to_string();
             match f.after {
                 Some(after) => {
-                    self.state(Op::Follow(watch), KvRequest::Watch { prefix, after, block })
+                    self.state(Op::Watch(watch), KvRequest::Watch { prefix, after, block })
                 }
                 // The jobs' own list grows without end; any list tells the
                 // present revision, and the shard leases are few.
                 None => self.state(
-                    Op::FollowStart(watch),
+                    Op::StartWatch(watch),
                     KvRequest::List { prefix: shard::LEASE_KEYS.into(), after: None },
                 ),
             }
         }
-        self.look_beside_watch();
+        self.poll_beside_watch();
         if self.shards_read && self.controller_lease.valid(now + Micros::millis(500)) {
             for s in 0..self.shards.len() {
                 self.maintain_shard(s);
             }
         }
-        self.continue_loads();
+        self.continue_recoveries();
     }
 
     fn maintain_shard(&mut self, s: usize) {
@@ -70,23 +70,23 @@
         if shard.busy {
             return;
         }
-        if let Some(owned) = &shard.owned {
+        if let Some(leadership) = &shard.leadership {
             let home_well = self
                 .peers
                 .get(&s)
                 .and_then(|p| p.well_since)
-                .is_some_and(|at| self.now.since(at) > self.options.hand_back)
+                .is_some_and(|at| self.now.since(at) > self.options.failback_delay)
                 && self.peer_alive(s);
-            if s != self.me && owned.loaded && !owned.releasing && home_well {
+            if s != self.me && leadership.recovered && !leadership.releasing && home_well {
                 info!("shard {s} goes back to {}", self.members[s]);
-                if let Some(m) = &mut self.shards[s].owned {
+                if let Some(m) = &mut self.shards[s].leadership {
                     m.releasing = true;
                 }
             }
-            self.finish_release(s);
+            self.finish_handover(s);
             return;
         }
-        let Some(revision) = shard.takeable(&self.member, self.run) else {
+        let Some(revision) = shard.acquirable_at(&self.member, self.incarnation) else {
             return;
         };
         if revision == 0 {
@@ -96,57 +96,57 @@
                 Micros::ZERO
             } else {
                 let rank = (self.me + self.shards.len() - s) % self.shards.len();
-                let well = |p: &super::PeerInfo| p.state_ok && !p.cut_off;
+                let well = |p: &super::PeerInfo| p.state_ok && !p.partitioned;
                 let home_well = self.peer_alive(s) && self.peers.get(&s).is_some_and(well);
                 let base = if home_well { Micros::millis(2_000) } else { Micros::millis(200) };
                 base + Micros::millis(rank as u64 * 250)
             };
             // One who cannot reach its workers leaves it to anybody else.
-            let wait = if self.connectivity.cut_off() { wait + Micros::secs(5) } else { wait };
-            if self.now.since(shard.free_since) < wait {
+            let wait = if self.connectivity.partitioned() { wait + Micros::secs(5) } else { wait };
+            if self.now.since(shard.vacant_since) < wait {
                 return;
             }
         }
         let Some(lease) = self.controller_lease.id else {
             return;
         };
-        let (txn, term) = shard.take(s, revision, &self.member, self.run, lease);
+        let (txn, term) = shard.take(s, revision, &self.member, self.incarnation, lease);
         self.shards[s].busy = true;
-        let op = Op::Take { shard: s, term, epoch: self.controller_lease.epoch };
+        let op = Op::AcquireShard { shard: s, term, epoch: self.controller_lease.epoch };
         self.state(op, KvRequest::Txn(txn));
     }
 
     /// Hands a shard back once nothing of it is being written.
-    fn finish_release(&mut self, s: usize) {
-        let Some(owned) = self.shards[s].owned.as_ref().filter(|m| m.releasing) else {
+    fn finish_handover(&mut self, s: usize) {
+        let Some(leadership) = self.shards[s].leadership.as_ref().filter(|m| m.releasing) else {
             return;
         };
         if self.jobs.values().any(|j| j.shard == s && j.busy) {
             return;
         }
-        let txn = Shard::release(s, owned.revision);
+        let txn = Shard::release(s, leadership.revision);
         // It stops acting before the release can be applied, and does not
         // begin again whatever the answer: the outcome may come late.
-        self.lose_shard(s, "handed back");
+        self.step_down(s, "handed back");
         self.shards[s].busy = true;
         self.state(Op::Release { shard: s }, KvRequest::Txn(txn));
     }
 
     /// The store says that a shard's mark has changed.
-    pub(super) fn suspect_shard(&mut self, s: usize, term: u64) {
-        if self.shards[s].owned.as_ref().is_some_and(|m| m.term == term) {
-            self.lose_shard(s, "its mark has changed");
+    pub(super) fn lease_revision_changed(&mut self, s: usize, term: u64) {
+        if self.shards[s].leadership.as_ref().is_some_and(|m| m.term == term) {
+            self.step_down(s, "its mark has changed");
         }
         self.shards_read = false;
     }
 
     /// Forgets everything that belonged to a shard.
-    pub(super) fn lose_shard(&mut self, s: usize, why: &str) {
-        let Some(owned) = self.shards[s].owned.take() else {
+    pub(super) fn step_down(&mut self, s: usize, why: &str) {
+        let Some(leadership) = self.shards[s].leadership.take() else {
             return;
         };
-        decision_log::shard_lost(s, &owned, self.now, why);
-        self.loads.remove(&s);
+        decision_log::leadership_lost(s, &leadership, self.now, why);
+        self.recoveries.remove(&s);
         // It is tried once more under the next term.
         self.unreadable.clear();
         self.jobs.retain(|_, j| j.shard != s);
@@ -167,27 +167,33 @@
         self.controller_lease.lost();
         self.controller_lease.renew_at = self.now;
         for s in 0..self.shards.len() {
-            self.lose_shard(s, "the state lease ended");
+            self.step_down(s, "the state lease ended");
         }
         self.shards_read = false;
     }
 
-    fn shard_taken(&mut self, s: usize, term: u64, revision: u64) {
-        let owned = OwnedShard { term, revision, taken: self.now, loaded: false, releasing: false };
-        decision_log::shard_taken(s, &owned, self.controller_lease.valid_until);
+    fn shard_acquired(&mut self, s: usize, term: u64, revision: u64) {
+        let leadership = ShardLeadership {
+            term,
+            revision,
+            acquired_at: self.now,
+            recovered: false,
+            releasing: false,
+        };
+        decision_log::shard_acquired(s, &leadership, self.controller_lease.valid_until);
         let shard = &mut self.shards[s];
         shard.term = shard.term.max(term);
         shard.term_revision = shard.term_revision.max(revision);
-        shard.acted = term;
-        shard.owned = Some(owned);
+        shard.last_led_term = term;
+        shard.leadership = Some(leadership);
         let lease = shard::ShardLease {
             member: self.member.clone(),
-            run: self.run,
+            incarnation: self.incarnation,
             term,
             controller_lease: self.controller_lease.id.unwrap_or(0),
         };
         shard.lease = Some((lease, revision));
-        self.loads.insert(s, Loading { term, ..Loading::default() });
+        self.recoveries.insert(s, ShardRecovery { term, ..ShardRecovery::default() });
         // Machines that some shard wants tasks on: each is unknown until it
         // reports under the new term, or has been silent for a whole lease.
         let machines: BTreeSet<String> = self
@@ -206,7 +212,7 @@
         // from a peer that had received them.
         for v in self.views.values().filter(|v| !v.address.is_empty()) {
             if let Ok(address) = v.address.parse() {
-                self.hints.entry(v.machine.clone()).or_insert((v.session, address));
+                self.hints.entry(v.machine.clone()).or_insert((v.incarnation, address));
             }
         }
         let ours: Vec<String> =
@@ -216,18 +222,18 @@
 
     pub(super) fn shard_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
-            (Op::Grant { sent }, KvResponse::LeaseGranted(id)) => {
+            (Op::GrantLease { sent }, KvResponse::LeaseGranted(id)) => {
                 self.controller_lease.busy = false;
                 self.controller_lease.id = Some(id);
                 self.controller_lease.epoch += 1;
                 self.controller_lease.valid_until = Micros::ZERO;
                 self.controller_lease.extended(sent, self.options.controller_lease);
             }
-            (Op::Grant { .. }, _) => {
+            (Op::GrantLease { .. }, _) => {
                 self.controller_lease.busy = false;
                 self.controller_lease.renew_at = self.now + Micros::millis(300);
             }
-            (Op::Extend { sent, epoch }, r) => {
+            (Op::RenewLease { sent, epoch }, r) => {
                 self.extend_reply(sent, epoch, &r);
             }
             (Op::ListTerms, KvResponse::Page { items, .. }) => {
@@ -250,49 +256,51 @@
                 self.observe_leases(&items);
             }
             (Op::ListTerms | Op::ListLeases, _) => self.shards_reading = false,
-            (Op::FollowStart(watch), KvResponse::Page { revision, items, .. }) => {
+            (Op::StartWatch(watch), KvResponse::Page { revision, items, .. }) => {
                 self.watch_started(watch, revision, &items);
             }
-            (Op::Follow(watch), KvResponse::WatchEvents(revision, changes)) => {
+            (Op::Watch(watch), KvResponse::WatchEvents(revision, changes)) => {
                 for change in changes {
                     self.change(watch, change);
                 }
-                if let Some(f) = self.follow.get_mut(&watch) {
+                if let Some(f) = self.watches.get_mut(&watch) {
                     f.busy = false;
-                    f.took(revision, f.sent);
+                    f.advance_to(revision, f.sent);
                 }
             }
-            (Op::Look { sent }, KvResponse::WatchEvents(revision, changes)) => {
+            (Op::PollChanges { sent }, KvResponse::WatchEvents(revision, changes)) => {
                 for change in changes {
                     self.change(Watch::Jobs, change);
                 }
-                if let Some(f) = self.follow.get_mut(&Watch::Jobs) {
-                    f.took(revision, sent);
+                if let Some(f) = self.watches.get_mut(&Watch::Jobs) {
+                    f.advance_to(revision, sent);
                 }
             }
             // The watch itself will say so.
-            (Op::Look { .. }, _) => {}
-            (Op::Follow(watch), KvResponse::Compacted) => {
-                if let Some(f) = self.follow.get_mut(&watch) {
+            (Op::PollChanges { .. }, _) => {}
+            (Op::Watch(watch), KvResponse::Compacted) => {
+                if let Some(f) = self.watches.get_mut(&watch) {
                     (f.busy, f.after) = (false, None);
                 }
             }
-            (Op::Follow(watch) | Op::FollowStart(watch), _) => {
+            (Op::Watch(watch) | Op::StartWatch(watch), _) => {
                 let wait = Micros::millis(self.rng.random_range(200..400));
-                if let Some(f) = self.follow.get_mut(&watch) {
+                if let Some(f) = self.watches.get_mut(&watch) {
                     f.busy = false;
                     f.retry = self.now + wait;
                 }
             }
-            (Op::Take { shard, term, epoch }, r) => {
+            (Op::AcquireShard { shard, term, epoch }, r) => {
                 self.take_reply(shard, term, epoch, &r);
             }
             (Op::Release { shard }, _) => {
                 self.shards[shard].busy = false;
                 self.shards_read = false;
             }
-            (Op::Load { shard, term }, r) => self.load_reply(shard, term, r),
-            (Op::LoadJob { shard, term, job }, r) => self.load_job_reply(shard, term, &job, r),
+            (Op::ReadRecoveryPage { shard, term }, r) => self.recovery_page_reply(shard, term, r),
+            (Op::ReadRecoveredRecord { shard, term, job }, r) => {
+                self.recovery_record_reply(shard, term, &job, r)
+            }
             (op, _) => warn!("unexpected reply to {op:?}"),
         }
     }
@@ -323,9 +331,9 @@
 
     /// A watch begins anew at a revision: what changed before it may have been missed.
     fn watch_started(&mut self, watch: Watch, revision: u64, items: &[KeyValue]) {
-        if let Some(f) = self.follow.get_mut(&watch) {
+        if let Some(f) = self.watches.get_mut(&watch) {
             f.busy = false;
-            f.took(revision, f.sent);
+            f.advance_to(revision, f.sent);
         }
         match watch {
             Watch::ShardLeases => {
@@ -334,7 +342,7 @@
             // Cancellations may have been missed.
             Watch::Jobs => {
                 self.doubt_unfinished();
-                for l in self.loads.values_mut() {
+                for l in self.recoveries.values_mut() {
                     l.todo.extend(std::mem::take(&mut l.records).into_keys());
                     l.stale.append(&mut l.asked);
                 }
@@ -354,7 +362,7 @@
         self.shards[shard].busy = false;
         match reply {
             KvResponse::Applied(revision) if epoch == self.controller_lease.epoch => {
-                self.shard_taken(shard, term, *revision);
+                self.shard_acquired(shard, term, *revision);
             }
             KvResponse::LeaseNotFound if epoch == self.controller_lease.epoch => {
                 self.lose_controller_lease()
@@ -369,20 +377,20 @@
         let now = self.now;
         self.shards[s].observe_lease(now, item);
         let shard = &self.shards[s];
-        match (&shard.lease, &shard.owned) {
+        match (&shard.lease, &shard.leadership) {
             // A watch may tell of what was before the take.
             (Some((_, revision)), Some(m)) if *revision <= m.revision => {}
-            (None, Some(_)) | (Some(_), Some(_)) => self.lose_shard(s, "the store says so"),
+            (None, Some(_)) | (Some(_), Some(_)) => self.step_down(s, "the store says so"),
             (Some((h, revision)), None)
                 if h.member == self.member
-                    && h.run == self.run
+                    && h.incarnation == self.incarnation
                     && !shard.busy
-                    && h.term > shard.acted
+                    && h.term > shard.last_led_term
                     && Some(h.controller_lease) == self.controller_lease.id =>
             {
                 // A take whose answer was lost.
                 let (term, revision) = (h.term, *revision);
-                self.shard_taken(s, term, revision);
+                self.shard_acquired(s, term, revision);
             }
             _ => {}
         }
--- a/src/controller/slot_updates.rs
+++ b/src/controller/slot_updates.rs
@@ -28,8 +28,8 @@
         }
         let t = self.types.get(&v.machine_type)?;
         let size = [t.cpus, t.gpus, t.memory_gb];
-        let foreign = self.owned_term(h).is_none();
-        let mut slot = Slot::new(Rc::from(name), v.session, foreign, size);
+        let foreign = self.leading_term(h).is_none();
+        let mut slot = Slot::new(Rc::from(name), v.incarnation, foreign, size);
         let over = |job: &str, index: u32, attempt: u64| {
             v.tasks.iter().any(|t| {
                 t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
@@ -42,7 +42,7 @@
             let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
             for t in tasks {
                 // Of another session: gone, and its shard will learn of it.
-                if t.session != v.session
+                if t.incarnation != v.incarnation
                     || t.phase() == Phase::Over
                     || over(&t.job, t.index, t.attempt)
                 {
@@ -107,7 +107,7 @@
 
     /// Whether a shard's jobs are known here; else the desired state received from it counts.
     fn has_jobs_of(&self, s: usize) -> bool {
-        self.shards[s].owned.as_ref().is_some_and(|m| m.loaded)
+        self.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
     }
 
     /// Notes that a machine has to be looked at before the next placement.
@@ -120,10 +120,10 @@
     /// Brings the slots up to date: only what has changed is looked at.
     pub(super) fn refresh_slots(&mut self) {
         for h in 0..self.shards.len() {
-            let commanded = self.owned_term(h).is_some()
-                || self.lease_holder(h).is_some_and(|m| m != self.me && self.peer_alive(m));
+            let commanded = self.leading_term(h).is_some()
+                || self.shard_leader(h).is_some_and(|m| m != self.me && self.peer_alive(m));
             let was = std::mem::replace(&mut self.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.owned_term(h), self.shards[h].term);
+            let state = (self.has_jobs_of(h), self.leading_term(h), self.shards[h].term);
             if was != commanded || self.slots_state.get(&h) != Some(&state) {
                 // The shard has changed hands or its holder has fallen silent.
                 self.slots_state.insert(h, state);
--- a/src/controller/slots.rs
+++ b/src/controller/slots.rs
@@ -66,7 +66,7 @@
     /// Its name.
     pub machine: Rc<str>,
     /// Session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Another controller commands it.
     pub foreign: bool,
     /// CPUs, GPUs, memory that nothing is booked on.
@@ -82,9 +82,9 @@
 
 impl Slot {
     /// A machine with nothing booked.
-    pub fn new(machine: Rc<str>, session: u64, foreign: bool, size: [f64; 3]) -> Slot {
+    pub fn new(machine: Rc<str>, incarnation: u64, foreign: bool, size: [f64; 3]) -> Slot {
         let (settled, held) = (Micros::ZERO, [0.0; 3]);
-        Slot { machine, session, foreign, free: size, settled, held, tasks: Vec::new() }
+        Slot { machine, incarnation, foreign, free: size, settled, held, tasks: Vec::new() }
     }
 
     /// Books a task.
--- a/src/controller/start_gate.rs
+++ b/src/controller/start_gate.rs
@@ -31,9 +31,9 @@
     /// Term under which the shard is held.
     pub term: u64,
     /// Token of the commands to this machine.
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session of the machine.
-    pub session: u64,
+    pub incarnation: u64,
     /// Until when the state lease is surely valid, by this process's clock.
     pub lease_until: Micros,
     /// Whether every cancellation that was confirmed long enough ago is known.
@@ -61,7 +61,7 @@
     /// refused it, and its owner may have begun it elsewhere since.
     OwnerUnaware,
     /// It was placed in another session of the machine.
-    OtherSession,
+    OtherIncarnation,
     /// Its job is known to be cancelled or done.
     JobOver,
     /// Cancellations may have been missed.
@@ -74,7 +74,7 @@
         match self {
             StartRefusal::NotWanted | StartRefusal::ToBeStopped | StartRefusal::JobOver => true,
             StartRefusal::OwnerUnaware
-            | StartRefusal::OtherSession
+            | StartRefusal::OtherIncarnation
             | StartRefusal::CancellationsUnknown => false,
         }
     }
@@ -86,7 +86,7 @@
     /// The state lease is over by the clock: another may hold the shard.
     LeaseOver,
     /// The token is below the term, so it fences nothing.
-    TokenBelowTerm,
+    FencingTokenBelowTerm,
     /// The right is another task's or session's.
     OtherTask,
 }
@@ -122,8 +122,8 @@
         if owner_knew < self.term {
             return Err(StartRefusal::OwnerUnaware);
         }
-        if task.session != self.session {
-            return Err(StartRefusal::OtherSession);
+        if task.incarnation != self.incarnation {
+            return Err(StartRefusal::OtherIncarnation);
         }
         if !self.cancellations_known {
             return Err(StartRefusal::CancellationsUnknown);
@@ -135,8 +135,8 @@
     fn violation(&self) -> Option<StartViolation> {
         if self.now >= self.lease_until {
             Some(StartViolation::LeaseOver)
-        } else if self.token < self.term {
-            Some(StartViolation::TokenBelowTerm)
+        } else if self.fencing_token < self.term {
+            Some(StartViolation::FencingTokenBelowTerm)
         } else {
             None
         }
@@ -156,8 +156,8 @@
         log::debug!(
             target: decision_log::TARGET,
             job = task.job.as_str(), task = task.index, attempt = task.attempt,
-            machine = machine, session = right.session,
-            shard = right.shard, term = right.term, token = right.token,
+            machine = machine, incarnation = right.incarnation,
+            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
             lease_left_ms = right.lease_until.since(right.now).as_millis(),
             owner_knew_term = self.owner_knew,
             job_stage:? = self.job.map(|job| job.stage),
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -55,10 +55,13 @@
 #[derive(Serialize)]
 struct ShardStatus<'a> {
     shard: usize,
-    holder: Option<&'a str>,
+    #[serde(rename = "holder")]
+    leader: Option<&'a str>,
     term: u64,
-    owned: bool,
-    loaded: bool,
+    #[serde(rename = "owned")]
+    led: bool,
+    #[serde(rename = "loaded")]
+    recovered: bool,
     /// Revision of the lease's key, on which all writes for the shard depend.
     revision: Option<u64>,
 }
@@ -67,10 +70,10 @@
     fn of(number: usize, shard: &'a Shard) -> ShardStatus<'a> {
         ShardStatus {
             shard: number,
-            holder: shard.lease.as_ref().map(|(lease, _)| lease.member.as_str()),
+            leader: shard.lease.as_ref().map(|(lease, _)| lease.member.as_str()),
             term: shard.term,
-            owned: shard.owned.is_some(),
-            loaded: shard.owned.as_ref().is_some_and(|owned| owned.loaded),
+            led: shard.leadership.is_some(),
+            recovered: shard.leadership.as_ref().is_some_and(|leadership| leadership.recovered),
             revision: shard.lease.as_ref().map(|(_, revision)| *revision),
         }
     }
@@ -119,8 +122,10 @@
     pub(super) failed: u64,
     pub(super) lost: u64,
     pub(super) preempted: u64,
-    pub(super) reports: u64,
-    pub(super) bad_reports: u64,
+    #[serde(rename = "reports")]
+    pub(super) heartbeats: u64,
+    #[serde(rename = "bad_reports")]
+    pub(super) bad_heartbeats: u64,
     pub(super) decisions: DecisionCounts,
 }
 
@@ -229,7 +234,7 @@
     }
 
     /// Number of shards owned, for tests and the log.
-    pub fn owned_shard_count(&self) -> usize {
-        self.shards.iter().filter(|s| s.owned.is_some()).count()
+    pub fn led_shard_count(&self) -> usize {
+        self.shards.iter().filter(|s| s.leadership.is_some()).count()
     }
 }
--- a/src/controller/task_placement.rs
+++ b/src/controller/task_placement.rs
@@ -80,7 +80,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if !self.runs(job.shard) || job.waiting {
+        if !self.serves_shard(job.shard) || job.waiting {
             return;
         }
         let reason = match self.placement_barrier(job) {
@@ -355,12 +355,12 @@
     ) -> Option<()> {
         let (now, wall) = (self.now, self.wall());
         let slot = self.slots.get(at)?;
-        let (machine, session) = (Rc::clone(&slot.machine), slot.session);
+        let (machine, incarnation) = (Rc::clone(&slot.machine), slot.incarnation);
         let zone = self.slots.pool_of(at).map(|k| Rc::clone(&k.zone)).unwrap_or_default();
         let spec = &placement.spec;
-        let hit = self.images.holds(now, &spec.image, &machine, session);
+        let hit = self.images.holds(now, &spec.image, &machine, incarnation);
         let job = self.jobs.get_mut(&placement.id)?;
-        let attempt = job.put(wall, index, &machine, session, &zone)?;
+        let attempt = job.put(wall, index, &machine, incarnation, &zone)?;
         let booked = Booked {
             rank: job.rank(),
             team: spec.team.clone(),
@@ -378,7 +378,7 @@
         self.unobserved += 1;
         self.counts.placed += 1;
         self.counts.image_hits += u64::from(hit);
-        self.images.note(now, &spec.image, &machine, session);
+        self.images.note(now, &spec.image, &machine, incarnation);
         pass.left -= 1;
         let team = pass.usage.entry(spec.team.clone()).or_default();
         for ((team, used), need) in team.iter_mut().zip(&mut placement.used).zip(placement.need) {
@@ -402,9 +402,9 @@
     fn holders_of(&self, image: &str, pools: &[usize]) -> Vec<usize> {
         self.images
             .holders(self.now, image)
-            .filter_map(|(machine, session)| {
+            .filter_map(|(machine, incarnation)| {
                 let id = self.slots.id(machine)?;
-                let present = self.slots.get(id)?.session == session;
+                let present = self.slots.get(id)?.incarnation == incarnation;
                 (present && self.slots.among(id, pools)).then_some(id)
             })
             .collect()
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -11,7 +11,7 @@
 /// Between log lines about refused requests.
 pub(super) const REFUSALS_EVERY: Micros = Micros::secs(10);
 /// Between frames to peers while nothing changes.
-pub(super) const HEARTBEAT_EVERY: Micros = Micros::millis(800);
+pub(super) const PEER_HEARTBEAT_INTERVAL: Micros = Micros::millis(800);
 /// Between frames that carry this process's waiting tasks.
 pub(super) const DEMAND_EVERY: Micros = Micros::millis(400);
 /// Between frames that carry jobs' progress.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Timers {
     /// A frame to every peer, even if nothing has changed.
-    pub(super) heartbeat: Micros,
+    pub(super) peer_heartbeat: Micros,
     /// Upkeep of machines, jobs and requests to make room.
     pub(super) upkeep: Micros,
     /// Waiting tasks and lacking limits, told to peers.
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -13,7 +13,7 @@
 
 /// A watch.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Following {
+pub(super) struct WatchState {
     pub(super) after: Option<u64>,
     pub(super) busy: bool,
     pub(super) retry: Micros,
@@ -22,7 +22,7 @@
     /// When the last call that was answered had been sent.
     pub(super) caught_up_at: Micros,
     /// When changes were last looked at beside the watch.
-    pub(super) look_at: Micros,
+    pub(super) next_check: Micros,
 }
 
 pub(super) fn prefix(watch: Watch) -> &'static str {
@@ -33,10 +33,10 @@
     }
 }
 
-impl Following {
+impl WatchState {
     /// Changes up to a revision, asked for at a time, are taken in. A watch and a
     /// look may cross.
-    pub(super) fn took(&mut self, revision: u64, sent: Micros) {
+    pub(super) fn advance_to(&mut self, revision: u64, sent: Micros) {
         self.after = Some(self.after.unwrap_or(0).max(revision));
         self.caught_up_at = self.caught_up_at.max(sent);
     }
@@ -55,21 +55,21 @@
 impl Controller {
     /// After an outage the lease is good at once, while the watch that was open waits
     /// on: reports are answered only once it is known what was cancelled meanwhile.
-    pub(super) fn look_beside_watch(&mut self) {
+    pub(super) fn poll_beside_watch(&mut self) {
         let now = self.now;
-        if !self.acting() || self.cancellations_up_to_date() {
+        if !self.holds_lease() || self.cancellations_up_to_date() {
             return;
         }
-        let Some(f) = self.follow.get_mut(&Watch::Jobs).filter(|f| now >= f.look_at) else {
+        let Some(f) = self.watches.get_mut(&Watch::Jobs).filter(|f| now >= f.next_check) else {
             return;
         };
         let Some(after) = f.after else {
             return;
         };
-        f.look_at = now + LOOK_EVERY;
+        f.next_check = now + LOOK_EVERY;
         let prefix = prefix(Watch::Jobs).to_string();
         let call = KvRequest::Watch { prefix, after, block: Micros::ZERO };
-        self.state(Op::Look { sent: now }, call);
+        self.state(Op::PollChanges { sent: now }, call);
     }
 
     pub(super) fn change(&mut self, watch: Watch, change: WatchEvent) {
@@ -87,7 +87,8 @@
                     return;
                 };
                 // News older than the own take: the shard has been taken since.
-                if self.shards[s].owned.as_ref().is_some_and(|m| change.revision <= m.revision) {
+                if self.shards[s].leadership.as_ref().is_some_and(|m| change.revision <= m.revision)
+                {
                     return;
                 }
                 self.observe_lease(s, item.as_ref());
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -55,7 +55,7 @@
     pub attempt: u64,
     /// Session of the machine for which it was written ahead.
     #[prost(uint64, tag = "4")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Stop it, giving it this many milliseconds to save.
     #[prost(uint64, optional, tag = "5")]
     pub stop_ms: Option<u64>,
@@ -75,7 +75,7 @@
             shape: Rc::clone(shapes.get(self.shape as usize)?),
             index: self.index,
             attempt: self.attempt,
-            session: self.session,
+            incarnation: self.incarnation,
             stop_ms: self.stop_ms,
             placed_s: self.placed_s,
             phase: self.phase,
@@ -176,7 +176,7 @@
     /// See [`DesiredTaskMessage`].
     pub attempt: u64,
     /// See [`DesiredTaskMessage`].
-    pub session: u64,
+    pub incarnation: u64,
     /// See [`DesiredTaskMessage`].
     pub stop_ms: Option<u64>,
     /// See [`DesiredTaskMessage`].
@@ -205,7 +205,7 @@
             shape,
             index: self.index,
             attempt: self.attempt,
-            session: self.session,
+            incarnation: self.incarnation,
             stop_ms: self.stop_ms,
             placed_s: self.placed_s,
             phase: self.phase,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,8 +1,8 @@
 //! One message between controllers.
 
 use super::{
-    Demand, DesiredStateMessage, Hint, InheritedUrgency, MachineView, MisdirectedReports, Preempt,
-    Progress, QuotaNeed, ShardClaim,
+    Demand, DesiredStateMessage, Hint, InheritedUrgency, MachineView, MisdirectedHeartbeats,
+    Preempt, Progress, QuotaNeed, ShardClaim,
 };
 use prost::Message;
 
@@ -18,7 +18,7 @@
     pub member: String,
     /// The sender's run: a number drawn when its process started.
     #[prost(uint64, tag = "2")]
-    pub run: u64,
+    pub incarnation: u64,
     /// Shards that the sender holds at present, as far as it may act.
     #[prost(message, repeated, tag = "3")]
     pub shard_claims: Vec<ShardClaim>,
@@ -65,11 +65,11 @@
     pub hints: Vec<Hint>,
     /// Machines of others' shards that report to the sender; taken with `demand`.
     #[prost(message, repeated, tag = "17")]
-    pub misdirected: Vec<MisdirectedReports>,
+    pub misdirected: Vec<MisdirectedHeartbeats>,
     /// The sender and its workers are out of each other's reach: it gives its
     /// shards up and is to be given none.
     #[prost(bool, tag = "18")]
-    pub cut_off: bool,
+    pub partitioned: bool,
     /// Members of whom the sender missed something: they are to tell it all.
     #[prost(uint32, repeated, tag = "19")]
     pub missed: Vec<u32>,
--- a/src/peer/shards.rs
+++ b/src/peer/shards.rs
@@ -22,7 +22,7 @@
     pub machine: String,
     /// Session.
     #[prost(uint64, tag = "2")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Address for direct commands.
     #[prost(string, tag = "3")]
     pub address: String,
@@ -31,7 +31,7 @@
 /// Machines of somebody else's shard that reported to the sender lately: their
 /// holder does not answer them.
 #[derive(Clone, PartialEq, Message)]
-pub struct MisdirectedReports {
+pub struct MisdirectedHeartbeats {
     /// Shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -88,7 +88,7 @@
     pub known: bool,
     /// Session of the newest report.
     #[prost(uint64, tag = "5")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Sessions up to this one are surely over.
     #[prost(uint64, tag = "6")]
     pub over_through: u64,
--- a/src/runtime/connection.rs
+++ b/src/runtime/connection.rs
@@ -26,7 +26,7 @@
         /// When that request arrived.
         since: Micros,
         /// The request is a worker's report.
-        reports: bool,
+        heartbeats: bool,
     },
     /// Frames from a peer.
     PeerIn {
@@ -50,7 +50,7 @@
 /// An open socket and what waits to be read from it or written to it.
 pub(super) struct Connection {
     pub(super) stream: Rc<TcpStream>,
-    pub(super) token: RegistrationToken,
+    pub(super) fencing_token: RegistrationToken,
     pub(super) role: Role,
     pub(super) connected: bool,
     pub(super) inbound: Vec<u8>,
@@ -97,7 +97,7 @@
         self.next_connection += 1;
         let stream = Rc::new(stream);
         let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
-        let token = self
+        let fencing_token = self
             .handle
             .insert_source(source, move |ready, _, runtime: &mut Runtime| {
                 runtime.socket_ready(id, ready.readable, ready.writable);
@@ -111,7 +111,7 @@
         }
         let connection = Connection {
             stream,
-            token,
+            fencing_token,
             role,
             connected,
             inbound: Vec::new(),
@@ -145,7 +145,7 @@
             let role = if for_peers {
                 Role::PeerIn { member: None }
             } else {
-                Role::Sender { busy: false, since: self.now, reports: false }
+                Role::Sender { busy: false, since: self.now, heartbeats: false }
             };
             if let Err(e) = self.add_connection(stream, role, true) {
                 debug!("cannot watch a connection: {e}");
@@ -299,7 +299,7 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        self.handle.remove(connection.token);
+        self.handle.remove(connection.fencing_token);
         match connection.role {
             Role::Sender { .. } => self.senders -= 1,
             Role::PeerIn { .. } => {}
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -18,13 +18,13 @@
     /// When to try again to connect.
     pub(super) retry: Micros,
     /// Its run as last heard; 0 before that.
-    pub(super) run: u64,
+    pub(super) incarnation: u64,
 }
 
 impl PeerLink {
     /// A peer that has not been reached yet.
     pub(super) fn new(address: SocketAddrV4) -> PeerLink {
-        PeerLink { address, connection: None, retry: Micros::ZERO, run: 0 }
+        PeerLink { address, connection: None, retry: Micros::ZERO, incarnation: 0 }
     }
 }
 
@@ -89,7 +89,7 @@
         if member.is_none() {
             self.identify_peer(id, from);
         }
-        self.note_run(from, frame.run);
+        self.note_incarnation(from, frame.incarnation);
         self.dispatch(Event::Peer { from, frame: Box::new(frame) });
         true
     }
@@ -115,13 +115,13 @@
 
     /// Closes the connection to a peer that has started anew: what was sent to
     /// its earlier run is lost.
-    fn note_run(&mut self, from: usize, run: u64) {
+    fn note_incarnation(&mut self, from: usize, incarnation: u64) {
         let Some(link) = self.peers.get_mut(&from) else {
             return;
         };
-        let earlier = std::mem::replace(&mut link.run, run);
+        let earlier = std::mem::replace(&mut link.incarnation, incarnation);
         if earlier != 0
-            && earlier != run
+            && earlier != incarnation
             && let Some(connection) = link.connection
         {
             self.close(connection);
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -23,8 +23,8 @@
             Ok(Some((request, used))) => {
                 take_front(&mut connection.inbound, used);
                 connection.close_after |= request.close;
-                let reports = request.path == wire::path::REPORT;
-                connection.role = Role::Sender { busy: true, since: self.now, reports };
+                let heartbeats = request.path == wire::path::HEARTBEAT;
+                connection.role = Role::Sender { busy: true, since: self.now, heartbeats };
                 self.handle_request(id, request);
                 true
             }
@@ -68,7 +68,7 @@
         let reason = error.to_string();
         let body = serde_json::to_vec(&wire::Refusal::new(&reason)).unwrap_or_default();
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.role = Role::Sender { busy: true, since: self.now, reports: false };
+            connection.role = Role::Sender { busy: true, since: self.now, heartbeats: false };
         }
         let answer = OutgoingAnswer {
             status,
@@ -86,14 +86,14 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Sender { busy: true, since, reports } = connection.role else {
+        let Role::Sender { busy: true, since, heartbeats } = connection.role else {
             return;
         };
         connection.close_after |= answer.close;
         let answer = OutgoingAnswer { close: connection.close_after, ..answer };
         answer.write_to(&mut connection.outbound);
-        connection.role = Role::Sender { busy: false, since: now, reports };
-        self.stats.record_answer(now.since(since), reports);
+        connection.role = Role::Sender { busy: false, since: now, heartbeats };
+        self.stats.record_answer(now.since(since), heartbeats);
         self.write(id);
         // A further request may have arrived while this one was being decided.
         if self.connections.get(&id).is_some_and(|c| !c.inbound.is_empty()) {
--- a/src/runtime/status.rs
+++ b/src/runtime/status.rs
@@ -24,7 +24,7 @@
 /// Latencies and counters for the status page.
 pub(super) struct Stats {
     answers: Histogram<u64>,
-    reports: Histogram<u64>,
+    heartbeats: Histogram<u64>,
     state_calls: Histogram<u64>,
     pub(super) refused_connections: u64,
     pub(super) bad_requests: u64,
@@ -35,7 +35,7 @@
     pub(super) fn new() -> Stats {
         Stats {
             answers: latency_histogram(),
-            reports: latency_histogram(),
+            heartbeats: latency_histogram(),
             state_calls: latency_histogram(),
             refused_connections: 0,
             bad_requests: 0,
@@ -43,8 +43,8 @@
     }
 
     /// Counts an answer to a sender, apart for workers' reports.
-    pub(super) fn record_answer(&mut self, took: Micros, is_report: bool) {
-        let histogram = if is_report { &mut self.reports } else { &mut self.answers };
+    pub(super) fn record_answer(&mut self, took: Micros, is_heartbeat: bool) {
+        let histogram = if is_heartbeat { &mut self.heartbeats } else { &mut self.answers };
         histogram.saturating_record(took.0.max(1));
     }
 
@@ -87,7 +87,7 @@
 #[derive(Serialize)]
 struct LatencyPage {
     answers: LatencySummary,
-    reports: LatencySummary,
+    heartbeats: LatencySummary,
     state_calls: LatencySummary,
 }
 
@@ -123,7 +123,7 @@
         let mut page = self.controller.status(self.now);
         let latency = LatencyPage {
             answers: LatencySummary::of(&self.stats.answers),
-            reports: LatencySummary::of(&self.stats.reports),
+            heartbeats: LatencySummary::of(&self.stats.heartbeats),
             state_calls: LatencySummary::of(&self.stats.state_calls),
         };
         let connections = ConnectionsPage {
--- a/src/wire/path.rs
+++ b/src/wire/path.rs
@@ -7,7 +7,7 @@
 /// Load balancer's probe.
 pub const HEALTH: &str = "/healthz";
 /// Workers' reports.
-pub const REPORT: &str = "/v1/report";
+pub const HEARTBEAT: &str = "/v1/report";
 /// Direct commands to a worker.
 pub const COMMANDS: &str = "/do";
 /// How a worker stands.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -61,7 +61,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine's name.
     #[serde(rename = "lathe")]
     pub machine: String,
@@ -78,13 +78,13 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Order of messages in a session.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes it.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
@@ -134,7 +134,7 @@
 
 /// Answer to a worker whose machine another node commands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct ReportTo<'a> {
+pub struct HeartbeatRedirect<'a> {
     /// That node.
     #[serde(rename = "foreman")]
     pub member: &'a str,
@@ -142,10 +142,10 @@
 
 /// Answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     /// Token of the shard that answers.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -156,10 +156,10 @@
 pub struct DirectCommands {
     /// Token of the shard.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session they are meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -60,15 +60,15 @@
         let mut solo = Solo::new(&settings(1, 3, ""), &[]);
         solo.start();
         solo.run(Micros::secs(5));
-        let (term, owned) = shard(&solo, 0);
-        assert!(owned, "{name}: seat 0 is nobody else's");
+        let (term, leadership) = shard(&solo, 0);
+        assert!(leadership, "{name}: seat 0 is nobody else's");
         let revision = solo.get("hold/0").expect("a holder").revision;
         solo.outcome = Box::new(move |call| match releases(call, 0) {
             true => outcome,
             false => Outcome::Served,
         });
         // Its home is back and well for long enough.
-        let well = || Frame { run: 3, state_ok: true, full: true, ..Frame::default() };
+        let well = || Frame { incarnation: 3, state_ok: true, full: true, ..Frame::default() };
         let mut released = None;
         for _ in 0..50 {
             solo.hear(0, well());
@@ -81,12 +81,12 @@
         let released = released.unwrap_or_else(|| panic!("{name}: never released"));
         // Its home is gone before it takes the shard.
         for _ in 0..1_000 {
-            let (now, owned) = shard(&solo, 0);
-            assert!(!owned || now > term, "{name}: acted on again under term {now}");
+            let (now, leadership) = shard(&solo, 0);
+            assert!(!leadership || now > term, "{name}: acted on again under term {now}");
             solo.run(Micros::millis(10));
         }
-        let (now, owned) = shard(&solo, 0);
-        assert!(owned && now > term, "{name}: not taken anew, term {now}");
+        let (now, leadership) = shard(&solo, 0);
+        assert!(leadership && now > term, "{name}: not taken anew, term {now}");
         for call in &solo.calls[released + 1..] {
             let KvRequest::Txn(txn) = call else {
                 continue;
@@ -304,7 +304,7 @@
 struct Shop {
     solo: Solo,
     machines: Vec<String>,
-    reports: u64,
+    heartbeats: u64,
 }
 
 /// Shards 0 and 2 are others'; the second shard, which is this controller's, has so many
@@ -320,7 +320,7 @@
     solo.start();
     let names = (0..).map(|n| format!("vm-{n:06}"));
     let machines = names.filter(|name| shard_of_machine(name, 3) == 1).take(3).collect();
-    let mut shop = Shop { solo, machines, reports: 0 };
+    let mut shop = Shop { solo, machines, heartbeats: 0 };
     shop.run(6, 0.0);
     shop
 }
@@ -331,7 +331,7 @@
         for _ in 0..seconds * 2 {
             let need = QuotaNeed { shard: 0, team: "red".into(), cpus: lacks, gpus: 0.0, rank: 2 };
             let frame = Frame {
-                run: 5,
+                incarnation: 5,
                 state_ok: true,
                 full: true,
                 has_demand: true,
@@ -339,15 +339,15 @@
                 ..Frame::default()
             };
             self.solo.hear(0, frame);
-            let (token, _) = shard(&self.solo, 1);
-            self.reports += 1;
+            let (fencing_token, _) = shard(&self.solo, 1);
+            self.heartbeats += 1;
             for machine in self.machines.clone() {
-                let report = json!({
+                let heartbeat = json!({
                     "lathe": machine, "address": "10.1.0.1:9000", "bench": "t4", "yard": "a",
-                    "loaners": false, "shift": 1, "tally": self.reports, "baton": token,
+                    "loaners": false, "shift": 1, "tally": self.heartbeats, "baton": fencing_token,
                     "recallS": null, "planks": [],
                 });
-                self.solo.ask("POST", "/v1/report", report.to_string().as_bytes());
+                self.solo.ask("POST", "/v1/report", heartbeat.to_string().as_bytes());
             }
             self.solo.run(Micros::millis(500));
         }
--- a/tests/simulation/event.rs
+++ b/tests/simulation/event.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Origin {
     /// A worker's report.
-    Worker { worker: usize, sent: Micros, report: u64 },
+    Worker { worker: usize, sent: Micros, heartbeat: u64 },
     /// A user's submission of a job, and when it was sent.
     Submit(String, Micros),
     /// A user's question about a job, and when it was sent.
@@ -59,7 +59,7 @@
     /// A worker's turn.
     Worker { worker: usize },
     /// A worker has waited for too long for the answer to its report.
-    GiveUp { worker: usize, report: u64 },
+    GiveUp { worker: usize, heartbeat: u64 },
     /// A user submits a job.
     Submit(String),
     /// A user cancels a job.
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -96,8 +96,8 @@
         if self.workers[worker].gone {
             return;
         }
-        if let Some((sent, report, body, node)) = self.workers[worker].report(now, worker) {
-            self.send_report(worker, node, sent, report, body);
+        if let Some((sent, heartbeat, body, node)) = self.workers[worker].heartbeat(now, worker) {
+            self.send_report(worker, node, sent, heartbeat, body);
         }
         self.at(now + TURN, SimEvent::Worker { worker });
     }
@@ -154,17 +154,17 @@
         worker: usize,
         node: usize,
         sent: Micros,
-        report: u64,
+        heartbeat: u64,
         body: Vec<u8>,
     ) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.tickets.insert(ticket, Origin::Worker { worker, sent, report });
+        self.tickets.insert(ticket, Origin::Worker { worker, sent, heartbeat });
         let cut = self.node_cut(node);
         let away = self.apart(worker, node) || self.mute(worker);
         let reset = cut.is_some_and(|(_, held)| !held) || away;
         let timeout = if reset { REFUSED_REPORT } else { REPORT_TIMEOUT };
-        self.at(self.now + timeout, SimEvent::GiveUp { worker, report });
+        self.at(self.now + timeout, SimEvent::GiveUp { worker, heartbeat });
         let incarnation = self.nodes[node].as_ref().map_or(0, |n| n.incarnation);
         let at = match self.worker_cut(worker).or(cut.map(|(end, _)| end)) {
             Some(end) => end + Micros::millis(3),
@@ -207,9 +207,9 @@
     }
 
     /// A report has got no answer in time: the worker tries the next controller.
-    pub(super) fn worker_gives_up(&mut self, worker: usize, report: u64) {
+    pub(super) fn worker_gives_up(&mut self, worker: usize, heartbeat: u64) {
         let w = &mut self.workers[worker];
-        if w.in_flight == Some(report) {
+        if w.in_flight == Some(heartbeat) {
             w.in_flight = None;
             w.node = (w.node + 1) % CONTROLLERS;
             w.next_report = self.now + Micros::secs(1);
@@ -219,14 +219,14 @@
     /// An answer arrives at the worker or the user who asked.
     pub(super) fn answer(&mut self, ticket: u64, left: Micros, status: u16, body: &[u8]) {
         match self.tickets.remove(&ticket) {
-            Some(Origin::Worker { worker, sent, report }) => {
+            Some(Origin::Worker { worker, sent, heartbeat }) => {
                 if self.worker_cut(worker).is_some()
                     || self.workers[worker].gone
                     || self.deaf(worker)
                 {
                     return;
                 }
-                let begun = self.workers[worker].answered(self.now, sent, report, status, body);
+                let begun = self.workers[worker].answered(self.now, sent, heartbeat, status, body);
                 self.note_starts(worker, begun);
             }
             Some(origin) => self.user_answer(origin, left, status, body),
--- a/tests/simulation/outcome.rs
+++ b/tests/simulation/outcome.rs
@@ -64,7 +64,7 @@
 
     /// Shards held by each controller that is up.
     pub fn shards(&self) -> Vec<usize> {
-        self.nodes.iter().flatten().map(|n| n.controller.owned_shard_count()).collect()
+        self.nodes.iter().flatten().map(|n| n.controller.led_shard_count()).collect()
     }
 }
 
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -246,8 +246,8 @@
 
 /// Placements of a job in a key, if it holds any.
 fn placements_of(key: &str, value: &Value, job: &str) -> Vec<StoredPlacement> {
-    let owned = parts(key, value).into_iter().filter(|(id, _)| id == job);
-    owned.filter_map(|(_, part)| stored_placements(&part)).flatten().collect()
+    let leadership = parts(key, value).into_iter().filter(|(id, _)| id == job);
+    leadership.filter_map(|(_, part)| stored_placements(&part)).flatten().collect()
 }
 
 /// What of a transaction lacks the condition that fences it: tasks and grants
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -3,7 +3,7 @@
 use super::LEASE_S;
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, DirectCommands, Report, ReportReply, ReportedTask, TaskState,
+    Cause, Command, DirectCommands, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
     spot: bool,
     pub sick: bool,
     pub gone: bool,
-    session: u64,
+    incarnation: u64,
     seq: u64,
-    token: u64,
+    fencing_token: u64,
     tasks: BTreeMap<String, Task>,
     /// When the last answered report was sent, or the session began.
     lease_from: Micros,
@@ -37,7 +37,7 @@
     /// Attempts that were stopped and not yet looked at by the world.
     pub stopped: Vec<(String, u64)>,
     last_sent: Micros,
-    reports: u64,
+    heartbeats: u64,
     /// Sessions that ended.
     pub lapses: u32,
 }
@@ -56,9 +56,9 @@
             spot,
             sick,
             gone: false,
-            session: 1,
+            incarnation: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             tasks: BTreeMap::new(),
             lease_from: now,
             node,
@@ -68,7 +68,7 @@
             cleared: Vec::new(),
             stopped: Vec::new(),
             last_sent: Micros::ZERO,
-            reports: 0,
+            heartbeats: 0,
             lapses: 0,
         }
     }
@@ -80,7 +80,7 @@
 
     /// Whether the machine has begun to report.
     pub fn up(&self, now: Micros) -> bool {
-        self.reports > 0 && now >= self.last_sent
+        self.heartbeats > 0 && now >= self.last_sent
     }
 
     /// A task is there that nobody ordered.
@@ -106,7 +106,7 @@
         let over = now > self.lease_from + Micros::from_secs_f64(LEASE_S);
         if over {
             self.tasks.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.lapses += 1;
             self.seq = 0;
             self.lease_from = now;
@@ -158,17 +158,17 @@
         done
     }
 
-    fn body(&mut self, number: usize) -> Report {
+    fn body(&mut self, number: usize) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: format!("10.1.0.1:{number}"),
             machine_type: "t4".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self
                 .tasks
@@ -184,19 +184,23 @@
     }
 
     /// The next report, if it is time.
-    pub fn report(&mut self, now: Micros, number: usize) -> Option<(Micros, u64, Vec<u8>, usize)> {
+    pub fn heartbeat(
+        &mut self,
+        now: Micros,
+        number: usize,
+    ) -> Option<(Micros, u64, Vec<u8>, usize)> {
         let due =
             now >= self.next_report || (self.changed && now > self.last_sent + Micros::millis(500));
         if self.in_flight.is_some() || !due {
             return None;
         }
         let body = serde_json::to_vec(&self.body(number)).expect("JSON");
-        self.reports += 1;
-        self.in_flight = Some(self.reports);
+        self.heartbeats += 1;
+        self.in_flight = Some(self.heartbeats);
         self.changed = false;
         self.last_sent = now;
         self.next_report = now + Micros::secs(2);
-        Some((now, self.reports, body, self.node))
+        Some((now, self.heartbeats, body, self.node))
     }
 
     /// Takes in an answer; returns the tasks that it began.
@@ -204,22 +208,23 @@
         &mut self,
         now: Micros,
         sent: Micros,
-        report: u64,
+        heartbeat: u64,
         status: u16,
         body: &[u8],
     ) -> Vec<String> {
-        if self.in_flight != Some(report) {
+        if self.in_flight != Some(heartbeat) {
             return Vec::new();
         }
         self.in_flight = None;
         match status {
             200 => {
-                let reply: ReportReply = serde_json::from_slice(body).expect("a report's answer");
-                if reply.token < self.token {
+                let reply: HeartbeatResponse =
+                    serde_json::from_slice(body).expect("a report's answer");
+                if reply.fencing_token < self.fencing_token {
                     return Vec::new();
                 }
-                self.changed |= reply.token > self.token;
-                self.token = reply.token;
+                self.changed |= reply.fencing_token > self.fencing_token;
+                self.fencing_token = reply.fencing_token;
                 self.lease_from = self.lease_from.max(sent);
                 self.execute(now, reply.commands)
             }
@@ -255,16 +260,16 @@
         body: &[u8],
     ) -> (u16, Vec<String>, Vec<u8>) {
         let d: DirectCommands = serde_json::from_slice(body).expect("direct commands");
-        let ok = d.token >= self.token && d.session == self.session;
+        let ok = d.fencing_token >= self.fencing_token && d.incarnation == self.incarnation;
         let begun = if ok {
-            self.changed |= d.token > self.token;
-            self.token = d.token;
+            self.changed |= d.fencing_token > self.fencing_token;
+            self.fencing_token = d.fencing_token;
             self.execute(now, d.commands)
         } else {
             Vec::new()
         };
-        let report = serde_json::to_vec(&self.body(number)).expect("JSON");
-        (if ok { 200 } else { 409 }, begun, report)
+        let heartbeat = serde_json::to_vec(&self.body(number)).expect("JSON");
+        (if ok { 200 } else { 409 }, begun, heartbeat)
     }
 
     fn execute(&mut self, now: Micros, commands: Vec<Command>) -> Vec<String> {
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -307,7 +307,7 @@
                 self.answer(ticket, left, status, &body)
             }
             SimEvent::Worker { worker } => self.worker_turn(worker),
-            SimEvent::GiveUp { worker, report } => self.worker_gives_up(worker, report),
+            SimEvent::GiveUp { worker, heartbeat } => self.worker_gives_up(worker, heartbeat),
             SimEvent::Submit(id) => self.submit(&id),
             SimEvent::Poll(id) => self.poll(id),
             SimEvent::Cancel(id) => self.cancel(id),
--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -116,7 +116,7 @@
     pub refused_commands: usize,
     held_commands: Vec<(usize, Vec<u8>)>,
     workers: Vec<Worker>,
-    reports: BTreeMap<u64, (usize, Micros, u64)>,
+    heartbeats: BTreeMap<u64, (usize, Micros, u64)>,
     works_at: Micros,
     store: Store,
     cloud: Cloud,
@@ -152,7 +152,7 @@
 [[settings.teams]]
 name = "blue"
 [settings.workers]
-report_s = 2.0
+heartbeat_interval_s = 2.0
 lease_s = 12.0
 cancel_s = 30.0
 [settings.state]
@@ -220,7 +220,7 @@
             refused_commands: 0,
             held_commands: Vec::new(),
             workers: Vec::new(),
-            reports: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
             works_at: now,
             store,
             cloud: Cloud::default(),
@@ -249,7 +249,7 @@
         self.due.clear();
         self.watches.clear();
         self.held.clear();
-        self.reports.clear();
+        self.heartbeats.clear();
         self.workers.iter_mut().for_each(|w| w.in_flight = None);
         self.start();
     }
@@ -313,9 +313,9 @@
             return;
         }
         w.advance(now, &lengths);
-        if let Some((sent, report, body, _)) = w.report(now, worker) {
+        if let Some((sent, heartbeat, body, _)) = w.heartbeat(now, worker) {
             let ticket = self.asked.len() as u64 + 1;
-            self.reports.insert(ticket, (worker, sent, report));
+            self.heartbeats.insert(ticket, (worker, sent, heartbeat));
             self.ask("POST", "/v1/report", &body);
         }
     }
@@ -335,9 +335,9 @@
         let soon = self.now + DELAY;
         match effect {
             Effect::Respond { ticket, status, retry_after, body } => {
-                if let Some((worker, sent, report)) = self.reports.remove(&ticket.0) {
+                if let Some((worker, sent, heartbeat)) = self.heartbeats.remove(&ticket.0) {
                     let w = &mut self.workers[worker];
-                    let begun = w.answered(self.now, sent, report, status, &body);
+                    let begun = w.answered(self.now, sent, heartbeat, status, &body);
                     return self.begun.extend(begun);
                 }
                 let body = serde_json::from_slice(&body).expect("JSON");
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -79,7 +79,7 @@
         };
         let claim = ShardClaim { shard: PEER_SHARD as u32, term: 1 };
         let frame = Frame {
-            run: PEER_RUN,
+            incarnation: PEER_RUN,
             state_ok: true,
             full: true,
             shard_claims: vec![claim],
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -18,7 +18,8 @@
     for (name, told, shown) in table {
         let mut solo = Solo::new(&settings(1, 2, ""), &[]);
         if let Some(format) = told {
-            let frame = Frame { run: 3, state_ok: true, full: true, format, ..Frame::default() };
+            let frame =
+                Frame { incarnation: 3, state_ok: true, full: true, format, ..Frame::default() };
             solo.hear(0, frame);
         }
         let status = solo.controller.status(solo.now);
--- a/tests/tables/frames.rs
+++ b/tests/tables/frames.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn frames() {
-    let frame = Frame { member: "n1".into(), run: 9, state_ok: true, ..Frame::default() };
+    let frame = Frame { member: "n1".into(), incarnation: 9, state_ok: true, ..Frame::default() };
     let mut bytes = Vec::new();
     peer::write_frame(&mut bytes, &frame);
     assert_eq!(peer::read_frame(&bytes), Ok(Some((frame, bytes.len()))));
--- a/tests/tables/http.rs
+++ b/tests/tables/http.rs
@@ -78,7 +78,7 @@
         let after = after.map(String::from);
         KvRequest::List { prefix: "j/".into(), after }
     };
-    let follow = KvRequest::Watch { prefix: "j/".into(), after: 3, block: second };
+    let watches = KvRequest::Watch { prefix: "j/".into(), after: 3, block: second };
     let txn = Txn {
         conditions: vec![Condition { key: "a".into(), revision: 4 }],
         writes: vec![Write::Delete { key: "b".into() }],
@@ -87,7 +87,7 @@
         (KvRequest::Get("j/1".into()), plain("GET /kv/j/1")),
         (list(None), plain("GET /kv?prefix=j/&limit=100")),
         (list(Some("j/7")), plain("GET /kv?prefix=j/&after=j/7&limit=100")),
-        (follow, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
+        (watches, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
         (
             KvRequest::Txn(txn),
             with_body("POST /txn", r#"{"if":[{"k":"a","revision":4}],"writes":[{"drop":"b"}]}"#),
--- a/tests/tables/jobs.rs
+++ b/tests/tables/jobs.rs
@@ -62,7 +62,7 @@
         ("late in the day", "vm-", 99_999, "a-zone", 180),
         ("long names", long, 1_000, "a-zone-with-name", 90),
     ];
-    for (name, head, session, zone, least) in table {
+    for (name, head, incarnation, zone, least) in table {
         let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
         // Every other task has completed, which is the longest list.
         for i in (0..size.tasks).step_by(2) {
@@ -72,7 +72,7 @@
         let mut placed = 0;
         while let Some(i) = j.first_pending().filter(|i| *i < size.tasks * 2) {
             let at = Micros::secs(1_800_000_000 + u64::from(i) * 40);
-            j.put(at, i, &format!("{head}{:06}", 999_999 - i), session, zone);
+            j.put(at, i, &format!("{head}{:06}", 999_999 - i), incarnation, zone);
             placed += 1;
         }
         for n in [0, 1] {
