--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -8,23 +8,28 @@
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
-use millethold::wire::{Cause, Report, ReportedTask, TaskState};
+use millethold::wire::{Cause, Heartbeat, ReportedTask, TaskState};
 use std::rc::Rc;
 
 fn key(attempt: u64) -> Key {
     Key { job: "j-1".into(), index: 0, attempt }
 }
 
-fn report(session: u64, seq: u64, token: u64, tasks: &[(u64, TaskState, Option<Cause>)]) -> Report {
-    Report {
+fn heartbeat(
+    incarnation: u64,
+    seq: u64,
+    fencing_token: u64,
+    tasks: &[(u64, TaskState, Option<Cause>)],
+) -> Heartbeat {
+    Heartbeat {
         machine: "vm-1".into(),
         address: "10.1.0.1:9000".into(),
         machine_type: "t4".into(),
         zone: "a".into(),
         spot: false,
-        session,
+        incarnation,
         seq,
-        token,
+        fencing_token,
         notice_s: None,
         tasks: tasks
             .iter()
@@ -43,93 +48,93 @@
     let now = Micros::secs(50);
     let mut post = ManagedMachine::default();
     // A report that has not seen the term proves nothing; the next one does.
-    assert!(post.take_report(now, &report(1, 1, 3, &[]), 4, true).is_some());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 3, &[]), 4, true).is_some());
     assert!(!post.known);
-    assert!(post.take_report(now, &report(1, 2, 4, &[]), 4, true).is_some());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, true).is_some());
     assert!(post.known);
     // Older and repeated messages are dropped.
-    assert!(post.take_report(now, &report(1, 2, 4, &[]), 4, true).is_none());
-    assert!(post.take_report(now, &report(1, 1, 4, &[]), 4, true).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, true).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true).is_none());
 
     // A start in an answer is open until the next report, which alone shows
     // that the answer was executed or dropped; a direct answer does not.
     post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
-    post.take_report(now, &report(1, 3, 4, &[]), 4, false);
+    post.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, false);
     assert!(post.sent[&key(1)].open());
-    post.take_report(now, &report(1, 4, 4, &[]), 4, true);
+    post.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, true);
     assert!(!post.sent[&key(1)].open());
 
     // A direct start without an answer stays open, and once it is reported
     // the attempt must not be cleared: the late command would start it anew.
-    post.sent.insert(key(2), Sent { direct: 1, token: 4, ..Sent::default() });
+    post.sent.insert(key(2), Sent { direct: 1, fencing_token: 4, ..Sent::default() });
     post.direct_ended(&[key(2)], None);
-    post.take_report(now, &report(1, 5, 4, &[]), 4, true);
+    post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, true);
     assert!(post.sent[&key(2)].open());
     let ended = [(2, TaskState::Exited, Some(Cause::Done))];
-    post.take_report(now, &report(1, 6, 4, &ended), 4, true);
+    post.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, true);
     assert!(post.late.contains_key(&key(2)));
     // An answered one closes it.
-    post.sent.insert(key(3), Sent { direct: 1, token: 4, ..Sent::default() });
+    post.sent.insert(key(3), Sent { direct: 1, fencing_token: 4, ..Sent::default() });
     let running = [(3, TaskState::Running, None)];
-    post.take_report(now, &report(1, 7, 4, &running), 4, true);
+    post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, true);
     post.direct_ended(&[key(3)], Some(true));
     assert!(!post.late.contains_key(&key(3)));
 
     // A new session ends everything before it and fences what is late.
-    post.take_report(now, &report(2, 1, 4, &[]), 4, true);
+    post.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, true);
     assert_eq!((post.over_through, post.tasks.len(), post.late.len()), (1, 0, 0));
-    assert!(post.take_report(now, &report(1, 99, 4, &[]), 4, true).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, true).is_none());
 
     // Silence for a lease, and not less, ends the session; its reports, come
     // late, are not answered any more.
     let lease = Micros::secs(12);
-    assert!(!post.expire_session(now + lease, now, lease));
-    assert!(post.expire_session(now + lease + Micros(1), now, lease));
+    assert!(!post.expire_incarnation(now + lease, now, lease));
+    assert!(post.expire_incarnation(now + lease + Micros(1), now, lease));
     assert_eq!((post.over_through, post.known), (2, false));
-    assert!(post.take_report(now, &report(2, 2, 4, &[]), 4, true).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, true).is_none());
     // A session that only a direct command's answer told of has a lease of its own,
     // though no report was answered for long: what it was given still runs.
     let mut mute = ManagedMachine::default();
-    mute.take_report(now, &report(1, 1, 4, &[]), 4, true);
+    mute.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true);
     let heard = now + lease + Micros::secs(3);
-    assert!(mute.take_report(heard, &report(2, 1, 4, &[]), 4, false).is_some());
-    assert!(!mute.expire_session(heard + lease, now, lease), "its lease may still run");
-    assert!(mute.expire_session(heard + lease + Micros(1), now, lease));
+    assert!(mute.apply_heartbeat(heard, &heartbeat(2, 1, 4, &[]), 4, false).is_some());
+    assert!(!mute.expire_incarnation(heard + lease, now, lease), "its lease may still run");
+    assert!(mute.expire_incarnation(heard + lease + Micros(1), now, lease));
     // Nothing new is put where reports are not answered, however well it hears.
     let silent = Micros::secs(5);
     for (base, want) in [(heard, true), (now, false)] {
         assert_eq!(mute.in_time(heard + Micros::secs(1), base, silent), want, "{base:?}");
     }
     let mut never = ManagedMachine::default();
-    assert!(!never.expire_session(now + lease, now, lease) && !never.vanished);
-    assert!(never.expire_session(now + lease + Micros(1), now, lease) && never.vanished);
+    assert!(!never.expire_incarnation(now + lease, now, lease) && !never.vanished);
+    assert!(never.expire_incarnation(now + lease + Micros(1), now, lease) && never.vanished);
 
     // Sessions that end although reports are answered: it hears nothing. An
     // answered direct command, a start that it has, or a session that lasts
     // for twice its lease shows that it hears again.
     let mut post = ManagedMachine::default();
-    post.take_report(now, &report(1, 1, 4, &[]), 4, true);
-    post.judge_connectivity(now, 0, lease);
+    post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true);
+    post.update_responsiveness(now, 0, lease);
     assert!(!post.unresponsive, "the first session says nothing");
     post.answered = Some(now);
-    post.take_report(now + lease, &report(2, 1, 4, &[]), 4, true);
-    post.judge_connectivity(now + lease, 1, lease);
+    post.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, true);
+    post.update_responsiveness(now + lease, 1, lease);
     assert!(!post.unresponsive, "nothing was answered for long: it was away");
     post.answered = Some(now + lease);
-    post.take_report(now + lease + Micros(9), &report(3, 1, 4, &[]), 4, true);
-    post.judge_connectivity(now + lease + Micros(9), 2, lease);
+    post.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, true);
+    post.update_responsiveness(now + lease + Micros(9), 2, lease);
     assert!(post.unresponsive);
     let later = now + lease + lease;
-    post.take_report(later, &report(3, 2, 4, &[]), 4, true);
-    post.judge_connectivity(later, 3, lease);
+    post.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, true);
+    post.update_responsiveness(later, 3, lease);
     assert!(post.unresponsive, "a session that has not lasted yet");
     let lasted = later + lease + lease;
-    post.take_report(lasted, &report(3, 3, 4, &[]), 4, true);
-    post.judge_connectivity(lasted, 3, lease);
+    post.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, true);
+    post.update_responsiveness(lasted, 3, lease);
     assert!(!post.unresponsive);
     post.unresponsive = true;
     post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
-    post.take_report(lasted, &report(3, 4, 4, &[(1, TaskState::Running, None)]), 4, true);
+    post.apply_heartbeat(lasted, &heartbeat(3, 4, 4, &[(1, TaskState::Running, None)]), 4, true);
     assert!(!post.unresponsive, "it has what it was told to start");
 
     let table = [
@@ -145,7 +150,7 @@
     ];
     for (state, cause, want) in table {
         let mut post = ManagedMachine::default();
-        post.take_report(now, &report(1, 1, 4, &[(1, state, cause)]), 4, true);
+        post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[(1, state, cause)]), 4, true);
         assert_eq!(post.tasks[&key(1)], want, "{state:?} {cause:?}");
     }
 }
@@ -156,20 +161,20 @@
         now: Micros::secs(50),
         shard: 0,
         term,
-        token: term,
-        session: 1,
+        fencing_token: term,
+        incarnation: 1,
         lease_until: Micros::secs(51),
         cancellations_known: true,
     }
 }
 
-fn wanted(phase: Phase, stop_ms: Option<u64>, session: u64) -> DesiredTask {
+fn wanted(phase: Phase, stop_ms: Option<u64>, incarnation: u64) -> DesiredTask {
     let key = key(2);
     let shape = Shape { job: key.job, ..Shape::default() };
     DesiredTask {
         shape: Rc::new(shape),
         attempt: key.attempt,
-        session,
+        incarnation,
         stop_ms,
         phase: phase as i32,
         ..DesiredTask::default()
@@ -190,7 +195,7 @@
         (wanted(Phase::Wanted, Some(0), 1), 4, waits, Some(ToBeStopped)),
         (wanted(Phase::Ahead, None, 1), 4, waits, Some(NotWanted)),
         (wanted(Phase::Over, None, 1), 4, waits, Some(NotWanted)),
-        (wanted(Phase::Wanted, None, 2), 4, waits, Some(OtherSession)),
+        (wanted(Phase::Wanted, None, 2), 4, waits, Some(OtherIncarnation)),
         (wanted(Phase::Wanted, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
         (wanted(Phase::Wanted, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
         // A phase of a later version must not read as one that starts.
@@ -210,11 +215,11 @@
 fn violations_of_a_right() {
     use StartViolation::*;
     let over = ManagerRight { now: Micros::secs(51), ..manager(4) };
-    let low = ManagerRight { token: 3, ..manager(4) };
+    let low = ManagerRight { fencing_token: 3, ..manager(4) };
     let table = [
         ("as it should be", manager(4), key(2), None),
         ("past the lease", over, key(2), Some(LeaseOver)),
-        ("a token that fences nothing", low, key(2), Some(TokenBelowTerm)),
+        ("a token that fences nothing", low, key(2), Some(FencingTokenBelowTerm)),
         ("another attempt", manager(4), key(3), Some(OtherTask)),
     ];
     let task = wanted(Phase::Wanted, None, 1);
@@ -228,8 +233,8 @@
 #[test]
 fn revoked_starts() {
     use StartRefusal::*;
-    let direct = Sent { direct: 1, token: 4, ..Sent::default() };
-    let late = Sent { late: true, token: 4, ..Sent::default() };
+    let direct = Sent { direct: 1, fencing_token: 4, ..Sent::default() };
+    let late = Sent { late: true, fencing_token: 4, ..Sent::default() };
     let answered = Sent { answered: true, ..Sent::default() };
     // How it was sent, why it must not be executed, whether the token is raised.
     let table = [
@@ -243,7 +248,7 @@
         // The worker drops late answers.
         (answered, Some(Some(JobOver)), false),
         // Commands with this token are refused already.
-        (Sent { token: 3, ..late }, Some(Some(JobOver)), false),
+        (Sent { fencing_token: 3, ..late }, Some(Some(JobOver)), false),
     ];
     for (sent, refusal, want) in table {
         let mut post = ManagedMachine::default();
@@ -256,31 +261,31 @@
     let now = Micros::secs(50);
     let term = next_term(4);
     let mut post = ManagedMachine::default();
-    assert!(post.take_report(now, &report(1, 1, term, &[]), term, true).is_some());
-    post.sent.insert(key(1), Sent { late: true, token: term, ..Sent::default() });
-    post.raise_token();
-    let raised = post.token(term).expect("the first of many");
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, true).is_some());
+    post.sent.insert(key(1), Sent { late: true, fencing_token: term, ..Sent::default() });
+    post.raise_fencing_token();
+    let raised = post.fencing_token(term).expect("the first of many");
     assert!(raised > term && raised < next_term(term));
-    post.take_report(now, &report(1, 2, term, &[]), term, true);
+    post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, true);
     assert!(post.sent[&key(1)].open(), "the answer may have been lost");
-    post.take_report(now, &report(1, 3, raised, &[]), term, true);
+    post.apply_heartbeat(now, &heartbeat(1, 3, raised, &[]), term, true);
     assert!(!post.sent[&key(1)].open());
     // A command of before that is given up now cannot be late any more, another can.
-    for (number, token, want) in [(2, term, false), (3, raised, true)] {
-        post.sent.insert(key(number), Sent { direct: 1, token, ..Sent::default() });
+    for (number, fencing_token, want) in [(2, term, false), (3, raised, true)] {
+        post.sent.insert(key(number), Sent { direct: 1, fencing_token, ..Sent::default() });
         post.direct_ended(&[key(number)], None);
-        assert_eq!(post.sent[&key(number)].open(), want, "token {token}");
+        assert_eq!(post.sent[&key(number)].open(), want, "token {fencing_token}");
     }
     // An attempt that is listed may be cleared once its late start is harmless.
     let ended = [(3, TaskState::Exited, Some(Cause::Done))];
-    post.take_report(now, &report(1, 4, raised, &ended), term, true);
+    post.apply_heartbeat(now, &heartbeat(1, 4, raised, &ended), term, true);
     assert!(post.late.contains_key(&key(3)));
-    post.raise_token();
-    post.take_report(now, &report(1, 5, raised + 1, &ended), term, true);
+    post.raise_fencing_token();
+    post.apply_heartbeat(now, &heartbeat(1, 5, raised + 1, &ended), term, true);
     assert!(!post.late.contains_key(&key(3)));
     // A term has no tokens without end, and none is another term's.
     for _ in 0..TERM_STRIDE {
-        post.raise_token();
+        post.raise_fencing_token();
     }
-    assert_eq!(post.token(term), None);
+    assert_eq!(post.fencing_token(term), None);
 }
--- a/tests/tables/shards.rs
+++ b/tests/tables/shards.rs
@@ -11,7 +11,12 @@
 fn seats_and_terms() {
     let item = |member: &str, run, term, version| KeyValue {
         key: "hold/0".into(),
-        value: json!(ShardLease { member: member.into(), run, term, controller_lease: 5 }),
+        value: json!(ShardLease {
+            member: member.into(),
+            incarnation: run,
+            term,
+            controller_lease: 5
+        }),
         revision: version,
     };
     // What is stored, whether member `a` in run 7 may take it, and on which mark.
@@ -24,20 +29,20 @@
     for (stored, want) in table {
         let mut s = Shard::default();
         s.observe_lease(Micros::secs(1), stored.as_ref());
-        assert_eq!(s.takeable("a", 7), want, "{stored:?}");
+        assert_eq!(s.acquirable_at("a", 7), want, "{stored:?}");
     }
     // What this run gave up stands until the release is carried out, perhaps late: it
     // is taken anew, on its mark, instead of being acted on under the old term.
-    for (acted, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
-        let mut s = Shard { acted, ..Shard::default() };
+    for (last_led_term, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
+        let mut s = Shard { last_led_term, ..Shard::default() };
         s.observe_lease(Micros::secs(1), Some(&item("a", 7, 4, 40)));
-        assert_eq!(s.takeable("a", 7), want, "acted under term {acted}");
-        assert_eq!(s.takeable("b", 7), None, "nobody else may");
+        assert_eq!(s.acquirable_at("a", 7), want, "acted under term {last_led_term}");
+        assert_eq!(s.acquirable_at("b", 7), None, "nobody else may");
     }
     let mut s = Shard::default();
     s.observe_lease(Micros::secs(1), Some(&item("b", 3, 4, 40)));
     s.observe_lease(Micros::secs(9), None);
-    assert_eq!(s.free_since, Micros::secs(9));
+    assert_eq!(s.vacant_since, Micros::secs(9));
     let (txn, term) = s.take(0, 0, "a", 7, 12);
     assert_eq!(term, shard::TERM_STRIDE, "a term only rises");
     assert_eq!(shard::next_term(u64::MAX), u64::MAX, "a damaged term is no panic");
@@ -46,14 +51,19 @@
     for before in [0, 4, term, term + 1, term + 900] {
         let next = shard::next_term(before);
         assert!(next > before, "{before}");
-        for raises in [0, 1, 2, shard::FIRST_RAISED - 2, shard::FIRST_RAISED, u64::MAX] {
-            let token = shard::raised_token(next, raises);
+        for fencing_token_raises in
+            [0, 1, 2, shard::FIRST_RAISED - 2, shard::FIRST_RAISED, u64::MAX]
+        {
+            let fencing_token = shard::raised_fencing_token(next, fencing_token_raises);
             let fits = |t: u64| t >= next && t < shard::next_term(next);
-            assert!(token.is_none_or(fits), "{before}: {token:?}");
+            assert!(fencing_token.is_none_or(fits), "{before}: {fencing_token:?}");
             // A few takes by earlier versions do not reach what was raised.
-            assert!(raises == 0 || token.is_none_or(|t| t > next + 1_000), "{token:?}");
+            assert!(
+                fencing_token_raises == 0 || fencing_token.is_none_or(|t| t > next + 1_000),
+                "{fencing_token:?}"
+            );
         }
-        assert_eq!(shard::raised_token(next, shard::FIRST_RAISED), None, "{before}");
+        assert_eq!(shard::raised_fencing_token(next, shard::FIRST_RAISED), None, "{before}");
     }
     let versions: Vec<u64> = txn.conditions.iter().map(|c| c.revision).collect();
     assert_eq!(versions, [0, 40], "both keys are conditions");
@@ -97,7 +107,7 @@
         (22.0, 52.0, 1_500, 26, 1_500, true),
     ];
     for (lease_s, cancel_s, wished, unheard_s, used, safe) in table {
-        let workers = Workers { report_s: 3.0, lease_s, cancel_s };
+        let workers = Workers { heartbeat_interval_s: 3.0, lease_s, cancel_s };
         assert_eq!(
             cancel::unanswered_limit(&workers).as_millis() / 1_000,
             unheard_s,
--- a/tests/tables/state.rs
+++ b/tests/tables/state.rs
@@ -8,7 +8,7 @@
 fn state_answers() {
     let txn = KvRequest::Txn(Txn { conditions: vec![], writes: vec![] });
     let get = KvRequest::Get("a".into());
-    let follow = KvRequest::Watch { prefix: "j/".into(), after: 3, block: Micros::secs(1) };
+    let watches = KvRequest::Watch { prefix: "j/".into(), after: 3, block: Micros::secs(1) };
     let table: [(&KvRequest, u16, &str, KvResponse); 13] = [
         (&txn, 200, r#"{"ledger":432}"#, KvResponse::Applied(432)),
         (&txn, 409, r#"{"failed":["a/b"],"ledger":4}"#, KvResponse::Conflict(vec!["a/b".into()])),
@@ -20,7 +20,7 @@
         (&txn, 500, "", KvResponse::OutcomeUnknown),
         (&get, 404, r#"{"ledger":1}"#, KvResponse::Value(None)),
         (&get, 200, "[", KvResponse::OutcomeUnknown),
-        (&follow, 410, "", KvResponse::Compacted),
+        (&watches, 410, "", KvResponse::Compacted),
         (&KvRequest::RenewLease(3), 404, "", KvResponse::LeaseNotFound),
         (
             &KvRequest::GrantLease(Micros::secs(1)),
@@ -33,7 +33,7 @@
         assert_eq!(call.decode(status, body.as_bytes()), want, "{call:?} {status} {body}");
     }
     let changes = br#"{"ledger":433,"events":[{"set":"j/9","value":{},"revision":433},{"drop":"j/1","revision":432}]}"#;
-    match follow.decode(200, changes) {
+    match watches.decode(200, changes) {
         KvResponse::WatchEvents(433, list) => {
             assert_eq!(
                 (list[0].put.as_deref(), list[1].delete.as_deref()),
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -48,10 +48,10 @@
     }
     let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), PartSize::new(8.0));
     let wall = Micros::secs(1_000);
-    for (task, machine, session, zone) in
+    for (task, machine, incarnation, zone) in
         [(0, "vm-000231", 1, "a"), (1, "vm-000232", 3, "b"), (5, "vm-000233", 3, "b")]
     {
-        job.put(wall, task, machine, session, zone);
+        job.put(wall, task, machine, incarnation, zone);
     }
     job.end(5, TaskEnd::known(ObservedState::Done));
     assert_eq!(job.encode_part(0), part());
