--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -5,7 +5,7 @@
 use millethold::http::Request;
 use millethold::time::Micros;
 use millethold::wire::{
-    ListedMachine, MachineList, MachineNames, MachineStage, MachineType, RentRequest, path,
+    ListedMachine, MachineList, MachineNames, MachineStage, MachineType, ScaleOutRequest, path,
 };
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -32,9 +32,9 @@
     /// Nothing.
     None,
     /// These are new.
-    Rented(Vec<String>),
+    RentedMachine(Vec<String>),
     /// These are gone.
-    Returned(Vec<String>),
+    ScaledIn(Vec<String>),
 }
 
 /// The cloud.
@@ -86,7 +86,7 @@
                 Some((Answer::new(200, &list), CloudEffect::None))
             }
             ("POST", path::MACHINES) => {
-                let request: RentRequest = serde_json::from_slice(&request.body).ok()?;
+                let request: ScaleOutRequest = serde_json::from_slice(&request.body).ok()?;
                 Some(self.rent(now, &request))
             }
             ("POST", path::RETURN) => {
@@ -94,13 +94,13 @@
                 for name in &names.machines {
                     self.take(now, name);
                 }
-                Some((Answer::new(200, &json!({})), CloudEffect::Returned(names.machines)))
+                Some((Answer::new(200, &json!({})), CloudEffect::ScaledIn(names.machines)))
             }
             _ => None,
         }
     }
 
-    fn rent(&mut self, now: Micros, request: &RentRequest) -> (Answer, CloudEffect) {
+    fn rent(&mut self, now: Micros, request: &ScaleOutRequest) -> (Answer, CloudEffect) {
         if let Some(machines) = self.requests.get(&request.request) {
             let names = MachineNames { machines: machines.clone() };
             return (Answer::new(200, &names), CloudEffect::None);
@@ -114,7 +114,7 @@
         let machines: Vec<String> = rented.collect();
         self.requests.insert(request.request.clone(), machines.clone());
         let names = MachineNames { machines: machines.clone() };
-        (Answer::new(200, &names), CloudEffect::Rented(machines))
+        (Answer::new(200, &names), CloudEffect::RentedMachine(machines))
     }
 
     /// The machines that there were a while ago.
--- a/crates/rehearsal/src/jobs.rs
+++ b/crates/rehearsal/src/jobs.rs
@@ -56,7 +56,7 @@
     /// It fails wherever it runs.
     pub mistake: bool,
     /// Jobs that have to be done first.
-    pub upstream: Vec<String>,
+    pub dependencies: Vec<String>,
     /// When it is handed in.
     pub submit_at: Micros,
     /// When its user calls it off.
@@ -76,8 +76,8 @@
             "notchS": if self.saves > Micros::ZERO { 2.0 } else { 0.0 },
             "stackS": self.saves.as_secs_f64(), "dueS": null,
         });
-        if !self.upstream.is_empty() {
-            body["upstream"] = json!(self.upstream);
+        if !self.dependencies.is_empty() {
+            body["upstream"] = json!(self.dependencies);
         }
         body
     }
@@ -105,8 +105,8 @@
             }
         };
         let at = over.as_secs_f64() * number as f64 / count as f64;
-        let upstream = draw_upstream(rng, &ids);
-        let plan = draw_job(rng, id.clone(), Micros::from_secs_f64(at), workers, upstream);
+        let dependencies = draw_upstream(rng, &ids);
+        let plan = draw_job(rng, id.clone(), Micros::from_secs_f64(at), workers, dependencies);
         jobs.plans.insert(id.clone(), plan);
         ids.push(id);
     }
@@ -133,7 +133,7 @@
     id: String,
     submit_at: Micros,
     workers: usize,
-    upstream: Vec<String>,
+    dependencies: Vec<String>,
 ) -> JobPlan {
     let largest = (workers / 4).clamp(4, 60) as u32;
     let tasks = match rng.random_range(0..10) {
@@ -179,7 +179,7 @@
             false => Micros::ZERO,
         },
         mistake,
-        upstream,
+        dependencies,
         submit_at,
         cancel_at: called_off.then_some(submit_at + wait),
     }
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -69,7 +69,7 @@
     /// May use spot machines.
     pub spot: bool,
     /// Jobs that have to be done first.
-    pub upstream: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 /// A machine, as far as the rules depend on it.
@@ -201,7 +201,7 @@
         let mut open = vec![job.to_string()];
         while let Some(next) = open.pop() {
             if let Some(facts) = self.facts.jobs.get(&next) {
-                open.extend(facts.upstream.iter().cloned());
+                open.extend(facts.dependencies.iter().cloned());
             }
             found.insert(next);
         }
@@ -226,7 +226,7 @@
         let Some(facts) = self.facts.jobs.get(&job).cloned() else {
             return self.broken(Rule::Invented, at, &job, format!("{name}: nobody's job"));
         };
-        let waits = facts.upstream.iter().find(|up| !self.done(up));
+        let waits = facts.dependencies.iter().find(|up| !self.done(up));
         if let Some(up) = waits {
             let what = format!("{name} before {up} is done");
             self.broken(Rule::TooEarly, at, &job, what);
--- a/crates/rehearsal/src/world/outside.rs
+++ b/crates/rehearsal/src/world/outside.rs
@@ -147,13 +147,13 @@
         };
         match effect {
             CloudEffect::None => {}
-            CloudEffect::Rented(names) => {
+            CloudEffect::RentedMachine(names) => {
                 for name in names {
                     let boot = Micros::millis(self.rng.random_range(BOOT_MS.0..BOOT_MS.1));
                     self.at(self.now + boot, Action::MachineUp { name });
                 }
             }
-            CloudEffect::Returned(names) => {
+            CloudEffect::ScaledIn(names) => {
                 for name in names {
                     self.take_machine(&name);
                 }
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -173,7 +173,7 @@
             together: plan.together,
             apart: plan.apart,
             spot: plan.spot,
-            upstream: plan.upstream.clone(),
+            dependencies: plan.dependencies.clone(),
         };
         let machine = |worker: &Worker| {
             let (zone, spot) = self.cloud.placement(&worker.name).unwrap_or_default();
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -105,9 +105,9 @@
     }
 
     fn user_submits(&mut self, job: String) {
-        let upstream = self.jobs.plans[&job].upstream.clone();
+        let dependencies = self.jobs.plans[&job].dependencies.clone();
         let accepted = |up: &String| self.user_jobs.get(up).is_some_and(|up| up.accepted);
-        if !upstream.iter().all(accepted) {
+        if !dependencies.iter().all(accepted) {
             let at = self.soon(RETRY);
             return self.at(at, Action::User(UserStep::Submit(job)));
         }
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -24,9 +24,9 @@
         together: false,
         apart: false,
         spot: false,
-        upstream: Vec::new(),
+        dependencies: Vec::new(),
     };
-    let after = JobFacts { upstream: vec![JOB.into()], team: "blue".into(), ..job.clone() };
+    let after = JobFacts { dependencies: vec![JOB.into()], team: "blue".into(), ..job.clone() };
     let machine = |zone: &str, spot| MachineFacts { zone: zone.into(), spot };
     Facts {
         jobs: [(JOB.to_string(), job), (AFTER.to_string(), after)].into(),
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -31,7 +31,7 @@
         spot: true,
         saves,
         mistake: false,
-        upstream: Vec::new(),
+        dependencies: Vec::new(),
         submit_at: Micros::ZERO,
         cancel_at: None,
     }
@@ -334,7 +334,7 @@
             kinds.insert(json["fault"].as_str().expect("a kind").to_string());
         }
         assert!(jobs.values().any(|job| job.cancel_at.is_some()), "seed {seed}");
-        let before = |job: &JobPlan| job.upstream.iter().all(|up| jobs.contains_key(up));
+        let before = |job: &JobPlan| job.dependencies.iter().all(|up| jobs.contains_key(up));
         assert!(jobs.values().all(before), "seed {seed}");
     }
     assert_eq!(kinds.len(), 24, "{kinds:?}");
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -3,7 +3,8 @@
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
 use crate::wire::{
-    self, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, path,
+    self, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ScaleOutRequest,
+    path,
 };
 
 /// Machines asked for at once.
@@ -19,9 +20,9 @@
     /// Machine types and prices.
     Types,
     /// Rent machines.
-    Rent(RentRequest),
+    ScaleOut(ScaleOutRequest),
     /// Return machines.
-    Return(Vec<String>),
+    ScaleIn(Vec<String>),
     /// A page of the list.
     List {
         /// Begin after this name.
@@ -35,11 +36,11 @@
     /// The types.
     Types(Vec<MachineType>),
     /// The machines that were rented.
-    Rented(Vec<String>),
+    ScaledOut(Vec<String>),
     /// None available.
     NoCapacity,
     /// The machines are gone.
-    Returned,
+    ScaledIn,
     /// A page of the list.
     Page {
         /// The machines.
@@ -63,8 +64,8 @@
     pub fn encode(&self) -> OutgoingRequest {
         match self {
             CloudCall::Types => OutgoingRequest::get(path::TYPES.into()),
-            CloudCall::Rent(request) => OutgoingRequest::post(path::MACHINES.into(), request),
-            CloudCall::Return(names) => {
+            CloudCall::ScaleOut(request) => OutgoingRequest::post(path::MACHINES.into(), request),
+            CloudCall::ScaleIn(names) => {
                 let names = MachineNames { machines: names.clone() };
                 OutgoingRequest::post(path::RETURN.into(), &names)
             }
@@ -83,10 +84,10 @@
         match (status, self) {
             (200, CloudCall::Types) => read::<MachineTypes>(body)
                 .map_or(CloudReply::Unknown, |t| CloudReply::Types(t.types)),
-            (200, CloudCall::Rent(_)) => read::<MachineNames>(body)
-                .map_or(CloudReply::Unknown, |m| CloudReply::Rented(m.machines)),
-            (503, CloudCall::Rent(_)) if contains(body, CAPACITY) => CloudReply::NoCapacity,
-            (200, CloudCall::Return(_)) => CloudReply::Returned,
+            (200, CloudCall::ScaleOut(_)) => read::<MachineNames>(body)
+                .map_or(CloudReply::Unknown, |m| CloudReply::ScaledOut(m.machines)),
+            (503, CloudCall::ScaleOut(_)) if contains(body, CAPACITY) => CloudReply::NoCapacity,
+            (200, CloudCall::ScaleIn(_)) => CloudReply::ScaledIn,
             (200, CloudCall::List { .. }) => {
                 read::<MachineList>(body).map_or(CloudReply::Unknown, |l| CloudReply::Page {
                     machines: l.machines,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,8 +5,8 @@
 
 pub use options::Options;
 pub use platform::{
-    CloudLimits, Config, Endpoints, MachineLimits, NextLimits, Objective, Peer, Settings,
-    StateLimits, Team, Workers,
+    CloudLimits, Config, Endpoints, MachineLimits, NextLimits, Peer, ServiceLevelObjective,
+    Settings, StateLimits, Team, Workers,
 };
 
 use std::fmt;
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -26,11 +26,11 @@
     pub waiting_submissions: usize,
     /// `[jobs] retry_after_s`: when a refused sender should come back.
     pub retry_after_s: u64,
-    /// `[fleet] idle_s`: a rented machine without work is returned after this.
+    /// `[autoscaler] idle_s`: a rented machine without work is returned after this.
     pub idle: Micros,
-    /// `[fleet] spare_share`: room rented beyond what runs and waits.
+    /// `[autoscaler] spare_share`: room rented beyond what runs and waits.
     pub spare_share: f64,
-    /// `[fleet] refused_s`: how long a refusal of the cloud is remembered.
+    /// `[autoscaler] refused_s`: how long a refusal of the cloud is remembered.
     pub refused: Micros,
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -82,7 +82,7 @@
 
 /// What is expected of a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
+pub struct ServiceLevelObjective {
     /// `finished`, `deadline`, `wait` or a kind that a later version knows.
     pub kind: String,
     /// The class, where the kind has one.
@@ -202,7 +202,7 @@
     pub teams: Vec<Team>,
     /// Aims.
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     /// Workers.
     pub workers: Workers,
     /// Key-value store.
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -4,8 +4,8 @@
 //! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
 //! all their descriptions. What is written of them later: see [`super::batch`].
 
+use super::dependencies::DependencyOutcome;
 use super::job::{self, Job, StoredStage};
-use super::pipeline::UpstreamOutcome;
 use super::{CachedStage, Controller, Op, Ticket, shard};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
@@ -229,7 +229,7 @@
                     if let Some(k) = known.filter(|k| k.stage == StoredStage::Accepted) {
                         self.adopt(&a.spec.id, k.shard);
                     }
-                    self.later(a.ticket, 503, "state service away");
+                    self.respond_retry_later(a.ticket, 503, "state service away");
                 }
             }
         }
@@ -244,7 +244,7 @@
         let took = self.now.since(a.came).as_millis();
         log::debug!("job {} was written {took} ms after it had come", spec.id);
         self.counts.accepted += 1;
-        self.pipelines.note_all(&spec.id, &spec.upstream);
+        self.dependency_graph.set_dependencies(&spec.id, &spec.dependencies);
         let known =
             CachedStage { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, revision };
         self.cache_stage(&spec.id, known);
@@ -258,7 +258,7 @@
             part.revision = if batched { 0 } else { revision };
             job.cancelled = cancelled;
             if job.waiting {
-                self.pipelines.wait(&spec.id);
+                self.dependency_graph.wait(&spec.id);
             }
             self.changes.jobs.insert(spec.id.clone());
             self.jobs.insert(spec.id.clone(), job);
@@ -267,13 +267,13 @@
         // Others may have said more of it while the answer was on its way here.
         let known = self.cached_stages.get(&spec.id).copied().unwrap_or(known);
         if known.stage == StoredStage::Accepted
-            && self.upstream_outcome_of(&spec.id) == UpstreamOutcome::Waits
+            && self.dependency_outcome_of(&spec.id) == DependencyOutcome::Pending
         {
             // Nobody can have been told more of it: it was accepted just now.
             let answer = self.job_answer(&spec.id, known);
             return self.respond(a.ticket, 201, None, &answer);
         }
-        self.tell(a.ticket, 201, &spec.id, known);
+        self.answer_with_stage(a.ticket, 201, &spec.id, known);
     }
 
     /// Answers submissions that have waited for too long, or that nothing can
@@ -289,14 +289,14 @@
         self.admission.waiting = rest;
         for a in late {
             self.submissions = self.submissions.saturating_sub(1);
-            self.later(a.ticket, 429, "too many submissions wait");
+            self.respond_retry_later(a.ticket, 429, "too many submissions wait");
         }
     }
 
     fn refuse_waiting(&mut self, why: &str) {
         for a in std::mem::take(&mut self.admission.waiting) {
             self.submissions = self.submissions.saturating_sub(1);
-            self.later(a.ticket, 503, why);
+            self.respond_retry_later(a.ticket, 503, why);
         }
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,8 +1,8 @@
 //! What users and workers ask: routing, submissions, polls, cancellations.
 
 use super::admission::ADMISSION_PUTS;
+use super::dependencies::DependencyOutcome;
 use super::job::{self, JobRecord, StoredStage};
-use super::pipeline::UpstreamOutcome;
 use super::{CachedStage, Controller, Effect, Op, Ticket, shard};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{self, Condition, JobAnswer, JobSpec, JobStage, Refusal, Txn, Write, path};
@@ -25,10 +25,10 @@
         body: &impl Serialize,
     ) {
         let body = serde_json::to_vec(body).unwrap_or_default();
-        self.out.push(Effect::Respond { ticket, status, retry_after, body });
+        self.effects.push(Effect::Respond { ticket, status, retry_after, body });
     }
 
-    pub(super) fn later(&mut self, ticket: Ticket, status: u16, reason: &str) {
+    pub(super) fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
         self.note_refusal(status, reason);
         let s = if status == 429 { self.options.retry_after_s } else { 1 };
         self.respond(ticket, status, Some(s), &Refusal::new(reason));
@@ -114,8 +114,8 @@
 
     fn health(&mut self, ticket: Ticket) {
         let why = self.unhealthy();
-        if self.told_health != Some(why) {
-            self.told_health = Some(why);
+        if self.reported_health != Some(why) {
+            self.reported_health = Some(why);
             info!("health: {}", why.unwrap_or("takes requests"));
         }
         match why {
@@ -147,31 +147,31 @@
         };
         if let Some(known) = self.cached_stages.get(&spec.id).copied() {
             if known.stage != StoredStage::Accepted {
-                return self.tell(ticket, 200, &spec.id, known);
+                return self.answer_with_stage(ticket, 200, &spec.id, known);
             }
             // Another node may have cancelled it since: only the store knows.
             let otherwise = Refusal::new("undecided");
             return self.read_or(ticket, &spec.id, 503, Some(1), &otherwise);
         }
         if self.types.is_empty() {
-            return self.later(ticket, 503, "machine types are not known yet");
+            return self.respond_retry_later(ticket, 503, "machine types are not known yet");
         }
         if let Some(reason) = self.never_fits(&spec) {
             self.note_refusal(422, reason);
             return self.read_or(ticket, &spec.id, 422, None, &Refusal::new(reason));
         }
         if self.admitting_shard().is_none() {
-            return self.later(ticket, 503, "no seat is held");
+            return self.respond_retry_later(ticket, 503, "no seat is held");
         }
         if self.admission.holds(&spec.id) {
-            return self.later(ticket, 503, "undecided");
+            return self.respond_retry_later(ticket, 503, "undecided");
         }
         let queued: usize = self.jobs.values().map(|j| j.spec.tasks as usize).sum();
         if self.submissions >= self.most_submissions() {
-            return self.later(ticket, 429, "too many submissions wait");
+            return self.respond_retry_later(ticket, 429, "too many submissions wait");
         }
         if queued + spec.tasks as usize > self.options.queued_tasks && queued > 0 {
-            return self.later(ticket, 429, "too many tasks wait");
+            return self.respond_retry_later(ticket, 429, "too many tasks wait");
         }
         // Types that the cloud does not offer never matter, and a long list of
         // them would not fit beside the tasks.
@@ -183,8 +183,8 @@
             let answer = Refusal { error: "description too long", field: Some("") };
             return self.read_or(ticket, &spec.id, 400, None, &answer);
         }
-        if !spec.upstream.is_empty() {
-            return self.look_up_upstream(ticket, Rc::new(spec), size);
+        if !spec.dependencies.is_empty() {
+            return self.look_up_dependencies(ticket, Rc::new(spec), size);
         }
         self.submissions += 1;
         self.queue_submission(ticket, Rc::new(spec), size);
@@ -236,14 +236,14 @@
         if let Some(known) = self.cached_stages.get(id).copied()
             && known.stage != StoredStage::Accepted
         {
-            return self.tell(ticket, 200, id, known);
+            return self.answer_with_stage(ticket, 200, id, known);
         }
         self.cancel_read(ticket, id, CANCEL_TRIES);
     }
 
     fn cancel_read(&mut self, ticket: Ticket, id: &str, tries: u32) {
         if tries == 0 {
-            return self.later(ticket, 503, "undecided");
+            return self.respond_retry_later(ticket, 503, "undecided");
         }
         let op = Op::CancelRead { ticket, job: id.to_string(), tries: tries - 1 };
         self.state(op, KvRequest::Get(job::job_key(id)));
@@ -279,7 +279,7 @@
                 let revision = item.revision;
                 let known =
                     CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, revision };
-                self.pipelines.note(job, &r);
+                self.dependency_graph.note(job, &r);
                 self.cache_stage(job, known);
                 // This answer may have been overtaken by a later one.
                 let known = self.cached_stages.get(job).copied().unwrap_or(known);
@@ -307,20 +307,20 @@
                 Some(Some((known, _)))
                     if known.stage == StoredStage::Accepted && !self.fresh(sent) =>
                 {
-                    self.later(ticket, 503, "the state service is slow");
+                    self.respond_retry_later(ticket, 503, "the state service is slow");
                 }
                 // Accepted since the read.
                 Some(None) if self.cached_stages.contains_key(&job) => {
-                    self.later(ticket, 503, "undecided")
+                    self.respond_retry_later(ticket, 503, "undecided")
                 }
                 Some(Some((known, _))) => {
-                    self.tell(ticket, 200, &job, known);
+                    self.answer_with_stage(ticket, 200, &job, known);
                 }
                 Some(None) => {
                     let (status, retry_after, body) = otherwise;
-                    self.out.push(Effect::Respond { ticket, status, retry_after, body });
+                    self.effects.push(Effect::Respond { ticket, status, retry_after, body });
                 }
-                None => self.later(ticket, 503, "state service away"),
+                None => self.respond_retry_later(ticket, 503, "state service away"),
             },
             Op::Poll { tickets, job, sent } => self.poll_read(tickets, &job, sent, &reply),
             Op::CompareStages { jobs, sent } => self.stages_compared(jobs, sent, reply),
@@ -328,18 +328,18 @@
                 // It is cancelled already with one that it needs.
                 Some(Some((known, _)))
                     if matches!(
-                        self.upstream_outcome_of(&job),
-                        UpstreamOutcome::Cancelled { .. }
+                        self.dependency_outcome_of(&job),
+                        DependencyOutcome::Cancelled { .. }
                     ) =>
                 {
-                    self.tell(ticket, 200, &job, known);
+                    self.answer_with_stage(ticket, 200, &job, known);
                 }
                 Some(Some((known, revision))) if known.stage == StoredStage::Accepted => {
                     let record = JobRecord {
                         shard: known.shard,
                         stage: StoredStage::Cancelled,
                         tasks: known.tasks,
-                        upstream: Vec::new(),
+                        dependencies: Vec::new(),
                         more: 0,
                     };
                     let key = job::job_key(&job);
@@ -357,10 +357,10 @@
                     self.state(op, KvRequest::Txn(txn));
                 }
                 Some(Some((known, _))) => {
-                    self.tell(ticket, 200, &job, known);
+                    self.answer_with_stage(ticket, 200, &job, known);
                 }
                 Some(None) => self.respond(ticket, 404, None, &Refusal::new("no such job")),
-                None => self.later(ticket, 503, "state service away"),
+                None => self.respond_retry_later(ticket, 503, "state service away"),
             },
             Op::CancelWrite { ticket, job, shard, tasks, tries } => match reply {
                 KvResponse::Applied(revision) => {
@@ -370,13 +370,13 @@
                     self.cache_stage(&job, known);
                     self.announce_cancelled(&job, revision);
                     self.job_cancelled(&job);
-                    self.tell(ticket, 200, &job, known);
+                    self.answer_with_stage(ticket, 200, &job, known);
                 }
                 // Changed in between, or perhaps applied: what is stored decides.
                 KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => {
                     self.cancel_read(ticket, &job, tries)
                 }
-                _ => self.later(ticket, 503, "state service away"),
+                _ => self.respond_retry_later(ticket, 503, "state service away"),
             },
             _ => {}
         }
--- a/src/controller/fleet.rs
+++ b/src/controller/autoscaler.rs
@@ -6,19 +6,19 @@
 
 use crate::peer::Demand;
 use crate::time::Micros;
-use crate::wire::{ListedMachine, MachineStage, MachineType, RentRequest};
+use crate::wire::{ListedMachine, MachineStage, MachineType, ScaleOutRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// The shard whose holder rents.
-pub const RENTING_SHARD: usize = 0;
+pub const AUTOSCALER_SHARD: usize = 0;
 
 /// A kind of machine in a zone.
-pub type Offer = (String, String, bool);
+pub type MachineOffer = (String, String, bool);
 
 /// A rented machine.
 #[derive(Debug, Clone)]
-pub struct Rented {
+pub struct RentedMachine {
     /// Type.
     pub machine_type: String,
     /// Zone.
@@ -37,9 +37,9 @@
 
 /// What the renting shard knows.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Autoscaler {
     /// Machines by name.
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     /// When to list next.
     pub list_at: Micros,
     /// A listing under way: when it began, and its pages so far.
@@ -47,9 +47,9 @@
     /// A first list has been read.
     pub listed: bool,
     /// Offers that were refused, and until when that is believed.
-    pub refused: BTreeMap<Offer, Micros>,
+    pub refused: BTreeMap<MachineOffer, Micros>,
     /// The request under way, repeated until its outcome is known.
-    pub request: Option<RentRequest>,
+    pub request: Option<ScaleOutRequest>,
     /// It may be sent again from then on.
     pub request_at: Micros,
     /// It is being answered.
@@ -135,11 +135,11 @@
     d: &Demand,
     types: &BTreeMap<String, MachineType>,
     there: &BTreeMap<(&str, &str, bool), u32>,
-    refused: &BTreeMap<Offer, Micros>,
+    refused: &BTreeMap<MachineOffer, Micros>,
     now: Micros,
-) -> Option<(Offer, u32)> {
+) -> Option<(MachineOffer, u32)> {
     let need = shape(d);
-    let mut best: Option<(f64, u32, Offer, u32)> = None;
+    let mut best: Option<(f64, u32, MachineOffer, u32)> = None;
     for t in types.values() {
         let per = fits(&[t.cpus, t.gpus, t.memory_gb], &need);
         if per == 0 {
@@ -174,15 +174,15 @@
 pub fn next_request(
     rest: &[Demand],
     types: &BTreeMap<String, MachineType>,
-    machines: &BTreeMap<String, Rented>,
-    refused: &BTreeMap<Offer, Micros>,
+    machines: &BTreeMap<String, RentedMachine>,
+    refused: &BTreeMap<MachineOffer, Micros>,
     now: Micros,
-) -> Option<(Offer, u32)> {
+) -> Option<(MachineOffer, u32)> {
     let mut there: BTreeMap<(&str, &str, bool), u32> = BTreeMap::new();
     for m in machines.values() {
         *there.entry((&m.machine_type, &m.zone, m.spot)).or_insert(0) += 1;
     }
-    let mut chosen: Option<Offer> = None;
+    let mut chosen: Option<MachineOffer> = None;
     let mut count = 0_u32;
     for d in rest {
         if let Some((offer, per)) = best_offer(d, types, &there, refused, now) {
@@ -196,7 +196,7 @@
     chosen.map(|offer| (offer, count.div_ceil(3).clamp(count.min(8), 50)))
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Takes in a complete list that was asked for at `asked`. Returns the
     /// machines that are surely terminated: listed before, and missing from a list
     /// that is newer for certain, the lag being at most twice its nominal value.
@@ -211,7 +211,7 @@
         let names: BTreeSet<&str> = list.iter().map(|m| m.name.as_str()).collect();
         for m in list {
             let age = Micros::from_secs_f64(m.age_s);
-            let entry = self.machines.entry(m.name.clone()).or_insert_with(|| Rented {
+            let entry = self.machines.entry(m.name.clone()).or_insert_with(|| RentedMachine {
                 machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -125,7 +125,7 @@
             KvResponse::Conflict(failed) => {
                 let other = |(id, _): &&(String, u64)| failed.contains(&job::job_key(id));
                 for (id, _) in jobs.iter().filter(other) {
-                    self.recheck(id);
+                    self.read_back(id);
                 }
                 if failed.iter().any(|k| k == key) {
                     self.read_batch(key, term);
--- a/src/controller/cancel.rs
+++ b/src/controller/cancel.rs
@@ -93,7 +93,7 @@
     }
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
-    pub(super) fn doubt_unfinished(&mut self) {
+    pub(super) fn invalidate_unfinished(&mut self) {
         self.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
     }
 
--- a/src/controller/renter.rs
+++ b/src/controller/cloud_calls.rs
@@ -1,12 +1,14 @@
 //! Talking to the cloud: types, lists, rents and returns.
 
-use super::fleet::{self, RENTING_SHARD, Rented, Room};
+use super::autoscaler::{self, AUTOSCALER_SHARD, RentedMachine, Room};
 use super::{Controller, Op, shard};
 use crate::cloud::{CloudCall, CloudReply};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
 use crate::time::Micros;
-use crate::wire::{Condition, ListedMachine, MachineStage, MachineType, RentRequest, Txn, Write};
+use crate::wire::{
+    Condition, ListedMachine, MachineStage, MachineType, ScaleOutRequest, Txn, Write,
+};
 use log::{info, warn};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,7 +18,7 @@
 /// Between plans.
 const PLAN_EVERY: Micros = Micros::millis(1_000);
 /// Part of the cloud's rate that requests for machines may take.
-const RENT_SHARE: f64 = 0.6;
+const SCALE_OUT_RATE_SHARE: f64 = 0.6;
 /// Between looks at the types and their prices.
 const TYPES_EVERY: Micros = Micros::secs(300);
 /// Where the types are written down.
@@ -35,42 +37,45 @@
 const REPLACED: usize = 4;
 
 impl Controller {
-    pub(super) fn maintain_fleet(&mut self) {
+    pub(super) fn maintain_autoscaler(&mut self) {
         let now = self.now;
         // Every node needs the types, the renting one also their prices.
         let wait = if self.types.is_empty() { Micros::millis(700) } else { TYPES_EVERY };
-        if now >= self.fleet.types_at {
-            self.fleet.types_at = now + wait;
+        if now >= self.autoscaler.types_at {
+            self.autoscaler.types_at = now + wait;
             self.cloud(Op::Types, CloudCall::Types);
         }
-        let Some(term) = self.leading_term(RENTING_SHARD) else {
+        let Some(term) = self.leading_term(AUTOSCALER_SHARD) else {
             return;
         };
-        if now >= self.fleet.list_at && self.fleet.listing.is_none() {
+        if now >= self.autoscaler.list_at && self.autoscaler.listing.is_none() {
             // A page holds 500: more pages leave less of the rate for renting.
-            let pages = self.fleet.machines.len() as u64 / 500 + 1;
-            self.fleet.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
-            self.fleet.listing = Some((now, Vec::new()));
+            let pages = self.autoscaler.machines.len() as u64 / 500 + 1;
+            self.autoscaler.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
+            self.autoscaler.listing = Some((now, Vec::new()));
             let op = Op::ListMachines { asked: now, term };
             self.cloud(op, CloudCall::List { after: None });
         }
-        if self.fleet.request.is_some() && !self.fleet.busy && now >= self.fleet.request_at {
-            self.send_rent(term);
+        if self.autoscaler.request.is_some()
+            && !self.autoscaler.busy
+            && now >= self.autoscaler.request_at
+        {
+            self.send_scale_out(term);
         }
-        if self.fleet.listed && !self.types.is_empty() && now >= self.fleet.plan_at {
-            self.fleet.plan_at = now + PLAN_EVERY;
+        if self.autoscaler.listed && !self.types.is_empty() && now >= self.autoscaler.plan_at {
+            self.autoscaler.plan_at = now + PLAN_EVERY;
             self.store_types();
-            self.plan_returns();
-            if self.fleet.request.is_none() {
-                self.plan_rent(term);
+            self.plan_scale_in();
+            if self.autoscaler.request.is_none() {
+                self.plan_scale_out(term);
             }
         }
     }
 
-    fn send_rent(&mut self, term: u64) {
-        if let Some(request) = self.fleet.request.clone() {
-            self.fleet.busy = true;
-            self.cloud(Op::Rent { term }, CloudCall::Rent(request));
+    fn send_scale_out(&mut self, term: u64) {
+        if let Some(request) = self.autoscaler.request.clone() {
+            self.autoscaler.busy = true;
+            self.cloud(Op::ScaleOut { term }, CloudCall::ScaleOut(request));
         }
     }
 
@@ -85,7 +90,7 @@
         all
     }
 
-    fn plan_rent(&mut self, term: u64) {
+    fn plan_scale_out(&mut self, term: u64) {
         let now = self.now;
         let mut demand = self.all_demand();
         for d in &mut demand {
@@ -95,10 +100,11 @@
         }
         self.refresh_slots();
         let mut rooms: Vec<Room> = self.free_rooms();
-        let mut replaced = self.fleet.machines.len() / REPLACED;
-        for (name, m) in &self.fleet.machines {
+        let mut replaced = self.autoscaler.machines.len() / REPLACED;
+        for (name, m) in &self.autoscaler.machines {
             let up = self.views.get(name).is_some_and(|v| v.known);
-            if up || m.stage == MachineStage::Failed || self.fleet.draining.contains_key(name) {
+            if up || m.stage == MachineStage::Failed || self.autoscaler.draining.contains_key(name)
+            {
                 continue;
             }
             let late = m.stage != MachineStage::Running
@@ -116,19 +122,25 @@
                 });
             }
         }
-        let rest = fleet::unmet(&demand, &mut rooms);
-        let next =
-            fleet::next_request(&rest, &self.types, &self.fleet.machines, &self.fleet.refused, now);
+        let rest = autoscaler::unmet(&demand, &mut rooms);
+        let next = autoscaler::next_request(
+            &rest,
+            &self.types,
+            &self.autoscaler.machines,
+            &self.autoscaler.refused,
+            now,
+        );
         let Some(((machine_type, zone, spot), count)) = next else {
             return;
         };
-        self.fleet.count += 1;
+        self.autoscaler.count += 1;
         // The term is this ownership's alone, so the name is, too.
-        let request = format!("r-{RENTING_SHARD}-{term}-{}", self.fleet.count);
-        self.note_rent(&request, term);
+        let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.autoscaler.count);
+        self.log_scale_out(&request, term);
         info!("renting {count} {machine_type} in {zone}, spot {spot}");
-        self.fleet.request = Some(RentRequest { request, machine_type, zone, spot, count });
-        self.send_rent(term);
+        self.autoscaler.request =
+            Some(ScaleOutRequest { request, machine_type, zone, spot, count });
+        self.send_scale_out(term);
     }
 
     /// So many times a machine type's boot time.
@@ -137,7 +149,7 @@
         Micros::from_secs_f64(nominal * times)
     }
 
-    fn plan_returns(&mut self) {
+    fn plan_scale_in(&mut self) {
         let now = self.now;
         self.refresh_slots();
         let idle = self.options.idle;
@@ -146,7 +158,7 @@
         let mut give: Vec<String> = Vec::new();
         let limit = |t: &String| (t.clone(), self.boot_limit(t, LOST_BOOT));
         let limits: BTreeMap<String, Micros> = self.types.keys().map(limit).collect();
-        for (name, m) in &mut self.fleet.machines {
+        for (name, m) in &mut self.autoscaler.machines {
             let view = self.views.get(name);
             let never_up = view.is_none()
                 && m.stage != MachineStage::Running
@@ -170,24 +182,25 @@
             } else if now.since(*m.idle_since.get_or_insert(now)) > idle {
                 drain.push(name.clone());
             }
-            if self.fleet.draining.get(name).is_some_and(|at| now.since(*at) > DRAIN) && !busy {
+            if self.autoscaler.draining.get(name).is_some_and(|at| now.since(*at) > DRAIN) && !busy
+            {
                 give.push(name.clone());
             }
         }
         for name in drain {
-            if !self.fleet.draining.contains_key(&name) {
+            if !self.autoscaler.draining.contains_key(&name) {
                 info!("machine {name} is to be returned");
-                self.fleet.draining.insert(name.clone(), now);
+                self.autoscaler.draining.insert(name.clone(), now);
                 self.touch_slot(&name);
                 self.draining.insert(name);
             }
         }
-        give.retain(|n| !self.fleet.returning.contains(n));
+        give.retain(|n| !self.autoscaler.returning.contains(n));
         give.truncate(20);
         if !give.is_empty() {
-            self.fleet.returning.extend(give.iter().cloned());
-            self.note_return(&give);
-            self.cloud(Op::Return { names: give.clone() }, CloudCall::Return(give));
+            self.autoscaler.returning.extend(give.iter().cloned());
+            self.log_scale_in(&give);
+            self.cloud(Op::ScaleIn { names: give.clone() }, CloudCall::ScaleIn(give));
         }
     }
 
@@ -198,32 +211,32 @@
                 self.take_types(types);
             }
             (Op::Types, _) => {
-                self.fleet.types_at = now + Micros::secs(1);
+                self.autoscaler.types_at = now + Micros::secs(1);
                 if self.types.is_empty() && !self.types_reading {
                     self.types_reading = true;
                     self.state(Op::StoredTypes, KvRequest::Get(TYPES_KEY.into()));
                 }
             }
-            (Op::Rent { term }, reply) => {
-                if self.leading_term(RENTING_SHARD) == Some(term) {
-                    self.rent_reply(reply);
+            (Op::ScaleOut { term }, reply) => {
+                if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
+                    self.scale_out_reply(reply);
                 }
             }
-            (Op::Return { names }, CloudReply::Returned) => {
+            (Op::ScaleIn { names }, CloudReply::ScaledIn) => {
                 // By now the machines and everything on them are gone.
                 for name in names {
                     self.changes.terminated.push(name.clone());
                     self.machine_terminated(&name);
-                    self.fleet.forget(&name);
+                    self.autoscaler.forget(&name);
                 }
             }
-            (Op::Return { names }, _) => {
+            (Op::ScaleIn { names }, _) => {
                 for name in names {
-                    self.fleet.returning.remove(&name);
+                    self.autoscaler.returning.remove(&name);
                 }
             }
             (Op::ListMachines { asked, term }, reply) => {
-                if self.leading_term(RENTING_SHARD) == Some(term) {
+                if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
                     self.list_reply(asked, term, reply);
                 }
             }
@@ -244,7 +257,7 @@
     /// starts while the cloud is away could otherwise accept and place nothing.
     fn store_types(&mut self) {
         let Some(leadership) =
-            self.shards[RENTING_SHARD].leadership.as_ref().filter(|_| self.holds_lease())
+            self.shards[AUTOSCALER_SHARD].leadership.as_ref().filter(|_| self.holds_lease())
         else {
             return;
         };
@@ -257,7 +270,7 @@
         }
         self.types_stored = term;
         let txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(RENTING_SHARD), revision }],
+            conditions: vec![Condition { key: shard::lease_key(AUTOSCALER_SHARD), revision }],
             writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
         };
         self.state(Op::StoreTypes, KvRequest::Txn(txn));
@@ -283,25 +296,25 @@
 
     /// Between requests for machines: lists and returns keep a good part of the
     /// cloud's rate.
-    fn rent_pause(&self) -> Micros {
-        Micros::from_secs_f64(1.0 / (self.settings.cloud.rps * RENT_SHARE))
+    fn scale_out_pause(&self) -> Micros {
+        Micros::from_secs_f64(1.0 / (self.settings.cloud.rps * SCALE_OUT_RATE_SHARE))
     }
 
-    fn rent_reply(&mut self, reply: CloudReply) {
+    fn scale_out_reply(&mut self, reply: CloudReply) {
         let now = self.now;
-        self.fleet.busy = false;
-        let Some(request) = self.fleet.request.clone() else {
+        self.autoscaler.busy = false;
+        let Some(request) = self.autoscaler.request.clone() else {
             return;
         };
         let offer = (request.machine_type.clone(), request.zone.clone(), request.spot);
         match reply {
-            CloudReply::Rented(names) => {
+            CloudReply::ScaledOut(names) => {
                 info!("rented {} of {}: {}", names.len(), request.count, names.join(" "));
                 if names.len() < request.count as usize {
-                    self.fleet.refused.insert(offer, now + self.options.refused);
+                    self.autoscaler.refused.insert(offer, now + self.options.refused);
                 }
                 for name in names {
-                    self.fleet.machines.entry(name).or_insert_with(|| Rented {
+                    self.autoscaler.machines.entry(name).or_insert_with(|| RentedMachine {
                         machine_type: request.machine_type.clone(),
                         zone: request.zone.clone(),
                         spot: request.spot,
@@ -311,23 +324,23 @@
                         idle_since: None,
                     });
                 }
-                self.fleet.request = None;
-                self.fleet.plan_at = now + self.rent_pause();
+                self.autoscaler.request = None;
+                self.autoscaler.plan_at = now + self.scale_out_pause();
             }
             CloudReply::NoCapacity => {
-                self.fleet.refused.insert(offer, now + self.options.refused);
-                self.fleet.request = None;
-                self.fleet.plan_at = now + self.rent_pause();
+                self.autoscaler.refused.insert(offer, now + self.options.refused);
+                self.autoscaler.request = None;
+                self.autoscaler.plan_at = now + self.scale_out_pause();
             }
             // Repeated under its name until it is known what became of it:
             // under another name it could rent twice.
-            _ => self.fleet.request_at = now + Micros::millis(1_500),
+            _ => self.autoscaler.request_at = now + Micros::millis(1_500),
         }
     }
 
     fn list_reply(&mut self, asked: Micros, term: u64, reply: CloudReply) {
         let now = self.now;
-        let Some((_, mut list)) = self.fleet.listing.take() else {
+        let Some((_, mut list)) = self.autoscaler.listing.take() else {
             return;
         };
         let CloudReply::Page { machines, more } = reply else {
@@ -336,14 +349,14 @@
         let last = machines.last().map(|m| m.name.clone());
         list.extend(machines);
         if let (true, Some(after)) = (more, last) {
-            self.fleet.listing = Some((asked, list));
+            self.autoscaler.listing = Some((asked, list));
             let op = Op::ListMachines { asked, term };
             return self.cloud(op, CloudCall::List { after: Some(after) });
         }
         // Failed machines stay listed until they are deleted.
         list.retain(|m| m.stage == MachineStage::Failed || !self.terminated.contains(&m.name));
         let lag = Micros::from_secs_f64(self.settings.cloud.list_lag_s);
-        let mut terminated = self.fleet.take_list(now, asked, &list, lag);
+        let mut terminated = self.autoscaler.take_list(now, asked, &list, lag);
         terminated.extend(failed(&list));
         for name in terminated {
             if !self.terminated.contains(&name) {
@@ -359,7 +372,7 @@
 }
 
 /// What a status page tells of the fleet.
-impl fleet::Fleet {
+impl autoscaler::Autoscaler {
     /// Machines by stage.
     pub fn stages(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -196,7 +196,7 @@
         let addresses = there.filter_map(|v| v.address.parse().ok());
         for address in addresses.sample(&mut self.rng, PROBED) {
             let id = self.call_id(Op::Inspect);
-            self.out.push(Effect::Inspect { id, address });
+            self.effects.push(Effect::Inspect { id, address });
         }
     }
 
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -5,7 +5,7 @@
 
 use super::Controller;
 use super::Watch;
-use super::fleet::RENTING_SHARD;
+use super::autoscaler::AUTOSCALER_SHARD;
 use super::job::StoredStage;
 use super::machine::{ManagedMachine, Revocation};
 use super::shard::ShardLeadership;
@@ -37,9 +37,11 @@
     /// lost them.
     pub(super) tasks_beside_raises: u64,
     /// Machines that were asked for, by request.
-    pub(super) rent_requests: u64,
+    #[serde(rename = "rent_requests")]
+    pub(super) scale_out_requests: u64,
     /// Machines that were returned.
-    pub(super) returned_machines: u64,
+    #[serde(rename = "returned_machines")]
+    pub(super) machines_scaled_in: u64,
     /// Users told that their job is cancelled or done.
     pub(super) final_answers: u64,
     /// Decisions that were not carried out since they would have broken a rule. Any
@@ -101,26 +103,26 @@
     }
 
     /// Machines are asked for.
-    pub(super) fn note_rent(&mut self, request: &str, term: u64) {
-        self.counts.decisions.rent_requests += 1;
+    pub(super) fn log_scale_out(&mut self, request: &str, term: u64) {
+        self.counts.decisions.scale_out_requests += 1;
         log::debug!(
             target: TARGET,
-            request = request, shard = RENTING_SHARD, term = term,
+            request = request, shard = AUTOSCALER_SHARD, term = term,
             lease_left_ms = self.controller_lease.valid_until.since(self.now).as_millis();
             "rent"
         );
     }
 
     /// Machines are returned.
-    pub(super) fn note_return(&mut self, names: &[String]) {
-        self.counts.decisions.returned_machines += names.len() as u64;
-        let term = self.leading_term(RENTING_SHARD);
+    pub(super) fn log_scale_in(&mut self, names: &[String]) {
+        self.counts.decisions.machines_scaled_in += names.len() as u64;
+        let term = self.leading_term(AUTOSCALER_SHARD);
         for name in names {
             let machine = name.as_str();
             let tasks = self.views.get(name).map_or(0, |view| view.tasks.len());
             log::debug!(
                 target: TARGET,
-                machine = machine, shard = RENTING_SHARD, term:? = term, tasks = tasks;
+                machine = machine, shard = AUTOSCALER_SHARD, term:? = term, tasks = tasks;
                 "return"
             );
         }
--- a/src/controller/demand.rs
+++ b/src/controller/demand.rs
@@ -1,7 +1,7 @@
 //! What waits in own shards, for peers and for renting, and the room that is free.
 
 use super::Controller;
-use super::fleet::fits;
+use super::autoscaler::fits;
 use super::quota::{Amount, EPS};
 use crate::peer::Demand;
 use std::collections::BTreeMap;
@@ -55,11 +55,11 @@
     }
 
     /// Room that is free on known machines, for the renting shard.
-    pub(super) fn free_rooms(&self) -> Vec<super::fleet::Room> {
+    pub(super) fn free_rooms(&self) -> Vec<super::autoscaler::Room> {
         self.slots
             .iter()
             .filter(|(_, _, s)| s.free[0] > EPS)
-            .map(|(_, key, s)| super::fleet::Room {
+            .map(|(_, key, s)| super::autoscaler::Room {
                 machine_type: Rc::clone(&key.machine_type),
                 zone: Rc::clone(&key.zone),
                 spot: key.spot,
--- a/src/controller/pipeline.rs
+++ b/src/controller/dependencies.rs
@@ -24,7 +24,7 @@
 /// Between reads of a list of needed jobs that could not be read.
 const READ_AGAIN: Micros = Micros::secs(1);
 /// Cancellations of waiting jobs under way at once.
-const CASCADES: usize = 4;
+const MAX_CANCELLATIONS_IN_FLIGHT: usize = 4;
 /// How often inherited urgency is told again: a lost message costs a delay.
 const URGENCY_EVERY: Micros = Micros::secs(4);
 /// Conditions that a transaction may have for each change that it might make.
@@ -37,20 +37,20 @@
 
 /// What becomes of a job, by all that comes before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum UpstreamOutcome {
+pub(super) enum DependencyOutcome {
     /// All that it needs is done.
-    Free,
+    Satisfied,
     /// Something before it is not over.
-    Waits,
-    /// Something before it is cancelled; `settled` once every peer knows that.
-    Cancelled { settled: bool },
+    Pending,
+    /// Something before it is cancelled; `acknowledged` once every peer knows that.
+    Cancelled { acknowledged: bool },
     /// Nothing is known here of these.
     Unknown(Vec<String>),
 }
 
 /// A submission whose needed jobs are being looked up.
 #[derive(Debug)]
-struct Lookup {
+struct DependencyLookup {
     ticket: Ticket,
     spec: Rc<JobSpec>,
     size: usize,
@@ -61,8 +61,8 @@
 
 /// What a job needs, as far as its keys have been read.
 #[derive(Debug)]
-struct Partly {
-    needs: Vec<String>,
+struct PartialDependencies {
+    dependencies: Vec<String>,
     /// The last key that was read, and how many there are.
     read: u32,
     more: u32,
@@ -73,15 +73,15 @@
 
 /// What this process knows of pipelines.
 #[derive(Debug, Default)]
-pub(super) struct Pipelines {
+pub(super) struct DependencyGraph {
     /// What unfinished jobs need.
-    needs: BTreeMap<String, Rc<[String]>>,
+    dependencies: BTreeMap<String, Rc<[String]>>,
     /// Jobs of which only some of that is known.
-    partly: BTreeMap<String, Partly>,
+    partial: BTreeMap<String, PartialDependencies>,
     /// Own jobs that wait for others.
     waiting: BTreeSet<String>,
-    cascading: BTreeSet<String>,
-    lookups: BTreeMap<u64, Lookup>,
+    cancelling: BTreeSet<String>,
+    lookups: BTreeMap<u64, DependencyLookup>,
     count: u64,
     next_check: Micros,
     urgency_at: Micros,
@@ -91,38 +91,38 @@
     pub news: Vec<InheritedUrgency>,
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// Takes in what a job's record says that it needs.
     pub fn note(&mut self, id: &str, record: &JobRecord) {
         if record.stage != StoredStage::Accepted {
-            self.needs.remove(id);
-            self.partly.remove(id);
-        } else if record.more > 0 && !self.needs.contains_key(id) {
-            self.partly.entry(id.to_string()).or_insert_with(|| Partly {
-                needs: record.upstream.clone(),
+            self.dependencies.remove(id);
+            self.partial.remove(id);
+        } else if record.more > 0 && !self.dependencies.contains_key(id) {
+            self.partial.entry(id.to_string()).or_insert_with(|| PartialDependencies {
+                dependencies: record.dependencies.clone(),
                 read: 0,
                 more: record.more,
                 busy: false,
                 retry: Micros::ZERO,
             });
         } else {
-            self.note_all(id, &record.upstream);
+            self.set_dependencies(id, &record.dependencies);
         }
     }
 
     /// All that a job needs is known.
-    pub fn note_all(&mut self, id: &str, upstream: &[String]) {
-        if !upstream.is_empty() && !self.needs.contains_key(id) {
-            self.needs.insert(id.to_string(), upstream.into());
-            self.partly.remove(id);
+    pub fn set_dependencies(&mut self, id: &str, dependencies: &[String]) {
+        if !dependencies.is_empty() && !self.dependencies.contains_key(id) {
+            self.dependencies.insert(id.to_string(), dependencies.into());
+            self.partial.remove(id);
             self.next_check = Micros::ZERO;
         }
     }
 
     /// A job is over.
     pub fn over(&mut self, id: &str) {
-        self.needs.remove(id);
-        self.partly.remove(id);
+        self.dependencies.remove(id);
+        self.partial.remove(id);
         // What needs it may go on, or is cancelled.
         self.next_check = Micros::ZERO;
     }
@@ -135,10 +135,10 @@
 }
 
 /// Divides the names of needed jobs into lists that fit in so many bytes each.
-fn divide(upstream: &[String], bytes: usize) -> Vec<Vec<String>> {
+fn divide(dependencies: &[String], bytes: usize) -> Vec<Vec<String>> {
     let mut lists: Vec<Vec<String>> = vec![Vec::new()];
     let mut left = bytes;
-    for id in upstream {
+    for id in dependencies {
         let size = id.len() + 3;
         if size > left && lists.last().is_some_and(|l| !l.is_empty()) {
             lists.push(Vec::new());
@@ -154,53 +154,61 @@
 
 impl Controller {
     /// Works out what becomes of a job that needs others.
-    pub(super) fn upstream_outcome(&self, needs: &[String]) -> UpstreamOutcome {
+    pub(super) fn dependency_outcome(&self, dependencies: &[String]) -> DependencyOutcome {
         let stage = |id: &String| self.cached_stages.get(id).map(|k| k.stage);
-        if needs.iter().all(|id| stage(id) == Some(StoredStage::Done)) {
-            return UpstreamOutcome::Free;
+        if dependencies.iter().all(|id| stage(id) == Some(StoredStage::Done)) {
+            return DependencyOutcome::Satisfied;
         }
-        let mut todo: Vec<&String> = needs.iter().collect();
+        let mut todo: Vec<&String> = dependencies.iter().collect();
         let mut observed: BTreeSet<&String> = todo.iter().copied().collect();
-        let (mut unknown, mut cancelled, mut partly) = (Vec::new(), false, false);
+        let (mut unknown, mut cancelled, mut partial) = (Vec::new(), false, false);
         while let Some(id) = todo.pop() {
             match stage(id) {
                 None => unknown.push(id.clone()),
                 Some(StoredStage::Done) => {}
-                Some(StoredStage::Cancelled) if self.terminal_states.settled(id) => {
-                    return UpstreamOutcome::Cancelled { settled: true };
+                Some(StoredStage::Cancelled) if self.terminal_states.acknowledged(id) => {
+                    return DependencyOutcome::Cancelled { acknowledged: true };
                 }
                 Some(StoredStage::Cancelled) => cancelled = true,
                 Some(StoredStage::Accepted) => {
-                    partly |= self.pipelines.partly.contains_key(id);
-                    let before = self.pipelines.needs.get(id).into_iter().flat_map(|n| n.iter());
+                    partial |= self.dependency_graph.partial.contains_key(id);
+                    let before = self
+                        .dependency_graph
+                        .dependencies
+                        .get(id)
+                        .into_iter()
+                        .flat_map(|n| n.iter());
                     todo.extend(before.filter(|id| observed.insert(id)));
                 }
             }
         }
-        match (cancelled, unknown.is_empty() && !partly) {
-            (true, _) => UpstreamOutcome::Cancelled { settled: false },
-            (false, true) => UpstreamOutcome::Waits,
-            (false, false) => UpstreamOutcome::Unknown(unknown),
+        match (cancelled, unknown.is_empty() && !partial) {
+            (true, _) => DependencyOutcome::Cancelled { acknowledged: false },
+            (false, true) => DependencyOutcome::Pending,
+            (false, false) => DependencyOutcome::Unknown(unknown),
         }
     }
 
     /// What becomes of a job that is known as accepted.
-    pub(super) fn upstream_outcome_of(&self, id: &str) -> UpstreamOutcome {
-        match self.pipelines.needs.get(id) {
-            Some(needs) => self.upstream_outcome(needs),
-            None if self.pipelines.partly.contains_key(id) => UpstreamOutcome::Unknown(Vec::new()),
-            None => UpstreamOutcome::Free,
+    pub(super) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
+        match self.dependency_graph.dependencies.get(id) {
+            Some(dependencies) => self.dependency_outcome(dependencies),
+            None if self.dependency_graph.partial.contains_key(id) => {
+                DependencyOutcome::Unknown(Vec::new())
+            }
+            None => DependencyOutcome::Satisfied,
         }
     }
 
     /// Unfinished jobs before one, with the versions of their keys.
-    fn unfinished_before(&self, id: &str) -> Vec<(String, u64)> {
+    fn unfinished_dependencies(&self, id: &str) -> Vec<(String, u64)> {
         let mut list: Vec<(String, u64)> = Vec::new();
         let mut observed: BTreeSet<&str> = BTreeSet::new();
         let mut todo: Vec<&str> = vec![id];
         while let Some(id) = todo.pop() {
-            let needs = self.pipelines.needs.get(id).into_iter().flat_map(|n| n.iter());
-            for n in needs.filter(|n| observed.insert(n)) {
+            let dependencies =
+                self.dependency_graph.dependencies.get(id).into_iter().flat_map(|n| n.iter());
+            for n in dependencies.filter(|n| observed.insert(n)) {
                 if let Some(k) =
                     self.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
                 {
@@ -215,7 +223,7 @@
     /// Tells a user how a job stands that waits for others: only if, at this moment,
     /// none of them is cancelled by the store either. Its own stage would say nothing
     /// of that until its shard's holder has written it.
-    pub(super) fn tell_waiting(
+    pub(super) fn answer_blocked(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -223,21 +231,21 @@
         known: CachedStage,
     ) {
         if !self.cancellations_up_to_date() {
-            return self.later(ticket, 503, "cancellations are not heard");
+            return self.respond_retry_later(ticket, 503, "cancellations are not heard");
         }
         let most = (self.settings.state.txn_ops * CONDITIONS).max(2) - 1;
-        let mut revisions = self.unfinished_before(id);
+        let mut revisions = self.unfinished_dependencies(id);
         revisions.truncate(most);
         revisions.push((id.to_string(), known.revision));
         let conditions = revisions.iter().filter(|(_, revision)| *revision > 0);
         let conditions = conditions
             .map(|(id, revision)| Condition { key: job::job_key(id), revision: *revision });
         let txn = Txn { conditions: conditions.collect(), writes: Vec::new() };
-        let op = Op::Chain { ticket, status, job: id.to_string(), sent: self.now };
+        let op = Op::CompareDependencies { ticket, status, job: id.to_string(), sent: self.now };
         self.state(op, KvRequest::Txn(txn));
     }
 
-    pub(super) fn chain_reply(
+    pub(super) fn dependencies_compared(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -246,65 +254,74 @@
         reply: &KvResponse,
     ) {
         let Some(known) = self.cached_stages.get(id).copied() else {
-            return self.later(ticket, 503, "undecided");
+            return self.respond_retry_later(ticket, 503, "undecided");
         };
         let unfinished = known.stage == StoredStage::Accepted;
         match reply {
             // What was learnt meanwhile is newer than the comparison.
             _ if !unfinished
-                || matches!(self.upstream_outcome_of(id), UpstreamOutcome::Cancelled { .. }) =>
+                || matches!(
+                    self.dependency_outcome_of(id),
+                    DependencyOutcome::Cancelled { .. }
+                ) =>
             {
-                self.tell(ticket, status, id, known);
+                self.answer_with_stage(ticket, status, id, known);
             }
             KvResponse::Applied(_) if self.fresh(sent) => {
                 let answer = self.job_answer(id, known);
                 self.respond(ticket, status, None, &answer);
             }
-            KvResponse::Applied(_) => self.later(ticket, 503, "the state service is slow"),
+            KvResponse::Applied(_) => {
+                self.respond_retry_later(ticket, 503, "the state service is slow")
+            }
             // Somebody has said more of one of them, which is on its way here.
-            KvResponse::Conflict(_) => self.later(ticket, 503, "undecided"),
-            _ => self.later(ticket, 503, "state service away"),
+            KvResponse::Conflict(_) => self.respond_retry_later(ticket, 503, "undecided"),
+            _ => self.respond_retry_later(ticket, 503, "state service away"),
         }
     }
 
     /// Looks up the jobs that a submission needs: each must have been accepted.
-    pub(super) fn look_up_upstream(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+    pub(super) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
         let absent = Refusal { error: "a job that was never accepted", field: Some("upstream") };
-        if spec.upstream.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             return self.read_or(ticket, &spec.id, 422, None, &absent);
         }
         let known = |id: &&String| self.cached_stages.contains_key(*id);
         let mut unknown: Vec<String> =
-            spec.upstream.iter().filter(|id| !known(id)).cloned().collect();
+            spec.dependencies.iter().filter(|id| !known(id)).cloned().collect();
         if unknown.is_empty() {
-            return self.store_upstream(ticket, spec, size, 0);
+            return self.store_dependencies(ticket, spec, size, 0);
         }
         if unknown.len() > MAX_SINGLE_READS {
             let absent: Vec<String> =
                 unknown.iter().filter(|id| self.record_pages.was_absent(id)).cloned().collect();
             if absent.is_empty() {
                 self.read_records(unknown);
-                return self.later(ticket, 503, "the jobs that it needs are being read");
+                return self.respond_retry_later(
+                    ticket,
+                    503,
+                    "the jobs that it dependencies are being read",
+                );
             }
             // Perhaps accepted by now: one that still is not there decides.
             unknown = absent;
             unknown.truncate(MAX_SINGLE_READS);
         }
-        self.pipelines.count += 1;
-        let number = self.pipelines.count;
+        self.dependency_graph.count += 1;
+        let number = self.dependency_graph.count;
         let left = unknown.len();
-        let lookups = Lookup { ticket, spec, size, left, missing: false, failed: false };
-        self.pipelines.lookups.insert(number, lookups);
+        let lookups = DependencyLookup { ticket, spec, size, left, missing: false, failed: false };
+        self.dependency_graph.lookups.insert(number, lookups);
         for id in unknown {
             let key = job::job_key(&id);
-            self.state(Op::LookUp { number, job: id }, KvRequest::Get(key));
+            self.state(Op::LookUpDependency { number, job: id }, KvRequest::Get(key));
         }
     }
 
-    pub(super) fn lookup_reply(&mut self, number: u64, id: &str, reply: &KvResponse) {
+    pub(super) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
         let found = self.read_record(id, reply);
         let known = self.cached_stages.contains_key(id);
-        let Some(g) = self.pipelines.lookups.get_mut(&number) else {
+        let Some(g) = self.dependency_graph.lookups.get_mut(&number) else {
             return;
         };
         g.left = g.left.saturating_sub(1);
@@ -316,48 +333,52 @@
         if g.left > 0 {
             return;
         }
-        let Some(g) = self.pipelines.lookups.remove(&number) else {
+        let Some(g) = self.dependency_graph.lookups.remove(&number) else {
             return;
         };
         if g.failed {
-            return self.later(g.ticket, 503, "state service away");
+            return self.respond_retry_later(g.ticket, 503, "state service away");
         }
         if g.missing {
             let absent =
                 Refusal { error: "a job that was never accepted", field: Some("upstream") };
             return self.read_or(g.ticket, &g.spec.id, 422, None, &absent);
         }
-        if !g.spec.upstream.iter().all(|id| self.cached_stages.contains_key(id)) {
-            return self.later(g.ticket, 503, "the jobs that it needs are being read");
+        if !g.spec.dependencies.iter().all(|id| self.cached_stages.contains_key(id)) {
+            return self.respond_retry_later(
+                g.ticket,
+                503,
+                "the jobs that it dependencies are being read",
+            );
         }
-        self.store_upstream(g.ticket, g.spec, g.size, 0);
+        self.store_dependencies(g.ticket, g.spec, g.size, 0);
     }
 
     /// Names of needed jobs that a value has room for.
-    fn upstream_lists(&self, upstream: &[String]) -> Vec<Vec<String>> {
+    fn dependency_lists(&self, dependencies: &[String]) -> Vec<Vec<String>> {
         let bytes = (self.settings.state.value_kb * 1024.0 * FULL) as usize;
-        divide(upstream, bytes.saturating_sub(RECORD_BYTES))
+        divide(dependencies, bytes.saturating_sub(RECORD_BYTES))
     }
 
     /// The record of a job as it is accepted.
     pub(super) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
-        let mut lists = self.upstream_lists(&spec.upstream);
+        let mut lists = self.dependency_lists(&spec.dependencies);
         let more = lists.len() as u32 - 1;
-        let upstream = lists.swap_remove(0);
-        JobRecord { shard, stage: StoredStage::Accepted, tasks: spec.tasks, upstream, more }
+        let dependencies = lists.swap_remove(0);
+        JobRecord { shard, stage: StoredStage::Accepted, tasks: spec.tasks, dependencies, more }
     }
 
     /// Writes what does not fit in a job's record, and then accepts the job: a record
     /// that names further keys must never be read before they stand. Written late, or
     /// of an earlier try, they fail on the record's mark.
-    pub(super) fn store_upstream(
+    pub(super) fn store_dependencies(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
         size: usize,
         from: usize,
     ) {
-        let lists = self.upstream_lists(&spec.upstream);
+        let lists = self.dependency_lists(&spec.dependencies);
         if from + 1 >= lists.len() {
             self.submissions += 1;
             return self.queue_submission(ticket, spec, size);
@@ -366,12 +387,12 @@
             .admitting_shard()
             .and_then(|s| Some((s, self.shards[s].leadership.as_ref()?.revision)));
         let Some((s, revision)) = leadership else {
-            return self.later(ticket, 503, "no seat is held");
+            return self.respond_retry_later(ticket, 503, "no seat is held");
         };
         let by_size = TXN_BYTES / (self.settings.state.value_kb * 1024.0) as usize;
         let most = self.settings.state.txn_ops.min(by_size).max(1);
         let write = |n: usize| Write::Put {
-            key: job::upstream_key(&spec.id, n as u32),
+            key: job::dependency_key(&spec.id, n as u32),
             value: json!({ "u": lists[n] }),
             lease: None,
         };
@@ -381,10 +402,10 @@
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
-        self.state(Op::StoreUpstream { ticket, spec, size, to: to - 1 }, KvRequest::Txn(txn));
+        self.state(Op::StoreDependencies { ticket, spec, size, to: to - 1 }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn upstream_stored(
+    pub(super) fn dependencies_stored(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
@@ -393,89 +414,93 @@
         reply: &KvResponse,
     ) {
         match reply {
-            KvResponse::Applied(_) => self.store_upstream(ticket, spec, size, to),
+            KvResponse::Applied(_) => self.store_dependencies(ticket, spec, size, to),
             KvResponse::Conflict(_) => {
                 let otherwise = Refusal::new("undecided");
                 self.read_or(ticket, &spec.id, 503, Some(1), &otherwise);
             }
-            _ => self.later(ticket, 503, "state service away"),
+            _ => self.respond_retry_later(ticket, 503, "state service away"),
         }
     }
 
     /// Reads the further keys of jobs that need many others.
-    fn read_upstream(&mut self) {
+    fn read_dependencies(&mut self) {
         let now = self.now;
-        let open = self.pipelines.partly.iter_mut().find(|(_, p)| !p.busy && now >= p.retry);
-        let Some((id, partly)) = open else {
+        let open =
+            self.dependency_graph.partial.iter_mut().find(|(_, p)| !p.busy && now >= p.retry);
+        let Some((id, partial)) = open else {
             return;
         };
-        partly.busy = true;
-        let (job, number) = (id.clone(), partly.read + 1);
-        let key = job::upstream_key(id, number);
-        self.state(Op::ReadUpstream { job, number }, KvRequest::Get(key));
+        partial.busy = true;
+        let (job, number) = (id.clone(), partial.read + 1);
+        let key = job::dependency_key(id, number);
+        self.state(Op::ReadDependencies { job, number }, KvRequest::Get(key));
     }
 
-    pub(super) fn upstream_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
-        let Some(partly) = self.pipelines.partly.get_mut(id) else {
+    pub(super) fn dependencies_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
+        let Some(partial) = self.dependency_graph.partial.get_mut(id) else {
             return;
         };
-        partly.busy = false;
+        partial.busy = false;
         // What cannot be read now is read later, and others first.
-        partly.retry = self.now + READ_AGAIN;
+        partial.retry = self.now + READ_AGAIN;
         let KvResponse::Value(item) = reply else {
             return;
         };
         // Without one of the names the job might be let go too early.
         let names = item.as_ref().and_then(|i| Vec::<String>::deserialize(i.value.get("u")?).ok());
         let Some(names) = names else {
-            let key = job::upstream_key(id, number);
+            let key = job::dependency_key(id, number);
             return self.note_unreadable(&key, "no list of jobs that can be read");
         };
-        if number == partly.read + 1 {
-            partly.needs.extend(names);
-            partly.read = number;
-            partly.retry = Micros::ZERO;
+        if number == partial.read + 1 {
+            partial.dependencies.extend(names);
+            partial.read = number;
+            partial.retry = Micros::ZERO;
         }
-        if partly.read >= partly.more {
-            let needs = std::mem::take(&mut partly.needs);
-            self.pipelines.note_all(id, &needs);
+        if partial.read >= partial.more {
+            let dependencies = std::mem::take(&mut partial.dependencies);
+            self.dependency_graph.set_dependencies(id, &dependencies);
         }
     }
 
     /// Looks at own waiting jobs: which may go, and which are cancelled.
-    pub(super) fn maintain_pipelines(&mut self) {
-        self.read_upstream();
+    pub(super) fn maintain_dependencies(&mut self) {
+        self.read_dependencies();
         self.maintain_record_pages();
-        if !self.holds_lease() || self.now < self.pipelines.next_check {
+        if !self.holds_lease() || self.now < self.dependency_graph.next_check {
             return;
         }
-        self.pipelines.next_check = self.now + LOOK_EVERY;
+        self.dependency_graph.next_check = self.now + LOOK_EVERY;
         let wall = self.wall();
-        for id in self.pipelines.waiting.iter().cloned().collect::<Vec<_>>() {
+        for id in self.dependency_graph.waiting.iter().cloned().collect::<Vec<_>>() {
             let waits = |j: &&Job| j.waiting && !j.cancelled && !j.over;
             let Some(job) = self.jobs.get(&id).filter(waits) else {
-                self.pipelines.waiting.remove(&id);
+                self.dependency_graph.waiting.remove(&id);
                 continue;
             };
-            if let Some(needs) =
-                self.pipelines.needs.get(&id).filter(|n| n.len() > job.upstream.len())
+            if let Some(dependencies) = self
+                .dependency_graph
+                .dependencies
+                .get(&id)
+                .filter(|n| n.len() > job.dependencies.len())
             {
-                let needs = Rc::clone(needs);
+                let dependencies = Rc::clone(dependencies);
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.upstream = needs;
+                    job.dependencies = dependencies;
                 }
             }
             // Nothing known of what it needs is no reason to let it go.
-            let noted = self.pipelines.needs.contains_key(&id);
+            let noted = self.dependency_graph.dependencies.contains_key(&id);
             match if noted {
-                self.upstream_outcome_of(&id)
+                self.dependency_outcome_of(&id)
             } else {
-                UpstreamOutcome::Unknown(Vec::new())
+                DependencyOutcome::Unknown(Vec::new())
             } {
-                UpstreamOutcome::Free => {
-                    info!("job {id} may start: all that it needs is done");
+                DependencyOutcome::Satisfied => {
+                    info!("job {id} may start: all that it dependencies is done");
                     self.counts.released += 1;
-                    self.pipelines.waiting.remove(&id);
+                    self.dependency_graph.waiting.remove(&id);
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.waiting = false;
                         job.ready = wall;
@@ -483,24 +508,24 @@
                     }
                     self.place_wanted = true;
                 }
-                UpstreamOutcome::Cancelled { .. } => self.cascade(&id),
-                UpstreamOutcome::Unknown(list) => self.read_records(list),
-                UpstreamOutcome::Waits => {}
+                DependencyOutcome::Cancelled { .. } => self.cancel_dependent(&id),
+                DependencyOutcome::Unknown(list) => self.read_records(list),
+                DependencyOutcome::Pending => {}
             }
         }
         self.update_inherited_urgency();
     }
 
     /// Writes down that a waiting job is cancelled with one before it.
-    fn cascade(&mut self, id: &str) {
+    fn cancel_dependent(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let full = self.pipelines.cascading.len() >= CASCADES;
-        if full || self.pipelines.cascading.contains(id) || !self.serves_shard(job.shard) {
+        let full = self.dependency_graph.cancelling.len() >= MAX_CANCELLATIONS_IN_FLIGHT;
+        if full || self.dependency_graph.cancelling.contains(id) || !self.serves_shard(job.shard) {
             // The next look comes soon.
-            self.pipelines.next_check =
-                self.pipelines.next_check.min(self.now + Micros::millis(100));
+            self.dependency_graph.next_check =
+                self.dependency_graph.next_check.min(self.now + Micros::millis(100));
             return;
         }
         let (shard, tasks) = (job.shard, job.spec.tasks);
@@ -508,7 +533,7 @@
             shard,
             stage: StoredStage::Cancelled,
             tasks,
-            upstream: Vec::new(),
+            dependencies: Vec::new(),
             more: 0,
         };
         let key = job::job_key(id);
@@ -516,16 +541,22 @@
             conditions: vec![Condition { key: key.clone(), revision: job.revision }],
             writes: vec![Write::Put { key, value: json!(record), lease: None }],
         };
-        self.pipelines.cascading.insert(id.to_string());
-        self.state(Op::Cascade { job: id.to_string(), shard, tasks }, KvRequest::Txn(txn));
+        self.dependency_graph.cancelling.insert(id.to_string());
+        self.state(Op::CancelDependent { job: id.to_string(), shard, tasks }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn cascaded(&mut self, id: &str, shard: usize, tasks: u32, reply: &KvResponse) {
-        self.pipelines.cascading.remove(id);
+    pub(super) fn dependent_cancelled(
+        &mut self,
+        id: &str,
+        shard: usize,
+        tasks: u32,
+        reply: &KvResponse,
+    ) {
+        self.dependency_graph.cancelling.remove(id);
         match reply {
             KvResponse::Applied(revision) => {
-                info!("job {id} cancelled with one that it needs");
-                self.counts.cancelled_with_upstream += 1;
+                info!("job {id} cancelled with one that it dependencies");
+                self.counts.cancelled_with_dependency += 1;
                 let known = CachedStage {
                     stage: StoredStage::Cancelled,
                     shard,
@@ -537,21 +568,21 @@
                 self.job_cancelled(id);
             }
             // Perhaps applied, or its user was faster: what is stored decides.
-            KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.recheck(id),
+            KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.read_back(id),
             _ => {}
         }
     }
 
     /// Works out how urgent the jobs are that own ones wait for, and tells it.
     fn update_inherited_urgency(&mut self) {
-        let all = self.now >= self.pipelines.urgency_at;
+        let all = self.now >= self.dependency_graph.urgency_at;
         if all {
-            self.pipelines.urgency_at = self.now + URGENCY_EVERY;
+            self.dependency_graph.urgency_at = self.now + URGENCY_EVERY;
         }
         let mut inherited_urgency: BTreeMap<String, (u32, Micros)> = BTreeMap::new();
-        for job in self.pipelines.waiting.iter().filter_map(|id| self.jobs.get(id)) {
+        for job in self.dependency_graph.waiting.iter().filter_map(|id| self.jobs.get(id)) {
             let (rank, due) = (job.rank(), job.due());
-            for id in job.upstream.iter() {
+            for id in job.dependencies.iter() {
                 if self.cached_stages.get(id).is_some_and(|k| k.stage == StoredStage::Accepted) {
                     let most = inherited_urgency.entry(id.clone()).or_insert((rank, due));
                     *most = (most.0.min(rank), most.1.min(due));
@@ -559,13 +590,13 @@
             }
         }
         for (id, (rank, due)) in &inherited_urgency {
-            if all || self.pipelines.inherited_urgency.get(id) != Some(&(*rank, *due)) {
+            if all || self.dependency_graph.inherited_urgency.get(id) != Some(&(*rank, *due)) {
                 let news = InheritedUrgency { job: id.clone(), rank: *rank, due_us: due.0 };
-                self.pipelines.news.push(news);
+                self.dependency_graph.news.push(news);
             }
             self.inherit_urgency(id, *rank, *due);
         }
-        self.pipelines.inherited_urgency = inherited_urgency;
+        self.dependency_graph.inherited_urgency = inherited_urgency;
     }
 
     /// A job is needed by one of this rank and deadline.
@@ -578,9 +609,9 @@
         if job.inherited_urgency != Some(most) {
             job.inherited_urgency = Some(most);
             self.place_wanted = true;
-            if self.pipelines.waiting.contains(id) {
+            if self.dependency_graph.waiting.contains(id) {
                 // What it needs itself is as urgent.
-                self.pipelines.next_check = Micros::ZERO;
+                self.dependency_graph.next_check = Micros::ZERO;
             }
         }
     }
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -50,7 +50,7 @@
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let op = Op::Direct { machine: machine.to_string(), starts, term: right.term };
         let id = self.call_id(op);
-        self.out.push(Effect::Direct { id, address, body });
+        self.effects.push(Effect::Direct { id, address, body });
     }
 
     pub(super) fn direct_reply(
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -1,7 +1,7 @@
 //! Frames from and to the other controllers: what they say is taken in, and what
 //! has changed here is told to them.
 
-use super::fleet;
+use super::autoscaler;
 use super::timers::{DEMAND_EVERY, MISSED_EVERY, PEER_HEARTBEAT_INTERVAL, PROGRESS_EVERY};
 use super::{Controller, Effect, Watch};
 use crate::peer::{self, DesiredUpdate, Frame};
@@ -20,7 +20,7 @@
     pub(super) state_ok: bool,
     pub(super) incarnation: u64,
     pub(super) demand: Vec<peer::Demand>,
-    pub(super) needs: Vec<peer::QuotaNeed>,
+    pub(super) quota_demand: Vec<peer::QuotaDemand>,
     /// It gives its shards up, since it and its workers cannot reach each other.
     pub(super) partitioned: bool,
     /// Machines of others' shards that report to it, by shard.
@@ -81,7 +81,7 @@
         if !frame.state_ok {
             // It cannot act: what it said that it needs must hold up nobody.
             info.demand.clear();
-            info.needs.clear();
+            info.quota_demand.clear();
             info.misdirected.clear();
         }
         if frame.state_ok && !frame.partitioned {
@@ -91,7 +91,7 @@
             let misdirected = frame.misdirected.iter().map(|s| (s.shard as usize, s.machines));
             info.misdirected = misdirected.collect();
             info.demand = frame.demand;
-            info.needs = frame.needs;
+            info.quota_demand = frame.quota_demand;
         }
         for h in &frame.shard_claims {
             let Some(shard) = self.shards.get_mut(h.shard as usize) else {
@@ -128,7 +128,7 @@
         for p in frame.inherited_urgency {
             self.inherit_urgency(&p.job, p.rank, Micros(p.due_us));
         }
-        if frame.rents {
+        if frame.is_autoscaler {
             self.set_draining(frame.draining.into_iter().collect());
         }
         for t in frame.preempt {
@@ -160,7 +160,7 @@
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
         frame.terminated = std::mem::take(&mut self.changes.terminated);
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
-        frame.inherited_urgency = std::mem::take(&mut self.pipelines.news);
+        frame.inherited_urgency = std::mem::take(&mut self.dependency_graph.news);
         if self.now >= self.timers.missed_frames {
             let behind = self.peers.iter().filter(|(_, p)| p.behind);
             frame.missed = behind.map(|(n, _)| *n as u32).collect();
@@ -176,7 +176,7 @@
             if holds_lease {
                 frame.has_demand = true;
                 frame.demand = self.demand();
-                frame.needs = self.quota_needs();
+                frame.quota_demand = self.quota_demand();
                 frame.misdirected = self.misdirected();
             }
         }
@@ -202,9 +202,9 @@
                     frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
-            if self.leading_term(fleet::RENTING_SHARD).is_some() {
-                frame.rents = true;
-                frame.draining = self.fleet.draining.keys().cloned().collect();
+            if self.leading_term(autoscaler::AUTOSCALER_SHARD).is_some() {
+                frame.is_autoscaler = true;
+                frame.draining = self.autoscaler.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
             }
         }
@@ -217,7 +217,7 @@
             } else {
                 Rc::clone(&frame)
             };
-            self.out.push(Effect::Peer { to, frame });
+            self.effects.push(Effect::Peer { to, frame });
         }
         if !holds_lease {
             // Nothing could be said yet; the new connections still need all of it.
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -100,7 +100,7 @@
         self.changes.machines.insert(machine);
         let reply = HeartbeatResponse { fencing_token: right.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
-        self.out.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
+        self.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
 
     pub(super) fn note_outcomes(&mut self, machine: &str, outcomes: Vec<Outcome>) {
--- a/src/controller/job/keys.rs
+++ b/src/controller/job/keys.rs
@@ -16,7 +16,7 @@
     pub tasks: u32,
     /// Jobs that have to be done first; of no use any more once it is over.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub upstream: Vec<String>,
+    pub dependencies: Vec<String>,
     /// How many further keys name others, where one value has no room for all.
     #[serde(rename = "k", default, skip_serializing_if = "is_none")]
     pub more: u32,
@@ -40,7 +40,7 @@
 }
 
 /// Key of further jobs that have to be done first; numbered from 1.
-pub fn upstream_key(id: &str, number: u32) -> String {
+pub fn dependency_key(id: &str, number: u32) -> String {
     format!("u/{id}/{number}")
 }
 
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -48,7 +48,7 @@
     /// The same for part 0, which has the description.
     first_room: usize,
     /// Jobs that have to be done first.
-    pub upstream: Rc<[String]>,
+    pub dependencies: Rc<[String]>,
     /// It waits for jobs that have to be done first.
     pub waiting: bool,
     /// Time of day from which it could be placed: of the acceptance, or of the end of
@@ -101,7 +101,7 @@
             true => room.saturating_sub(spec_bytes(&spec)),
             false => room,
         };
-        let upstream: Rc<[String]> = spec.upstream.as_slice().into();
+        let dependencies: Rc<[String]> = spec.dependencies.as_slice().into();
         let tasks = spec.tasks;
         let count = tasks.div_ceil(part_size);
         let parts = (0..count)
@@ -119,8 +119,8 @@
             part_size,
             room,
             first_room,
-            waiting: !upstream.is_empty(),
-            upstream,
+            waiting: !dependencies.is_empty(),
+            dependencies,
             ready: accepted,
             inherited_urgency: None,
             lazy_since: None,
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -237,7 +237,7 @@
         self.views.remove(machine);
         self.touch_slot(machine);
         self.changes.machines.remove(machine);
-        self.fleet.forget(machine);
+        self.autoscaler.forget(machine);
         for s in 0..self.shards.len() {
             self.evaluate_machine(s, machine);
         }
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -39,7 +39,7 @@
 
 impl Controller {
     /// Reads again how a job stands in the store.
-    pub(super) fn recheck(&mut self, id: &str) {
+    pub(super) fn read_back(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -50,7 +50,7 @@
             return;
         };
         job.busy = true;
-        let op = Op::Recheck { job: id.to_string(), term };
+        let op = Op::ReadBack { job: id.to_string(), term };
         self.state(op, KvRequest::Get(job::job_key(id)));
     }
 
@@ -148,7 +148,7 @@
                 shard: s,
                 stage: StoredStage::Done,
                 tasks: job.spec.tasks,
-                upstream: Vec::new(),
+                dependencies: Vec::new(),
                 more: 0,
             };
             txn.conditions.push(Condition { key: record.clone(), revision: job.revision });
@@ -270,8 +270,8 @@
             self.stores = self.stores.saturating_sub(1);
         }
         let (Op::Store { job: id, term, .. }
-        | Op::Recheck { job: id, term }
-        | Op::RecheckParts { job: id, term, .. }) = &op
+        | Op::ReadBack { job: id, term }
+        | Op::ReadBackChunks { job: id, term, .. }) = &op
         else {
             return;
         };
@@ -294,18 +294,18 @@
                 if failed.contains(&shard::lease_key(s)) {
                     self.lease_revision_changed(s, term);
                 } else {
-                    self.recheck(&id);
+                    self.read_back(&id);
                 }
             }
             (Op::Store { .. }, KvResponse::NotExecuted) => {}
             (Op::Store { .. }, KvResponse::Rejected) if self.larger.is_some() => {
                 self.limits_lowered();
-                self.recheck(&id);
+                self.read_back(&id);
             }
             // It may have been applied, or may be later: what is stored decides,
             // and a late one fails on the parts' marks.
-            (Op::Store { .. }, _) => self.recheck(&id),
-            (Op::Recheck { term, .. }, KvResponse::Value(Some(item))) => {
+            (Op::Store { .. }, _) => self.read_back(&id),
+            (Op::ReadBack { term, .. }, KvResponse::Value(Some(item))) => {
                 let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
                     warn!("unreadable record of job {id}");
                     return;
@@ -313,7 +313,7 @@
                 let revision = item.revision;
                 let known =
                     CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, revision };
-                self.pipelines.note(&id, &r);
+                self.dependency_graph.note(&id, &r);
                 self.cache_stage(&id, known);
                 match r.stage {
                     StoredStage::Cancelled => self.job_cancelled(&id),
@@ -327,12 +327,12 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.revision = item.revision;
                     job.busy = true;
-                    let op = Op::RecheckParts { job: id.clone(), term, read: BTreeMap::new() };
+                    let op = Op::ReadBackChunks { job: id.clone(), term, read: BTreeMap::new() };
                     let prefix = format!("w/{s}/{id}/");
                     self.state(op, KvRequest::List { prefix, after: None });
                 }
             }
-            (Op::RecheckParts { term, mut read, .. }, KvResponse::Page { items, more, .. }) => {
+            (Op::ReadBackChunks { term, mut read, .. }, KvResponse::Page { items, more, .. }) => {
                 for item in &items {
                     if let Some((_, n)) = job::parse_part_key(&item.key) {
                         let v = item.value.get("v").and_then(serde_json::Value::as_u64);
@@ -346,21 +346,21 @@
                             job.busy = true;
                         }
                         let after = Some(last.key.clone());
-                        let op = Op::RecheckParts { job: id.clone(), term, read };
+                        let op = Op::ReadBackChunks { job: id.clone(), term, read };
                         let prefix = format!("w/{s}/{id}/");
                         self.state(op, KvRequest::List { prefix, after });
                     }
                     None => self.parts_read(&id, &read),
                 }
             }
-            (Op::Recheck { .. } | Op::RecheckParts { .. }, _) => self.recheck_later(&id),
+            (Op::ReadBack { .. } | Op::ReadBackChunks { .. }, _) => self.retry_read_back(&id),
             _ => {}
         }
     }
 
     /// A recheck failed. The job's next write would fail on its marks and so
     /// lead here again; nothing is lost by trying that.
-    fn recheck_later(&mut self, id: &str) {
+    fn retry_read_back(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.not_before = job.not_before.max(self.now + Micros::millis(200));
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,9 +6,9 @@
 //! commands the machines of its shards ([`machine_commands`]). What it wants on machines
 //! goes out as whole-state messages that its own machine manager reads, too.
 
+pub mod autoscaler;
 pub mod estimate;
 pub mod event;
-pub mod fleet;
 pub mod image;
 pub mod job;
 pub mod machine;
@@ -22,9 +22,11 @@
 mod batch;
 pub mod cancel;
 mod changes;
+mod cloud_calls;
 mod connectivity;
 mod decision_log;
 mod demand;
+mod dependencies;
 mod desired_state;
 mod desired_tracking;
 mod direct_commands;
@@ -36,14 +38,12 @@
 mod machine_views;
 mod machine_work;
 mod op;
-mod pipeline;
 mod placer;
 mod preemption;
 mod probes;
 mod quotas;
 mod record_pages;
 mod recovery;
-mod renter;
 mod reservation;
 mod shard_leases;
 mod slot_updates;
@@ -64,9 +64,9 @@
 use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
+use autoscaler::Autoscaler;
 use changes::PendingChanges;
 use desired_tracking::DesiredState;
-use fleet::Fleet;
 use frames::PeerInfo;
 use image::ImageIndex;
 use job::Job;
@@ -97,7 +97,7 @@
     rng: StdRng,
     wall: Micros,
     now: Micros,
-    out: Vec<Effect>,
+    effects: Vec<Effect>,
     next_call: u64,
     ops: BTreeMap<CallId, Op>,
 
@@ -159,16 +159,16 @@
     quotas: BTreeMap<String, TeamQuota>,
     quotas_read: bool,
     /// What own shards lacked of teams' limits when last looked at.
-    own_needs: Vec<peer::QuotaNeed>,
+    own_quota_demand: Vec<peer::QuotaDemand>,
     peers: BTreeMap<usize, PeerInfo>,
     /// Whether the workers and this node can reach each other.
     connectivity: connectivity::Connectivity,
-    fleet: Fleet,
+    autoscaler: Autoscaler,
     counts: Counts,
     /// Requests refused since the log last told of it, by status and reason.
     refusals: BTreeMap<(u16, String), u64>,
     /// What the last health check was told: why this node takes no requests.
-    told_health: Option<Option<&'static str>>,
+    reported_health: Option<Option<&'static str>>,
     /// When this process last might act.
     lease_held_at: Micros,
     /// It might act when last looked at.
@@ -177,7 +177,7 @@
     seq: u64,
     /// Terms of the shards that own shards' desired state has taken into account.
     announced_terms: Vec<u64>,
-    pipelines: pipeline::Pipelines,
+    dependency_graph: dependencies::DependencyGraph,
     record_pages: record_pages::RecordPages,
     /// Final stages that peers may not know of yet, and who is to be told.
     terminal_states: terminal_states::TerminalStates,
@@ -231,7 +231,7 @@
             rng: StdRng::seed_from_u64(seed),
             wall,
             now: Micros::ZERO,
-            out: Vec::new(),
+            effects: Vec::new(),
             next_call: 1,
             ops: BTreeMap::new(),
             controller_lease: ControllerLease::default(),
@@ -278,18 +278,18 @@
             images: ImageIndex::new(options.index_entries, options.index_age),
             quotas,
             quotas_read: false,
-            own_needs: Vec::new(),
+            own_quota_demand: Vec::new(),
             peers,
             connectivity: connectivity::Connectivity::default(),
-            fleet: Fleet::default(),
+            autoscaler: Autoscaler::default(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
-            told_health: None,
+            reported_health: None,
             lease_held_at: Micros::ZERO,
             held_lease: false,
             seq: 0,
             announced_terms: vec![0; count],
-            pipelines: pipeline::Pipelines::default(),
+            dependency_graph: dependencies::DependencyGraph::default(),
             record_pages: record_pages::RecordPages::default(),
             terminal_states: terminal_states::TerminalStates::default(),
             cancels: cancel::Cancels::default(),
@@ -312,7 +312,7 @@
     }
 
     /// Takes in an event.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         self.now = now;
         match event {
             Event::Http { ticket, method, path, body } => self.http(ticket, &method, &path, &body),
@@ -330,7 +330,7 @@
             }
             Event::Tick => self.tick(),
         }
-        out.append(&mut self.out);
+        effects.append(&mut self.effects);
     }
 
     fn reply(&mut self, op: Op, reply: Reply) {
@@ -342,20 +342,22 @@
                 | Op::CompareStages { .. }
                 | Op::CancelRead { .. }
                 | Op::CancelWrite { .. } => self.api_reply(op, r),
-                Op::Store { .. } | Op::Recheck { .. } | Op::RecheckParts { .. } => {
+                Op::Store { .. } | Op::ReadBack { .. } | Op::ReadBackChunks { .. } => {
                     self.store_reply(op, r)
                 }
                 Op::ReadUnknown { job } => self.unknown_read(&job, &r),
-                Op::LookUp { number, job } => self.lookup_reply(number, &job, &r),
-                Op::StoreUpstream { ticket, spec, size, to } => {
-                    self.upstream_stored(ticket, spec, size, to, &r);
+                Op::LookUpDependency { number, job } => self.dependency_looked_up(number, &job, &r),
+                Op::StoreDependencies { ticket, spec, size, to } => {
+                    self.dependencies_stored(ticket, spec, size, to, &r);
                 }
                 Op::ReadRecordPage { first } => self.record_page_reply(&first, r),
-                Op::ReadUpstream { job, number } => self.upstream_read(&job, number, &r),
-                Op::Chain { ticket, status, job, sent } => {
-                    self.chain_reply(ticket, status, &job, sent, &r);
+                Op::ReadDependencies { job, number } => self.dependencies_read(&job, number, &r),
+                Op::CompareDependencies { ticket, status, job, sent } => {
+                    self.dependencies_compared(ticket, status, &job, sent, &r);
+                }
+                Op::CancelDependent { job, shard, tasks } => {
+                    self.dependent_cancelled(&job, shard, tasks, &r)
                 }
-                Op::Cascade { job, shard, tasks } => self.cascaded(&job, shard, tasks, &r),
                 Op::StoreTypes | Op::StoredTypes => self.types_reply(op, r),
                 Op::StoreBatch { key, term, jobs } => self.batch_stored(&key, term, jobs, r),
                 Op::ReadBatch { key, term } => self.batch_read(&key, term, r),
@@ -390,7 +392,7 @@
         self.expire_submissions();
         self.maintain_status_queries();
         self.read_unknown_jobs();
-        self.maintain_pipelines();
+        self.maintain_dependencies();
         self.send_probes();
         if self.now >= self.timers.upkeep {
             self.timers.upkeep = self.now + timers::UPKEEP_EVERY;
@@ -416,12 +418,12 @@
             self.log_refusals();
             self.log_waiting();
         }
-        self.maintain_fleet();
+        self.maintain_autoscaler();
     }
 
     /// Works off what has changed since the last call: placements, writes,
     /// desired state, views, and one frame for each peer.
-    pub fn flush(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub fn flush(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.now = now;
         self.send_status_comparisons();
         if self.holds_lease() {
@@ -448,8 +450,8 @@
         } else if self.now >= self.timers.peer_heartbeat || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
-        self.answer_settled();
-        out.append(&mut self.out);
+        self.answer_acknowledged();
+        effects.append(&mut self.effects);
     }
 
     fn call_id(&mut self, op: Op) -> CallId {
@@ -464,12 +466,12 @@
         self.puts.take(call.puts() as f64);
         self.status_queries.note_call(self.now, &call);
         let id = self.call_id(op);
-        self.out.push(Effect::KvStore { id, call });
+        self.effects.push(Effect::KvStore { id, call });
     }
 
     fn cloud(&mut self, op: Op, call: CloudCall) {
         let id = self.call_id(op);
-        self.out.push(Effect::Cloud { id, call });
+        self.effects.push(Effect::Cloud { id, call });
     }
 
     /// The time of day.
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: which tasks make room for more urgent ones, and within which bounds.
 
 use super::Controller;
-use super::fleet::fits;
+use super::autoscaler::fits;
 use super::job::Job;
 use super::machine::Key;
 use super::placer::URGENT;
--- a/src/controller/probes.rs
+++ b/src/controller/probes.rs
@@ -79,6 +79,6 @@
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let op = Op::Direct { machine: machine.to_string(), starts: Vec::new(), term };
         let id = self.call_id(op);
-        self.out.push(Effect::Direct { id, address, body });
+        self.effects.push(Effect::Direct { id, address, body });
     }
 }
--- a/src/controller/quota.rs
+++ b/src/controller/quota.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes in the stored grants.
-    pub fn see(&mut self, value: &Value, revision: u64) {
+    pub fn observe(&mut self, value: &Value, revision: u64) {
         self.revision = revision;
         // Whatever was under way is conditional on the older version and dead.
         self.lowered.clear();
@@ -142,8 +142,8 @@
         shard: usize,
         shards: usize,
         used: Amount,
-        waits: &[Need],
-        others: &[Need],
+        waits: &[RankedDemand],
+        others: &[RankedDemand],
     ) -> Amount {
         let now = self.grants.get(&shard).copied().unwrap_or_default();
         let free = self.free();
@@ -151,15 +151,18 @@
             if !self.limit[r].is_finite() {
                 return now[r];
             }
-            let lacking = |n: &&Need| n.amount[r] > EPS;
-            let lack: f64 = others.iter().filter(lacking).map(|n| n.amount[r]).sum();
+            let unmet_demand = |n: &&RankedDemand| n.amount[r] > EPS;
+            let lack: f64 = others.iter().filter(unmet_demand).map(|n| n.amount[r]).sum();
             // What is free does for all: nothing need be kept or given back.
             let plenty = free[r] - lack > EPS;
-            let theirs = others.iter().filter(lacking).map(|n| n.rank).min().filter(|_| !plenty);
-            let counts = |n: &&Need| n.amount[r] > EPS && theirs.is_none_or(|t| n.rank <= t);
+            let theirs =
+                others.iter().filter(unmet_demand).map(|n| n.rank).min().filter(|_| !plenty);
+            let counts =
+                |n: &&RankedDemand| n.amount[r] > EPS && theirs.is_none_or(|t| n.rank <= t);
             let ours = waits.iter().filter(counts).map(|n| n.rank).min();
             let wish = used[r] + waits.iter().filter(counts).map(|n| n.amount[r]).sum::<f64>();
-            let equals = others.iter().filter(lacking).filter(|n| Some(n.rank) == ours).count();
+            let equals =
+                others.iter().filter(unmet_demand).filter(|n| Some(n.rank) == ours).count();
             let share = 1.0 / (equals + 1) as f64;
             if wish > now[r] + EPS && plenty {
                 let ask = wish.max(self.limit[r] / shards.max(1) as f64) - now[r];
@@ -184,7 +187,7 @@
 
 /// What tasks of one rank need.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Need {
+pub struct RankedDemand {
     /// Rank: lower is more urgent.
     pub rank: u32,
     /// CPUs and GPUs.
@@ -192,7 +195,7 @@
 }
 
 /// What of some needs is left once `room` has gone to the most urgent.
-pub fn lacking(room: Amount, waits: &[Need]) -> Vec<Need> {
+pub fn unmet_demand(room: Amount, waits: &[RankedDemand]) -> Vec<RankedDemand> {
     let mut room = room;
     let mut waits = waits.to_vec();
     waits.sort_by_key(|n| n.rank);
@@ -204,7 +207,7 @@
             n.amount[r] - got
         });
         if amount.iter().any(|a| *a > EPS) {
-            list.push(Need { rank: n.rank, amount });
+            list.push(RankedDemand { rank: n.rank, amount });
         }
     }
     list
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -1,17 +1,17 @@
 //! Moving unused grants of teams' limits to the shards that need them.
 
-use super::quota::{self, EPS, Need};
+use super::quota::{self, EPS, RankedDemand};
 use super::{Controller, Op, shard};
 use crate::kv_store::{KvRequest, KvResponse};
-use crate::peer::{DesiredTask, Phase, Preempt, QuotaNeed};
+use crate::peer::{DesiredTask, Phase, Preempt, QuotaDemand};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
 use serde_json::Value;
 
 impl Controller {
     /// What a shard's waiting tasks of a team would take, by rank.
-    fn shard_waits(&self, s: usize, team: &str) -> Vec<Need> {
-        let mut list: Vec<Need> = Vec::new();
+    fn pending_demand(&self, s: usize, team: &str) -> Vec<RankedDemand> {
+        let mut list: Vec<RankedDemand> = Vec::new();
         for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.open());
             if j.cancelled || j.over || n == 0.0 || self.now < j.not_before {
@@ -20,21 +20,21 @@
             let amount = [n * j.spec.cpus, n * j.spec.gpus];
             match list.iter_mut().find(|x| x.rank == j.rank()) {
                 Some(x) => x.amount = [x.amount[0] + amount[0], x.amount[1] + amount[1]],
-                None => list.push(Need { rank: j.rank(), amount }),
+                None => list.push(RankedDemand { rank: j.rank(), amount }),
             }
         }
         list
     }
 
     /// What own shards lack, told to the peers that may have it unused.
-    pub(super) fn quota_needs(&self) -> Vec<QuotaNeed> {
+    pub(super) fn quota_demand(&self) -> Vec<QuotaDemand> {
         let mut list = Vec::new();
         for (team, q) in self.quotas.iter().filter(|(_, q)| q.limited()) {
             for s in (0..self.shards.len()).filter(|s| self.serves_shard(*s)) {
                 let (used, grant) = (self.shard_usage(s, team), q.grant(s));
                 let room = [grant[0] - used[0], grant[1] - used[1]];
-                for n in quota::lacking(room, &self.shard_waits(s, team)) {
-                    list.push(QuotaNeed {
+                for n in quota::unmet_demand(room, &self.pending_demand(s, team)) {
+                    list.push(QuotaDemand {
                         shard: s as u32,
                         team: team.clone(),
                         cpus: n.amount[0],
@@ -55,8 +55,8 @@
         self.peers
             .iter()
             .filter(|(n, _)| self.peer_alive(**n))
-            .flat_map(|(_, p)| &p.needs)
-            .chain(&self.own_needs)
+            .flat_map(|(_, p)| &p.quota_demand)
+            .chain(&self.own_quota_demand)
             .filter(|n| n.team == team)
             .map(|n| n.rank)
             .min()
@@ -71,8 +71,8 @@
             let call = KvRequest::List { prefix: "quota/".into(), after: None };
             return self.state(Op::QuotaList, call);
         }
-        let own = self.quota_needs();
-        self.own_needs.clone_from(&own);
+        let own = self.quota_demand();
+        self.own_quota_demand.clone_from(&own);
         let teams: Vec<String> =
             self.quotas.iter().filter(|(_, q)| q.limited()).map(|(t, _)| t.clone()).collect();
         for team in teams {
@@ -82,25 +82,26 @@
         }
     }
 
-    fn maintain_quota(&mut self, team: &str, s: usize, own: &[QuotaNeed]) {
+    fn maintain_quota(&mut self, team: &str, s: usize, own: &[QuotaDemand]) {
         if !self.serves_shard(s) {
             return;
         }
         let revision = self.shards[s].leadership.as_ref().map_or(0, |m| m.revision);
-        let (waits, used) = (self.shard_waits(s, team), self.shard_usage(s, team));
+        let (waits, used) = (self.pending_demand(s, team), self.shard_usage(s, team));
         let (shards, reserve) = (self.shards.len(), self.admission_reserve());
-        let all: Vec<&QuotaNeed> = self
+        let all: Vec<&QuotaDemand> = self
             .peers
             .iter()
             .filter(|(n, _)| self.peer_alive(**n))
-            .flat_map(|(_, p)| &p.needs)
+            .flat_map(|(_, p)| &p.quota_demand)
             .chain(own)
             .filter(|n| n.team == team)
             .collect();
-        let need = |n: &&QuotaNeed| Need { rank: n.rank, amount: [n.cpus, n.gpus] };
-        let others: Vec<Need> = all.iter().filter(|n| n.shard as usize != s).map(need).collect();
-        let everyone: Vec<Need> = all.iter().map(need).collect();
-        self.shed(team, s, &everyone);
+        let need = |n: &&QuotaDemand| RankedDemand { rank: n.rank, amount: [n.cpus, n.gpus] };
+        let others: Vec<RankedDemand> =
+            all.iter().filter(|n| n.shard as usize != s).map(need).collect();
+        let everyone: Vec<RankedDemand> = all.iter().map(need).collect();
+        self.preempt_over_limit(team, s, &everyone);
         let Some(q) = self.quotas.get_mut(team) else {
             return;
         };
@@ -137,7 +138,7 @@
 
     /// The team's limit is used up and more urgent tasks of it wait: this
     /// shard stops its part of the less urgent ones.
-    fn shed(&mut self, team: &str, s: usize, lacks: &[Need]) {
+    fn preempt_over_limit(&mut self, team: &str, s: usize, lacks: &[RankedDemand]) {
         let Some(rank) = lacks.iter().map(|n| n.rank).min() else {
             return;
         };
@@ -192,11 +193,11 @@
     }
 
     /// Takes in a team's grants as stored at a revision.
-    pub(super) fn see_quota(&mut self, team: &str, value: &Value, revision: u64) {
+    pub(super) fn observe_quota(&mut self, team: &str, value: &Value, revision: u64) {
         if let Some(q) = self.quotas.get_mut(team)
             && revision > q.revision
         {
-            q.see(value, revision);
+            q.observe(value, revision);
             self.place_wanted = true;
         }
     }
@@ -206,13 +207,13 @@
             (Op::QuotaList, KvResponse::Page { items, .. }) => {
                 for item in items {
                     if let Some(team) = item.key.strip_prefix("quota/") {
-                        self.see_quota(team, &item.value, item.revision);
+                        self.observe_quota(team, &item.value, item.revision);
                     }
                 }
             }
             (Op::QuotaList, _) => self.quotas_read = false,
             (Op::QuotaWrite { team, value }, KvResponse::Applied(revision)) => {
-                self.see_quota(&team, &value, revision);
+                self.observe_quota(&team, &value, revision);
                 if let Some(q) = self.quotas.get_mut(&team) {
                     q.busy = false;
                 }
@@ -232,7 +233,7 @@
             }
             (Op::QuotaRead { team }, KvResponse::Value(item)) => {
                 if let Some(item) = item {
-                    self.see_quota(&team, &item.value, item.revision);
+                    self.observe_quota(&team, &item.value, item.revision);
                 }
                 if let Some(q) = self.quotas.get_mut(&team) {
                     q.busy = false;
--- a/src/controller/recovery.rs
+++ b/src/controller/recovery.rs
@@ -219,7 +219,7 @@
                 self.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
-            self.pipelines.note(&id, &record);
+            self.dependency_graph.note(&id, &record);
             self.cache_stage(
                 &id,
                 CachedStage {
@@ -238,10 +238,10 @@
             let stage = self.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
             job.cancelled = stage == StoredStage::Cancelled;
             job.over = stage == StoredStage::Done;
-            job.upstream = record.upstream.as_slice().into();
-            job.waiting = !job.upstream.is_empty() && stage == StoredStage::Accepted;
+            job.dependencies = record.dependencies.as_slice().into();
+            job.waiting = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
             if job.waiting {
-                self.pipelines.wait(&id);
+                self.dependency_graph.wait(&id);
             }
             if job.over {
                 // What its parts still name has completed; it must not be
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -157,8 +157,8 @@
         let shards = self.shards.len();
         self.managed_machines.retain(|m, _| shard::shard_of_machine(m, shards) != s);
         self.changes.machines.retain(|m| shard::shard_of_machine(m, shards) != s);
-        if s == super::fleet::RENTING_SHARD {
-            self.fleet = super::fleet::Fleet::default();
+        if s == super::autoscaler::AUTOSCALER_SHARD {
+            self.autoscaler = super::autoscaler::Autoscaler::default();
         }
     }
 
@@ -341,7 +341,7 @@
             }
             // Cancellations may have been missed.
             Watch::Jobs => {
-                self.doubt_unfinished();
+                self.invalidate_unfinished();
                 for l in self.recoveries.values_mut() {
                     l.todo.extend(std::mem::take(&mut l.records).into_keys());
                     l.stale.append(&mut l.asked);
@@ -350,7 +350,7 @@
                 self.note_unknown(busy.map(|(id, _)| id.clone()).collect());
                 let ids: Vec<String> = self.jobs.keys().cloned().collect();
                 for id in ids {
-                    self.recheck(&id);
+                    self.read_back(&id);
                 }
             }
             Watch::Quotas => self.quotas_read = false,
--- a/src/controller/slot_updates.rs
+++ b/src/controller/slot_updates.rs
@@ -140,8 +140,8 @@
             if let Some((_, new)) = slot.as_mut().filter(|(_, s)| s.foreign) {
                 let old = self.slots.id(&machine).and_then(|id| self.slots.get(id));
                 let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
-                new.settled = match old {
-                    Some(old) if !more => old.settled,
+                new.yielded_until = match old {
+                    Some(old) if !more => old.yielded_until,
                     _ => self.now + SETTLE,
                 };
             }
--- a/src/controller/slots.rs
+++ b/src/controller/slots.rs
@@ -5,7 +5,7 @@
 //! both orders are indexes here, so that a change costs the change and a
 //! placement does not walk the fleet.
 
-use super::fleet::{allows, fits};
+use super::autoscaler::{allows, fits};
 use super::quota::Amount;
 use crate::peer::Demand;
 use crate::time::Micros;
@@ -73,7 +73,7 @@
     pub free: [f64; 3],
     /// Until when room that came up here is left to the controller that commands
     /// the machine: taken by several at once it would go to one of them.
-    pub settled: Micros,
+    pub yielded_until: Micros,
     /// Room kept in this pass for more urgent tasks of other shards.
     pub held: [f64; 3],
     /// What is booked.
@@ -83,8 +83,8 @@
 impl Slot {
     /// A machine with nothing booked.
     pub fn new(machine: Rc<str>, incarnation: u64, foreign: bool, size: [f64; 3]) -> Slot {
-        let (settled, held) = (Micros::ZERO, [0.0; 3]);
-        Slot { machine, incarnation, foreign, free: size, settled, held, tasks: Vec::new() }
+        let (yielded_until, held) = (Micros::ZERO, [0.0; 3]);
+        Slot { machine, incarnation, foreign, free: size, yielded_until, held, tasks: Vec::new() }
     }
 
     /// Books a task.
--- a/src/controller/stage_cache.rs
+++ b/src/controller/stage_cache.rs
@@ -32,7 +32,7 @@
         if known.stage != StoredStage::Accepted {
             decision_log::job_over(job, known);
             self.terminal_states.add(self.now, job, known.revision);
-            self.pipelines.over(job);
+            self.dependency_graph.over(job);
         }
         if known.stage == StoredStage::Cancelled {
             self.stop_on_machines(job);
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -21,7 +21,8 @@
     state_limits: StateLimitsStatus,
     shards: Vec<ShardStatus<'a>>,
     jobs: usize,
-    jobs_that_need_others: usize,
+    #[serde(rename = "jobs_that_need_others")]
+    jobs_with_dependencies: usize,
     tasks_waiting: u64,
     machines: Vec<MachineStatus<'a>>,
     rented: BTreeMap<&'static str, usize>,
@@ -116,7 +117,8 @@
     /// Jobs let go once all that they need was done.
     pub(super) released: u64,
     /// Jobs cancelled with one that they need.
-    pub(super) cancelled_with_upstream: u64,
+    #[serde(rename = "cancelled_with_upstream")]
+    pub(super) cancelled_with_dependency: u64,
     pub(super) placed: u64,
     pub(super) image_hits: u64,
     pub(super) failed: u64,
@@ -140,10 +142,10 @@
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
             jobs: self.jobs.len(),
-            jobs_that_need_others: self.jobs.values().filter(|j| j.waiting).count(),
+            jobs_with_dependencies: self.jobs.values().filter(|j| j.waiting).count(),
             tasks_waiting: self.jobs.values().map(|j| u64::from(j.pending())).sum(),
             machines: self.machine_statuses(),
-            rented: self.fleet.stages(),
+            rented: self.autoscaler.stages(),
             image_entries: self.images.len(),
             counts: &self.counts,
         };
@@ -219,7 +221,7 @@
             }
         }
         for (id, j) in self.jobs.iter().filter(|(_, j)| j.waiting && !j.cancelled && !j.over) {
-            let needs: Vec<&str> = j.upstream.iter().map(String::as_str).collect();
+            let needs: Vec<&str> = j.dependencies.iter().map(String::as_str).collect();
             let _ = writeln!(
                 page,
                 "{id} {} {} {:?} {} 0 0 needs {}",
--- a/src/controller/status_queries.rs
+++ b/src/controller/status_queries.rs
@@ -6,8 +6,8 @@
 //! its job's key; in a storm those that wait are put together: one transaction
 //! that changes nothing and compares the versions of all their keys.
 
+use super::dependencies::DependencyOutcome;
 use super::job::{self, StoredStage};
-use super::pipeline::UpstreamOutcome;
 use super::{Controller, Op, Ticket};
 use crate::config;
 use crate::kv_store::{Bucket, KvRequest, KvResponse, REQUEST_RATE_SHARE};
@@ -102,17 +102,17 @@
         let now = self.now;
         let known = self.cached_stages.get(id).copied();
         if let Some(known) = known.filter(|k| k.stage != StoredStage::Accepted) {
-            return self.tell(ticket, 200, id, known);
+            return self.answer_with_stage(ticket, 200, id, known);
         }
         if let Some(known) = known
-            && self.upstream_outcome_of(id) != UpstreamOutcome::Free
+            && self.dependency_outcome_of(id) != DependencyOutcome::Satisfied
         {
-            return self.tell(ticket, 200, id, known);
+            return self.answer_with_stage(ticket, 200, id, known);
         }
         match known.filter(|k| k.revision > 0) {
             Some(known) if !self.status_queries.plenty(now) => {
                 if self.status_queries.count >= MOST_WAITING {
-                    return self.later(ticket, 429, "too many questions wait");
+                    return self.respond_retry_later(ticket, 429, "too many questions wait");
                 }
                 self.status_queries.count += 1;
                 let asked = self.status_queries.waiting.entry(id.to_string());
@@ -165,7 +165,8 @@
             KvResponse::Conflict(failed) => failed,
             _ => {
                 let tickets = jobs.into_values().flat_map(|asked| asked.who);
-                return tickets.for_each(|(t, _)| self.later(t, 503, "state service away"));
+                return tickets
+                    .for_each(|(t, _)| self.respond_retry_later(t, 503, "state service away"));
             }
         };
         for (id, StatusQuery { revision, who: asked }) in jobs {
@@ -174,12 +175,12 @@
             match known {
                 Some(k) if k.stage == StoredStage::Accepted && !self.fresh(sent) => {
                     for (ticket, _) in asked {
-                        self.later(ticket, 503, "the state service is slow");
+                        self.respond_retry_later(ticket, 503, "the state service is slow");
                     }
                 }
                 Some(k) if k.stage != StoredStage::Accepted || failed.is_empty() => {
                     for (ticket, _) in asked {
-                        self.tell(ticket, 200, &id, k);
+                        self.answer_with_stage(ticket, 200, &id, k);
                     }
                 }
                 // Whether all that differ are named is not said: the others are
@@ -210,23 +211,25 @@
         let slow = "the state service is slow";
         match self.read_record(job, reply) {
             Some(Some((known, _))) if known.stage == StoredStage::Accepted && !self.fresh(sent) => {
-                tickets.into_iter().for_each(|t| self.later(t, 503, slow));
+                tickets.into_iter().for_each(|t| self.respond_retry_later(t, 503, slow));
             }
             Some(Some((known, _))) => {
                 for ticket in tickets {
-                    self.tell(ticket, 200, job, known);
+                    self.answer_with_stage(ticket, 200, job, known);
                 }
             }
             // Accepted since the read.
             Some(None) if self.cached_stages.contains_key(job) || !self.fresh(sent) => {
-                tickets.into_iter().for_each(|t| self.later(t, 503, slow));
+                tickets.into_iter().for_each(|t| self.respond_retry_later(t, 503, slow));
             }
             Some(None) => {
                 for ticket in tickets {
                     self.respond(ticket, 404, None, &Refusal::new("no such job"));
                 }
             }
-            None => tickets.into_iter().for_each(|t| self.later(t, 503, "state service away")),
+            None => tickets
+                .into_iter()
+                .for_each(|t| self.respond_retry_later(t, 503, "state service away")),
         }
     }
 
@@ -243,7 +246,7 @@
         });
         self.status_queries.count -= late.len();
         for (ticket, _) in late {
-            self.later(ticket, 503, "too many questions wait");
+            self.respond_retry_later(ticket, 503, "too many questions wait");
         }
     }
 }
--- a/src/controller/task_placement.rs
+++ b/src/controller/task_placement.rs
@@ -5,8 +5,8 @@
 //! tasks are stopped to make some.
 
 use super::Controller;
+use super::autoscaler::fits;
 use super::desired_state::expected_s;
-use super::fleet::fits;
 use super::job::Job;
 use super::place;
 use super::placer::{Failed, NO_ROOM, Pass, RoomSearch, URGENT};
@@ -197,7 +197,7 @@
     ) -> bool {
         let zone = || self.slots.pool_of(at).map_or("", |k| &k.zone);
         (!placement.zones_restricted() || job.zone_allows(&placement.zones, zone()))
-            && slot.settled <= self.now
+            && slot.yielded_until <= self.now
             && (!placement.barred || !self.reserved.contains(&slot.machine))
             && !job.avoid.contains(&slot.machine)
             && !self.lists(&slot.machine, &placement.id, index)
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -6,8 +6,8 @@
 //! the revision up to which it has followed the jobs; or, where a peer does not say
 //! so, once whatever it may have read before is too old for it to be told.
 
+use super::dependencies::DependencyOutcome;
 use super::job::StoredStage;
-use super::pipeline::UpstreamOutcome;
 use super::status_queries::FRESH;
 use super::{CachedStage, Controller, Ticket};
 use crate::time::Micros;
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(super) struct TerminalStates {
     /// When each was learnt here, and the revision that made it so.
-    unsettled: BTreeMap<String, (Micros, u64)>,
+    unacknowledged: BTreeMap<String, (Micros, u64)>,
     /// Who is to be told of them.
     waiting: Vec<(Ticket, String)>,
     /// Peers are to be told that this process has followed the jobs further.
@@ -35,17 +35,17 @@
     pub fn add(&mut self, now: Micros, job: &str, revision: u64) {
         self.acknowledge = true;
         let revision = if revision == 0 { UNKNOWN } else { revision };
-        self.unsettled.insert(job.to_string(), (now, revision));
+        self.unacknowledged.insert(job.to_string(), (now, revision));
     }
 
     /// Whether every peer knows that a job is over, or has had the time to.
-    pub fn settled(&self, job: &str) -> bool {
-        !self.unsettled.contains_key(job)
+    pub fn acknowledged(&self, job: &str) -> bool {
+        !self.unacknowledged.contains_key(job)
     }
 
     /// The revision of a terminal state that a peer had told without it.
     pub fn correct(&mut self, job: &str, revision: u64) {
-        if let Some((_, known)) = self.unsettled.get_mut(job)
+        if let Some((_, known)) = self.unacknowledged.get_mut(job)
             && *known == UNKNOWN
             && revision > 0
         {
@@ -58,24 +58,36 @@
 impl Controller {
     /// Tells a user how a job stands: at once, unless the stage is final and a peer
     /// might still tell an older one.
-    pub(super) fn tell(&mut self, ticket: Ticket, status: u16, id: &str, known: CachedStage) {
-        if known.stage != StoredStage::Accepted && !self.terminal_states.settled(id) {
+    pub(super) fn answer_with_stage(
+        &mut self,
+        ticket: Ticket,
+        status: u16,
+        id: &str,
+        known: CachedStage,
+    ) {
+        if known.stage != StoredStage::Accepted && !self.terminal_states.acknowledged(id) {
             self.terminal_states.waiting.push((ticket, id.to_string()));
             return;
         }
         if known.stage == StoredStage::Accepted {
-            match self.upstream_outcome_of(id) {
-                UpstreamOutcome::Free => {}
-                UpstreamOutcome::Waits => return self.tell_waiting(ticket, status, id, known),
-                UpstreamOutcome::Unknown(list) => {
+            match self.dependency_outcome_of(id) {
+                DependencyOutcome::Satisfied => {}
+                DependencyOutcome::Pending => {
+                    return self.answer_blocked(ticket, status, id, known);
+                }
+                DependencyOutcome::Unknown(list) => {
                     self.read_records(list);
-                    return self.later(ticket, 503, "the jobs that it needs are being read");
+                    return self.respond_retry_later(
+                        ticket,
+                        503,
+                        "the jobs that it needs are being read",
+                    );
                 }
-                UpstreamOutcome::Cancelled { settled: false } => {
+                DependencyOutcome::Cancelled { acknowledged: false } => {
                     self.terminal_states.waiting.push((ticket, id.to_string()));
                     return;
                 }
-                UpstreamOutcome::Cancelled { settled: true } => {
+                DependencyOutcome::Cancelled { acknowledged: true } => {
                     let known = CachedStage { stage: StoredStage::Cancelled, ..known };
                     self.note_final_answer(id, known);
                     let answer = self.job_answer(id, known);
@@ -89,21 +101,24 @@
     }
 
     /// Answers those who wait for terminal states that every peer knows of by now.
-    pub(super) fn answer_settled(&mut self) {
-        if self.terminal_states.unsettled.is_empty() {
+    pub(super) fn answer_acknowledged(&mut self) {
+        if self.terminal_states.unacknowledged.is_empty() {
             return;
         }
         let now = self.now;
         let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
-        let settled = |at: Micros, revision: u64| revision <= watched || now.since(at) >= SETTLED;
-        self.terminal_states.unsettled.retain(|_, (at, revision)| !settled(*at, *revision));
-        let unsettled = &self.terminal_states.unsettled;
+        let acknowledged =
+            |at: Micros, revision: u64| revision <= watched || now.since(at) >= SETTLED;
+        self.terminal_states
+            .unacknowledged
+            .retain(|_, (at, revision)| !acknowledged(*at, *revision));
+        let unacknowledged = &self.terminal_states.unacknowledged;
         let ready =
-            self.terminal_states.waiting.extract_if(.., |(_, id)| !unsettled.contains_key(id));
+            self.terminal_states.waiting.extract_if(.., |(_, id)| !unacknowledged.contains_key(id));
         for (ticket, id) in ready.collect::<Vec<_>>() {
             match self.cached_stages.get(&id).copied() {
-                Some(known) => self.tell(ticket, 200, &id, known),
-                None => self.later(ticket, 503, "undecided"),
+                Some(known) => self.answer_with_stage(ticket, 200, &id, known),
+                None => self.respond_retry_later(ticket, 503, "undecided"),
             }
         }
     }
--- a/src/controller/watches.rs
+++ b/src/controller/watches.rs
@@ -101,7 +101,7 @@
                     warn!("unreadable record of job {id}");
                     return;
                 };
-                self.pipelines.note(id, &record);
+                self.dependency_graph.note(id, &record);
                 self.unreadable.remove(id);
                 self.cache_stage(
                     id,
@@ -121,7 +121,7 @@
             Watch::Quotas => {
                 if let Some(team) = key.strip_prefix("quota/") {
                     let value = item.map(|i| i.value).unwrap_or_default();
-                    self.see_quota(team, &value, change.revision);
+                    self.observe_quota(team, &value, change.revision);
                 }
             }
         }
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -57,7 +57,7 @@
 
 /// What a shard lacks of a team's limit.
 #[derive(Clone, PartialEq, Message)]
-pub struct QuotaNeed {
+pub struct QuotaDemand {
     /// Shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Demand, DesiredStateMessage, Hint, InheritedUrgency, MachineView, MisdirectedHeartbeats,
-    Preempt, Progress, QuotaNeed, ShardClaim,
+    Preempt, Progress, QuotaDemand, ShardClaim,
 };
 use prost::Message;
 
@@ -42,7 +42,7 @@
     pub has_demand: bool,
     /// Limits that its shards run into.
     #[prost(message, repeated, tag = "10")]
-    pub needs: Vec<QuotaNeed>,
+    pub quota_demand: Vec<QuotaDemand>,
     /// Jobs whose cancellation the sender has confirmed, told again until all
     /// know of them.
     #[prost(string, repeated, tag = "11")]
@@ -55,7 +55,7 @@
     pub draining: Vec<String>,
     /// True if the sender rents and `draining` is meant to be taken.
     #[prost(bool, tag = "14")]
-    pub rents: bool,
+    pub is_autoscaler: bool,
     /// Tasks of other shards that the sender asks to be stopped for more
     /// urgent ones.
     #[prost(message, repeated, tag = "15")]
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -18,7 +18,7 @@
 mod shards;
 mod views;
 
-pub use demand::{Demand, InheritedUrgency, Preempt, Progress, QuotaNeed};
+pub use demand::{Demand, InheritedUrgency, Preempt, Progress, QuotaDemand};
 pub use desired_state::{
     DesiredStateMessage, DesiredTask, DesiredTaskMessage, DesiredUpdate, MachineDesiredMessage,
     Phase, Shape,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -46,7 +46,7 @@
 
 /// A rental request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ScaleOutRequest {
     /// Name, never used again.
     #[serde(rename = "hire")]
     pub request: String,
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -44,7 +44,7 @@
     let types = fields.types()?;
     let zone = fields.optional("yard", Fields::text)?;
     let deadline_s = fields.optional("dueS", Fields::amount)?;
-    let upstream = fields.upstream()?;
+    let dependencies = fields.dependencies()?;
     let one_zone = fields.flag("together")?;
     let spread = fields.flag("apart")?;
     let spot = fields.flag("loaners")?;
@@ -71,7 +71,7 @@
         checkpoint_s,
         save_s,
         deadline_s,
-        upstream,
+        dependencies,
     })
 }
 
@@ -183,7 +183,7 @@
     }
 
     /// Each of them once, in order.
-    fn upstream(&self) -> Result<Vec<String>, BadJob> {
+    fn dependencies(&self) -> Result<Vec<String>, BadJob> {
         let bad = || self.bad("upstream", "must be a list of job ids");
         let id = |v: &Value| v.as_str().filter(|s| valid_job_id(s)).map(String::from);
         match self.get("upstream") {
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -84,7 +84,7 @@
     /// Jobs that have to be done before any task of this one starts. They are stored
     /// with the job's record, where every node follows them.
     #[serde(skip)]
-    pub upstream: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 /// True for ids of the protocol's form. Bounded, since ids become keys.
--- a/tests/damage.rs
+++ b/tests/damage.rs
@@ -18,10 +18,10 @@
     }, "t": 1_000_000_000_000_u64, "v": 1, "z": 232})
 }
 
-fn record(upstream: &[&str], more: u32) -> Value {
+fn record(dependencies: &[&str], more: u32) -> Value {
     let mut record = json!({"s": 0, "g": "a", "n": 2});
-    if !upstream.is_empty() {
-        record["u"] = json!(upstream);
+    if !dependencies.is_empty() {
+        record["u"] = json!(dependencies);
     }
     if more > 0 {
         record["k"] = json!(more);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -6,7 +6,7 @@
 use millethold::controller::job::stored_placements;
 use millethold::controller::shard::shard_of_machine;
 use millethold::kv_store::{KvRequest, KvResponse};
-use millethold::peer::{Frame, QuotaNeed};
+use millethold::peer::{Frame, QuotaDemand};
 use millethold::time::Micros;
 use millethold::wire::{Txn, Write};
 use serde_json::{Value, json};
@@ -270,14 +270,14 @@
     for (name, before, between, told) in table {
         for repeats in [false, true] {
             let mut solo = Solo::ready("", &[]);
-            for (id, upstream) in [
+            for (id, dependencies) in [
                 ("j-1", &[][..]),
                 ("j-9", &[]),
                 ("j-2", &["j-1"]),
                 ("j-3", &["j-2", "j-9"]),
                 ("j-4", &["j-3"]),
             ] {
-                let answer = solo.submit(&body_after(id, upstream));
+                let answer = solo.submit(&body_after(id, dependencies));
                 assert_eq!(answer.said(), (201, "queued"), "{name}: {id}");
             }
             solo.run(Micros::millis(300));
@@ -329,7 +329,8 @@
     /// So many seconds, in which shard 0 lacks so many CPUs of the team.
     fn run(&mut self, seconds: u64, lacks: f64) {
         for _ in 0..seconds * 2 {
-            let need = QuotaNeed { shard: 0, team: "red".into(), cpus: lacks, gpus: 0.0, rank: 2 };
+            let need =
+                QuotaDemand { shard: 0, team: "red".into(), cpus: lacks, gpus: 0.0, rank: 2 };
             let frame = Frame {
                 incarnation: 5,
                 state_ok: true,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -17,8 +17,8 @@
 }
 
 /// Adds a job after others; tells its index.
-fn after(plans: &mut Vec<Plan>, upstream: &[usize], plan: Plan) -> usize {
-    plans.push(Plan { upstream: upstream.to_vec(), ..plan });
+fn after(plans: &mut Vec<Plan>, dependencies: &[usize], plan: Plan) -> usize {
+    plans.push(Plan { dependencies: dependencies.to_vec(), ..plan });
     plans.len() - 1
 }
 
--- a/tests/replacements.rs
+++ b/tests/replacements.rs
@@ -15,8 +15,8 @@
     Plan { team: "blue", ..Plan::new(at_s, tasks, 1.0, run_s) }
 }
 
-fn after(plans: &mut Vec<Plan>, upstream: &[usize], plan: Plan) -> usize {
-    plans.push(Plan { upstream: upstream.to_vec(), ..plan });
+fn after(plans: &mut Vec<Plan>, dependencies: &[usize], plan: Plan) -> usize {
+    plans.push(Plan { dependencies: dependencies.to_vec(), ..plan });
     plans.len() - 1
 }
 
--- a/tests/simulation/answers.rs
+++ b/tests/simulation/answers.rs
@@ -81,7 +81,7 @@
     fn check_status(&mut self, id: &str, origin: &Origin, status: u16) -> bool {
         let job = &self.jobs[id];
         let refused = matches!(status, 400 | 404 | 422);
-        if matches!(origin, Origin::Submit(..)) && !job.upstream.is_empty() && refused {
+        if matches!(origin, Origin::Submit(..)) && !job.dependencies.is_empty() && refused {
             let text = format!("refused: {id} got {status} though all that it names are accepted");
             self.broken.push(text);
             return false;
--- a/tests/simulation/checks.rs
+++ b/tests/simulation/checks.rs
@@ -44,7 +44,7 @@
                 self.broken.push(format!("start of unknown {task}"));
                 continue;
             };
-            self.waited_starts += u64::from(!user_job.upstream.is_empty());
+            self.waited_starts += u64::from(!user_job.dependencies.is_empty());
             self.late_starts += u64::from(user_job.cancelled_at.is_some());
             let mut wrong = self.wrong_time(&task, user_job);
             wrong.extend(self.wrong_attempt(worker, &task, user_job));
@@ -69,7 +69,7 @@
         if self.past_cancel_time(job.cancelled_at) {
             wrong.push(format!("ran_cancelled: {task} begun"));
         }
-        let early = job.upstream.iter().find(|u| !self.jobs[*u].ended());
+        let early = job.dependencies.iter().find(|u| !self.jobs[*u].ended());
         if let Some(up) = early {
             wrong.push(format!("too_early: {task} begun, its upstream {up} is not done"));
         }
@@ -210,7 +210,7 @@
         let plan = &job.plan;
         let open = job.accepted && !job.cancel_asked && !job.done_told && !plan.broken;
         // A job that waits for others is not left waiting.
-        let released = job.upstream.iter().all(|u| self.jobs[u].ended());
+        let released = job.dependencies.iter().all(|u| self.jobs[u].ended());
         let more = job.completed.len() + zones.len() < plan.tasks as usize;
         let allowed = plan.team != "red" || red + plan.cpus <= RED_MAX;
         let half = plan.tasks.div_ceil(2) as usize;
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -2,10 +2,10 @@
 
 use millethold::cloud::{CloudCall, CloudReply};
 use millethold::time::Micros;
-use millethold::wire::{ListedMachine, MachineStage, MachineType, RentRequest};
+use millethold::wire::{ListedMachine, MachineStage, MachineType, ScaleOutRequest};
 use std::collections::BTreeMap;
 
-struct Rented {
+struct RentedMachine {
     zone: String,
     spot: bool,
     since: Micros,
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 pub struct Cloud {
-    machines: BTreeMap<String, Rented>,
+    machines: BTreeMap<String, RentedMachine>,
     requests: BTreeMap<String, Vec<String>>,
 }
 
@@ -28,8 +28,10 @@
 impl Cloud {
     pub fn add(&mut self, now: Micros, zone: &str, spot: bool) -> String {
         let name = format!("vm-{:06}", self.machines.len());
-        self.machines
-            .insert(name.clone(), Rented { zone: zone.into(), spot, since: now, until: None });
+        self.machines.insert(
+            name.clone(),
+            RentedMachine { zone: zone.into(), spot, since: now, until: None },
+        );
         name
     }
 
@@ -47,20 +49,20 @@
     pub fn call(&mut self, now: Micros, call: &CloudCall) -> CloudReply {
         match call {
             CloudCall::Types => CloudReply::Types(vec![machine_type()]),
-            CloudCall::Rent(request) => self.rent(now, request),
-            CloudCall::Return(names) => {
+            CloudCall::ScaleOut(request) => self.rent(now, request),
+            CloudCall::ScaleIn(names) => {
                 for name in names {
                     self.take(now, name);
                 }
-                CloudReply::Returned
+                CloudReply::ScaledIn
             }
             CloudCall::List { .. } => CloudReply::Page { machines: self.list(now), more: false },
         }
     }
 
-    fn rent(&mut self, now: Micros, request: &RentRequest) -> CloudReply {
+    fn rent(&mut self, now: Micros, request: &ScaleOutRequest) -> CloudReply {
         if let Some(names) = self.requests.get(&request.request) {
-            return CloudReply::Rented(names.clone());
+            return CloudReply::ScaledOut(names.clone());
         }
         let there = self.machines.values().filter(|m| m.until.is_none()).count();
         if there >= MOST {
@@ -70,7 +72,7 @@
             .map(|_| self.add(now, &request.zone, request.spot))
             .collect();
         self.requests.insert(request.request.clone(), names.clone());
-        CloudReply::Rented(names)
+        CloudReply::ScaledOut(names)
     }
 
     /// The machines that there were a while ago.
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -109,7 +109,7 @@
     /// Carries out a call to the cloud, with what it means for the machines.
     fn call_cloud(&mut self, call: &CloudCall) -> CloudReply {
         let reply = self.cloud.call(self.now, call);
-        if let CloudReply::Rented(names) = &reply {
+        if let CloudReply::ScaledOut(names) = &reply {
             for name in names.clone() {
                 let zone = self.cloud.zone(&name);
                 let worker = self.workers.len();
@@ -122,8 +122,8 @@
                 self.at(up, SimEvent::Worker { worker });
             }
         }
-        if let CloudReply::Returned = reply
-            && let CloudCall::Return(names) = call
+        if let CloudReply::ScaledIn = reply
+            && let CloudCall::ScaleIn(names) = call
         {
             for worker in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
                 worker.gone = true;
--- a/tests/simulation/jobs.rs
+++ b/tests/simulation/jobs.rs
@@ -23,7 +23,7 @@
     /// The only zone where it may run.
     pub zone: Option<&'static str>,
     /// Earlier plans of the list whose jobs have to be done before a task of it starts.
-    pub upstream: Vec<usize>,
+    pub dependencies: Vec<usize>,
     /// It is submitted when its upstream jobs are over, and not when they are accepted.
     pub after_upstream: bool,
 }
@@ -43,7 +43,7 @@
             broken: false,
             longer_s: 0.0,
             zone: None,
-            upstream: Vec::new(),
+            dependencies: Vec::new(),
             after_upstream: false,
         }
     }
@@ -67,7 +67,7 @@
     /// Tasks that completed on some worker, which alone makes `done` true.
     pub(super) completed: BTreeSet<u32>,
     /// Jobs that it names, and all that it needs, directly or through others.
-    pub(super) upstream: Vec<String>,
+    pub(super) dependencies: Vec<String>,
     pub(super) ancestors: BTreeSet<String>,
     /// Its user waits with the submission for its upstream jobs.
     pub(super) held_back: bool,
@@ -77,7 +77,11 @@
 
 impl UserJob {
     /// A job that nobody has submitted yet.
-    pub(super) fn new(plan: Plan, upstream: Vec<String>, ancestors: BTreeSet<String>) -> UserJob {
+    pub(super) fn new(
+        plan: Plan,
+        dependencies: Vec<String>,
+        ancestors: BTreeSet<String>,
+    ) -> UserJob {
         UserJob {
             plan,
             accepted: false,
@@ -88,7 +92,7 @@
             answered: Micros::ZERO,
             waits: None,
             completed: BTreeSet::new(),
-            upstream,
+            dependencies,
             ancestors,
             held_back: false,
             orphan_from: None,
@@ -115,8 +119,8 @@
         "apart": plan.apart, "loaners": true, "expectedS": plan.run_s, "notchS": 0.0,
         "stackS": 0.0, "dueS": null,
     });
-    if !plan.upstream.is_empty() {
-        body["upstream"] = plan.upstream.iter().map(|u| job_id(*u)).collect();
+    if !plan.dependencies.is_empty() {
+        body["upstream"] = plan.dependencies.iter().map(|u| job_id(*u)).collect();
     }
     body
 }
--- a/tests/simulation/odd_requests.rs
+++ b/tests/simulation/odd_requests.rs
@@ -53,8 +53,8 @@
         let again = Micros::millis(self.rng.random_range(100..600));
         self.at(self.now + again, SimEvent::Odd);
         // Upstream jobs are named wrongly only where some are named at all.
-        let pipelines = self.jobs.values().any(|j| !j.upstream.is_empty());
-        let kinds = if pipelines { KINDS_WITH_UPSTREAM } else { KINDS };
+        let dependency_graph = self.jobs.values().any(|j| !j.dependencies.is_empty());
+        let kinds = if dependency_graph { KINDS_WITH_UPSTREAM } else { KINDS };
         let kind = self.rng.random_range(0..kinds);
         if kind <= LAST_REPEAT {
             self.odd_repeat(kind);
@@ -126,8 +126,8 @@
                 ("a job of an unknown team", 422)
             }
             _ => {
-                let (upstream, what, status) = self.odd_upstream(kind, &id);
-                body["upstream"] = upstream;
+                let (dependencies, what, status) = self.odd_upstream(kind, &id);
+                body["upstream"] = dependencies;
                 (what, status)
             }
         };
@@ -156,8 +156,8 @@
             12 => (json!([id]), "a job after itself", 422),
             _ => {
                 let known = self.jobs.keys().next().cloned().unwrap_or_default();
-                let upstream = malformed_upstream(&known, self.odd as usize);
-                (upstream, "a job with a malformed list of upstream jobs", 400)
+                let dependencies = malformed_upstream(&known, self.odd as usize);
+                (dependencies, "a job with a malformed list of upstream jobs", 400)
             }
         }
     }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -138,7 +138,7 @@
             true => up.accepted && up.over_told.is_some(),
             false => up.accepted,
         };
-        j.upstream.iter().all(|u| ready(&self.jobs[u]))
+        j.dependencies.iter().all(|u| ready(&self.jobs[u]))
     }
 
     /// What users held back until now and can hand in.
--- a/tests/simulation/world.rs
+++ b/tests/simulation/world.rs
@@ -198,11 +198,11 @@
         if let Some(s) = plan.cancel_at_s {
             self.at(Micros::secs(s), SimEvent::Cancel(id.clone()));
         }
-        assert!(plan.upstream.iter().all(|u| *u < number), "plans name earlier ones");
-        let upstream: Vec<String> = plan.upstream.iter().map(|u| job_id(*u)).collect();
-        let further = upstream.iter().flat_map(|u| self.jobs[u].ancestors.iter().cloned());
-        let ancestors = further.chain(upstream.iter().cloned()).collect();
-        self.jobs.insert(id, UserJob::new(plan.clone(), upstream, ancestors));
+        assert!(plan.dependencies.iter().all(|u| *u < number), "plans name earlier ones");
+        let dependencies: Vec<String> = plan.dependencies.iter().map(|u| job_id(*u)).collect();
+        let further = dependencies.iter().flat_map(|u| self.jobs[u].ancestors.iter().cloned());
+        let ancestors = further.chain(dependencies.iter().cloned()).collect();
+        self.jobs.insert(id, UserJob::new(plan.clone(), dependencies, ancestors));
     }
 
     /// Lets something happen at a certain time, after all that is planned for it.
--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -184,9 +184,9 @@
 }
 
 /// The same after others.
-pub fn body_after(id: &str, upstream: &[&str]) -> Value {
+pub fn body_after(id: &str, dependencies: &[&str]) -> Value {
     let mut body = body(id);
-    body["upstream"] = json!(upstream);
+    body["upstream"] = json!(dependencies);
     body
 }
 
@@ -352,7 +352,7 @@
             }
             Effect::Cloud { id, call } => {
                 let reply = self.cloud.call(self.now, &call);
-                if let CloudReply::Rented(names) = &reply
+                if let CloudReply::ScaledOut(names) = &reply
                     && self.boots
                 {
                     for name in names {
@@ -361,7 +361,7 @@
                         self.workers.push(worker);
                     }
                 }
-                if let CloudCall::Return(names) = &call {
+                if let CloudCall::ScaleIn(names) = &call {
                     let returned = |w: &&mut Worker| names.contains(&w.name);
                     self.workers.iter_mut().filter(returned).for_each(|w| w.gone = true);
                 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -97,22 +97,22 @@
         ("nothing is answered, for longer than a lease", Outcome::Late, all, 15, 100),
     ];
     for (name, outcome, calls, away_s, most_ms) in table {
-        for upstream in [&["j-1"][..], &["j-404"], &["j-1", "j-404"]] {
+        for dependencies in [&["j-1"][..], &["j-404"], &["j-1", "j-404"]] {
             // It is stored, and this controller has not heard of it.
             let mut solo = Solo::ready("", &[("j/j-1".into(), done())]);
             solo.outcome =
                 Box::new(move |call| if calls(call) { outcome } else { Outcome::Served });
             solo.run(Micros::secs(away_s));
-            let answer = solo.submit(&body_after("j-7", upstream));
-            assert_eq!(answer.status, 503, "{name}, {upstream:?}: {answer:?}");
-            assert!(answer.retry_after.is_some(), "{name}, {upstream:?}: {answer:?}");
+            let answer = solo.submit(&body_after("j-7", dependencies));
+            assert_eq!(answer.status, 503, "{name}, {dependencies:?}: {answer:?}");
+            assert!(answer.retry_after.is_some(), "{name}, {dependencies:?}: {answer:?}");
             let took = answer.took.as_millis();
-            assert!(took <= most_ms, "{name}, {upstream:?}: {took} ms");
+            assert!(took <= most_ms, "{name}, {dependencies:?}: {took} ms");
             // Afterwards it is known.
             solo.outcome = Box::new(|_| Outcome::Served);
             solo.run(Micros::secs(5));
-            let want = if upstream == ["j-1"] { 201 } else { 422 };
-            assert_eq!(solo.submit(&body_after("j-7", upstream)).status, want, "{name}");
+            let want = if dependencies == ["j-1"] { 201 } else { 422 };
+            assert_eq!(solo.submit(&body_after("j-7", dependencies)).status, want, "{name}");
         }
     }
 }
--- a/tests/tables/http.rs
+++ b/tests/tables/http.rs
@@ -4,7 +4,7 @@
 use millethold::http::{self, HttpError, OutgoingAnswer, OutgoingRequest};
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
-use millethold::wire::{Condition, RentRequest, Txn, Write};
+use millethold::wire::{Condition, ScaleOutRequest, Txn, Write};
 
 #[test]
 fn http_requests() {
@@ -103,7 +103,7 @@
 
 #[test]
 fn requests_to_the_cloud() {
-    let request = RentRequest {
+    let request = ScaleOutRequest {
         request: "r1".into(),
         machine_type: "t4".into(),
         zone: "a".into(),
@@ -115,8 +115,8 @@
     let later = CloudCall::List { after: Some("vm-1".into()) };
     let table = [
         (CloudCall::Types, plain("GET /flavors")),
-        (CloudCall::Rent(request), with_body("POST /machines", rent)),
-        (CloudCall::Return(vec!["vm-1".into()]), with_body("POST /machines/return", names)),
+        (CloudCall::ScaleOut(request), with_body("POST /machines", rent)),
+        (CloudCall::ScaleIn(vec!["vm-1".into()]), with_body("POST /machines/return", names)),
         (CloudCall::List { after: None }, plain("GET /machines?limit=500")),
         (later, plain("GET /machines?limit=500&after=vm-1")),
     ];
--- a/tests/tables/main.rs
+++ b/tests/tables/main.rs
@@ -1,6 +1,6 @@
 //! Tables of cases for the pure parts, a file for each subject.
 
-mod fleet;
+mod autoscaler;
 mod frames;
 mod http;
 mod jobs;
--- a/tests/tables/placement.rs
+++ b/tests/tables/placement.rs
@@ -1,7 +1,7 @@
 //! Where a task is placed: the choice, the machines with room, the images.
 
 use millethold::config::Options;
-use millethold::controller::fleet;
+use millethold::controller::autoscaler;
 use millethold::controller::image::ImageIndex;
 use millethold::controller::place;
 use millethold::controller::slots::{Booked, PoolKey, Slot, Slots};
@@ -73,7 +73,7 @@
         let need = [[1.0, 0.0, 1.0], [4.0, 0.0, 12.0]][step % 2];
         let open: Vec<&Slot> = plain
             .values()
-            .filter(|(k, s)| (spot || !k.spot) && fleet::fits(&s.free, &need) > 0)
+            .filter(|(k, s)| (spot || !k.spot) && autoscaler::fits(&s.free, &need) > 0)
             .map(|(_, s)| s)
             .collect();
         let load = |s: &Slot| (s.tasks.len(), s.foreign, -(s.free[0] as i64));
--- a/tests/tables/quotas.rs
+++ b/tests/tables/quotas.rs
@@ -1,7 +1,7 @@
 //! Grants of teams' limits.
 
 use millethold::config::Team;
-use millethold::controller::quota::{self, Need, TeamQuota};
+use millethold::controller::quota::{self, RankedDemand, TeamQuota};
 use serde_json::{Value, json};
 
 fn quota(limit: f64, grants: &[(usize, f64)]) -> TeamQuota {
@@ -9,13 +9,13 @@
     let mut q = TeamQuota::new(&team);
     let map: serde_json::Map<String, Value> =
         grants.iter().map(|(s, g)| (s.to_string(), json!([g, 0.0]))).collect();
-    q.see(&Value::Object(map), 1);
+    q.observe(&Value::Object(map), 1);
     q
 }
 
 #[test]
 fn grants() {
-    let need = |rank, cpus| Need { rank, amount: [cpus, 0.0] };
+    let need = |rank, cpus| RankedDemand { rank, amount: [cpus, 0.0] };
     // Limit, grants, used, own waits, others' lacks, wanted grant of shard 0.
     let table = [
         (30.0, vec![], 0.0, vec![need(2, 50.0)], vec![], 30.0),
@@ -48,7 +48,7 @@
     // A lowering under way counts at once, and until the key has changed.
     q.lowered.insert(0, [5.0, 0.0]);
     assert_eq!(q.grant(0)[0], 5.0);
-    q.see(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 2);
+    q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 2);
     assert_eq!(q.grant(0)[0], 12.0);
     // Two changes on one version, the first without an answer: either may be the one
     // that is carried out. A third that is refused changes nothing of that.
@@ -58,11 +58,11 @@
     assert_eq!(q.grant(0)[0], 4.0);
     q.refused();
     assert_eq!((q.grant(0)[0], q.busy), (4.0, false));
-    q.see(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 3);
+    q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 3);
     q.sends(0, [8.0, 0.0]);
     q.refused();
     assert_eq!(q.grant(0)[0], 12.0, "surely not carried out");
     assert!(quota(0.0, &[]).grant(0)[0].is_infinite(), "0 means no limit");
-    let rest = quota::lacking([6.0, 0.0], &[need(3, 9.0), need(1, 4.0)]);
+    let rest = quota::unmet_demand([6.0, 0.0], &[need(3, 9.0), need(1, 4.0)]);
     assert_eq!(rest, [need(3, 7.0)], "the more urgent is served first");
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -118,7 +118,7 @@
 fn quota_again(value: &Value) -> Value {
     let team = toml::from_str("name = \"red\"\ncpus_max = 14.0").expect("a team");
     let mut quota = TeamQuota::new(&team);
-    quota.see(value, 5);
+    quota.observe(value, 5);
     let grant = quota.grants[&0];
     quota.with_grant(0, grant).expect("within the limit")
 }
@@ -185,7 +185,7 @@
         for (id, record) in left.jobs() {
             let want = if json!(record.stage) == json!("c") { "cancelled" } else { "done" };
             assert_eq!(solo.poll(id).said(), (200, want), "{name}: {id}");
-            for up in &record.upstream {
+            for up in &record.dependencies {
                 let first = solo.begun.iter().position(|t| t.starts_with(&format!("{id}/")));
                 let last = solo.begun.iter().rposition(|t| t.starts_with(&format!("{up}/")));
                 assert!(first.is_some() && first > last, "{name}: {id} began before {up} ended");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -43,7 +43,7 @@
         let stored = BTreeMap::from([(0, (part(), 5))]);
         let job = Job::restore(2, 9, PartSize::new(value_kb), &stored).expect("a stored job");
         assert_eq!((job.done(), job.booked(), job.pending()), (1, 2, 13), "{value_kb} KiB");
-        assert!(!job.waiting && job.upstream.is_empty());
+        assert!(!job.waiting && job.dependencies.is_empty());
         assert_eq!(job.encode_part(0), part(), "{value_kb} KiB");
     }
     let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), PartSize::new(8.0));
@@ -65,7 +65,7 @@
         (StoredStage::Cancelled, r#"{"s":2,"g":"c","n":16}"#),
     ];
     for (stage, stored) in table {
-        let record = JobRecord { shard: 2, stage, tasks: 16, upstream: Vec::new(), more: 0 };
+        let record = JobRecord { shard: 2, stage, tasks: 16, dependencies: Vec::new(), more: 0 };
         assert_eq!(serde_json::to_string(&record).expect("JSON"), stored);
         assert_eq!(serde_json::from_str::<JobRecord>(stored).expect("a record"), record);
     }
@@ -158,7 +158,7 @@
         (json!(["j-000405", "j-000398", "j-000405"]), vec!["j-000398", "j-000405"]),
     ];
     for (value, want) in good {
-        assert_eq!(with(value.clone()).expect("well-formed").upstream, want, "{value}");
+        assert_eq!(with(value.clone()).expect("well-formed").dependencies, want, "{value}");
     }
     let bad = [
         json!("j-000398"),
@@ -183,7 +183,7 @@
         shard: 1,
         stage: StoredStage::Accepted,
         tasks: 2,
-        upstream: vec!["j-1".into()],
+        dependencies: vec!["j-1".into()],
         more: 0,
     };
     let stored = serde_json::to_value(&record).expect("JSON");
