--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -24,7 +24,7 @@
 /// Bytes of a value that is full: some are left for what surrounds the list.
 const FULL: f64 = 0.95;
 /// Bytes that a job takes in a batch beside its description, at most.
-const PART_BYTES: f64 = 100.0;
+const BATCHED_JOB_OVERHEAD_BYTES: f64 = 100.0;
 
 /// A submission on its way to the key-value store.
 #[derive(Debug, Clone)]
@@ -145,7 +145,7 @@
         let share = (self.puts.burst() / 2.0) as usize;
         let most = state.txn_ops.saturating_sub(1).min(share).clamp(1, self.admission.len());
         let fits = |a: &&Submission| {
-            left -= a.size as f64 + PART_BYTES;
+            left -= a.size as f64 + BATCHED_JOB_OVERHEAD_BYTES;
             left > 0.0
         };
         self.admission.waiting[..most].iter().take_while(fits).count().max(1)
@@ -162,16 +162,16 @@
             let key = job::job_key(&a.spec.id);
             txn.conditions.push(Condition { key: key.clone(), revision: 0 });
             txn.writes.push(Write::Put { key, value: json!(record), lease: None });
-            let mut job = Job::new(Rc::clone(&a.spec), s, 0, a.accepted, self.part_size);
-            job.parts[0].version = 1;
-            values.push(job.encode_part(0));
+            let mut job = Job::new(Rc::clone(&a.spec), s, 0, a.accepted, self.chunk_size);
+            job.chunks[0].version = 1;
+            values.push(job.encode_chunk(0));
         }
         let batch = (list.len() > 1).then(|| {
             self.admission.count += 1;
             job::batch_key(s, leadership.term, self.admission.count)
         });
         let (key, value) = match (&batch, values.pop()) {
-            (None, Some(one)) => (job::part_key(s, &list[0].spec.id, 0), one),
+            (None, Some(one)) => (job::chunk_key(s, &list[0].spec.id, 0), one),
             (Some(key), Some(last)) => {
                 values.push(last);
                 (key.clone(), job::encode_batch(values))
@@ -251,11 +251,11 @@
         let cancelled =
             self.cached_stages.get(&spec.id).is_some_and(|k| k.stage == StoredStage::Cancelled);
         if held && !self.jobs.contains_key(&spec.id) {
-            let mut job = Job::new(Rc::clone(&spec), s, revision, a.accepted, self.part_size);
-            let part = &mut job.parts[0];
+            let mut job = Job::new(Rc::clone(&spec), s, revision, a.accepted, self.chunk_size);
+            let chunk = &mut job.chunks[0];
             // In a batch it has no key of its own yet.
-            (part.version, part.stored) = (1, 1);
-            part.revision = if batched { 0 } else { revision };
+            (chunk.version, chunk.stored) = (1, 1);
+            chunk.revision = if batched { 0 } else { revision };
             job.cancelled = cancelled;
             if job.waiting {
                 self.dependency_graph.wait(&spec.id);
--- a/src/controller/batch.rs
+++ b/src/controller/batch.rs
@@ -50,16 +50,16 @@
         let known = batch.jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
         // What is over is said by its record.
         for (id, job) in known.filter(|(_, j)| !j.over) {
-            let part = &job.parts[0];
+            let chunk = &job.chunks[0];
             let as_stored =
-                job.busy || job.cancelled || job.complete() || part.version <= part.stored;
+                job.busy || job.cancelled || job.complete() || chunk.version <= chunk.stored;
             if as_stored {
                 // Nothing of a cancelled job may be written ahead any more.
                 values.push(job.encode_stored(0));
             } else {
                 conditions.push(Condition { key: job::job_key(id), revision: job.revision });
-                changed.push((id.clone(), part.version));
-                values.push(job.encode_part(0));
+                changed.push((id.clone(), chunk.version));
+                values.push(job.encode_chunk(0));
             }
         }
         let value = job::encode_batch(values);
@@ -73,13 +73,13 @@
             self.changes.jobs.remove(id);
             if let Some(job) = self.jobs.get_mut(id) {
                 job.busy = true;
-                job.lazy_since = None;
+                job.deferred_since = None;
             }
         }
         if let Some(batch) = self.admission.batches.get_mut(&key) {
             batch.busy = true;
         }
-        self.stores += 1;
+        self.writes_in_flight += 1;
         let writes = vec![Write::Put { key: key.clone(), value, lease: None }];
         let op = Op::StoreBatch { key, term, jobs: changed };
         self.state(op, KvRequest::Txn(Txn { conditions, writes }));
@@ -93,7 +93,7 @@
         jobs: Vec<(String, u64)>,
         reply: KvResponse,
     ) {
-        self.stores = self.stores.saturating_sub(1);
+        self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
@@ -163,8 +163,8 @@
             job::decode_batch(&item.value).into_iter().filter_map(version).collect();
         for (id, version) in stored {
             let applied = self.jobs.get(&id).is_some_and(|j| {
-                let part = &j.parts[0];
-                part.revision == 0 && version > part.stored && version <= part.version
+                let chunk = &j.chunks[0];
+                chunk.revision == 0 && version > chunk.stored && version <= chunk.version
             });
             if applied {
                 self.stored(&id, 0, &[(0, version)], false, &[]);
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -165,7 +165,7 @@
 
     fn give_up_shards(&mut self) {
         for leadership in self.shards.iter_mut().filter_map(|s| s.leadership.as_mut()) {
-            leadership.releasing = true;
+            leadership.handing_over = true;
         }
     }
 
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -34,7 +34,7 @@
         let unobserved = |p: &Placement| p.observed.is_none() && wall.since(p.at) > REMIND;
         let mut machines: Vec<(usize, Rc<str>)> = Vec::new();
         for job in self.jobs.values() {
-            let placed = job.parts.iter().flat_map(|part| part.placed.values());
+            let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
             machines
                 .extend(placed.filter(|p| unobserved(p)).map(|p| (job.shard, p.machine.clone())));
         }
@@ -66,10 +66,10 @@
                 continue;
             };
             let shape = job.shape(expected_s(job, &self.estimates));
-            let Some(part) = job.part_of(index) else {
+            let Some(chunk) = job.chunk_of(index) else {
                 continue;
             };
-            let stored = part.stored;
+            let stored = chunk.stored;
             let wanted = |p: &Placement, phase: Phase| DesiredTask {
                 shape: Rc::clone(&shape),
                 index,
@@ -82,7 +82,7 @@
             // Nothing is asked for before it is written down: a start that
             // nobody remembers could run beside the next one. Its room is
             // booked from the decision on.
-            if let Some(p) = part.placed.get_mut(&index)
+            if let Some(p) = chunk.placed.get_mut(&index)
                 && p.machine == *machine
             {
                 if p.stop.is_some() {
@@ -91,7 +91,7 @@
                 let phase = if p.version <= stored { Phase::Wanted } else { Phase::Ahead };
                 list.push(wanted(p, phase));
             }
-            for ended in &part.releasing {
+            for ended in &chunk.unstored_ends {
                 let p = &ended.placement;
                 if ended.index == index && p.machine == *machine && p.version <= stored {
                     list.push(wanted(p, Phase::Over));
--- a/src/controller/job/part.rs
+++ b/src/controller/job/chunk.rs
@@ -8,36 +8,36 @@
 use std::rc::Rc;
 
 /// Bytes that a part's value takes beside its placements and description.
-const PART_OVERHEAD: usize = 400;
+const CHUNK_OVERHEAD_BYTES: usize = 400;
 /// Bytes that a placement takes with names of the usual length.
 pub(super) const PLACEMENT_BYTES: usize = 27;
 /// Longest description that fits in part 0.
 pub const MAX_SPEC_BYTES: usize = 1_400;
 /// Most tasks in a part.
-const MAX_PART: u32 = 512;
+const MAX_CHUNK_TASKS: u32 = 512;
 /// In values below this a description takes much of the room, and is counted only in
 /// the part that has it.
-const SMALL_VALUE: usize = 4 * 1024;
+const SMALL_VALUE_BYTES: usize = 4 * 1024;
 /// Most tasks in a part of small values.
-const MAX_PART_SMALL: u32 = 48;
+const MAX_SMALL_CHUNK_TASKS: u32 = 48;
 
 /// Bytes that a part's placements may take.
 fn placements_room(value_kb: f64) -> usize {
     let bytes = (value_kb * 1024.0) as usize;
-    if bytes < SMALL_VALUE {
-        return bytes.saturating_sub(PART_OVERHEAD + MAX_PART_SMALL as usize / 4);
+    if bytes < SMALL_VALUE_BYTES {
+        return bytes.saturating_sub(CHUNK_OVERHEAD_BYTES + MAX_SMALL_CHUNK_TASKS as usize / 4);
     }
     // A quarter of a byte in hexadecimal digits for each task says which are done.
-    bytes.saturating_sub(PART_OVERHEAD + MAX_SPEC_BYTES + MAX_PART as usize / 4)
+    bytes.saturating_sub(CHUNK_OVERHEAD_BYTES + MAX_SPEC_BYTES + MAX_CHUNK_TASKS as usize / 4)
 }
 
 /// Tasks in a part: as many as can be on machines at once.
-fn part_size(value_kb: f64) -> u32 {
-    if value_kb * 1024.0 < SMALL_VALUE as f64 {
-        let fit = (placements_room(value_kb) / PLACEMENT_BYTES) as u32;
-        return fit.clamp(1, MAX_PART_SMALL);
+fn chunk_size(value_kb: f64) -> u32 {
+    if value_kb * 1024.0 < SMALL_VALUE_BYTES as f64 {
+        let set_layout = (placements_room(value_kb) / PLACEMENT_BYTES) as u32;
+        return set_layout.clamp(1, MAX_SMALL_CHUNK_TASKS);
     }
-    ((placements_room(value_kb) / PLACEMENT_BYTES) as u32).clamp(1, MAX_PART)
+    ((placements_room(value_kb) / PLACEMENT_BYTES) as u32).clamp(1, MAX_CHUNK_TASKS)
 }
 
 fn digits(n: u64) -> usize {
@@ -89,24 +89,24 @@
     /// Its state then.
     pub observed: ObservedState,
     /// Its machine does not know it, and is still in the session that it was meant for.
-    pub may_begin: bool,
+    pub may_still_start: bool,
 }
 
 impl TaskEnd {
     /// Nothing can begin it any more, whoever reads that it was placed.
     pub fn known(observed: ObservedState) -> TaskEnd {
-        TaskEnd { observed, may_begin: false }
+        TaskEnd { observed, may_still_start: false }
     }
 
     /// Its machine's manager lists it. A refusal may be the manager's own, of which the
     /// machine knows nothing.
     pub fn listed(observed: ObservedState) -> TaskEnd {
-        TaskEnd { observed, may_begin: observed == ObservedState::Refused }
+        TaskEnd { observed, may_still_start: observed == ObservedState::Refused }
     }
 
     /// It was given up before it began.
-    pub fn never_begun() -> TaskEnd {
-        TaskEnd { observed: ObservedState::Stopped, may_begin: true }
+    pub fn never_started() -> TaskEnd {
+        TaskEnd { observed: ObservedState::Stopped, may_still_start: true }
     }
 }
 
@@ -121,18 +121,18 @@
     pub placement: Placement,
     /// Its machine does not know it, in the session that it was meant for: a later holder
     /// that reads it as placed would begin it.
-    pub may_begin: bool,
+    pub may_still_start: bool,
 }
 
 /// A part of a job's tasks.
 #[derive(Debug, Clone, Default)]
-pub struct Part {
+pub struct TaskChunk {
     /// Tasks to be placed.
     pub pending: BTreeSet<u32>,
     /// Tasks on machines, or about to be.
     pub placed: BTreeMap<u32, Placement>,
     /// Ended attempts whose end is not stored yet.
-    pub releasing: Vec<EndedAttempt>,
+    pub unstored_ends: Vec<EndedAttempt>,
     /// Tasks that have completed.
     pub done: BTreeSet<u32>,
     /// Highest attempt given out; one counter for all tasks of the part.
@@ -155,7 +155,7 @@
 
 /// How tasks are divided into parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PartSize {
+pub struct ChunkLayout {
     /// Tasks in a part.
     pub tasks: u32,
     /// Bytes that a part's placements may take in its value.
@@ -164,31 +164,34 @@
     pub described: bool,
 }
 
-impl Part {
+impl TaskChunk {
     /// True if it holds a placement that is not stored yet: a start waits for it.
     pub fn fresh(&self) -> bool {
         self.put > self.stored
     }
 
     /// Ended attempts that a later holder would begin, as long as their end is not stored.
-    pub fn may_begin(&self) -> impl Iterator<Item = &Placement> {
-        self.releasing.iter().filter(|ended| ended.may_begin).map(|ended| &ended.placement)
+    pub fn may_still_start(&self) -> impl Iterator<Item = &Placement> {
+        self.unstored_ends
+            .iter()
+            .filter(|ended| ended.may_still_start)
+            .map(|ended| &ended.placement)
     }
 
     /// True if it is worth a change though no start waits for it: until the ends in
     /// it are stored, machines and controllers keep the tasks.
     pub fn mostly_ended(&self) -> bool {
-        self.releasing.len() > self.placed.len() + self.pending.len()
+        self.unstored_ends.len() > self.placed.len() + self.pending.len()
     }
 }
 
-impl PartSize {
+impl ChunkLayout {
     /// The division for values of a size.
-    pub fn new(value_kb: f64) -> PartSize {
-        PartSize {
-            tasks: part_size(value_kb),
+    pub fn new(value_kb: f64) -> ChunkLayout {
+        ChunkLayout {
+            tasks: chunk_size(value_kb),
             bytes: placements_room(value_kb),
-            described: value_kb * 1024.0 < SMALL_VALUE as f64,
+            described: value_kb * 1024.0 < SMALL_VALUE_BYTES as f64,
         }
     }
 }
--- a/src/controller/job/keys.rs
+++ b/src/controller/job/keys.rs
@@ -64,8 +64,8 @@
 }
 
 /// Key of a part of a job's tasks.
-pub fn part_key(shard: usize, id: &str, part: usize) -> String {
-    format!("w/{shard}/{id}/{part}")
+pub fn chunk_key(shard: usize, id: &str, chunk: usize) -> String {
+    format!("w/{shard}/{id}/{chunk}")
 }
 
 /// Key of descriptions of jobs that were accepted together. The term and the
@@ -84,9 +84,9 @@
 pub const BATCHED_TASKS: u32 = 2;
 
 /// Job and part of a key under `w/S/`.
-pub fn parse_part_key(key: &str) -> Option<(&str, usize)> {
+pub fn parse_chunk_key(key: &str) -> Option<(&str, usize)> {
     let mut fields = key.split('/').skip(2);
     let id = fields.next()?;
-    let part = fields.next()?.parse().ok()?;
-    Some((id, part))
+    let chunk = fields.next()?.parse().ok()?;
+    Some((id, chunk))
 }
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -5,19 +5,19 @@
 //! A part's version counts its changes; what is newer than the stored version
 //! has not been written yet and nobody may act on it.
 
+mod chunk;
 mod keys;
 mod names;
-mod part;
 mod stored;
 
+pub use chunk::{ChunkLayout, EndedAttempt, MAX_SPEC_BYTES, Placement, TaskChunk, TaskEnd};
 pub use keys::*;
-pub use part::{EndedAttempt, MAX_SPEC_BYTES, Part, PartSize, Placement, TaskEnd};
 pub use stored::{StoredPlacement, batch_is_sound, decode_batch, encode_batch, stored_placements};
 
 use crate::peer::{ObservedState, Shape};
 use crate::time::Micros;
 use crate::wire::{JobSpec, Priority};
-use part::{PLACEMENT_BYTES, spec_bytes, stored_bytes};
+use chunk::{PLACEMENT_BYTES, spec_bytes, stored_bytes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -40,9 +40,9 @@
     /// Time of day of the acceptance, by the accepting node.
     pub accepted: Micros,
     /// Its tasks.
-    pub parts: Vec<Part>,
+    pub chunks: Vec<TaskChunk>,
     /// Tasks in a part.
-    pub part_size: u32,
+    pub chunk_size: u32,
     /// Bytes that a part's placements may take.
     room: usize,
     /// The same for part 0, which has the description.
@@ -57,7 +57,7 @@
     /// Rank and deadline of the most urgent job that needs it.
     pub inherited_urgency: Option<(u32, Micros)>,
     /// Since when it has had changes that nothing urgent waits for.
-    pub lazy_since: Option<Micros>,
+    pub deferred_since: Option<Micros>,
     /// Its user cancelled it.
     pub cancelled: bool,
     /// It is over in the key-value store; its parts remain to be dropped.
@@ -94,20 +94,20 @@
         shard: usize,
         revision: u64,
         accepted: Micros,
-        size: PartSize,
+        size: ChunkLayout,
     ) -> Job {
-        let PartSize { tasks: part_size, bytes: room, described } = size;
+        let ChunkLayout { tasks: chunk_size, bytes: room, described } = size;
         let first_room = match described {
             true => room.saturating_sub(spec_bytes(&spec)),
             false => room,
         };
         let dependencies: Rc<[String]> = spec.dependencies.as_slice().into();
         let tasks = spec.tasks;
-        let count = tasks.div_ceil(part_size);
-        let parts = (0..count)
-            .map(|n| Part {
-                pending: (n * part_size..((n + 1) * part_size).min(tasks)).collect(),
-                ..Part::default()
+        let count = tasks.div_ceil(chunk_size);
+        let chunks = (0..count)
+            .map(|n| TaskChunk {
+                pending: (n * chunk_size..((n + 1) * chunk_size).min(tasks)).collect(),
+                ..TaskChunk::default()
             })
             .collect();
         Job {
@@ -115,15 +115,15 @@
             shard,
             revision,
             accepted,
-            parts,
-            part_size,
+            chunks,
+            chunk_size,
             room,
             first_room,
             waiting: !dependencies.is_empty(),
             dependencies,
             ready: accepted,
             inherited_urgency: None,
-            lazy_since: None,
+            deferred_since: None,
             cancelled: false,
             over: false,
             raised: false,
@@ -141,9 +141,9 @@
     }
 
     /// How much room its parts have. One that was divided for larger values keeps
-    /// its parts; `larger` is how they were divided, as long as such values are taken.
-    pub fn fit(&mut self, size: PartSize, larger: Option<PartSize>) {
-        let size = larger.filter(|_| self.part_size > size.tasks).unwrap_or(size);
+    /// its parts; `previous_chunk_layout` is how they were divided, as long as such values are taken.
+    pub fn set_layout(&mut self, size: ChunkLayout, previous_chunk_layout: Option<ChunkLayout>) {
+        let size = previous_chunk_layout.filter(|_| self.chunk_size > size.tasks).unwrap_or(size);
         self.room = size.bytes;
         self.first_room = match size.described {
             true => size.bytes.saturating_sub(spec_bytes(&self.spec)),
@@ -152,13 +152,13 @@
     }
 
     /// The part of a task.
-    pub fn part_of(&mut self, index: u32) -> Option<&mut Part> {
-        self.parts.get_mut((index / self.part_size) as usize)
+    pub fn chunk_of(&mut self, index: u32) -> Option<&mut TaskChunk> {
+        self.chunks.get_mut((index / self.chunk_size) as usize)
     }
 
     /// Tasks that have completed.
     pub fn done(&self) -> u32 {
-        self.parts.iter().map(|p| p.done.len() as u32).sum()
+        self.chunks.iter().map(|p| p.done.len() as u32).sum()
     }
 
     /// Tasks observed running.
@@ -166,12 +166,12 @@
         let runs = |p: &&Placement| {
             matches!(p.observed, Some(ObservedState::Running | ObservedState::Saving))
         };
-        self.parts.iter().map(|p| p.placed.values().filter(runs).count() as u32).sum()
+        self.chunks.iter().map(|p| p.placed.values().filter(runs).count() as u32).sum()
     }
 
     /// Tasks to be placed.
     pub fn pending(&self) -> u32 {
-        self.parts.iter().map(|p| p.pending.len() as u32).sum()
+        self.chunks.iter().map(|p| p.pending.len() as u32).sum()
     }
 
     /// Whether the job itself seems to be at fault: it failed on several machines,
@@ -216,42 +216,42 @@
 
     /// Tasks on machines, or about to be.
     pub fn booked(&self) -> u32 {
-        self.parts.iter().map(|p| p.placed.len() as u32).sum()
+        self.chunks.iter().map(|p| p.placed.len() as u32).sum()
     }
 
     /// Tasks that count against the team's limit: also those that were given up before
     /// they began, until that is stored. A later holder would begin them, beside whatever
     /// had taken their place.
     pub fn limited_tasks(&self) -> u32 {
-        let ended: usize = self.parts.iter().map(|p| p.may_begin().count()).sum();
+        let ended: usize = self.chunks.iter().map(|p| p.may_still_start().count()).sum();
         self.booked() + ended as u32
     }
 
     /// The first task to be placed, in a part whose value has room for it.
     pub fn first_pending(&self) -> Option<u32> {
         let room = |n: usize| if n == 0 { self.first_room } else { self.room };
-        let open = |(n, p): &(usize, &Part)| {
+        let open = |(n, p): &(usize, &TaskChunk)| {
             p.placed.is_empty() || p.bytes + 2 * PLACEMENT_BYTES <= room(*n)
         };
-        let mut parts = self.parts.iter().enumerate().filter(open);
-        parts.find_map(|(_, p)| p.pending.first().copied())
+        let mut chunks = self.chunks.iter().enumerate().filter(open);
+        chunks.find_map(|(_, p)| p.pending.first().copied())
     }
 
     /// Parts with placements that are not stored yet.
-    pub fn fresh_parts(&self) -> usize {
-        self.parts.iter().filter(|p| p.fresh()).count()
+    pub fn unstored_chunks(&self) -> usize {
+        self.chunks.iter().filter(|p| p.fresh()).count()
     }
 
     /// Tasks of a part whose placements are not stored: nothing of them was ever sent.
     pub fn unstored_tasks(&self, n: usize) -> Vec<u32> {
-        let part = &self.parts[n];
-        let unstored = part.placed.iter().filter(|(_, p)| p.version > part.stored);
+        let chunk = &self.chunks[n];
+        let unstored = chunk.placed.iter().filter(|(_, p)| p.version > chunk.stored);
         unstored.map(|(index, _)| *index).collect()
     }
 
     /// True once every task has completed.
     pub fn complete(&self) -> bool {
-        self.parts.iter().all(|p| p.pending.is_empty() && p.placed.is_empty())
+        self.chunks.iter().all(|p| p.pending.is_empty() && p.placed.is_empty())
     }
 
     /// Puts a task on a machine, in memory; returns the attempt.
@@ -263,17 +263,17 @@
         incarnation: u64,
         zone: &str,
     ) -> Option<u64> {
-        let part = self.part_of(index)?;
-        if !part.pending.remove(&index) {
+        let chunk = self.chunk_of(index)?;
+        if !chunk.pending.remove(&index) {
             return None;
         }
-        part.version += 1;
-        part.attempt += 1;
-        part.put = part.version;
-        let (attempt, version) = (part.attempt, part.version);
+        chunk.version += 1;
+        chunk.attempt += 1;
+        chunk.put = chunk.version;
+        let (attempt, version) = (chunk.attempt, chunk.version);
         let bytes = stored_bytes(machine, incarnation, attempt, zone);
-        part.bytes += bytes;
-        part.placed.insert(
+        chunk.bytes += bytes;
+        chunk.placed.insert(
             index,
             Placement {
                 machine: machine.into(),
@@ -296,17 +296,22 @@
     /// Ends a task's attempt, in memory. The attempt stays in the desired state,
     /// and so uncleared, until the end is stored.
     pub fn end(&mut self, index: u32, end: TaskEnd) -> Option<Placement> {
-        let part = self.part_of(index)?;
-        let placement = part.placed.remove(&index)?;
-        part.bytes -= placement.bytes.min(part.bytes);
-        part.version += 1;
-        let (version, ended) = (part.version, placement.clone());
-        let may_begin = end.may_begin;
-        part.releasing.push(EndedAttempt { version, index, placement: ended, may_begin });
+        let chunk = self.chunk_of(index)?;
+        let placement = chunk.placed.remove(&index)?;
+        chunk.bytes -= placement.bytes.min(chunk.bytes);
+        chunk.version += 1;
+        let (version, ended) = (chunk.version, placement.clone());
+        let may_still_start = end.may_still_start;
+        chunk.unstored_ends.push(EndedAttempt {
+            version,
+            index,
+            placement: ended,
+            may_still_start,
+        });
         if end.observed == ObservedState::Done {
-            part.done.insert(index);
+            chunk.done.insert(index);
         } else {
-            part.pending.insert(index);
+            chunk.pending.insert(index);
         }
         Some(placement)
     }
@@ -341,7 +346,11 @@
             return zones;
         }
         // What a later holder would begin counts, too.
-        for p in self.parts.iter().flat_map(|part| part.placed.values().chain(part.may_begin())) {
+        for p in self
+            .chunks
+            .iter()
+            .flat_map(|chunk| chunk.placed.values().chain(chunk.may_still_start()))
+        {
             *zones.entry(Rc::clone(&p.zone)).or_insert(0) += 1;
         }
         zones
--- a/src/controller/job/stored.rs
+++ b/src/controller/job/stored.rs
@@ -1,9 +1,9 @@
 //! How jobs stand in the key-value store's values: parts, batches, and how they are
 //! read again. Field names are a letter each, since values are small.
 
+use super::chunk::stored_bytes;
 use super::names::{join_name, split_name};
-use super::part::stored_bytes;
-use super::{Job, PartSize, Placement};
+use super::{ChunkLayout, Job, Placement};
 use crate::time::Micros;
 use crate::wire::{JobSpec, MAX_TASKS};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 const MAX_SECOND: u64 = u64::MAX / 4_000_000;
 
 #[derive(Serialize, Deserialize)]
-struct StoredPart {
+struct StoredChunk {
     /// Version.
     v: u64,
     /// Highest attempt.
@@ -61,7 +61,7 @@
 
 /// The placements in a part's value; `None` if it cannot be read.
 pub fn stored_placements(value: &Value) -> Option<Vec<StoredPlacement>> {
-    StoredPart::deserialize(value).ok()?.placements()
+    StoredChunk::deserialize(value).ok()?.placements()
 }
 
 /// The place of an entry in a short table, which it joins if it is new.
@@ -74,24 +74,24 @@
 }
 
 /// The value of a batch: part 0 of each of its jobs, as it would stand alone.
-pub fn encode_batch(parts: Vec<Value>) -> Value {
-    serde_json::json!({ "jobs": parts })
+pub fn encode_batch(chunks: Vec<Value>) -> Value {
+    serde_json::json!({ "jobs": chunks })
 }
 
 /// The jobs of a batch with their part 0; what cannot be read is left out.
 pub fn decode_batch(value: &Value) -> Vec<(String, Value)> {
-    let parts = value.get("jobs").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-    let read = |v: &Value| Some((StoredPart::deserialize(v).ok()?.s?.id, v.clone()));
-    parts.iter().filter_map(read).collect()
+    let chunks = value.get("jobs").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+    let read = |v: &Value| Some((StoredChunk::deserialize(v).ok()?.s?.id, v.clone()));
+    chunks.iter().filter_map(read).collect()
 }
 
 /// Whether all of a batch can be read.
 pub fn batch_is_sound(value: &Value) -> bool {
-    let parts = value.get("jobs").and_then(Value::as_array);
-    parts.is_some_and(|parts| parts.len() == decode_batch(value).len())
+    let chunks = value.get("jobs").and_then(Value::as_array);
+    chunks.is_some_and(|chunks| chunks.len() == decode_batch(value).len())
 }
 
-impl StoredPart {
+impl StoredChunk {
     fn placements(&self) -> Option<Vec<StoredPlacement>> {
         let mut task = 0_u64;
         let mut list = Vec::with_capacity(self.p.len() / COLUMNS);
@@ -112,25 +112,25 @@
 
 impl Job {
     /// The value of a part as it stands.
-    pub fn encode_part(&self, n: usize) -> Value {
-        let part = &self.parts[n];
-        self.encode(n, part.version, part.placed.iter().collect())
+    pub fn encode_chunk(&self, n: usize) -> Value {
+        let chunk = &self.chunks[n];
+        self.encode(n, chunk.version, chunk.placed.iter().collect())
     }
 
     /// The value of a part with the placements that are stored already, and no
     /// others: an attempt whose end is not stored is still among them.
     pub fn encode_stored(&self, n: usize) -> Value {
-        let part = &self.parts[n];
-        let ended = part.releasing.iter().map(|ended| (&ended.index, &ended.placement));
-        let all = part.placed.iter().chain(ended);
-        self.encode(n, part.stored, all.filter(|(_, p)| p.version <= part.stored).collect())
+        let chunk = &self.chunks[n];
+        let ended = chunk.unstored_ends.iter().map(|ended| (&ended.index, &ended.placement));
+        let all = chunk.placed.iter().chain(ended);
+        self.encode(n, chunk.stored, all.filter(|(_, p)| p.version <= chunk.stored).collect())
     }
 
     fn encode(&self, n: usize, version: u64, placed: BTreeMap<&u32, &Placement>) -> Value {
-        let part = &self.parts[n];
-        let first = n as u32 * self.part_size;
+        let chunk = &self.chunks[n];
+        let first = n as u32 * self.chunk_size;
         let mut d: Vec<u8> = Vec::new();
-        for i in &part.done {
+        for i in &chunk.done {
             let bit = (i - first) as usize;
             if d.len() <= bit / 4 {
                 d.resize(bit / 4 + 1, 0);
@@ -154,9 +154,9 @@
             ]);
             last = *i;
         }
-        let stored = StoredPart {
+        let stored = StoredChunk {
             v: version,
-            a: part.attempt,
+            a: chunk.attempt,
             d: d.iter().map(digit).collect(),
             h: heads,
             y: zones,
@@ -164,7 +164,7 @@
             p: rows,
             s: (n == 0).then(|| (*self.spec).clone()),
             t: (n == 0).then_some(self.accepted.0),
-            z: (n == 0).then_some(self.part_size),
+            z: (n == 0).then_some(self.chunk_size),
         };
         // Numbers, texts and lists always have a JSON form.
         serde_json::to_value(stored).unwrap_or_default()
@@ -175,36 +175,36 @@
     pub fn restore(
         shard: usize,
         revision: u64,
-        size: PartSize,
+        size: ChunkLayout,
         stored: &BTreeMap<usize, (Value, u64)>,
     ) -> Option<Job> {
-        let first: StoredPart = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
+        let first: StoredChunk = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
         // What is stored of more tasks than can be submitted is damaged.
         let spec = Rc::new(first.s.filter(|s| u64::from(s.tasks) <= MAX_TASKS)?);
-        let size = PartSize { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
+        let size = ChunkLayout { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
         let mut job = Job::new(spec, shard, revision, Micros(first.t.unwrap_or(0)), size);
         for (n, (value, revision)) in stored {
-            let read: StoredPart = serde_json::from_value(value.clone()).ok()?;
-            let part = job.parts.get_mut(*n)?;
-            part.attempt = read.a;
-            part.version = read.v;
-            part.stored = read.v;
-            part.revision = *revision;
-            part.put = read.v;
+            let read: StoredChunk = serde_json::from_value(value.clone()).ok()?;
+            let chunk = job.chunks.get_mut(*n)?;
+            chunk.attempt = read.a;
+            chunk.version = read.v;
+            chunk.stored = read.v;
+            chunk.revision = *revision;
+            chunk.put = read.v;
             let begin = *n as u32 * size.tasks;
             for (at, digit) in read.d.chars().enumerate() {
                 let digit = digit.to_digit(16)?;
                 for bit in (0..4).filter(|bit| digit & (1 << bit) != 0) {
                     let i = begin + at as u32 * 4 + bit;
-                    if part.pending.remove(&i) {
-                        part.done.insert(i);
+                    if chunk.pending.remove(&i) {
+                        chunk.done.insert(i);
                     }
                 }
             }
             for (i, machine, incarnation, attempt, zone, at) in read.placements()? {
-                if part.pending.remove(&i) {
+                if chunk.pending.remove(&i) {
                     let bytes = stored_bytes(&machine, incarnation, attempt, &zone);
-                    part.bytes += bytes;
+                    chunk.bytes += bytes;
                     let placement = Placement {
                         machine: machine.into(),
                         incarnation,
@@ -219,7 +219,7 @@
                         running_since: None,
                         bytes,
                     };
-                    part.placed.insert(i, placement);
+                    chunk.placed.insert(i, placement);
                 }
             }
         }
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -44,10 +44,10 @@
             return;
         };
         let s = job.shard;
-        let Some(part) = job.part_of(index) else {
+        let Some(chunk) = job.chunk_of(index) else {
             return;
         };
-        let Some(p) = part.placed.get_mut(&index) else {
+        let Some(p) = chunk.placed.get_mut(&index) else {
             return;
         };
         let machine = Rc::clone(&p.machine);
@@ -103,7 +103,7 @@
                         let stopped = p
                             .stop_seq
                             .is_some_and(|q| applied.is_some_and(|h| h.term == term && h.seq >= q));
-                        stopped.then_some(TaskEnd::never_begun())
+                        stopped.then_some(TaskEnd::never_started())
                     }
                 }
             };
@@ -124,7 +124,7 @@
         let correction = self.estimates.correction(&spec.class);
         let typical =
             job.usual_run().unwrap_or_else(|| Micros::from_secs_f64(spec.estimate_s * correction));
-        let Some(p) = job.part_of(index).and_then(|part| part.placed.get_mut(&index)) else {
+        let Some(p) = job.chunk_of(index).and_then(|chunk| chunk.placed.get_mut(&index)) else {
             return;
         };
         if p.stop.is_some() {
@@ -164,7 +164,7 @@
             return;
         };
         let s = job.shard;
-        let Some(p) = job.part_of(index).and_then(|part| part.placed.get_mut(&index)) else {
+        let Some(p) = job.chunk_of(index).and_then(|chunk| chunk.placed.get_mut(&index)) else {
             return;
         };
         if p.stop.is_some_and(|g| g <= grace) {
@@ -189,7 +189,7 @@
             Micros::ZERO
         };
         let there = job
-            .part_of(t.index)
+            .chunk_of(t.index)
             .and_then(|p| p.placed.get(&t.index))
             .is_some_and(|p| p.attempt == t.attempt && p.stop.is_none());
         if there {
@@ -203,7 +203,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let placed: Vec<u32> = job.parts.iter().flat_map(|p| p.placed.keys().copied()).collect();
+        let placed: Vec<u32> = job.chunks.iter().flat_map(|p| p.placed.keys().copied()).collect();
         for index in placed {
             self.stop_task(id, index, Micros::ZERO);
         }
@@ -280,7 +280,7 @@
             }
             _ => {}
         }
-        job.lazy_since.get_or_insert(now);
+        job.deferred_since.get_or_insert(now);
         let s = job.shard;
         self.changes.jobs.insert(id.to_string());
         self.changes.progress.insert(id.to_string());
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -15,13 +15,13 @@
 
 /// Parts in one transaction: with 8 KiB values more would pass 64 KiB, and one
 /// large job's would hold up all others.
-const PARTS_PER_TXN: usize = 4;
+const CHUNKS_PER_TXN: usize = 4;
 /// Writes of tasks under way at once. What changes meanwhile is written together.
-const STORES: usize = 3;
+const MAX_WRITES_IN_FLIGHT: usize = 3;
 /// Ends of tasks that have waited for longer are written like starts.
-const OVERDUE: Micros = Micros::secs(10);
+const OVERDUE_WRITE_AGE: Micros = Micros::secs(10);
 /// How long ends of tasks may wait for others to be written with.
-const LAZY: Micros = Micros::millis(2_500);
+const DEFERRED_WRITE_DELAY: Micros = Micros::millis(2_500);
 
 /// How long a job is not placed after placements of it had to be taken back.
 const WITHDRAWN_PAUSE: Micros = Micros::millis(500);
@@ -61,7 +61,10 @@
         if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
             self.drop_batch();
         }
-        if self.changes.jobs.is_empty() || self.stores >= STORES || !self.holds_lease() {
+        if self.changes.jobs.is_empty()
+            || self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
+            || !self.holds_lease()
+        {
             return;
         }
         let now = self.now;
@@ -88,7 +91,9 @@
                 WriteUrgency::Now => 1.0 + accepting,
                 _ => 1.0 + accepting + self.puts.burst() / 2.0,
             };
-            if self.stores >= STORES || level.min(self.puts.level(now)) < least {
+            if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
+                || level.min(self.puts.level(now)) < least
+            {
                 return;
             }
             self.store(&id, urgency);
@@ -106,7 +111,7 @@
             return;
         }
         // A shard that is being handed over waits for its writes, so none begins.
-        let ready = |m: &&super::shard::ShardLeadership| m.recovered && !m.releasing;
+        let ready = |m: &&super::shard::ShardLeadership| m.recovered && !m.handing_over;
         let Some(leadership) = self.shards[s].leadership.as_ref().filter(ready) else {
             return;
         };
@@ -117,16 +122,17 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let most = self.settings.state.txn_ops.min(PARTS_PER_TXN);
+        let most = self.settings.state.txn_ops.min(CHUNKS_PER_TXN);
         // What is larger is refused once the key-value store has its new limits.
-        let limit =
-            self.larger.map_or(self.settings.state.value_kb, |_| self.settings.state.value_kb_now);
+        let limit = self
+            .previous_chunk_layout
+            .map_or(self.settings.state.value_kb, |_| self.settings.state.value_kb_now);
         let limit = (limit * 1024.0) as usize;
         let lowered = self.settings.state.next.is_some();
         if job.cancelled && !job.over {
             // Its ends need not be stored: nothing of it is ever started again.
-            for part in &mut job.parts {
-                part.releasing.clear();
+            for chunk in &mut job.chunks {
+                chunk.unstored_ends.clear();
             }
             if job.booked() > 0 {
                 self.refresh_desired_state(id);
@@ -140,7 +146,7 @@
             writes: Vec::new(),
         };
         let record = job::job_key(id);
-        let (mut parts, mut drops, mut done) = (Vec::new(), Vec::new(), false);
+        let (mut chunks, mut drops, mut done) = (Vec::new(), Vec::new(), false);
         let mut rest = false;
         if !job.over && job.complete() {
             done = true;
@@ -156,11 +162,11 @@
             // Its parts are dropped later, when nothing urgent waits.
             rest = true;
         } else if job.over {
-            for (n, part) in job.parts.iter().enumerate().rev() {
-                if part.revision > 0 && txn.writes.len() < most {
+            for (n, chunk) in job.chunks.iter().enumerate().rev() {
+                if chunk.revision > 0 && txn.writes.len() < most {
                     drops.push(n);
-                    let key = job::part_key(s, id, n);
-                    txn.conditions.push(Condition { key: key.clone(), revision: part.revision });
+                    let key = job::chunk_key(s, id, n);
+                    txn.conditions.push(Condition { key: key.clone(), revision: chunk.revision });
                     txn.writes.push(Write::Delete { key });
                 }
             }
@@ -170,26 +176,26 @@
             }
         } else {
             txn.conditions.push(Condition { key: record, revision: job.revision });
-            let fresh = urgency == WriteUrgency::Now && job.fresh_parts() > 0;
-            let changed = |p: &job::Part| p.version > p.stored;
+            let fresh = urgency == WriteUrgency::Now && job.unstored_chunks() > 0;
+            let changed = |p: &job::TaskChunk| p.version > p.stored;
             let mut order: Vec<usize> = Vec::new();
-            for (n, part) in job.parts.iter().enumerate().filter(|(_, p)| changed(p)) {
-                if !fresh || part.fresh() || part.mostly_ended() {
+            for (n, chunk) in job.chunks.iter().enumerate().filter(|(_, p)| changed(p)) {
+                if !fresh || chunk.fresh() || chunk.mostly_ended() {
                     order.push(n);
                 } else {
                     rest = true;
                 }
             }
-            order.sort_by_key(|n| !job.parts[*n].fresh());
+            order.sort_by_key(|n| !job.chunks[*n].fresh());
             let mut too_large: Vec<usize> = Vec::new();
             for n in order {
-                if parts.len() == most {
+                if chunks.len() == most {
                     rest = true;
                     break;
                 }
-                let part = &job.parts[n];
-                let key = job::part_key(s, id, n);
-                let value = job.encode_part(n);
+                let chunk = &job.chunks[n];
+                let key = job::chunk_key(s, id, n);
+                let value = job.encode_chunk(n);
                 if lowered && value.to_string().len() > limit {
                     // Of a time with larger values: it is written once enough of it
                     // has ended.
@@ -197,11 +203,11 @@
                     too_large.push(n);
                     continue;
                 }
-                parts.push((n, part.version));
-                txn.conditions.push(Condition { key: key.clone(), revision: part.revision });
+                chunks.push((n, chunk.version));
+                txn.conditions.push(Condition { key: key.clone(), revision: chunk.revision });
                 txn.writes.push(Write::Put { key, value, lease: None });
             }
-            if parts.is_empty() {
+            if chunks.is_empty() {
                 // Tried again with the next change; at every turn it would be encoded
                 // hundreds of times a second.
                 self.changes.jobs.remove(id);
@@ -209,34 +215,34 @@
             }
         }
         job.busy = true;
-        job.lazy_since = rest.then(|| job.lazy_since.unwrap_or(now));
+        job.deferred_since = rest.then(|| job.deferred_since.unwrap_or(now));
         if !rest {
             self.changes.jobs.remove(id);
         }
-        self.stores += 1;
-        let op = Op::Store { job: id.to_string(), term, parts, done, drops };
+        self.writes_in_flight += 1;
+        let op = Op::Store { job: id.to_string(), term, chunks, done, drops };
         self.state(op, KvRequest::Txn(txn));
     }
 
     /// The key-value store refuses values that it took before: it has its new limits.
     fn limits_lowered(&mut self) {
         info!("the state service takes only smaller values from now on");
-        self.larger = None;
-        let size = self.part_size;
-        self.jobs.values_mut().for_each(|j| j.fit(size, None));
+        self.previous_chunk_layout = None;
+        let size = self.chunk_size;
+        self.jobs.values_mut().for_each(|j| j.set_layout(size, None));
     }
 
     /// Takes back placements of parts that are too large to be written. Never written,
     /// their tasks would never start, and so never end and make the part smaller.
-    fn withdraw_unstored(&mut self, id: &str, parts: &[usize]) {
-        for n in parts {
+    fn withdraw_unstored(&mut self, id: &str, chunks: &[usize]) {
+        for n in chunks {
             let unstored = self.jobs.get(id).map_or(Vec::new(), |job| job.unstored_tasks(*n));
             for index in unstored {
                 self.end_task(id, index, TaskEnd::known(ObservedState::Stopped));
             }
             if let Some(job) = self.jobs.get_mut(id) {
-                let part = &mut job.parts[*n];
-                part.put = part.put.min(part.stored);
+                let chunk = &mut job.chunks[*n];
+                chunk.put = chunk.put.min(chunk.stored);
                 job.not_before = job.not_before.max(self.now + WITHDRAWN_PAUSE);
             }
         }
@@ -267,7 +273,7 @@
 
     pub(super) fn store_reply(&mut self, op: Op, reply: KvResponse) {
         if matches!(op, Op::Store { .. }) {
-            self.stores = self.stores.saturating_sub(1);
+            self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         }
         let (Op::Store { job: id, term, .. }
         | Op::ReadBack { job: id, term }
@@ -287,8 +293,8 @@
         job.busy = false;
         self.changes.jobs.insert(id.clone());
         match (op, reply) {
-            (Op::Store { parts, done, drops, .. }, KvResponse::Applied(revision)) => {
-                self.stored(&id, revision, &parts, done, &drops);
+            (Op::Store { chunks, done, drops, .. }, KvResponse::Applied(revision)) => {
+                self.stored(&id, revision, &chunks, done, &drops);
             }
             (Op::Store { term, .. }, KvResponse::Conflict(failed)) => {
                 if failed.contains(&shard::lease_key(s)) {
@@ -298,7 +304,7 @@
                 }
             }
             (Op::Store { .. }, KvResponse::NotExecuted) => {}
-            (Op::Store { .. }, KvResponse::Rejected) if self.larger.is_some() => {
+            (Op::Store { .. }, KvResponse::Rejected) if self.previous_chunk_layout.is_some() => {
                 self.limits_lowered();
                 self.read_back(&id);
             }
@@ -334,7 +340,7 @@
             }
             (Op::ReadBackChunks { term, mut read, .. }, KvResponse::Page { items, more, .. }) => {
                 for item in &items {
-                    if let Some((_, n)) = job::parse_part_key(&item.key) {
+                    if let Some((_, n)) = job::parse_chunk_key(&item.key) {
                         let v = item.value.get("v").and_then(serde_json::Value::as_u64);
                         read.insert(n, (v.unwrap_or(0), item.revision));
                     }
@@ -350,7 +356,7 @@
                         let prefix = format!("w/{s}/{id}/");
                         self.state(op, KvRequest::List { prefix, after });
                     }
-                    None => self.parts_read(&id, &read),
+                    None => self.chunks_read_back(&id, &read),
                 }
             }
             (Op::ReadBack { .. } | Op::ReadBackChunks { .. }, _) => self.retry_read_back(&id),
@@ -367,28 +373,28 @@
     }
 
     /// Takes in the stored versions and marks of all of a job's parts.
-    fn parts_read(&mut self, id: &str, stored: &BTreeMap<usize, (u64, u64)>) {
+    fn chunks_read_back(&mut self, id: &str, stored: &BTreeMap<usize, (u64, u64)>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let mut applied: Vec<(usize, u64)> = Vec::new();
         let mut revisions: Vec<(usize, u64)> = Vec::new();
-        for (n, part) in job.parts.iter_mut().enumerate() {
+        for (n, chunk) in job.chunks.iter_mut().enumerate() {
             match stored.get(&n) {
                 Some((v, revision)) => {
                     revisions.push((n, *revision));
-                    if *v > part.stored && *v <= part.version {
+                    if *v > chunk.stored && *v <= chunk.version {
                         applied.push((n, *v));
                     }
                 }
-                None => part.revision = 0,
+                None => chunk.revision = 0,
             }
         }
         for (n, revision) in revisions {
-            job.parts[n].revision = revision;
+            job.chunks[n].revision = revision;
         }
         for (n, v) in applied {
-            let revision = self.jobs.get(id).map_or(0, |j| j.parts[n].revision);
+            let revision = self.jobs.get(id).map_or(0, |j| j.chunks[n].revision);
             self.stored(id, revision, &[(n, v)], false, &[]);
         }
     }
@@ -398,7 +404,7 @@
         &mut self,
         id: &str,
         revision: u64,
-        parts: &[(usize, u64)],
+        chunks: &[(usize, u64)],
         done: bool,
         drops: &[usize],
     ) {
@@ -407,33 +413,33 @@
         };
         let s = job.shard;
         let mut touched: Vec<(Rc<str>, u32)> = Vec::new();
-        for (n, version) in parts {
-            let part = &mut job.parts[*n];
-            let before = part.stored;
-            part.stored = (*version).max(before);
-            part.revision = revision;
-            let fresh = part.placed.iter().filter(|(_, p)| p.version > before);
+        for (n, version) in chunks {
+            let chunk = &mut job.chunks[*n];
+            let before = chunk.stored;
+            chunk.stored = (*version).max(before);
+            chunk.revision = revision;
+            let fresh = chunk.placed.iter().filter(|(_, p)| p.version > before);
             touched.extend(fresh.map(|(i, p)| (Rc::clone(&p.machine), *i)));
-            let stored = part.stored;
-            let ended = part.releasing.iter().filter(|ended| ended.version <= stored);
+            let stored = chunk.stored;
+            let ended = chunk.unstored_ends.iter().filter(|ended| ended.version <= stored);
             // What they held of the limit is free only now.
-            self.place_wanted |= ended.clone().any(|ended| ended.may_begin);
+            self.place_wanted |= ended.clone().any(|ended| ended.may_still_start);
             touched.extend(ended.map(|e| (Rc::clone(&e.placement.machine), e.index)));
-            part.releasing.retain(|ended| ended.version > stored);
+            chunk.unstored_ends.retain(|ended| ended.version > stored);
         }
         for n in drops {
-            job.parts[*n].revision = 0;
+            job.chunks[*n].revision = 0;
         }
         // Without a mark it was written in the batch, where it stays.
-        if revision > 0 && parts.iter().any(|(n, _)| *n == 0) {
+        if revision > 0 && chunks.iter().any(|(n, _)| *n == 0) {
             self.admission.unbatch(id);
         }
         if done {
             info!("job {id} done: {} tasks", job.spec.tasks);
             job.over = true;
             self.counts.done += 1;
-            for part in &mut job.parts {
-                for ended in part.releasing.drain(..) {
+            for chunk in &mut job.chunks {
+                for ended in chunk.unstored_ends.drain(..) {
                     touched.push((ended.placement.machine, ended.index));
                 }
             }
@@ -453,12 +459,12 @@
             return;
         };
         let s = job.shard;
-        let Some(part) = job.part_of(index) else {
+        let Some(chunk) = job.chunk_of(index) else {
             return;
         };
-        let here = part.placed.get(&index).is_some_and(|p| p.machine == *machine)
-            || part
-                .releasing
+        let here = chunk.placed.get(&index).is_some_and(|p| p.machine == *machine)
+            || chunk
+                .unstored_ends
                 .iter()
                 .any(|ended| ended.index == index && ended.placement.machine == *machine);
         if here {
@@ -482,12 +488,12 @@
         if self.over {
             return WriteUrgency::Later;
         }
-        if self.complete() || self.fresh_parts() > 0 {
+        if self.complete() || self.unstored_chunks() > 0 {
             return WriteUrgency::Now;
         }
-        match self.lazy_since.map(|at| now.since(at)) {
-            Some(waited) if waited < LAZY => WriteUrgency::None,
-            Some(waited) if waited > OVERDUE => WriteUrgency::Now,
+        match self.deferred_since.map(|at| now.since(at)) {
+            Some(waited) if waited < DEFERRED_WRITE_DELAY => WriteUrgency::None,
+            Some(waited) if waited > OVERDUE_WRITE_AGE => WriteUrgency::Now,
             _ => WriteUrgency::Later,
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -121,10 +121,10 @@
     progress: BTreeMap<String, (u32, u32)>,
     /// Own shards' tasks by shard and machine.
     by_machine: BTreeMap<(usize, Rc<str>), TaskSet>,
-    part_size: job::PartSize,
+    chunk_size: job::ChunkLayout,
     /// How an earlier version divides jobs, as long as the key-value store takes values
     /// that are larger than it will later.
-    larger: Option<job::PartSize>,
+    previous_chunk_layout: Option<job::ChunkLayout>,
     submissions: usize,
     status_queries: status_queries::StatusQueries,
     admission: admission::Admission,
@@ -141,7 +141,7 @@
     /// This node's share of the key-value store's changes, as far as used.
     puts: Bucket,
     /// Writes of tasks under way.
-    stores: usize,
+    writes_in_flight: usize,
     views: BTreeMap<String, MachineView>,
     managed_machines: BTreeMap<String, ManagedMachine>,
     terminated: BTreeSet<String>,
@@ -249,9 +249,10 @@
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
             by_machine: BTreeMap::new(),
-            part_size: job::PartSize::new(config.settings.state.value_kb),
-            larger: (config.settings.state.value_kb_now > config.settings.state.value_kb)
-                .then(|| job::PartSize::new(config.settings.state.value_kb_now)),
+            chunk_size: job::ChunkLayout::new(config.settings.state.value_kb),
+            previous_chunk_layout: (config.settings.state.value_kb_now
+                > config.settings.state.value_kb)
+                .then(|| job::ChunkLayout::new(config.settings.state.value_kb_now)),
             submissions: 0,
             status_queries: status_queries::StatusQueries::new(&config.settings.state, count),
             admission: admission::Admission::default(),
@@ -265,7 +266,7 @@
                 let share = config.settings.state.write_rps * WRITE_RATE_SHARE / count as f64;
                 Bucket::new(share, share)
             },
-            stores: 0,
+            writes_in_flight: 0,
             views: BTreeMap::new(),
             managed_machines: BTreeMap::new(),
             terminated: BTreeSet::new(),
@@ -494,7 +495,10 @@
     /// True if this process runs the shard's jobs.
     fn serves_shard(&self, shard: usize) -> bool {
         self.holds_lease()
-            && self.shards[shard].leadership.as_ref().is_some_and(|m| m.recovered && !m.releasing)
+            && self.shards[shard]
+                .leadership
+                .as_ref()
+                .is_some_and(|m| m.recovered && !m.handing_over)
     }
 
     fn shard_of_machine(&self, machine: &str) -> usize {
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -48,7 +48,7 @@
     ReadUnknown { job: String },
     CancelRead { ticket: Ticket, job: String, tries: u32 },
     CancelWrite { ticket: Ticket, job: String, shard: usize, tasks: u32, tries: u32 },
-    Store { job: String, term: u64, parts: Vec<(usize, u64)>, done: bool, drops: Vec<usize> },
+    Store { job: String, term: u64, chunks: Vec<(usize, u64)>, done: bool, drops: Vec<usize> },
     ReadBack { job: String, term: u64 },
     ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, (u64, u64)> },
     QuotaList,
--- a/src/controller/placer.rs
+++ b/src/controller/placer.rs
@@ -104,7 +104,7 @@
         for (turn, id) in order {
             let (_, rank) = turn;
             let full = self.unobserved >= self.unobserved_limit(rank)
-                || self.waiting_parts(rank) >= self.part_backlog();
+                || self.unstored_urgent_chunks(rank) >= self.chunk_backlog();
             if full {
                 // Those behind it may be more urgent, if beyond their guarantee.
                 self.place_wanted = true;
@@ -128,16 +128,16 @@
 
     /// Parts with placements that are not stored yet, of jobs that are as urgent: the
     /// others are written after them and hold nothing up.
-    fn waiting_parts(&self, rank: u32) -> usize {
+    fn unstored_urgent_chunks(&self, rank: u32) -> usize {
         let dirty = self.changes.jobs.iter().filter_map(|id| self.jobs.get(id));
-        dirty.filter(|j| j.rank() <= rank).map(Job::fresh_parts).sum()
+        dirty.filter(|j| j.rank() <= rank).map(Job::unstored_chunks).sum()
     }
 
     /// Counts the placements that their machines have not reported yet.
     /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
     /// once, took nearly all of the memory at every node.
     pub(super) fn count_unobserved(&mut self) {
-        let placed = self.jobs.values().flat_map(|j| &j.parts).flat_map(|p| p.placed.values());
+        let placed = self.jobs.values().flat_map(|j| &j.chunks).flat_map(|p| p.placed.values());
         self.unobserved = placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
     }
 
@@ -153,7 +153,7 @@
 
     /// Placements wait for writes in a small buffer, about a second's worth: a
     /// later decision knows more.
-    fn part_backlog(&self) -> usize {
+    fn chunk_backlog(&self) -> usize {
         let share = self.settings.state.write_rps / self.shards.len().max(1) as f64;
         (share as usize).max(4)
     }
--- a/src/controller/recovery.rs
+++ b/src/controller/recovery.rs
@@ -20,7 +20,7 @@
     pub(super) listed: bool,
     pub(super) busy: bool,
     pub(super) retry: Micros,
-    pub(super) parts: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
+    pub(super) chunks: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
     /// Jobs whose record is still to be read.
     pub(super) todo: BTreeSet<String>,
     pub(super) asked: BTreeSet<String>,
@@ -116,7 +116,7 @@
         };
         let (mut new, mut batched) = (Vec::new(), Vec::new());
         for i in &items {
-            let Some((id, part)) = job::parse_part_key(&i.key) else {
+            let Some((id, chunk)) = job::parse_chunk_key(&i.key) else {
                 continue;
             };
             if job::is_batch(id) {
@@ -127,7 +127,7 @@
                 let unknown = jobs.filter(|(id, _)| !known(id, self));
                 batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.revision, v))));
             } else if !known(id, self) {
-                new.push((id.to_string(), part, i.clone()));
+                new.push((id.to_string(), chunk, i.clone()));
             }
         }
         let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
@@ -136,9 +136,9 @@
         l.busy = false;
         l.after = items.last().map(|i| i.key.clone());
         l.listed = !more || items.is_empty();
-        for (id, part, item) in new {
+        for (id, chunk, item) in new {
             l.todo.insert(id.clone());
-            l.parts.entry(id).or_default().insert(part, (item.value, item.revision));
+            l.chunks.entry(id).or_default().insert(chunk, (item.value, item.revision));
         }
         for (id, found) in batched {
             l.todo.insert(id.clone());
@@ -201,8 +201,8 @@
         let mut batches: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
         for (id, (key, version, value)) in l.batched {
             let jobs = batches.entry((key, version)).or_default();
-            let parts = l.parts.entry(id.clone()).or_default();
-            if let Entry::Vacant(first) = parts.entry(0) {
+            let chunks = l.chunks.entry(id.clone()).or_default();
+            if let Entry::Vacant(first) = chunks.entry(0) {
                 first.insert((value, 0));
                 jobs.insert(id);
             }
@@ -211,7 +211,7 @@
             self.admission.batch(&key, s, version, jobs);
         }
         let mut count = 0;
-        for (id, parts) in l.parts {
+        for (id, chunks) in l.chunks {
             if self.jobs.contains_key(&id) {
                 continue;
             }
@@ -229,11 +229,11 @@
                     revision,
                 },
             );
-            let Some(mut job) = Job::restore(s, revision, self.part_size, &parts) else {
+            let Some(mut job) = Job::restore(s, revision, self.chunk_size, &chunks) else {
                 self.leave_unreadable(&id, "stored tasks cannot be read");
                 continue;
             };
-            job.fit(self.part_size, self.larger);
+            job.set_layout(self.chunk_size, self.previous_chunk_layout);
             // What was said since its record was read came by the watch.
             let stage = self.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
             job.cancelled = stage == StoredStage::Cancelled;
@@ -246,11 +246,11 @@
             if job.over {
                 // What its parts still name has completed; it must not be
                 // wanted, and so started, again.
-                job.parts.iter_mut().for_each(|p| p.placed.clear());
+                job.chunks.iter_mut().for_each(|p| p.placed.clear());
             }
             count += 1;
-            for part in &job.parts {
-                for (index, p) in &part.placed {
+            for chunk in &job.chunks {
+                for (index, p) in &chunk.placed {
                     self.by_machine
                         .entry((s, p.machine.clone()))
                         .or_default()
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -73,7 +73,7 @@
     /// Its jobs have been read.
     pub recovered: bool,
     /// It is about to be handed back; nothing new is begun.
-    pub releasing: bool,
+    pub handing_over: bool,
 }
 
 /// A shard as this process knows it.
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -77,10 +77,10 @@
                 .and_then(|p| p.well_since)
                 .is_some_and(|at| self.now.since(at) > self.options.failback_delay)
                 && self.peer_alive(s);
-            if s != self.me && leadership.recovered && !leadership.releasing && home_well {
+            if s != self.me && leadership.recovered && !leadership.handing_over && home_well {
                 info!("shard {s} goes back to {}", self.members[s]);
                 if let Some(m) = &mut self.shards[s].leadership {
-                    m.releasing = true;
+                    m.handing_over = true;
                 }
             }
             self.finish_handover(s);
@@ -118,7 +118,7 @@
 
     /// Hands a shard back once nothing of it is being written.
     fn finish_handover(&mut self, s: usize) {
-        let Some(leadership) = self.shards[s].leadership.as_ref().filter(|m| m.releasing) else {
+        let Some(leadership) = self.shards[s].leadership.as_ref().filter(|m| m.handing_over) else {
             return;
         };
         if self.jobs.values().any(|j| j.shard == s && j.busy) {
@@ -178,7 +178,7 @@
             revision,
             acquired_at: self.now,
             recovered: false,
-            releasing: false,
+            handing_over: false,
         };
         decision_log::shard_acquired(s, &leadership, self.controller_lease.valid_until);
         let shard = &mut self.shards[s];
--- a/src/controller/slot_updates.rs
+++ b/src/controller/slot_updates.rs
@@ -71,8 +71,8 @@
                 let Some(j) = self.jobs.get(id) else {
                     continue;
                 };
-                let part = &j.parts[(*index / j.part_size) as usize];
-                let Some(p) = part.placed.get(index).filter(|p| *p.machine == *name) else {
+                let chunk = &j.chunks[(*index / j.chunk_size) as usize];
+                let Some(p) = chunk.placed.get(index).filter(|p| *p.machine == *name) else {
                     continue;
                 };
                 slot.book(Booked {
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -164,7 +164,7 @@
 
     fn state_limits_status(&self) -> StateLimitsStatus {
         let limits = &self.settings.state;
-        let lowered = self.larger.is_none();
+        let lowered = self.previous_chunk_layout.is_none();
         StateLimitsStatus {
             rps: limits.rps,
             write_rps: limits.write_rps,
--- a/tests/damage.rs
+++ b/tests/damage.rs
@@ -10,7 +10,7 @@
 use solo::{Solo, settings, warnings};
 
 /// A job's part 0 as stored, before anything of it was placed.
-fn part(id: &str) -> Value {
+fn chunk(id: &str) -> Value {
     json!({"a": 0, "s": {
         "apart": false, "cpus": 1.0, "crew": "blue", "expectedS": 5.0, "gpus": 0.0, "grade": "c",
         "loaners": true, "notchS": 0.0, "pattern": "img", "planks": 2, "pullGb": 0.5,
@@ -42,11 +42,11 @@
         ("j/j-6", record(&["j-3"], 1)),
         ("u/j-5/1", json!({"u": ["j-4"]})),
         ("u/j-6/1", json!({"u": ["j-4"]})),
-        ("w/0/j-1/0", part("j-1")),
-        ("w/0/_1-1/0", json!({"jobs": [part("j-2"), part("j-3")]})),
-        ("w/0/j-4/0", part("j-4")),
-        ("w/0/j-5/0", part("j-5")),
-        ("w/0/j-6/0", part("j-6")),
+        ("w/0/j-1/0", chunk("j-1")),
+        ("w/0/_1-1/0", json!({"jobs": [chunk("j-2"), chunk("j-3")]})),
+        ("w/0/j-4/0", chunk("j-4")),
+        ("w/0/j-5/0", chunk("j-5")),
+        ("w/0/j-6/0", chunk("j-6")),
     ];
     jobs.map(|(key, value)| (key.to_string(), value)).into()
 }
@@ -109,7 +109,7 @@
 #[test]
 fn unknown_and_absent_fields() {
     let later = json!({"of": ["a", "later", "version"]});
-    let bundle = |first: Value| json!({"jobs": [first, part("j-3")], "x": 7});
+    let bundle = |first: Value| json!({"jobs": [first, chunk("j-3")], "x": 7});
     let table = [
         ("j/j-1", with(record(&[], 0), "/x", later.clone())),
         ("j/j-1", with(record(&[], 0), "/n", Value::Null)),
@@ -118,16 +118,16 @@
         ("j/j-1", with(record(&[], 0), "/s", json!(99))),
         ("j/j-4", with(record(&["j-3"], 0), "/x", later.clone())),
         ("u/j-5/1", json!({"u": ["j-4"], "x": later.clone()})),
-        ("w/0/j-1/0", with(part("j-1"), "/x", later.clone())),
-        ("w/0/j-1/0", with(part("j-1"), "/s/x", later.clone())),
-        ("w/0/j-1/0", with(part("j-1"), "/t", Value::Null)),
-        ("w/0/j-1/0", with(part("j-1"), "/z", Value::Null)),
-        ("w/0/j-1/0", with(part("j-1"), "/z", json!(0))),
-        ("w/0/j-1/0", with(part("j-1"), "/s/gpus", Value::Null)),
-        ("w/0/j-1/0", with(part("j-1"), "/s/loaners", Value::Null)),
-        ("w/0/j-1/0", with(part("j-1"), "/s/expectedS", Value::Null)),
-        ("w/0/_1-1/0", bundle(with(part("j-2"), "/x", later.clone()))),
-        ("w/0/_1-1/0", bundle(with(part("j-2"), "/s/x", later.clone()))),
+        ("w/0/j-1/0", with(chunk("j-1"), "/x", later.clone())),
+        ("w/0/j-1/0", with(chunk("j-1"), "/s/x", later.clone())),
+        ("w/0/j-1/0", with(chunk("j-1"), "/t", Value::Null)),
+        ("w/0/j-1/0", with(chunk("j-1"), "/z", Value::Null)),
+        ("w/0/j-1/0", with(chunk("j-1"), "/z", json!(0))),
+        ("w/0/j-1/0", with(chunk("j-1"), "/s/gpus", Value::Null)),
+        ("w/0/j-1/0", with(chunk("j-1"), "/s/loaners", Value::Null)),
+        ("w/0/j-1/0", with(chunk("j-1"), "/s/expectedS", Value::Null)),
+        ("w/0/_1-1/0", bundle(with(chunk("j-2"), "/x", later.clone()))),
+        ("w/0/_1-1/0", bundle(with(chunk("j-2"), "/s/x", later.clone()))),
         ("w/0/j-1/x", json!(7)),
         ("w/0/j-1", json!(7)),
         ("w/0", json!(7)),
@@ -168,13 +168,13 @@
         json!({"s": 0, "g": "a", "n": 2, "k": -1}),
         json!({"s": 0, "g": "a", "n": 2, "k": "1"}),
     ];
-    let sound_part = part("j-1");
+    let sound_part = chunk("j-1");
     let placed = |h: Value, p: Value| {
         let value = with(with(sound_part.clone(), "/h", h), "/p", p);
         with(with(value, "/y", json!(["a"])), "/a", json!(9))
     };
     let most = u64::MAX;
-    let parts = [
+    let chunks = [
         json!(null),
         json!(7),
         json!([]),
@@ -211,14 +211,14 @@
         (json!(null), vec!["j-2", "j-3"]),
         (json!({}), vec!["j-2", "j-3"]),
         (json!({"jobs": 7}), vec!["j-2", "j-3"]),
-        (json!({"jobs": [7, part("j-3")]}), vec!["j-2"]),
-        (json!({"jobs": [with(part("j-2"), "/s", Value::Null), part("j-3")]}), vec!["j-2"]),
-        (json!({"jobs": [with(part("j-2"), "/d", json!("x")), part("j-3")]}), vec!["j-2"]),
+        (json!({"jobs": [7, chunk("j-3")]}), vec!["j-2"]),
+        (json!({"jobs": [with(chunk("j-2"), "/s", Value::Null), chunk("j-3")]}), vec!["j-2"]),
+        (json!({"jobs": [with(chunk("j-2"), "/d", json!("x")), chunk("j-3")]}), vec!["j-2"]),
     ];
     // Key, its value, the jobs that cannot be read with it.
     let mut table: Vec<(&str, Value, Vec<&str>)> = Vec::new();
     table.extend(records.map(|value| ("j/j-1", value, vec!["j-1"])));
-    table.extend(parts.map(|value| ("w/0/j-1/0", value, vec!["j-1"])));
+    table.extend(chunks.map(|value| ("w/0/j-1/0", value, vec!["j-1"])));
     table.push(("w/0/j-1/7", json!({"a": 1, "v": 1}), vec!["j-1"]));
     table.extend(lists.map(|value| ("u/j-5/1", value, vec!["j-5"])));
     table.extend(bundles.map(|(value, jobs)| ("w/0/_1-1/0", value, jobs)));
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -336,7 +336,7 @@
                 state_ok: true,
                 full: true,
                 has_demand: true,
-                needs: Vec::from_iter((lacks > 0.0).then_some(need)),
+                quota_demand: Vec::from_iter((lacks > 0.0).then_some(need)),
                 ..Frame::default()
             };
             self.solo.hear(0, frame);
@@ -356,8 +356,8 @@
 
     /// Tasks that are written down for machines.
     fn placed(&mut self) -> usize {
-        let parts = self.solo.list("w/1/");
-        parts.iter().filter_map(|part| Some(stored_placements(&part.value)?.len())).sum()
+        let chunks = self.solo.list("w/1/");
+        chunks.iter().filter_map(|chunk| Some(stored_placements(&chunk.value)?.len())).sum()
     }
 
     /// Changes of the team's grants that were sent.
--- a/tests/simulation/earlier.rs
+++ b/tests/simulation/earlier.rs
@@ -22,22 +22,22 @@
     /// a key of its own, or together in a batch.
     pub fn store_earlier(&mut self, jobs: &[usize], together: bool) {
         let shard = jobs.first().copied().unwrap_or_default() % 3;
-        let mut parts = Vec::new();
+        let mut chunks = Vec::new();
         let mut writes = Vec::new();
         for job in jobs {
             let id = job_id(*job);
-            let part = self.earlier_part(&id);
+            let chunk = self.earlier_part(&id);
             let record = json!({"s": shard, "g": "a", "n": self.jobs[&id].plan.tasks});
             writes.push((format!("j/{id}"), record));
             match together {
-                true => parts.push(part),
-                false => writes.push((format!("w/{shard}/{id}/0"), part)),
+                true => chunks.push(chunk),
+                false => writes.push((format!("w/{shard}/{id}/0"), chunk)),
             }
             self.forge_job(*job, false);
             self.at(Micros::secs(4), SimEvent::Poll(id));
         }
         if together {
-            writes.push((format!("w/{shard}/_1-{}/0", jobs[0] + 1), json!({ "jobs": parts })));
+            writes.push((format!("w/{shard}/_1-{}/0", jobs[0] + 1), json!({ "jobs": chunks })));
         }
         let put = |(key, value)| Write::Put { key, value, lease: None };
         let writes = writes.into_iter().map(put).collect();
@@ -55,14 +55,14 @@
     fn earlier_part(&mut self, id: &str) -> Value {
         let plan = self.jobs[id].plan.clone();
         let text = if plan.tasks >= 3 { PART } else { FRESH };
-        let mut part: Value = serde_json::from_str(text).expect("JSON");
+        let mut chunk: Value = serde_json::from_str(text).expect("JSON");
         let mut spec = submission(id, &plan);
         let fields = spec.as_object_mut().expect("an object");
         NULLS.iter().for_each(|name| drop(fields.remove(*name)));
-        part["s"] = spec;
+        chunk["s"] = spec;
         if plan.tasks >= 3 {
             self.jobs.get_mut(id).expect("a planned job").completed.insert(0);
         }
-        part
+        chunk
     }
 }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -189,7 +189,7 @@
             let Some(key) = c.put.as_ref().filter(|k| k.starts_with("w/")) else {
                 continue;
             };
-            for (job, value) in parts(key, &c.value) {
+            for (job, value) in chunks(key, &c.value) {
                 let here = stored_placements(&value).unwrap_or_default();
                 let here = here.into_iter().filter(|p| p.1 == machine);
                 seen.extend(here.map(|p| (job.clone(), p.0, p.3)));
@@ -236,7 +236,7 @@
 }
 
 /// The jobs whose tasks a key holds, each with its part.
-fn parts(key: &str, value: &Value) -> Vec<(String, Value)> {
+fn chunks(key: &str, value: &Value) -> Vec<(String, Value)> {
     match key.strip_prefix("w/").and_then(|k| k.split('/').nth(1)) {
         None => Vec::new(),
         Some(name) if is_batch(name) => decode_batch(value),
@@ -246,8 +246,8 @@
 
 /// Placements of a job in a key, if it holds any.
 fn placements_of(key: &str, value: &Value, job: &str) -> Vec<StoredPlacement> {
-    let leadership = parts(key, value).into_iter().filter(|(id, _)| id == job);
-    leadership.filter_map(|(_, part)| stored_placements(&part)).flatten().collect()
+    let leadership = chunks(key, value).into_iter().filter(|(id, _)| id == job);
+    leadership.filter_map(|(_, chunk)| stored_placements(&chunk)).flatten().collect()
 }
 
 /// What of a transaction lacks the condition that fences it: tasks and grants
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -30,7 +30,7 @@
     let fields = spec.as_object_mut().expect("an object");
     fields.retain(|name, value| !value.is_null() && name != "cut");
     fields.insert("planks".into(), json!(1));
-    let part = json!({
+    let chunk = json!({
         "a": 1, "b": 1_000_000, "h": [["vm-", 6]], "p": [0, 0, number, SESSION, 1, 0, 0],
         "s": spec, "t": 1_000_000_500_000_u64, "v": 1, "y": ["a"], "z": 232,
     });
@@ -40,14 +40,14 @@
         (format!("hold/{PEER_SHARD}"), lease),
         (format!("seat/{PEER_SHARD}"), json!({ "term": 1 })),
         (format!("j/{JOB}"), record),
-        (format!("w/{OWN_SHARD}/{JOB}/0"), part),
+        (format!("w/{OWN_SHARD}/{JOB}/0"), chunk),
     ]
 }
 
 /// The placements of the job that are stored.
 fn placements(solo: &mut Solo) -> usize {
-    let part = solo.get(&format!("w/{OWN_SHARD}/{JOB}/0")).expect("a part");
-    stored_placements(&part.value).expect("readable").len()
+    let chunk = solo.get(&format!("w/{OWN_SHARD}/{JOB}/0")).expect("a part");
+    stored_placements(&chunk.value).expect("readable").len()
 }
 
 /// Whether the placement outlives a view of the peer's machine.
--- a/tests/tables/jobs.rs
+++ b/tests/tables/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::submission;
 use millethold::controller::job::{
-    self, Job, PartSize, TaskEnd, batch_key, decode_batch, encode_batch, is_batch,
+    self, ChunkLayout, Job, TaskEnd, batch_key, decode_batch, encode_batch, is_batch,
 };
 use millethold::peer::ObservedState;
 use millethold::time::Micros;
@@ -14,9 +14,9 @@
 #[test]
 fn stored_jobs() {
     let spec = wire::parse_job(submission().to_string().as_bytes()).expect("a good submission");
-    let size = PartSize { tasks: 5, bytes: 1_000, described: false };
+    let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
     let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
-    assert_eq!((j.parts.len(), j.pending()), (4, 16));
+    assert_eq!((j.chunks.len(), j.pending()), (4, 16));
     let now = Micros::secs(3);
     assert_eq!(j.put(now, 6, "vm-1", 3, "a"), Some(1));
     assert_eq!(j.put(now, 6, "vm-2", 3, "a"), None, "placed already");
@@ -30,21 +30,21 @@
         j.end(i, TaskEnd::known(ObservedState::Done));
     }
     let stored: BTreeMap<usize, (Value, u64)> =
-        [0, 1].into_iter().map(|n| (n, (j.encode_part(n), 20 + n as u64))).collect();
+        [0, 1].into_iter().map(|n| (n, (j.encode_chunk(n), 20 + n as u64))).collect();
     // Read with other settings: the stored size of the parts holds.
-    let other = PartSize { tasks: 100, bytes: 1_000, described: false };
+    let other = ChunkLayout { tasks: 100, bytes: 1_000, described: false };
     let back = Job::restore(2, 9, other, &stored).expect("stored parts");
     assert_eq!((back.done(), back.booked(), back.pending()), (5, 1, 10));
     assert_eq!(back.accepted, Micros::secs(77));
-    assert_eq!(back.parts[1].placed[&7].attempt, 3);
+    assert_eq!(back.chunks[1].placed[&7].attempt, 3);
     // A later holder knows since when it has been there.
-    assert_eq!((back.parts[1].placed[&7].at, back.parts[1].placed[&7].restored), (now, true));
-    assert_eq!(back.parts[1].attempt, 3);
+    assert_eq!((back.chunks[1].placed[&7].at, back.chunks[1].placed[&7].restored), (now, true));
+    assert_eq!(back.chunks[1].attempt, 3);
     assert!(Job::restore(2, 9, size, &BTreeMap::new()).is_none());
 
     // Names read back as they were, whatever they look like.
     let names = ["vm-000231", "vm-231", "7", "", "vm", "a9b", "x99999999999999999999", "vm-0"];
-    let size = PartSize::new(8.0);
+    let size = ChunkLayout::new(8.0);
     let mut b = submission();
     b["planks"] = json!(2_000);
     let spec = Rc::new(wire::parse_job(b.to_string().as_bytes()).expect("a good submission"));
@@ -52,7 +52,7 @@
     for (i, name) in names.into_iter().enumerate() {
         j.put(now, i as u32, name, 1, "a");
     }
-    let placed = job::stored_placements(&j.encode_part(0)).expect("a stored part");
+    let placed = job::stored_placements(&j.encode_chunk(0)).expect("a stored part");
     assert_eq!(placed.iter().map(|p| p.1.as_str()).collect::<Vec<_>>(), names);
 
     // Every state of a part fits in a value: no more is placed than it holds.
@@ -76,10 +76,10 @@
             placed += 1;
         }
         for n in [0, 1] {
-            let bytes = j.encode_part(n).to_string().len();
+            let bytes = j.encode_chunk(n).to_string().len();
             assert!(bytes + 1_400 * n < 8 * 1024, "{name}: {bytes} bytes in part {n}");
         }
-        assert!(j.parts[1].placed.len() >= least, "{name}: only {placed} placed");
+        assert!(j.chunks[1].placed.len() >= least, "{name}: only {placed} placed");
     }
 }
 
@@ -107,7 +107,7 @@
             0,
             1,
             Micros::ZERO,
-            PartSize { tasks: 10, bytes: 1_000, described: false },
+            ChunkLayout { tasks: 10, bytes: 1_000, described: false },
         );
         let zones: BTreeMap<Rc<str>, u32> = taken.iter().map(|(z, n)| (Rc::from(*z), *n)).collect();
         assert_eq!(j.zone_allows(&zones, zone), want, "{together} {apart} {taken:?} {zone}");
@@ -116,31 +116,31 @@
 
 #[test]
 fn bundles() {
-    let size = PartSize { tasks: 5, bytes: 1_000, described: false };
+    let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
     let job = |id: &str| {
         let mut body = submission();
         body["ref"] = json!(id);
         let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
         let mut j = Job::new(Rc::new(spec), 1, 0, Micros::secs(77), size);
-        j.parts[0].version = 1;
+        j.chunks[0].version = 1;
         j
     };
     let jobs = [job("j-000001"), job("j-000002")];
-    let value = encode_batch(jobs.iter().map(|j| j.encode_part(0)).collect());
+    let value = encode_batch(jobs.iter().map(|j| j.encode_chunk(0)).collect());
     let key = batch_key(1, 9, 4);
-    let (name, part) = job::parse_part_key(&key).expect("a key under w/");
-    assert!(is_batch(name) && part == 0, "{key}");
+    let (name, chunk) = job::parse_chunk_key(&key).expect("a key under w/");
+    assert!(is_batch(name) && chunk == 0, "{key}");
     assert!(!is_batch("j-000001"), "a job's id");
     let back = decode_batch(&value);
     assert_eq!(
         back.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(),
         ["j-000001", "j-000002"]
     );
-    for (j, (_, part)) in jobs.iter().zip(&back) {
-        let stored = [(0, (part.clone(), 0))].into();
+    for (j, (_, chunk)) in jobs.iter().zip(&back) {
+        let stored = [(0, (chunk.clone(), 0))].into();
         let restored = Job::restore(1, 9, size, &stored).expect("a job from a bundle");
         assert_eq!(restored.spec, j.spec);
-        let first = &restored.parts[0];
+        let first = &restored.chunks[0];
         // Its first change must create its own key, not change one.
         assert_eq!((first.version, first.stored, first.revision), (1, 1, 0));
         assert_eq!(restored.accepted, j.accepted);
@@ -164,7 +164,7 @@
             1,
             0,
             Micros::ZERO,
-            PartSize { tasks: 5, bytes: 1_000, described: false },
+            ChunkLayout { tasks: 5, bytes: 1_000, described: false },
         );
         j.raised = raised;
         assert_eq!(j.rank(), rank, "{urgency}, {raised}");
@@ -183,13 +183,13 @@
         ("stopped, and listed as such", TaskEnd::listed(Stopped), false),
         ("its session is over", TaskEnd::known(Stopped), false),
         ("refused, perhaps by its manager", TaskEnd::listed(Refused), true),
-        ("given up before it began", TaskEnd::never_begun(), true),
+        ("given up before it began", TaskEnd::never_started(), true),
     ];
     for (name, end, counts) in table {
         let mut body = submission();
         body["together"] = json!(true);
         let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
-        let size = PartSize { tasks: 5, bytes: 1_000, described: false };
+        let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
         let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
         j.put(Micros::secs(3), 6, "vm-1", 3, "a");
         assert_eq!((j.limited_tasks(), j.zones().len()), (1, 1), "{name}: placed");
@@ -197,7 +197,7 @@
         let still = u32::from(counts);
         assert_eq!(j.booked(), 0, "{name}");
         assert_eq!((j.limited_tasks(), j.zones().len() as u32), (still, still), "{name}: ended");
-        j.parts[1].releasing.clear();
+        j.chunks[1].unstored_ends.clear();
         assert_eq!((j.limited_tasks(), j.zones().len()), (0, 0), "{name}: stored");
     }
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -8,7 +8,7 @@
 mod solo;
 
 use millethold::controller::job::{
-    Job, JobRecord, PartSize, decode_batch, encode_batch, is_batch, parse_part_key,
+    ChunkLayout, Job, JobRecord, decode_batch, encode_batch, is_batch, parse_chunk_key,
 };
 use millethold::controller::quota::TeamQuota;
 use millethold::controller::shard::{ShardLease, Term};
@@ -70,9 +70,9 @@
 }
 
 /// A job's part, read with all parts of the job and written again.
-fn part_again(parts: &BTreeMap<usize, (Value, u64)>, n: usize, value_kb: f64) -> Value {
-    let job = Job::restore(0, 9, PartSize::new(value_kb), parts).expect("a stored job");
-    job.encode_part(n)
+fn part_again(chunks: &BTreeMap<usize, (Value, u64)>, n: usize, value_kb: f64) -> Value {
+    let job = Job::restore(0, 9, ChunkLayout::new(value_kb), chunks).expect("a stored job");
+    job.encode_chunk(n)
 }
 
 #[test]
@@ -92,16 +92,17 @@
                     "quota" => quota_again(value),
                     "u" => continue,
                     "w" => {
-                        let (name, n) = parse_part_key(key).expect("a part's key");
+                        let (name, n) = parse_chunk_key(key).expect("a part's key");
                         if is_batch(name) {
-                            let one = |(_, part)| part_again(&[(0, (part, 5))].into(), 0, value_kb);
+                            let one =
+                                |(_, chunk)| part_again(&[(0, (chunk, 5))].into(), 0, value_kb);
                             encode_batch(decode_batch(value).into_iter().map(one).collect())
                         } else {
                             let prefix = key.trim_end_matches(|c| c != '/');
-                            let parts = left.stored.iter().filter_map(|(k, v)| {
+                            let chunks = left.stored.iter().filter_map(|(k, v)| {
                                 Some((k.strip_prefix(prefix)?.parse().ok()?, (v.clone(), 5)))
                             });
-                            part_again(&parts.collect(), n, value_kb)
+                            part_again(&chunks.collect(), n, value_kb)
                         }
                     }
                     other => panic!("{other}"),
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -2,7 +2,7 @@
 //! wrote it: this one reads it, and writes the same where no job needs another.
 
 use millethold::controller::job::{
-    self, Job, JobRecord, PartSize, StoredStage, TaskEnd, decode_batch, encode_batch,
+    self, ChunkLayout, Job, JobRecord, StoredStage, TaskEnd, decode_batch, encode_batch,
 };
 use millethold::peer::{self, InheritedUrgency, ObservedState};
 use millethold::time::Micros;
@@ -26,7 +26,7 @@
     wire::parse_job(SUBMITTED.as_bytes()).expect("a good submission")
 }
 
-fn part() -> Value {
+fn chunk() -> Value {
     serde_json::from_str(PART).expect("JSON")
 }
 
@@ -40,13 +40,13 @@
 fn stored_jobs_of_production() {
     // Read, also by nodes that keep to smaller values, and written back unchanged.
     for value_kb in [8.0, 2.0] {
-        let stored = BTreeMap::from([(0, (part(), 5))]);
-        let job = Job::restore(2, 9, PartSize::new(value_kb), &stored).expect("a stored job");
+        let stored = BTreeMap::from([(0, (chunk(), 5))]);
+        let job = Job::restore(2, 9, ChunkLayout::new(value_kb), &stored).expect("a stored job");
         assert_eq!((job.done(), job.booked(), job.pending()), (1, 2, 13), "{value_kb} KiB");
         assert!(!job.waiting && job.dependencies.is_empty());
-        assert_eq!(job.encode_part(0), part(), "{value_kb} KiB");
+        assert_eq!(job.encode_chunk(0), chunk(), "{value_kb} KiB");
     }
-    let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), PartSize::new(8.0));
+    let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), ChunkLayout::new(8.0));
     let wall = Micros::secs(1_000);
     for (task, machine, incarnation, zone) in
         [(0, "vm-000231", 1, "a"), (1, "vm-000232", 3, "b"), (5, "vm-000233", 3, "b")]
@@ -54,9 +54,9 @@
         job.put(wall, task, machine, incarnation, zone);
     }
     job.end(5, TaskEnd::known(ObservedState::Done));
-    assert_eq!(job.encode_part(0), part());
-    let bundle = json!({ "jobs": [part()] });
-    assert_eq!(encode_batch(vec![job.encode_part(0)]), bundle);
+    assert_eq!(job.encode_chunk(0), chunk());
+    let bundle = json!({ "jobs": [chunk()] });
+    assert_eq!(encode_batch(vec![job.encode_chunk(0)]), bundle);
     assert_eq!(decode_batch(&bundle)[0].0, "j-000412");
 
     let table = [
@@ -93,23 +93,23 @@
 #[test]
 fn smaller_values() {
     // What fits in two KiB, from the first task to the last, with the longest description.
-    let size = PartSize::new(2.0);
+    let size = ChunkLayout::new(2.0);
     let mut long = spec();
     long.image = "x".repeat(job::MAX_SPEC_BYTES - serde_json::to_vec(&spec()).expect("JSON").len());
     long.tasks = 3 * size.tasks;
     for spec in [spec(), long] {
         let spec = JobSpec { tasks: 3 * size.tasks, ..spec };
         let mut job = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
-        assert_eq!(job.parts.len(), 3);
+        assert_eq!(job.chunks.len(), 3);
         while let Some(task) = job.first_pending() {
             let machine = format!("vm-{:06}", 900_000 + task);
             job.put(Micros::secs(1_000 + u64::from(task)), task, &machine, 1_234, "a");
-            let parts = (0..3).map(|n| job.encode_part(n).to_string().len());
-            assert!(parts.max() <= Some(2_048), "task {task}");
+            let chunks = (0..3).map(|n| job.encode_chunk(n).to_string().len());
+            assert!(chunks.max() <= Some(2_048), "task {task}");
         }
         assert!(job.booked() >= 2 * size.tasks, "only {} of {}", job.booked(), 3 * size.tasks);
         // As some end, others have room.
-        let first: Vec<u32> = job.parts[0].placed.keys().copied().collect();
+        let first: Vec<u32> = job.chunks[0].placed.keys().copied().collect();
         first.iter().for_each(|i| drop(job.end(*i, TaskEnd::known(ObservedState::Done))));
         assert!(job.pending() == 0 || job.first_pending().is_some());
     }
@@ -119,13 +119,18 @@
 /// and then places nothing more in a part that has no room.
 #[test]
 fn parts_of_larger_values() {
-    let (small, larger) = (PartSize::new(2.0), PartSize::new(8.0));
+    let (small, previous_chunk_layout) = (ChunkLayout::new(2.0), ChunkLayout::new(8.0));
     let spec = Rc::new(JobSpec { tasks: 232, ..spec() });
-    let mut job = Job::new(Rc::clone(&spec), 2, 9, Micros::secs(77), larger);
-    let table = [(Some(larger), 150), (None, 150), (Some(larger), 232), (None, 232)];
+    let mut job = Job::new(Rc::clone(&spec), 2, 9, Micros::secs(77), previous_chunk_layout);
+    let table = [
+        (Some(previous_chunk_layout), 150),
+        (None, 150),
+        (Some(previous_chunk_layout), 232),
+        (None, 232),
+    ];
     for (taken, booked) in table {
-        job.fit(small, taken);
-        let free = (0..232).filter(|i| job.parts[0].pending.contains(i)).collect::<Vec<u32>>();
+        job.set_layout(small, taken);
+        let free = (0..232).filter(|i| job.chunks[0].pending.contains(i)).collect::<Vec<u32>>();
         for task in free {
             if job.first_pending().is_some() && job.booked() < booked {
                 let machine = format!("vm-{task:06}");
@@ -135,11 +140,11 @@
         assert_eq!(job.booked(), booked, "{taken:?}");
         assert_eq!(job.first_pending().is_some(), taken.is_some() && booked < 232, "{taken:?}");
     }
-    assert!(job.encode_part(0).to_string().len() <= 8 * 1024);
+    assert!(job.encode_chunk(0).to_string().len() <= 8 * 1024);
     // One that was divided for small ones has always had their room.
     let mut job = Job::new(spec, 2, 9, Micros::secs(77), small);
-    for taken in [Some(larger), None] {
-        job.fit(small, taken);
+    for taken in [Some(previous_chunk_layout), None] {
+        job.set_layout(small, taken);
         assert_eq!(job.first_pending(), Some(0), "{taken:?}");
     }
 }
@@ -194,8 +199,8 @@
         0,
         1,
         Micros::ZERO,
-        PartSize::new(8.0),
+        ChunkLayout::new(8.0),
     );
     assert!(kept.waiting && kept.open() == 0 && kept.pending() == 16);
-    assert_eq!(kept.encode_part(0)["s"].get("upstream"), None, "not with the description");
+    assert_eq!(kept.encode_chunk(0)["s"].get("upstream"), None, "not with the description");
 }
