--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -262,7 +262,7 @@
             }
             self.changes.jobs.insert(spec.id.clone());
             self.jobs.insert(spec.id.clone(), job);
-            self.place_wanted = true;
+            self.placement_due = true;
         }
         // Others may have said more of it while the answer was on its way here.
         let known = self.cached_stages.get(&spec.id).copied().unwrap_or(known);
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler.rs
@@ -68,7 +68,7 @@
 
 /// Room for tasks: CPUs, GPUs, memory.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Type.
     pub machine_type: Rc<str>,
     /// Zone.
@@ -103,7 +103,7 @@
 
 /// Tasks that find no room in `rooms`, which is filled up on the way. Larger
 /// shapes go first, since small ones fit into what they leave.
-pub fn unmet(demand: &[Demand], rooms: &mut [Room]) -> Vec<Demand> {
+pub fn unmet(demand: &[Demand], rooms: &mut [FreeCapacity]) -> Vec<Demand> {
     let mut order: Vec<&Demand> = demand.iter().collect();
     order.sort_by(|a, b| b.cpus.total_cmp(&a.cpus).then(b.memory_gb.total_cmp(&a.memory_gb)));
     let mut rest = Vec::new();
@@ -203,7 +203,7 @@
     pub fn take_list(
         &mut self,
         now: Micros,
-        asked: Micros,
+        requested_at: Micros,
         list: &[ListedMachine],
         lag: Micros,
     ) -> Vec<String> {
@@ -228,7 +228,8 @@
             .machines
             .iter()
             .filter(|(name, m)| {
-                !names.contains(name.as_str()) && m.listed.is_some_and(|at| asked > at + sure)
+                !names.contains(name.as_str())
+                    && m.listed.is_some_and(|at| requested_at > at + sure)
             })
             .map(|(name, _)| name.clone())
             .collect();
--- a/src/controller/slots.rs
+++ b/src/controller/capacity.rs
@@ -17,7 +17,7 @@
 
 /// A task booked on a machine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Booked {
+pub struct ReservedTask {
     /// Rank of service.
     pub rank: u32,
     /// Team.
@@ -62,13 +62,13 @@
 
 /// A machine that may be given tasks.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Slot {
+pub struct MachineCapacity {
     /// Its name.
     pub machine: Rc<str>,
     /// Session.
     pub incarnation: u64,
     /// Another controller commands it.
-    pub foreign: bool,
+    pub led_by_peer: bool,
     /// CPUs, GPUs, memory that nothing is booked on.
     pub free: [f64; 3],
     /// Until when room that came up here is left to the controller that commands
@@ -77,18 +77,31 @@
     /// Room kept in this pass for more urgent tasks of other shards.
     pub held: [f64; 3],
     /// What is booked.
-    pub tasks: Vec<Booked>,
+    pub tasks: Vec<ReservedTask>,
 }
 
-impl Slot {
+impl MachineCapacity {
     /// A machine with nothing booked.
-    pub fn new(machine: Rc<str>, incarnation: u64, foreign: bool, size: [f64; 3]) -> Slot {
+    pub fn new(
+        machine: Rc<str>,
+        incarnation: u64,
+        led_by_peer: bool,
+        size: [f64; 3],
+    ) -> MachineCapacity {
         let (yielded_until, held) = (Micros::ZERO, [0.0; 3]);
-        Slot { machine, incarnation, foreign, free: size, yielded_until, held, tasks: Vec::new() }
+        MachineCapacity {
+            machine,
+            incarnation,
+            led_by_peer,
+            free: size,
+            yielded_until,
+            held,
+            tasks: Vec::new(),
+        }
     }
 
     /// Books a task.
-    pub fn book(&mut self, b: Booked) {
+    pub fn reserve(&mut self, b: ReservedTask) {
         for (f, a) in self.free.iter_mut().zip(b.amount) {
             *f -= a;
         }
@@ -102,8 +115,8 @@
 
     /// Seconds until tasks have ended whose room, with what is free, takes
     /// another; `None` if it is too large for the machine.
-    pub fn room_in(&self, wall: Micros, need: &[f64; 3]) -> Option<f64> {
-        let mut ends: Vec<(f64, &Booked)> = self
+    pub fn time_until_available(&self, wall: Micros, need: &[f64; 3]) -> Option<f64> {
+        let mut ends: Vec<(f64, &ReservedTask)> = self
             .tasks
             .iter()
             .map(|b| {
@@ -128,7 +141,7 @@
     }
 
     fn load_key(&self, id: usize) -> (u32, bool, i64, usize) {
-        (self.tasks.len() as u32, self.foreign, -milli(self.free[0]), id)
+        (self.tasks.len() as u32, self.led_by_peer, -milli(self.free[0]), id)
     }
 
     fn free_key(&self, id: usize) -> (i64, usize) {
@@ -142,9 +155,9 @@
 
 /// All machines that may be given tasks.
 #[derive(Debug, Clone, Default)]
-pub struct Slots {
+pub struct ClusterCapacity {
     pools: Vec<Pool>,
-    slots: Vec<Option<(usize, Slot)>>,
+    capacity: Vec<Option<(usize, MachineCapacity)>>,
     ids: HashMap<Rc<str>, usize>,
     spare: Vec<usize>,
     /// Booked tasks by rank that are not stopping.
@@ -155,19 +168,19 @@
     holds: Vec<usize>,
 }
 
-impl Slots {
+impl ClusterCapacity {
     /// Sets a machine as it now stands, or removes it.
-    pub fn set(&mut self, machine: &str, slot: Option<(PoolKey, Slot)>) {
+    pub fn set(&mut self, machine: &str, machine_capacity: Option<(PoolKey, MachineCapacity)>) {
         if let Some(id) = self.ids.get(machine).copied() {
             self.detach(id);
-            if slot.is_none() {
-                self.slots[id] = None;
+            if machine_capacity.is_none() {
+                self.capacity[id] = None;
                 self.ids.remove(machine);
                 self.spare.push(id);
                 return;
             }
         }
-        let Some((key, slot)) = slot else {
+        let Some((key, machine_capacity)) = machine_capacity else {
             return;
         };
         let pool = self.pools.iter().position(|p| p.key == key).unwrap_or_else(|| {
@@ -177,24 +190,24 @@
         });
         let id = self.ids.get(machine).copied().unwrap_or_else(|| {
             let id = self.spare.pop().unwrap_or_else(|| {
-                self.slots.push(None);
-                self.slots.len() - 1
+                self.capacity.push(None);
+                self.capacity.len() - 1
             });
-            self.ids.insert(Rc::clone(&slot.machine), id);
+            self.ids.insert(Rc::clone(&machine_capacity.machine), id);
             id
         });
-        self.slots[id] = Some((pool, slot));
+        self.capacity[id] = Some((pool, machine_capacity));
         self.attach(id);
     }
 
     fn detach(&mut self, id: usize) {
-        let Some((pool, slot)) = &self.slots[id] else {
+        let Some((pool, machine_capacity)) = &self.capacity[id] else {
             return;
         };
         let pool = &mut self.pools[*pool];
-        pool.by_load.remove(&slot.load_key(id));
-        pool.by_free.remove(&slot.free_key(id));
-        for b in slot.tasks.iter().filter(|b| !b.stopping) {
+        pool.by_load.remove(&machine_capacity.load_key(id));
+        pool.by_free.remove(&machine_capacity.free_key(id));
+        for b in machine_capacity.tasks.iter().filter(|b| !b.stopping) {
             self.ranks[(b.rank as usize).min(RANKS - 1)] -= 1;
             if let Some(u) = self.usage.get_mut(&b.team) {
                 u[0] -= b.amount[0];
@@ -204,10 +217,10 @@
     }
 
     fn attach(&mut self, id: usize) {
-        let Some((pool, slot)) = &self.slots[id] else {
+        let Some((pool, machine_capacity)) = &self.capacity[id] else {
             return;
         };
-        for b in slot.tasks.iter().filter(|b| !b.stopping) {
+        for b in machine_capacity.tasks.iter().filter(|b| !b.stopping) {
             self.ranks[(b.rank as usize).min(RANKS - 1)] += 1;
             if !self.usage.contains_key(&b.team) {
                 self.usage.insert(b.team.clone(), Amount::default());
@@ -218,25 +231,25 @@
             }
         }
         // A full machine is of no use to any placement.
-        if slot.free[0] > 1e-6 {
+        if machine_capacity.free[0] > 1e-6 {
             let pool = &mut self.pools[*pool];
-            pool.by_load.insert(slot.load_key(id));
-            pool.by_free.insert(slot.free_key(id));
+            pool.by_load.insert(machine_capacity.load_key(id));
+            pool.by_free.insert(machine_capacity.free_key(id));
         }
     }
 
     /// Changes a machine.
-    pub fn change(&mut self, id: usize, change: impl FnOnce(&mut Slot)) {
+    pub fn change(&mut self, id: usize, change: impl FnOnce(&mut MachineCapacity)) {
         self.detach(id);
-        if let Some((_, slot)) = &mut self.slots[id] {
-            change(slot);
+        if let Some((_, machine_capacity)) = &mut self.capacity[id] {
+            change(machine_capacity);
         }
         self.attach(id);
     }
 
     /// A machine by number.
-    pub fn get(&self, id: usize) -> Option<&Slot> {
-        self.slots.get(id)?.as_ref().map(|(_, s)| s)
+    pub fn get(&self, id: usize) -> Option<&MachineCapacity> {
+        self.capacity.get(id)?.as_ref().map(|(_, s)| s)
     }
 
     /// A machine's number by name.
@@ -246,15 +259,15 @@
 
     /// Kind and place of a machine.
     pub fn pool_of(&self, id: usize) -> Option<&PoolKey> {
-        let (pool, _) = self.slots.get(id)?.as_ref()?;
+        let (pool, _) = self.capacity.get(id)?.as_ref()?;
         Some(&self.pools[*pool].key)
     }
 
     /// All machines with their kind and place.
-    pub fn iter(&self) -> impl Iterator<Item = (usize, &PoolKey, &Slot)> {
-        self.slots.iter().enumerate().filter_map(|(id, s)| {
-            let (pool, slot) = s.as_ref()?;
-            Some((id, &self.pools[*pool].key, slot))
+    pub fn iter(&self) -> impl Iterator<Item = (usize, &PoolKey, &MachineCapacity)> {
+        self.capacity.iter().enumerate().filter_map(|(id, s)| {
+            let (pool, machine_capacity) = s.as_ref()?;
+            Some((id, &self.pools[*pool].key, machine_capacity))
         })
     }
 
@@ -265,15 +278,15 @@
 
     /// Whether a machine is in one of some pools.
     pub fn among(&self, id: usize, pools: &[usize]) -> bool {
-        matches!(self.slots.get(id), Some(Some((pool, _))) if pools.contains(pool))
+        matches!(self.capacity.get(id), Some(Some((pool, _))) if pools.contains(pool))
     }
 
     /// The machine with the fewest booked tasks that has room.
-    pub fn freest(
+    pub fn least_loaded(
         &self,
         pools: &[usize],
         need: &[f64; 3],
-        pass: impl Fn(usize, &Slot) -> bool,
+        pass: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Option<usize> {
         let mut best: Option<(u32, bool, i64, usize)> = None;
         for p in pools {
@@ -281,7 +294,7 @@
                 if best.is_some_and(|b| b <= *key) {
                     break;
                 }
-                if let Some((_, s)) = &self.slots[key.3]
+                if let Some((_, s)) = &self.capacity[key.3]
                     && fits(&s.room(), need) > 0
                     && pass(key.3, s)
                 {
@@ -294,11 +307,11 @@
     }
 
     /// The machine with the least free CPUs that has room.
-    pub fn fullest(
+    pub fn best_fit(
         &self,
         pools: &[usize],
         need: &[f64; 3],
-        pass: impl Fn(usize, &Slot) -> bool,
+        pass: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Option<usize> {
         let mut best: Option<(i64, usize)> = None;
         for p in pools {
@@ -306,7 +319,7 @@
                 if best.is_some_and(|b| b <= *key) {
                     break;
                 }
-                if let Some((_, s)) = &self.slots[key.1]
+                if let Some((_, s)) = &self.capacity[key.1]
                     && fits(&s.room(), need) > 0
                     && pass(key.1, s)
                 {
@@ -318,16 +331,16 @@
         best.map(|b| b.1)
     }
 
-    /// The least loaded of some machines, as [`Slots::freest`] orders them.
-    pub fn least<'a>(
+    /// The least loaded of some machines, as [`ClusterCapacity::least_loaded`] orders them.
+    pub fn least_loaded_among<'a>(
         &self,
         ids: impl Iterator<Item = &'a usize>,
         pools: &[usize],
         need: &[f64; 3],
-        pass: impl Fn(usize, &Slot) -> bool,
+        pass: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Option<usize> {
         ids.filter_map(|id| {
-            let (pool, s) = self.slots.get(*id)?.as_ref()?;
+            let (pool, s) = self.capacity.get(*id)?.as_ref()?;
             let good = pools.contains(pool) && fits(&s.room(), need) > 0 && pass(*id, s);
             good.then(|| s.load_key(*id))
         })
@@ -343,15 +356,15 @@
     }
 
     /// Of some machines the one with the least free CPUs that has room.
-    pub fn tightest<'a>(
+    pub fn best_fit_among<'a>(
         &self,
         ids: impl Iterator<Item = &'a usize>,
         pools: &[usize],
         need: &[f64; 3],
-        pass: impl Fn(usize, &Slot) -> bool,
+        pass: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Option<usize> {
         ids.filter_map(|id| {
-            let (pool, s) = self.slots.get(*id)?.as_ref()?;
+            let (pool, s) = self.capacity.get(*id)?.as_ref()?;
             let good = pools.contains(pool) && fits(&s.room(), need) > 0 && pass(*id, s);
             good.then(|| s.free_key(*id))
         })
@@ -367,11 +380,11 @@
     /// Whether any machine has room for one of some waiting tasks.
     pub fn takes(&self, d: &Demand) -> bool {
         let pools = self.pools(|k| allows(d, &k.machine_type, &k.zone, k.spot));
-        self.fullest(&pools, &[d.cpus, d.gpus, d.memory_gb], |_, _| true).is_some()
+        self.best_fit(&pools, &[d.cpus, d.gpus, d.memory_gb], |_, _| true).is_some()
     }
 
     /// Keeps room for waiting tasks of other shards, where there is any, until
-    /// [`Slots::release_holds`].
+    /// [`ClusterCapacity::release_holds`].
     pub fn hold(&mut self, d: &Demand) {
         let need = [d.cpus, d.gpus, d.memory_gb];
         let mut left = d.tasks;
@@ -380,7 +393,7 @@
                 if left == 0 {
                     return;
                 }
-                let Some((_, s)) = &mut self.slots[*id] else {
+                let Some((_, s)) = &mut self.capacity[*id] else {
                     continue;
                 };
                 let n = fits(&s.room(), &need).min(left);
@@ -398,7 +411,7 @@
     /// Gives up what was held.
     pub fn release_holds(&mut self) {
         for id in std::mem::take(&mut self.holds) {
-            if let Some((_, s)) = &mut self.slots[id] {
+            if let Some((_, s)) = &mut self.capacity[id] {
                 s.held = [0.0; 3];
             }
         }
--- a/src/controller/slot_updates.rs
+++ b/src/controller/capacity_updates.rs
@@ -1,19 +1,19 @@
 //! Keeping the slots up to date: machines as placements see them.
 
 use super::Controller;
+use super::capacity::{MachineCapacity, PoolKey, ReservedTask};
 use super::desired_state::expected_s;
 use super::quota::EPS;
-use super::slots::{Booked, PoolKey, Slot};
 use crate::peer::Phase;
 use crate::time::Micros;
 use std::rc::Rc;
 
 /// How long room that comes up on a machine is left to its own shard.
-const SETTLE: Micros = Micros::millis(250);
+const PEER_CAPACITY_YIELD: Micros = Micros::millis(250);
 
 impl Controller {
     /// A machine as placements see it; `None` if nothing may be placed on it.
-    fn slot_of(&self, name: &str) -> Option<(PoolKey, Slot)> {
+    fn capacity_of(&self, name: &str) -> Option<(PoolKey, MachineCapacity)> {
         let v = self.views.get(name)?;
         let h = self.shard_of_machine(name);
         if !v.known
@@ -28,8 +28,9 @@
         }
         let t = self.types.get(&v.machine_type)?;
         let size = [t.cpus, t.gpus, t.memory_gb];
-        let foreign = self.leading_term(h).is_none();
-        let mut slot = Slot::new(Rc::from(name), v.incarnation, foreign, size);
+        let led_by_peer = self.leading_term(h).is_none();
+        let mut machine_capacity =
+            MachineCapacity::new(Rc::from(name), v.incarnation, led_by_peer, size);
         let over = |job: &str, index: u32, attempt: u64| {
             v.tasks.iter().any(|t| {
                 t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
@@ -48,7 +49,7 @@
                 {
                     continue;
                 }
-                slot.book(Booked {
+                machine_capacity.reserve(ReservedTask {
                     rank: t.rank,
                     team: t.team.clone(),
                     amount: [t.cpus, t.gpus, t.memory_gb],
@@ -56,7 +57,7 @@
                     index: t.index,
                     attempt: t.attempt,
                     stopping: t.stop_ms.is_some()
-                        || self.asked_to_make_room(&t.job, t.index, t.attempt),
+                        || self.preemption_requested(&t.job, t.index, t.attempt),
                     placed: Micros::secs(t.placed_s),
                     checkpoint_s: t.checkpoint_s,
                     expected_s: t.expected_s,
@@ -64,7 +65,8 @@
             }
         }
         for s in (0..self.shards.len()).filter(|s| self.has_jobs_of(*s)) {
-            let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&slot.machine))) else {
+            let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&machine_capacity.machine)))
+            else {
                 continue;
             };
             for (id, index) in tasks {
@@ -75,7 +77,7 @@
                 let Some(p) = chunk.placed.get(index).filter(|p| *p.machine == *name) else {
                     continue;
                 };
-                slot.book(Booked {
+                machine_capacity.reserve(ReservedTask {
                     rank: j.rank(),
                     team: j.spec.team.clone(),
                     amount: [j.spec.cpus, j.spec.gpus, j.spec.memory_gb],
@@ -92,7 +94,7 @@
         // Tasks that nobody is known to want take room of unknown size.
         let strange = v.tasks.iter().any(|t| {
             !t.observed().over()
-                && !slot
+                && !machine_capacity
                     .tasks
                     .iter()
                     .any(|b| b.attempt == t.attempt && b.index == t.index && b.job == t.job)
@@ -102,7 +104,7 @@
             zone: Rc::from(v.zone.as_str()),
             spot: v.spot,
         };
-        (!strange).then_some((key, slot))
+        (!strange).then_some((key, machine_capacity))
     }
 
     /// Whether a shard's jobs are known here; else the desired state received from it counts.
@@ -111,41 +113,41 @@
     }
 
     /// Notes that a machine has to be looked at before the next placement.
-    pub(super) fn touch_slot(&mut self, machine: &str) {
-        if !self.dirty_slots.contains(machine) {
-            self.dirty_slots.insert(machine.to_string());
+    pub(super) fn mark_capacity_stale(&mut self, machine: &str) {
+        if !self.stale_machines.contains(machine) {
+            self.stale_machines.insert(machine.to_string());
         }
     }
 
     /// Brings the slots up to date: only what has changed is looked at.
-    pub(super) fn refresh_slots(&mut self) {
+    pub(super) fn refresh_capacity(&mut self) {
         for h in 0..self.shards.len() {
             let commanded = self.leading_term(h).is_some()
                 || self.shard_leader(h).is_some_and(|m| m != self.me && self.peer_alive(m));
             let was = std::mem::replace(&mut self.commanded[h], commanded);
             let state = (self.has_jobs_of(h), self.leading_term(h), self.shards[h].term);
-            if was != commanded || self.slots_state.get(&h) != Some(&state) {
+            if was != commanded || self.capacity_sources.get(&h) != Some(&state) {
                 // The shard has changed hands or its holder has fallen silent.
-                self.slots_state.insert(h, state);
+                self.capacity_sources.insert(h, state);
                 let theirs: Vec<String> =
                     self.views.keys().filter(|m| self.shard_of_machine(m) == h).cloned().collect();
-                self.dirty_slots.extend(theirs);
+                self.stale_machines.extend(theirs);
                 // What it wants is read from another place from now on.
                 let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
-                self.dirty_slots.extend(wanted);
+                self.stale_machines.extend(wanted);
             }
         }
-        for machine in std::mem::take(&mut self.dirty_slots) {
-            let mut slot = self.slot_of(&machine);
-            if let Some((_, new)) = slot.as_mut().filter(|(_, s)| s.foreign) {
-                let old = self.slots.id(&machine).and_then(|id| self.slots.get(id));
+        for machine in std::mem::take(&mut self.stale_machines) {
+            let mut machine_capacity = self.capacity_of(&machine);
+            if let Some((_, new)) = machine_capacity.as_mut().filter(|(_, s)| s.led_by_peer) {
+                let old = self.capacity.id(&machine).and_then(|id| self.capacity.get(id));
                 let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
                 new.yielded_until = match old {
                     Some(old) if !more => old.yielded_until,
-                    _ => self.now + SETTLE,
+                    _ => self.now + PEER_CAPACITY_YIELD,
                 };
             }
-            self.slots.set(&machine, slot);
+            self.capacity.set(&machine, machine_capacity);
         }
     }
 }
--- a/src/controller/cloud_calls.rs
+++ b/src/controller/cloud_calls.rs
@@ -1,6 +1,6 @@
 //! Talking to the cloud: types, lists, rents and returns.
 
-use super::autoscaler::{self, AUTOSCALER_SHARD, RentedMachine, Room};
+use super::autoscaler::{self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine};
 use super::{Controller, Op, shard};
 use crate::cloud::{CloudCall, CloudReply};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -53,7 +53,7 @@
             let pages = self.autoscaler.machines.len() as u64 / 500 + 1;
             self.autoscaler.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
             self.autoscaler.listing = Some((now, Vec::new()));
-            let op = Op::ListMachines { asked: now, term };
+            let op = Op::ListMachines { requested_at: now, term };
             self.cloud(op, CloudCall::List { after: None });
         }
         if self.autoscaler.request.is_some()
@@ -98,8 +98,8 @@
             let spare = (f64::from(d.tasks) * self.options.spare_share).ceil();
             d.tasks = d.tasks.saturating_add(spare as u32);
         }
-        self.refresh_slots();
-        let mut rooms: Vec<Room> = self.free_rooms();
+        self.refresh_capacity();
+        let mut rooms: Vec<FreeCapacity> = self.free_capacity();
         let mut replaced = self.autoscaler.machines.len() / REPLACED;
         for (name, m) in &self.autoscaler.machines {
             let up = self.views.get(name).is_some_and(|v| v.known);
@@ -114,7 +114,7 @@
                 continue;
             }
             if let Some(t) = self.types.get(&m.machine_type) {
-                rooms.push(Room {
+                rooms.push(FreeCapacity {
                     machine_type: Rc::from(m.machine_type.as_str()),
                     zone: Rc::from(m.zone.as_str()),
                     spot: m.spot,
@@ -151,7 +151,7 @@
 
     fn plan_scale_in(&mut self) {
         let now = self.now;
-        self.refresh_slots();
+        self.refresh_capacity();
         let idle = self.options.idle;
         let waiting = !self.all_demand().is_empty();
         let mut drain: Vec<String> = Vec::new();
@@ -169,9 +169,9 @@
             }
             let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.observed().over()))
                 || self
-                    .slots
+                    .capacity
                     .id(name)
-                    .and_then(|id| self.slots.get(id))
+                    .and_then(|id| self.capacity.get(id))
                     .is_some_and(|s| !s.tasks.is_empty());
             if view.is_some_and(|v| v.faulty) {
                 drain.push(name.clone());
@@ -191,7 +191,7 @@
             if !self.autoscaler.draining.contains_key(&name) {
                 info!("machine {name} is to be returned");
                 self.autoscaler.draining.insert(name.clone(), now);
-                self.touch_slot(&name);
+                self.mark_capacity_stale(&name);
                 self.draining.insert(name);
             }
         }
@@ -235,9 +235,9 @@
                     self.autoscaler.returning.remove(&name);
                 }
             }
-            (Op::ListMachines { asked, term }, reply) => {
+            (Op::ListMachines { requested_at, term }, reply) => {
                 if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
-                    self.list_reply(asked, term, reply);
+                    self.list_reply(requested_at, term, reply);
                 }
             }
             (op, _) => warn!("unexpected reply to {op:?}"),
@@ -249,7 +249,7 @@
             info!("{} machine types known", types.len());
         }
         self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
-        self.place_wanted = true;
+        self.placement_due = true;
         self.changes.machines.extend(self.managed_machines.keys().cloned());
     }
 
@@ -338,7 +338,7 @@
         }
     }
 
-    fn list_reply(&mut self, asked: Micros, term: u64, reply: CloudReply) {
+    fn list_reply(&mut self, requested_at: Micros, term: u64, reply: CloudReply) {
         let now = self.now;
         let Some((_, mut list)) = self.autoscaler.listing.take() else {
             return;
@@ -349,14 +349,14 @@
         let last = machines.last().map(|m| m.name.clone());
         list.extend(machines);
         if let (true, Some(after)) = (more, last) {
-            self.autoscaler.listing = Some((asked, list));
-            let op = Op::ListMachines { asked, term };
+            self.autoscaler.listing = Some((requested_at, list));
+            let op = Op::ListMachines { requested_at, term };
             return self.cloud(op, CloudCall::List { after: Some(after) });
         }
         // Failed machines stay listed until they are deleted.
         list.retain(|m| m.stage == MachineStage::Failed || !self.terminated.contains(&m.name));
         let lag = Micros::from_secs_f64(self.settings.cloud.list_lag_s);
-        let mut terminated = self.autoscaler.take_list(now, asked, &list, lag);
+        let mut terminated = self.autoscaler.take_list(now, requested_at, &list, lag);
         terminated.extend(failed(&list));
         for name in terminated {
             if !self.terminated.contains(&name) {
--- a/src/controller/connectivity.rs
+++ b/src/controller/connectivity.rs
@@ -58,7 +58,7 @@
     }
 
     /// A worker of an own shard reported or answered.
-    pub fn hear(&mut self, now: Micros) {
+    pub fn record_contact(&mut self, now: Micros) {
         self.last_contact = now;
     }
 
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -10,7 +10,7 @@
 use super::machine::{ManagedMachine, Revocation};
 use super::shard::ShardLeadership;
 use super::stage_cache::CachedStage;
-use super::start_gate::{ManagerRight, StartViolation};
+use super::start_gate::{CommandAuthority, StartViolation};
 use crate::time::Micros;
 use serde::Serialize;
 
@@ -129,25 +129,30 @@
     }
 
     /// A decision would break a rule: it is told with its evidence, and tests fail.
-    pub(super) fn record_violation(&mut self, machine: &str, right: ManagerRight, what: Violation) {
+    pub(super) fn record_violation(
+        &mut self,
+        machine: &str,
+        authority: CommandAuthority,
+        what: Violation,
+    ) {
         self.counts.decisions.violations += 1;
         log::error!(
             target: TARGET,
-            machine = machine, incarnation = right.incarnation,
-            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
-            now_us = right.now.0, lease_until_us = right.lease_until.0,
-            cancellations_known = right.cancellations_known,
+            machine = machine, incarnation = authority.incarnation,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
+            now_us = authority.now.0, lease_until_us = authority.lease_until.0,
+            cancellations_known = authority.cancellations_known,
             violation:? = what;
             "violation"
         );
-        debug_assert!(false, "{machine}: {what:?} under {right:?}");
+        debug_assert!(false, "{machine}: {what:?} under {authority:?}");
     }
 
     /// A worker is shown a higher token from now on.
     pub(super) fn note_raised_fencing_token(
         &mut self,
         machine: &str,
-        right: ManagerRight,
+        authority: CommandAuthority,
         r: &Revocation,
     ) {
         self.counts.decisions.raised_fencing_tokens += 1;
@@ -156,8 +161,8 @@
         log::info!(
             target: TARGET,
             job = r.start.job.as_str(), task = r.start.index, attempt = r.start.attempt,
-            machine = machine, incarnation = right.incarnation,
-            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
+            machine = machine, incarnation = authority.incarnation,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
             revoked_fencing_token = r.revoked_fencing_token, tasks_beside = beside,
             reason:? = r.reason;
             "raise_token"
--- a/src/controller/demand.rs
+++ b/src/controller/demand.rs
@@ -10,7 +10,7 @@
 impl Controller {
     /// Waiting tasks by shape, as far as their teams' limits let them run.
     pub(super) fn demand(&self) -> Vec<Demand> {
-        let usage = self.slots.usage();
+        let usage = self.capacity.usage();
         let mut room: BTreeMap<&str, Amount> = BTreeMap::new();
         let mut list: Vec<Demand> = Vec::new();
         for ((beyond, rank), id) in self.queue_order() {
@@ -55,11 +55,11 @@
     }
 
     /// Room that is free on known machines, for the renting shard.
-    pub(super) fn free_rooms(&self) -> Vec<super::autoscaler::Room> {
-        self.slots
+    pub(super) fn free_capacity(&self) -> Vec<super::autoscaler::FreeCapacity> {
+        self.capacity
             .iter()
             .filter(|(_, _, s)| s.free[0] > EPS)
-            .map(|(_, key, s)| super::autoscaler::Room {
+            .map(|(_, key, s)| super::autoscaler::FreeCapacity {
                 machine_type: Rc::clone(&key.machine_type),
                 zone: Rc::clone(&key.zone),
                 spot: key.spot,
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -504,9 +504,9 @@
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.waiting = false;
                         job.ready = wall;
-                        job.waits = "new";
+                        job.pending_reason = "new";
                     }
-                    self.place_wanted = true;
+                    self.placement_due = true;
                 }
                 DependencyOutcome::Cancelled { .. } => self.cancel_dependent(&id),
                 DependencyOutcome::Unknown(list) => self.read_records(list),
@@ -608,7 +608,7 @@
         let most = (r.min(rank), d.min(due));
         if job.inherited_urgency != Some(most) {
             job.inherited_urgency = Some(most);
-            self.place_wanted = true;
+            self.placement_due = true;
             if self.dependency_graph.waiting.contains(id) {
                 // What it needs itself is as urgent.
                 self.dependency_graph.next_check = Micros::ZERO;
--- a/src/controller/desired_state.rs
+++ b/src/controller/desired_state.rs
@@ -88,7 +88,7 @@
                 if p.stop.is_some() {
                     p.stop_seq.get_or_insert(seq);
                 }
-                let phase = if p.version <= stored { Phase::Wanted } else { Phase::Ahead };
+                let phase = if p.version <= stored { Phase::DesiredHere } else { Phase::Ahead };
                 list.push(wanted(p, phase));
             }
             for ended in &chunk.unstored_ends {
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/desired_tracking.rs
@@ -107,15 +107,15 @@
     }
 
     fn desired_state_changed(&mut self, machine: &str) {
-        self.place_wanted = true;
-        self.touch_slot(machine);
+        self.placement_due = true;
+        self.mark_capacity_stale(machine);
         if self.leading_term(self.shard_of_machine(machine)).is_none()
             || self.terminated.contains(machine)
         {
             return;
         }
         self.managed_machines.entry(machine.to_string()).or_default();
-        self.push(machine);
+        self.send_direct_commands(machine);
         self.changes.machines.insert(machine.to_string());
     }
 
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -1,7 +1,7 @@
 //! Commands sent straight to a worker, instead of with the answer to its next report.
 
 use super::machine::Key;
-use super::start_gate::Way;
+use super::start_gate::CommandRoute;
 use super::{Controller, DirectReply, Effect, Op};
 use crate::time::Micros;
 use crate::wire::{Command, DirectCommands, Heartbeat};
@@ -14,9 +14,9 @@
 impl Controller {
     /// Sends what is new straight to the worker, instead of waiting for its
     /// next report.
-    pub(super) fn push(&mut self, machine: &str) {
-        let (Some(right), Some(managed)) =
-            (self.manager_right(machine), self.managed_machines.get(machine))
+    pub(super) fn send_direct_commands(&mut self, machine: &str) {
+        let (Some(authority), Some(managed)) =
+            (self.command_authority(machine), self.managed_machines.get(machine))
         else {
             return;
         };
@@ -28,7 +28,7 @@
         let Some(address) = managed.address else {
             return;
         };
-        let commands = self.commands(machine, Way::Direct);
+        let commands = self.commands(machine, CommandRoute::Direct);
         if commands.is_empty() {
             return;
         }
@@ -43,12 +43,12 @@
             managed.direct_busy = true;
         }
         let body = DirectCommands {
-            fencing_token: right.fencing_token,
-            incarnation: right.incarnation,
+            fencing_token: authority.fencing_token,
+            incarnation: authority.incarnation,
             commands,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let op = Op::Direct { machine: machine.to_string(), starts, term: right.term };
+        let op = Op::Direct { machine: machine.to_string(), starts, term: authority.term };
         let id = self.call_id(op);
         self.effects.push(Effect::Direct { id, address, body });
     }
@@ -97,7 +97,7 @@
         {
             self.note_outcomes(machine, outcomes);
         }
-        self.push(machine);
+        self.send_direct_commands(machine);
         self.changes.machines.insert(machine.to_string());
     }
 }
--- a/src/controller/frames.rs
+++ b/src/controller/frames.rs
@@ -134,7 +134,7 @@
         for t in frame.preempt {
             self.preempt_task(&t);
         }
-        for h in frame.hints {
+        for h in frame.address_hints {
             self.apply_hint(h);
         }
         if frame.missed.contains(&(self.me as u32)) {
@@ -228,7 +228,7 @@
     pub(super) fn set_draining(&mut self, draining: BTreeSet<String>) {
         let old = std::mem::replace(&mut self.draining, draining);
         let changed: Vec<String> = old.symmetric_difference(&self.draining).cloned().collect();
-        self.dirty_slots.extend(changed);
+        self.stale_machines.extend(changed);
     }
 
     /// Everything that a peer must know which has received nothing so far.
@@ -266,11 +266,11 @@
             .iter()
             .map(|(id, j)| peer::Progress { job: id.clone(), done: j.done(), running: j.running() })
             .collect();
-        frame.hints = self
+        frame.address_hints = self
             .views
             .values()
             .filter(|v| !self.managed_machines.contains_key(&v.machine) && !v.address.is_empty())
-            .map(|v| peer::Hint {
+            .map(|v| peer::AddressHint {
                 machine: v.machine.clone(),
                 incarnation: v.incarnation,
                 address: v.address.clone(),
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::job::StoredStage;
 use super::machine::{self, MAX_NAME, Outcome};
 use super::shard::DRIFT;
-use super::start_gate::Way;
+use super::start_gate::CommandRoute;
 use super::{Controller, Effect, Ticket};
 use crate::time::Micros;
 use crate::wire::{Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
@@ -73,7 +73,7 @@
             return self.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
         }
         let now = self.now;
-        self.connectivity.hear(now);
+        self.connectivity.record_contact(now);
         let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
         let machine = heartbeat.machine.clone();
         let managed = self.managed_machines.entry(machine.clone()).or_default();
@@ -91,14 +91,15 @@
         let known = managed.known;
         self.note_outcomes(&machine, outcomes);
         self.revoke_starts(&machine);
-        let commands = if known { self.commands(&machine, Way::Answer) } else { Vec::new() };
-        let Some(right) = self.manager_right(&machine) else {
+        let commands =
+            if known { self.commands(&machine, CommandRoute::Answer) } else { Vec::new() };
+        let Some(authority) = self.command_authority(&machine) else {
             // Its session ends, and with it what may still arrive.
             return self.respond(ticket, 503, Some(1), &Refusal::new("no token is left"));
         };
-        self.check_answer(&machine, right);
+        self.check_answer(&machine, authority);
         self.changes.machines.insert(machine);
-        let reply = HeartbeatResponse { fencing_token: right.fencing_token, commands };
+        let reply = HeartbeatResponse { fencing_token: authority.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
         self.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
@@ -115,21 +116,21 @@
                     if let Some(managed) = self.managed_machines.get_mut(machine) {
                         *managed.failed_jobs.entry(key.job.clone()).or_insert(0) += 1;
                     }
-                    self.note_failing(key.job, machine);
+                    self.note_failed_on(key.job, machine);
                 }
             }
         }
     }
 
     /// Remembers on which machines of own shards a job failed; a few will do.
-    fn note_failing(&mut self, job: String, machine: &str) {
-        if self.failing.len() >= MAX_FAILING {
+    fn note_failed_on(&mut self, job: String, machine: &str) {
+        if self.failed_on_machines.len() >= MAX_FAILING {
             let known = &self.cached_stages;
             let over = |id: &String| known.get(id).is_none_or(|k| k.stage != StoredStage::Accepted);
-            self.failing.retain(|id, _| !over(id));
+            self.failed_on_machines.retain(|id, _| !over(id));
         }
-        if self.failing.len() < MAX_FAILING {
-            let machines = self.failing.entry(job).or_default();
+        if self.failed_on_machines.len() < MAX_FAILING {
+            let machines = self.failed_on_machines.entry(job).or_default();
             if machines.len() < JOB_ELSEWHERE {
                 machines.insert(machine.to_string());
             }
@@ -139,12 +140,12 @@
     /// Whether a machine's failures since its last success are its own: of jobs
     /// that complete elsewhere, or of several that fail nowhere else. A job with a
     /// mistake fails everywhere and says nothing of its machines.
-    pub(super) fn seems_faulty(&self, managed: &machine::ManagedMachine) -> bool {
+    pub(super) fn is_faulty(&self, managed: &machine::ManagedMachine) -> bool {
         if managed.failed_jobs.is_empty() {
             return false;
         }
         let completes = |job: &str| self.progress.get(job).is_some_and(|(done, _)| *done > 0);
-        let elsewhere = |job: &str| self.failing.get(job).is_some_and(|m| m.len() > 1);
+        let elsewhere = |job: &str| self.failed_on_machines.get(job).is_some_and(|m| m.len() > 1);
         let jobs = &managed.failed_jobs;
         let good: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
         let only_here = jobs.keys().filter(|j| completes(j) || !elsewhere(j)).count();
--- a/src/controller/image.rs
+++ b/src/controller/image.rs
@@ -42,8 +42,8 @@
         let stamp = self.next;
         self.next += 1;
         let entry = Entry { incarnation, at: now, stamp };
-        let holders = self.images.entry(image.to_string()).or_default();
-        if let Some(old) = holders.insert(machine.to_string(), entry) {
+        let machines = self.images.entry(image.to_string()).or_default();
+        if let Some(old) = machines.insert(machine.to_string(), entry) {
             self.order.remove(&old.stamp);
         }
         self.order.insert(stamp, (image.to_string(), machine.to_string()));
@@ -51,9 +51,9 @@
             let Some((_, (image, machine))) = self.order.pop_first() else {
                 return;
             };
-            if let Some(holders) = self.images.get_mut(&image) {
-                holders.remove(&machine);
-                if holders.is_empty() {
+            if let Some(machines) = self.images.get_mut(&image) {
+                machines.remove(&machine);
+                if machines.is_empty() {
                     self.images.remove(&image);
                 }
             }
@@ -69,7 +69,7 @@
     }
 
     /// Machines that hold an image, with the session in which they got it.
-    pub fn holders(&self, now: Micros, image: &str) -> impl Iterator<Item = (&str, u64)> {
+    pub fn machines_with(&self, now: Micros, image: &str) -> impl Iterator<Item = (&str, u64)> {
         self.images
             .get(image)
             .into_iter()
--- a/src/controller/place.rs
+++ b/src/controller/image_locality.rs
@@ -14,6 +14,6 @@
 
 /// Whether the least loaded holder of the image wins over the freest machine,
 /// by their booked tasks.
-pub fn holder_wins(freest: u32, holder: u32, slack: u32) -> bool {
-    holder <= freest.saturating_add(slack)
+pub fn cached_machine_wins(least_loaded: u32, cached: u32, slack: u32) -> bool {
+    cached <= least_loaded.saturating_add(slack)
 }
--- a/src/controller/job/mod.rs
+++ b/src/controller/job/mod.rs
@@ -78,7 +78,7 @@
     /// Machines on which its tasks failed lately.
     pub avoid: BTreeSet<Rc<str>>,
     /// Why it waits, for the queue page.
-    pub waits: &'static str,
+    pub pending_reason: &'static str,
     /// Run times of its first completed tasks, in order.
     pub run_times: Vec<Micros>,
     /// Their median, once there are a few.
@@ -133,7 +133,7 @@
             failed_on: BTreeSet::new(),
             pauses: 0,
             avoid: BTreeSet::new(),
-            waits: "new",
+            pending_reason: "new",
             run_times: Vec::new(),
             usual: None,
             shape: None,
@@ -184,7 +184,11 @@
     /// since all of them would fail again and use up starts, writes and the limit.
     pub fn open(&self) -> u32 {
         let pending = if self.waiting { 0 } else { self.pending() };
-        if self.suspect() { pending.min(1_u32.saturating_sub(self.booked())) } else { pending }
+        if self.suspect() {
+            pending.min(1_u32.saturating_sub(self.reserved_tasks()))
+        } else {
+            pending
+        }
     }
 
     /// A task of it failed on a machine. Failures together, as of a whole array,
@@ -215,7 +219,7 @@
     }
 
     /// Tasks on machines, or about to be.
-    pub fn booked(&self) -> u32 {
+    pub fn reserved_tasks(&self) -> u32 {
         self.chunks.iter().map(|p| p.placed.len() as u32).sum()
     }
 
@@ -224,7 +228,7 @@
     /// had taken their place.
     pub fn limited_tasks(&self) -> u32 {
         let ended: usize = self.chunks.iter().map(|p| p.may_still_start().count()).sum();
-        self.booked() + ended as u32
+        self.reserved_tasks() + ended as u32
     }
 
     /// The first task to be placed, in a part whose value has room for it.
--- a/src/controller/job_manager.rs
+++ b/src/controller/job_manager.rs
@@ -154,7 +154,7 @@
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
         let s = job.shard;
-        self.touch_slot(&machine);
+        self.mark_capacity_stale(&machine);
         self.changes.desired.insert((s, machine));
     }
 
@@ -172,7 +172,7 @@
         }
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
-        self.touch_slot(&machine);
+        self.mark_capacity_stale(&machine);
         self.changes.desired.insert((s, machine));
     }
 
@@ -219,7 +219,7 @@
             job.cancelled = true;
             self.counts.cancelled += 1;
             self.stop_job(id);
-            self.place_wanted = true;
+            self.placement_due = true;
         }
     }
 
@@ -235,13 +235,13 @@
         }
         self.managed_machines.remove(machine);
         self.views.remove(machine);
-        self.touch_slot(machine);
+        self.mark_capacity_stale(machine);
         self.changes.machines.remove(machine);
         self.autoscaler.forget(machine);
         for s in 0..self.shards.len() {
             self.evaluate_machine(s, machine);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 
     pub(super) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
@@ -285,8 +285,8 @@
         self.changes.jobs.insert(id.to_string());
         self.changes.progress.insert(id.to_string());
         self.changes.desired.insert((s, Rc::clone(&machine)));
-        self.touch_slot(&machine);
-        self.place_wanted = true;
+        self.mark_capacity_stale(&machine);
+        self.placement_due = true;
     }
 
     /// Times out what waits for nothing else.
@@ -344,11 +344,11 @@
         }
         let machine = view.machine.clone();
         self.views.insert(machine.clone(), view);
-        self.touch_slot(&machine);
+        self.mark_capacity_stale(&machine);
         for s in 0..self.shards.len() {
             self.evaluate_machine(s, &machine);
         }
-        self.place_wanted = true;
+        self.placement_due = true;
     }
 }
 
--- a/src/controller/job_writer.rs
+++ b/src/controller/job_writer.rs
@@ -134,7 +134,7 @@
             for chunk in &mut job.chunks {
                 chunk.unstored_ends.clear();
             }
-            if job.booked() > 0 {
+            if job.reserved_tasks() > 0 {
                 self.refresh_desired_state(id);
                 self.changes.jobs.remove(id);
                 return;
@@ -423,7 +423,7 @@
             let stored = chunk.stored;
             let ended = chunk.unstored_ends.iter().filter(|ended| ended.version <= stored);
             // What they held of the limit is free only now.
-            self.place_wanted |= ended.clone().any(|ended| ended.may_still_start);
+            self.placement_due |= ended.clone().any(|ended| ended.may_still_start);
             touched.extend(ended.map(|e| (Rc::clone(&e.placement.machine), e.index)));
             chunk.unstored_ends.retain(|ended| ended.version > stored);
         }
@@ -483,7 +483,7 @@
 impl Job {
     fn urgency(&self, now: Micros) -> WriteUrgency {
         if self.cancelled && !self.over {
-            return if self.booked() > 0 { WriteUrgency::Now } else { WriteUrgency::Later };
+            return if self.reserved_tasks() > 0 { WriteUrgency::Now } else { WriteUrgency::Later };
         }
         if self.over {
             return WriteUrgency::Later;
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machine_commands.rs
@@ -3,18 +3,18 @@
 use super::Controller;
 use super::decision_log::Violation;
 use super::job::StoredStage;
-use super::machine_work::{Orders, Work};
-use super::start_gate::{ManagerRight, Way};
+use super::reconciler::{ReconcileOutcome, Reconciler};
+use super::start_gate::{CommandAuthority, CommandRoute};
 use crate::wire::Command;
 
 impl Controller {
     /// What this process may act on towards a machine at present; `None` if it does not
     /// command it, or has no further token for it.
-    pub(super) fn manager_right(&self, machine: &str) -> Option<ManagerRight> {
+    pub(super) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
         let shard = self.shard_of_machine(machine);
         let term = self.leading_term(shard)?;
         let managed = self.managed_machines.get(machine)?;
-        Some(ManagerRight {
+        Some(CommandAuthority {
             now: self.now,
             shard,
             term,
@@ -26,25 +26,25 @@
     }
 
     /// Works out the commands for a machine, and books what they start.
-    pub(super) fn commands(&mut self, machine: &str, way: Way) -> Vec<Command> {
-        let Some(right) = self.manager_right(machine) else {
+    pub(super) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
+        let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
         };
         let Some(kept) = self.managed_machines.get_mut(machine) else {
             return Vec::new();
         };
         let mut managed = std::mem::take(kept);
-        let work = Work::collect(self, machine, &managed, right);
+        let work = Reconciler::collect(self, machine, &managed, authority);
         let unknown = work.unknown_jobs(&managed);
-        let Orders { commands, violations } = work.orders(&mut managed, way);
+        let ReconcileOutcome { commands, violations } = work.reconcile(&mut managed, route);
         if let Some(kept) = self.managed_machines.get_mut(machine) {
             *kept = managed;
         }
         for violation in violations {
-            self.record_violation(machine, right, Violation::Start(violation));
+            self.record_violation(machine, authority, Violation::Start(violation));
         }
         self.note_unknown(unknown);
-        self.count_commands(&commands, way);
+        self.count_commands(&commands, route);
         commands
     }
 
@@ -53,7 +53,7 @@
     /// are on their way; if it does not hear of it, its lease ends and with it the session
     /// that they are meant for.
     pub(super) fn revoke_starts(&mut self, machine: &str) {
-        let Some(right) = self.manager_right(machine) else {
+        let Some(authority) = self.command_authority(machine) else {
             return;
         };
         let Some(managed) = self.managed_machines.get(machine) else {
@@ -62,12 +62,13 @@
         if !managed.has_direct_starts() {
             return;
         }
-        let work = Work::collect(self, machine, managed, right);
-        let Some(revocation) = managed.to_be_revoked(right.fencing_token, |key| work.refusal(key))
+        let work = Reconciler::collect(self, machine, managed, authority);
+        let Some(revocation) =
+            managed.to_be_revoked(authority.fencing_token, |key| work.refusal(key))
         else {
             return;
         };
-        self.note_raised_fencing_token(machine, right, &revocation);
+        self.note_raised_fencing_token(machine, authority, &revocation);
         if let Some(managed) = self.managed_machines.get_mut(machine) {
             managed.raise_fencing_token();
         }
@@ -75,24 +76,24 @@
 
     /// An answered report renews the machine's lease. A start of a job that is over must
     /// not be able to arrive in it any more.
-    pub(super) fn check_answer(&mut self, machine: &str, right: ManagerRight) {
+    pub(super) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
         let Some(managed) = self.managed_machines.get(machine) else {
             return;
         };
         let over = |job: &str| {
             self.cached_stages.get(job).is_some_and(|known| known.stage != StoredStage::Accepted)
         };
-        if managed.direct_starts(right.fencing_token).any(|start| over(&start.job)) {
-            self.record_violation(machine, right, Violation::OpenStartOfEndedJob);
+        if managed.direct_starts(authority.fencing_token).any(|start| over(&start.job)) {
+            self.record_violation(machine, authority, Violation::OpenStartOfEndedJob);
         }
     }
 
-    fn count_commands(&mut self, commands: &[Command], way: Way) {
+    fn count_commands(&mut self, commands: &[Command], route: CommandRoute) {
         let counts = &mut self.counts.decisions;
         for command in commands {
-            match (command, way) {
-                (Command::Start { .. }, Way::Direct) => counts.direct_starts += 1,
-                (Command::Start { .. }, Way::Answer) => counts.answered_starts += 1,
+            match (command, route) {
+                (Command::Start { .. }, CommandRoute::Direct) => counts.direct_starts += 1,
+                (Command::Start { .. }, CommandRoute::Answer) => counts.answered_starts += 1,
                 (Command::Stop { .. }, _) => counts.stops += 1,
                 (Command::Forget { .. }, _) => counts.forgets += 1,
             }
--- a/src/controller/machine_views.rs
+++ b/src/controller/machine_views.rs
@@ -46,7 +46,7 @@
         }
         self.changes.machines.extend(changed);
         for (machine, incarnation, address) in unresponsive {
-            self.ask(&machine, incarnation, address);
+            self.send_probe(&machine, incarnation, address);
         }
     }
 
@@ -58,7 +58,7 @@
                 continue;
             };
             if self.managed_machines.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
-                self.push(&machine);
+                self.send_direct_commands(&machine);
             }
             let mut view = self.view_of(&machine, term);
             let Some(managed) = self.managed_machines.get_mut(&machine) else {
@@ -92,8 +92,7 @@
     fn view_of(&mut self, machine: &str, term: u64) -> MachineView {
         let silent = self.silent();
         let now = self.now;
-        let failing_tasks =
-            self.managed_machines.get(machine).is_some_and(|p| self.seems_faulty(p));
+        let failing_tasks = self.managed_machines.get(machine).is_some_and(|p| self.is_faulty(p));
         let at = self.shard_of_machine(machine);
         let taken = self.shards[at].leadership.as_ref().map_or(Micros::ZERO, |m| m.acquired_at);
         let Some(managed) = self.managed_machines.get_mut(machine) else {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,25 +2,26 @@
 //! maps and a seeded generator, so that a run can be repeated exactly.
 //!
 //! A process has up to three roles, each in a module of its own: it answers
-//! users ([`api`]), runs the jobs of its shards ([`job_manager`], [`placer`]) and
+//! users ([`api`]), runs the jobs of its shards ([`job_manager`], [`scheduling_pass`]) and
 //! commands the machines of its shards ([`machine_commands`]). What it wants on machines
 //! goes out as whole-state messages that its own machine manager reads, too.
 
 pub mod autoscaler;
+pub mod capacity;
 pub mod estimate;
 pub mod event;
 pub mod image;
+pub mod image_locality;
 pub mod job;
 pub mod machine;
-pub mod place;
 pub mod quota;
 pub mod shard;
-pub mod slots;
 
 mod admission;
 mod api;
 mod batch;
 pub mod cancel;
+mod capacity_updates;
 mod changes;
 mod cloud_calls;
 mod connectivity;
@@ -36,17 +37,16 @@
 mod job_writer;
 mod machine_commands;
 mod machine_views;
-mod machine_work;
 mod op;
-mod placer;
 mod preemption;
 mod probes;
 mod quotas;
+mod reconciler;
 mod record_pages;
 mod recovery;
 mod reservation;
+mod scheduling_pass;
 mod shard_leases;
-mod slot_updates;
 mod stage_cache;
 pub mod start_gate;
 mod status;
@@ -132,12 +132,12 @@
     admitting_until: Micros,
 
     desired: Vec<DesiredState>,
-    slots: slots::Slots,
+    capacity: capacity::ClusterCapacity,
     /// Machines to look at again before the next placement.
-    dirty_slots: BTreeSet<String>,
+    stale_machines: BTreeSet<String>,
     /// Shards whose machines somebody commands, as last looked at.
     commanded: Vec<bool>,
-    slots_state: BTreeMap<usize, (bool, Option<u64>, u64)>,
+    capacity_sources: BTreeMap<usize, (bool, Option<u64>, u64)>,
     /// This node's share of the key-value store's changes, as far as used.
     puts: Bucket,
     /// Writes of tasks under way.
@@ -146,13 +146,13 @@
     managed_machines: BTreeMap<String, ManagedMachine>,
     terminated: BTreeSet<String>,
     /// Machines of own shards on which a job failed, a few of each.
-    failing: BTreeMap<String, BTreeSet<String>>,
+    failed_on_machines: BTreeMap<String, BTreeSet<String>>,
     /// Where machines were last known to be that have not reported here.
-    hints: BTreeMap<String, (u64, SocketAddrV4)>,
+    address_hints: BTreeMap<String, (u64, SocketAddrV4)>,
     /// Machines of own shards to be asked how they stand.
     probes: BTreeSet<String>,
     /// Machines kept free of small tasks until a large one fits.
-    reserved: BTreeSet<Rc<str>>,
+    held_for_large_tasks: BTreeSet<Rc<str>>,
     draining: BTreeSet<String>,
     estimates: estimate::Estimates,
     images: ImageIndex,
@@ -185,15 +185,15 @@
     /// Number of the last frame.
     frames: u64,
     /// Tasks of other shards that were asked to make room, and when.
-    asked: BTreeMap<Key, (Micros, Rc<str>)>,
-    place_wanted: bool,
+    requested_preemptions: BTreeMap<Key, (Micros, Rc<str>)>,
+    placement_due: bool,
     /// Placements that no machine has reported yet, as last counted.
     unobserved: usize,
-    placed_at: Micros,
+    last_pass_at: Micros,
     /// CPUs that may still be stopped of a team's tasks beyond its guarantee.
-    may_give: BTreeMap<String, f64>,
+    preemptible_cpus: BTreeMap<String, f64>,
     /// CPUs that may still be claimed by stopping others within a guarantee.
-    may_claim: BTreeMap<String, f64>,
+    claimable_cpus: BTreeMap<String, f64>,
     timers: Timers,
     changes: PendingChanges,
 }
@@ -258,10 +258,10 @@
             admission: admission::Admission::default(),
             admitting_until: Micros::ZERO,
             desired: vec![DesiredState::default(); count],
-            slots: slots::Slots::default(),
-            dirty_slots: BTreeSet::new(),
+            capacity: capacity::ClusterCapacity::default(),
+            stale_machines: BTreeSet::new(),
             commanded: vec![false; count],
-            slots_state: BTreeMap::new(),
+            capacity_sources: BTreeMap::new(),
             puts: {
                 let share = config.settings.state.write_rps * WRITE_RATE_SHARE / count as f64;
                 Bucket::new(share, share)
@@ -270,10 +270,10 @@
             views: BTreeMap::new(),
             managed_machines: BTreeMap::new(),
             terminated: BTreeSet::new(),
-            failing: BTreeMap::new(),
-            hints: BTreeMap::new(),
+            failed_on_machines: BTreeMap::new(),
+            address_hints: BTreeMap::new(),
             probes: BTreeSet::new(),
-            reserved: BTreeSet::new(),
+            held_for_large_tasks: BTreeSet::new(),
             draining: BTreeSet::new(),
             estimates: estimate::Estimates::default(),
             images: ImageIndex::new(options.index_entries, options.index_age),
@@ -295,12 +295,12 @@
             terminal_states: terminal_states::TerminalStates::default(),
             cancels: cancel::Cancels::default(),
             frames: 0,
-            asked: BTreeMap::new(),
-            place_wanted: false,
+            requested_preemptions: BTreeMap::new(),
+            placement_due: false,
             unobserved: 0,
-            placed_at: Micros::ZERO,
-            may_give: BTreeMap::new(),
-            may_claim: BTreeMap::new(),
+            last_pass_at: Micros::ZERO,
+            preemptible_cpus: BTreeMap::new(),
+            claimable_cpus: BTreeMap::new(),
             timers: Timers::default(),
             changes: PendingChanges::default(),
             options,
@@ -408,7 +408,7 @@
                 self.reserve_for_large();
             }
             self.count_unobserved();
-            self.place_wanted = true;
+            self.placement_due = true;
         }
         if self.now >= self.timers.quotas {
             self.timers.quotas = self.now + timers::QUOTAS_EVERY;
@@ -430,7 +430,7 @@
         if self.holds_lease() {
             self.admit_waiting();
             self.announce_terms();
-            self.place();
+            self.run_scheduling_pass();
             self.store_dirty();
             let mut frame = Frame::default();
             // Desired state may change views, and views may end tasks; what is left
--- a/src/controller/op.rs
+++ b/src/controller/op.rs
@@ -61,5 +61,5 @@
     StoredTypes,
     ScaleOut { term: u64 },
     ScaleIn { names: Vec<String> },
-    ListMachines { asked: Micros, term: u64 },
+    ListMachines { requested_at: Micros, term: u64 },
 }
--- a/src/controller/preemption.rs
+++ b/src/controller/preemption.rs
@@ -2,28 +2,28 @@
 
 use super::Controller;
 use super::autoscaler::fits;
+use super::capacity::{MachineCapacity, ReservedTask};
 use super::job::Job;
 use super::machine::Key;
-use super::placer::URGENT;
 use super::quota::EPS;
-use super::slots::{Booked, Slot};
+use super::scheduling_pass::LOWEST_URGENT_RANK;
 use crate::peer::Preempt;
 use crate::time::Micros;
 use std::rc::Rc;
 
 /// How long a request to make room stands.
-const ASKED: Micros = Micros::secs(1);
+const PREEMPTION_REQUEST_TTL: Micros = Micros::secs(1);
 /// What a second of fetching counts, in seconds of work lost, for a start that
 /// it would make late.
-const SLOW_FETCH: f64 = 8.0;
+const LATE_FETCH_COST: f64 = 8.0;
 /// Objectives below this leave no time for saves.
-const SHORT_S: f64 = 10.0;
+const MIN_OBJECTIVE_WITH_SAVE_S: f64 = 10.0;
 
 impl Controller {
     /// Seconds of work that stopping a task at once would lose, by the time
     /// since it was placed. That is stored and told to all: counted from when
     /// this process first saw it run, a task would look new after every restart.
-    pub(super) fn loss(&self, placed: Micros, checkpoint_s: f64) -> f64 {
+    pub(super) fn lost_work_s(&self, placed: Micros, checkpoint_s: f64) -> f64 {
         let ran = self.wall().since(placed).as_secs_f64();
         if checkpoint_s > 0.0 { ran % checkpoint_s } else { ran }
     }
@@ -32,13 +32,13 @@
     /// the job, choosing what loses least work; the machine and which of its
     /// tasks. Only lower priorities give way, or work that another team runs
     /// beyond its guarantee to a team that is within its own (`entitled`).
-    pub(super) fn make_room(
+    pub(super) fn find_victims(
         &self,
         job: &Job,
         pools: &[usize],
         entitled: bool,
         only: Option<&[usize]>,
-        passes: impl Fn(usize, &Slot) -> bool,
+        passes: impl Fn(usize, &MachineCapacity) -> bool,
     ) -> Option<(usize, Vec<usize>)> {
         let spec = &job.spec;
         let rank = job.rank();
@@ -47,14 +47,14 @@
             .quotas
             .keys()
             .map(String::as_str)
-            .filter(|t| self.may_give.get(*t).is_some_and(|left| *left > EPS))
+            .filter(|t| self.preemptible_cpus.get(*t).is_some_and(|left| *left > EPS))
             .collect();
         // More urgent work never gives way, or it would take the room back. What a
         // team runs within its guarantee goes before borrowed work in the queue,
         // and yields to it only where that is urgent: else it would be placed
         // first and stopped next, over and over.
-        let presses = entitled || rank <= URGENT;
-        let gives = |b: &Booked| {
+        let presses = entitled || rank <= LOWEST_URGENT_RANK;
+        let gives = |b: &ReservedTask| {
             let borrows = || beyond.iter().any(|t| *t == b.team);
             let others = entitled && b.rank == rank && b.team != spec.team;
             !b.stopping
@@ -63,29 +63,33 @@
         };
         let too_slow = self.fetch_too_slow(job);
         let mut best: Option<(f64, usize, Vec<usize>)> = None;
-        let all = self.slots.iter().map(|(id, _, slot)| (id, slot));
+        let all = self.capacity.iter().map(|(id, _, machine_capacity)| (id, machine_capacity));
         let some =
-            only.unwrap_or_default().iter().filter_map(|id| Some((*id, self.slots.get(*id)?)));
-        let slots: Box<dyn Iterator<Item = (usize, &Slot)>> =
+            only.unwrap_or_default().iter().filter_map(|id| Some((*id, self.capacity.get(*id)?)));
+        let capacity: Box<dyn Iterator<Item = (usize, &MachineCapacity)>> =
             if only.is_some() { Box::new(some) } else { Box::new(all) };
-        for (at, slot) in slots {
-            if !slot.tasks.iter().any(&gives) || !self.slots.among(at, pools) {
+        for (at, machine_capacity) in capacity {
+            if !machine_capacity.tasks.iter().any(&gives) || !self.capacity.among(at, pools) {
                 continue;
             }
-            let mut free = slot.room();
-            let mut cost =
-                if self.images.holds(self.now, &spec.image, &slot.machine, slot.incarnation) {
-                    0.0
-                } else {
-                    let machine_type = self.slots.pool_of(at).map_or("", |k| &k.machine_type);
-                    let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
-                    let fetch = spec.image_gb / rate.max(0.01);
-                    // A start that then waits for its image comes late, but much
-                    // work thrown away for it costs more.
-                    spec.cpus * if too_slow { fetch * SLOW_FETCH } else { fetch }
-                };
-            let loss = |b: &Booked| b.amount[0] * self.loss(b.placed, b.checkpoint_s);
-            let mut order: Vec<(f64, u32, usize)> = slot
+            let mut free = machine_capacity.room();
+            let mut cost = if self.images.holds(
+                self.now,
+                &spec.image,
+                &machine_capacity.machine,
+                machine_capacity.incarnation,
+            ) {
+                0.0
+            } else {
+                let machine_type = self.capacity.pool_of(at).map_or("", |k| &k.machine_type);
+                let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
+                let fetch = spec.image_gb / rate.max(0.01);
+                // A start that then waits for its image comes late, but much
+                // work thrown away for it costs more.
+                spec.cpus * if too_slow { fetch * LATE_FETCH_COST } else { fetch }
+            };
+            let loss = |b: &ReservedTask| b.amount[0] * self.lost_work_s(b.placed, b.checkpoint_s);
+            let mut order: Vec<(f64, u32, usize)> = machine_capacity
                 .tasks
                 .iter()
                 .enumerate()
@@ -99,7 +103,7 @@
                 if fits(&free, &need) > 0 {
                     break;
                 }
-                for (f, a) in free.iter_mut().zip(slot.tasks[i].amount) {
+                for (f, a) in free.iter_mut().zip(machine_capacity.tasks[i].amount) {
                     *f += a;
                 }
                 cost += loss + 1.0;
@@ -111,7 +115,7 @@
             if worth
                 && fits(&free, &need) > 0
                 && best.as_ref().is_none_or(|(c, _, _)| cost < *c)
-                && passes(at, slot)
+                && passes(at, machine_capacity)
             {
                 best = Some((cost, at, victims));
             }
@@ -119,14 +123,14 @@
         best.map(|(_, at, victims)| (at, victims))
     }
 
-    pub(super) fn ask_to_stop(&mut self, b: &Booked, save: bool, machine: &Rc<str>) {
+    pub(super) fn request_preemption(&mut self, b: &ReservedTask, save: bool, machine: &Rc<str>) {
         log::debug!("task {}/{} makes room", b.job, b.index);
         let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
         if self.jobs.contains_key(&p.job) {
             self.preempt_task(&p);
         } else {
             let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
-            self.asked.insert(key, (self.now, Rc::clone(machine)));
+            self.requested_preemptions.insert(key, (self.now, Rc::clone(machine)));
             self.changes.preemptions.push(p);
         }
     }
@@ -139,14 +143,14 @@
         if !self.holds_lease() {
             return;
         }
-        self.refresh_slots();
+        self.refresh_capacity();
         let nodes = self.shards.len().max(1) as f64;
         for (team, q) in &self.quotas {
-            let used = self.slots.usage().get(team).map_or(0.0, |u| u[0]);
+            let used = self.capacity.usage().get(team).map_or(0.0, |u| u[0]);
             let beyond = (used - q.guarantee[0]).max(0.0);
             let lacks = (q.guarantee[0] - used).max(0.0);
-            self.may_give.insert(team.clone(), beyond / nodes);
-            self.may_claim.insert(team.clone(), lacks / nodes);
+            self.preemptible_cpus.insert(team.clone(), beyond / nodes);
+            self.claimable_cpus.insert(team.clone(), lacks / nodes);
         }
     }
 
@@ -154,23 +158,25 @@
     pub(super) fn expire_preemption_requests(&mut self) {
         let now = self.now;
         let mut stale = Vec::new();
-        self.asked.retain(|_, (at, machine)| {
-            let stands = now.since(*at) < ASKED;
+        self.requested_preemptions.retain(|_, (at, machine)| {
+            let stands = now.since(*at) < PREEMPTION_REQUEST_TTL;
             if !stands {
                 stale.push(Rc::clone(machine));
             }
             stands
         });
         for machine in stale {
-            self.touch_slot(&machine);
+            self.mark_capacity_stale(&machine);
         }
     }
 
     /// Whether another shard's task was asked to make room a moment ago. Asked
     /// again, it would be counted on twice; and its shard may be out of reach.
-    pub(super) fn asked_to_make_room(&self, job: &str, index: u32, attempt: u64) -> bool {
+    pub(super) fn preemption_requested(&self, job: &str, index: u32, attempt: u64) -> bool {
         let key = Key { job: job.to_string(), index, attempt };
-        self.asked.get(&key).is_some_and(|(at, _)| self.now.since(*at) < ASKED)
+        self.requested_preemptions
+            .get(&key)
+            .is_some_and(|(at, _)| self.now.since(*at) < PREEMPTION_REQUEST_TTL)
     }
 
     fn least_fetch_rate(&self) -> f64 {
@@ -198,6 +204,6 @@
             .iter()
             .filter(|o| o.class == job.spec.class)
             .filter_map(|o| o.within_s)
-            .all(|within| within >= SHORT_S)
+            .all(|within| within >= MIN_OBJECTIVE_WITH_SAVE_S)
     }
 }
--- a/src/controller/probes.rs
+++ b/src/controller/probes.rs
@@ -3,7 +3,7 @@
 
 use super::machine::MAX_NAME;
 use super::{Controller, Effect, Op};
-use crate::peer::Hint;
+use crate::peer::AddressHint;
 use crate::wire::DirectCommands;
 use std::net::SocketAddrV4;
 
@@ -14,18 +14,18 @@
 
 impl Controller {
     /// A peer tells where a machine was when it last knew of it.
-    pub(super) fn apply_hint(&mut self, hint: Hint) {
+    pub(super) fn apply_hint(&mut self, hint: AddressHint) {
         let known =
             self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_heartbeat.is_some());
         if known
             || self.terminated.contains(&hint.machine)
             || hint.machine.len() > MAX_NAME
-            || self.hints.len() >= MAX_HINTS
+            || self.address_hints.len() >= MAX_HINTS
         {
             return;
         }
         if let Ok(address) = hint.address.parse() {
-            self.hints.insert(hint.machine.clone(), (hint.incarnation, address));
+            self.address_hints.insert(hint.machine.clone(), (hint.incarnation, address));
             self.probes.insert(hint.machine);
         }
     }
@@ -46,7 +46,7 @@
                 // Kept among the hints until the shard is taken.
                 continue;
             }
-            let Some((incarnation, address)) = self.hints.remove(&machine) else {
+            let Some((incarnation, address)) = self.address_hints.remove(&machine) else {
                 continue;
             };
             if self.terminated.contains(&machine) {
@@ -57,13 +57,13 @@
                 continue;
             }
             // The session is not taken over: what it is now, its answer says.
-            self.ask(&machine, incarnation, address);
+            self.send_probe(&machine, incarnation, address);
             sent += 1;
         }
     }
 
     /// Sends commands that order nothing: the answer shows that it receives commands.
-    pub(super) fn ask(&mut self, machine: &str, incarnation: u64, address: SocketAddrV4) {
+    pub(super) fn send_probe(&mut self, machine: &str, incarnation: u64, address: SocketAddrV4) {
         let Some(term) = self.leading_term(self.shard_of_machine(machine)) else {
             return;
         };
--- a/src/controller/quotas.rs
+++ b/src/controller/quotas.rs
@@ -161,7 +161,7 @@
                         total += t.cpus;
                         if n == s {
                             ours += t.cpus;
-                            let loss = self.loss(Micros::secs(t.placed_s), t.checkpoint_s);
+                            let loss = self.lost_work_s(Micros::secs(t.placed_s), t.checkpoint_s);
                             let task = Preempt {
                                 job: t.job.clone(),
                                 index: t.index,
@@ -198,7 +198,7 @@
             && revision > q.revision
         {
             q.observe(value, revision);
-            self.place_wanted = true;
+            self.placement_due = true;
         }
     }
 
--- a/src/controller/machine_work.rs
+++ b/src/controller/reconciler.rs
@@ -6,7 +6,9 @@
 use super::machine::{self, Key, ManagedMachine, Sent};
 use super::quota::EPS;
 use super::stage_cache::CachedStage;
-use super::start_gate::{JobEvidence, ManagerRight, StartRefusal, StartRight, StartViolation, Way};
+use super::start_gate::{
+    CommandAuthority, CommandRoute, JobEvidence, StartPermit, StartRefusal, StartViolation,
+};
 use super::{Controller, decision_log};
 use crate::peer::{DesiredTask, ObservedState};
 use crate::time::Micros;
@@ -18,32 +20,32 @@
 type Amounts = [f64; 3];
 
 /// A task that some shard wants on the machine, and whether it may be started now.
-struct Wanted<'a> {
+struct DesiredHere<'a> {
     task: &'a DesiredTask,
-    right: Result<StartRight<'a>, StartRefusal>,
+    permit: Result<StartPermit<'a>, StartRefusal>,
 }
 
 /// Commands, and starts that were not formed since they would have broken a rule.
 #[derive(Default)]
-pub(super) struct Orders {
+pub(super) struct ReconcileOutcome {
     pub(super) commands: Vec<Command>,
     pub(super) violations: Vec<StartViolation>,
 }
 
 /// What is wanted on one machine and known of the jobs there.
-pub(super) struct Work<'a> {
+pub(super) struct Reconciler<'a> {
     machine: &'a str,
-    right: ManagerRight,
-    wanted: Vec<Wanted<'a>>,
+    authority: CommandAuthority,
+    wanted: Vec<DesiredHere<'a>>,
     /// Attempts of which it is certain that no shard wants them here.
-    unwanted: BTreeSet<Key>,
+    undesired: BTreeSet<Key>,
     /// What the machine has, if its type is known.
     size: Option<Amounts>,
     stages: &'a BTreeMap<String, CachedStage>,
 }
 
 /// What is free on the machine for tasks that are not there yet.
-struct Room {
+struct FreeCapacity {
     free: Amounts,
     /// Tasks that are to be stopped will free more.
     freeing: bool,
@@ -62,35 +64,35 @@
     Cancelled,
 }
 
-impl<'a> Work<'a> {
+impl<'a> Reconciler<'a> {
     /// Gathers what is wanted on a machine. It has few tasks, and this is worked out at
     /// every report.
     pub(super) fn collect(
         controller: &'a Controller,
         machine: &'a str,
         managed: &ManagedMachine,
-        right: ManagerRight,
-    ) -> Work<'a> {
+        authority: CommandAuthority,
+    ) -> Reconciler<'a> {
         let stages = &controller.cached_stages;
         let desired = || controller.desired.iter().filter_map(|w| w.machines.get(machine));
-        let is_wanted = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
-        let unwanted = managed
+        let is_desired = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
+        let undesired = managed
             .attempts()
-            .filter(|k| !is_wanted(k) && controller.knows_all_desired(&k.job, right.shard))
+            .filter(|k| !is_desired(k) && controller.knows_all_desired(&k.job, authority.shard))
             .cloned()
             .collect();
         let machine_type = controller.types.get(&managed.machine_type);
-        Work {
+        Reconciler {
             machine,
-            right,
-            wanted: wanted_on(&controller.desired, stages, machine, right),
-            unwanted,
+            authority,
+            wanted: desired_here(&controller.desired, stages, machine, authority),
+            undesired,
             size: machine_type.map(|t| [t.cpus, t.gpus, t.memory_gb]),
             stages,
         }
     }
 
-    fn find(&self, key: &Key) -> Option<&Wanted<'a>> {
+    fn find(&self, key: &Key) -> Option<&DesiredHere<'a>> {
         self.wanted.iter().find(|w| key.names(w.task))
     }
 
@@ -106,8 +108,8 @@
             return Some(Some(StartRefusal::JobOver));
         }
         match self.find(key) {
-            Some(wanted) => wanted.right.err().filter(|r| r.revokes()).map(Some),
-            None => self.unwanted.contains(key).then_some(None),
+            Some(wanted) => wanted.permit.err().filter(|r| r.revokes()).map(Some),
+            None => self.undesired.contains(key).then_some(None),
         }
     }
 
@@ -119,21 +121,26 @@
     }
 
     /// The commands that make the difference; what they start is booked.
-    pub(super) fn orders(&self, managed: &mut ManagedMachine, way: Way) -> Orders {
-        let mut orders = Orders { commands: self.stops(managed, way), violations: Vec::new() };
+    pub(super) fn reconcile(
+        &self,
+        managed: &mut ManagedMachine,
+        route: CommandRoute,
+    ) -> ReconcileOutcome {
+        let mut orders =
+            ReconcileOutcome { commands: self.stops(managed, route), violations: Vec::new() };
         self.drop_settled(managed);
-        self.starts(managed, way, &mut orders);
+        self.starts(managed, route, &mut orders);
         orders
     }
 
     /// Stops, and removals of what has ended.
-    fn stops(&self, managed: &mut ManagedMachine, way: Way) -> Vec<Command> {
+    fn stops(&self, managed: &mut ManagedMachine, route: CommandRoute) -> Vec<Command> {
         let mut commands = Vec::new();
         for (key, observed) in &managed.tasks {
             if observed.over() {
                 // A start of it that may still arrive would run it anew.
-                let forget = way == Way::Answer
-                    && self.unwanted.contains(key)
+                let forget = route == CommandRoute::Answer
+                    && self.undesired.contains(key)
                     && !managed.late.contains_key(key);
                 if forget {
                     self.log_forget(key);
@@ -141,11 +148,11 @@
                 }
                 continue;
             }
-            let Some((grace, reason)) = self.stop_of(key, *observed, way) else {
+            let Some((grace, reason)) = self.stop_of(key, *observed, route) else {
                 continue;
             };
             // Direct commands say it once; what is not wanted waits for the report.
-            if way == Way::Answer || managed.stops_sent.insert(key.clone()) {
+            if route == CommandRoute::Answer || managed.stops_sent.insert(key.clone()) {
                 self.log_stop(key, reason);
                 commands.push(machine::stop(key, grace));
             }
@@ -159,7 +166,7 @@
         &self,
         key: &Key,
         observed: ObservedState,
-        way: Way,
+        route: CommandRoute,
     ) -> Option<(Micros, StopReason)> {
         if let Some(wanted) = self.find(key) {
             // Its owner may be disconnected, or not know yet.
@@ -170,8 +177,8 @@
             let again = observed != ObservedState::Saving || stop_ms == Some(0);
             return stop_ms.filter(|_| again).map(|ms| (Micros::millis(ms), reason));
         }
-        if self.unwanted.contains(key) {
-            return (way == Way::Answer).then_some((Micros::ZERO, StopReason::Unwanted));
+        if self.undesired.contains(key) {
+            return (route == CommandRoute::Answer).then_some((Micros::ZERO, StopReason::Unwanted));
         }
         self.cancelled(&key.job).then_some((Micros::ZERO, StopReason::Cancelled))
     }
@@ -180,55 +187,60 @@
     /// once no start of it can arrive.
     fn drop_settled(&self, managed: &mut ManagedMachine) {
         let dropped = |key: &Key| {
-            self.unwanted.contains(key) || self.find(key).is_some_and(|w| w.right.is_err())
+            self.undesired.contains(key) || self.find(key).is_some_and(|w| w.permit.is_err())
         };
         managed.sent.retain(|key, sent| sent.open() || !dropped(key));
-        managed.refused.retain(|key| !self.unwanted.contains(key));
+        managed.refused.retain(|key| !self.undesired.contains(key));
         managed.waiting.retain(|key| !dropped(key));
     }
 
     /// Starts of what may be started and is not there, the most urgent first.
-    fn starts(&self, managed: &mut ManagedMachine, way: Way, orders: &mut Orders) {
+    fn starts(
+        &self,
+        managed: &mut ManagedMachine,
+        route: CommandRoute,
+        orders: &mut ReconcileOutcome,
+    ) {
         let mut room = self.room(managed);
-        let mut starts: Vec<(Key, &StartRight<'a>, &DesiredTask)> = self
+        let mut starts: Vec<(Key, &StartPermit<'a>, &DesiredTask)> = self
             .wanted
             .iter()
-            .filter_map(|w| w.right.as_ref().ok().map(|right| (Key::of(w.task), right, w.task)))
+            .filter_map(|w| w.permit.as_ref().ok().map(|permit| (Key::of(w.task), permit, w.task)))
             .filter(|(k, ..)| !managed.tasks.contains_key(k) && !managed.refused.contains(k))
             .collect();
         starts.sort_by(|a, b| a.2.rank.cmp(&b.2.rank).then_with(|| a.0.cmp(&b.0)));
-        for (key, right, task) in &starts {
-            if !managed.sent.contains_key(key) && !self.book(managed, &mut room, key, task) {
+        for (key, permit, task) in &starts {
+            if !managed.sent.contains_key(key) && !self.reserve(managed, &mut room, key, task) {
                 continue;
             }
             let Some(sent) = managed.sent.get_mut(key) else {
                 continue;
             };
-            if way == Way::Direct && sent.open() {
+            if route == CommandRoute::Direct && sent.open() {
                 continue;
             }
-            match right.command(self.machine, key, way) {
+            match permit.command(self.machine, key, route) {
                 Ok(command) => orders.commands.push(command),
                 Err(violation) => {
                     orders.violations.push(violation);
                     continue;
                 }
             }
-            match way {
-                Way::Answer => sent.answered = true,
-                Way::Direct => {
+            match route {
+                CommandRoute::Answer => sent.answered = true,
+                CommandRoute::Direct => {
                     sent.direct += 1;
-                    sent.fencing_token = self.right.fencing_token;
+                    sent.fencing_token = self.authority.fencing_token;
                 }
             }
         }
     }
 
     /// Books the room for a start; false if it has to wait or is refused.
-    fn book(
+    fn reserve(
         &self,
         managed: &mut ManagedMachine,
-        room: &mut Room,
+        room: &mut FreeCapacity,
         key: &Key,
         task: &DesiredTask,
     ) -> bool {
@@ -249,9 +261,9 @@
     }
 
     /// What is free beside what is there and what was sent.
-    fn room(&self, managed: &ManagedMachine) -> Room {
+    fn room(&self, managed: &ManagedMachine) -> FreeCapacity {
         let free = self.size.unwrap_or_default();
-        let mut room = Room { free, freeing: false, unknown: self.size.is_none() };
+        let mut room = FreeCapacity { free, freeing: false, unknown: self.size.is_none() };
         let present = managed.tasks.iter().filter(|(_, observed)| !observed.over());
         for key in present.map(|(k, _)| k).chain(managed.sent.keys()) {
             match self.find(key) {
@@ -270,58 +282,61 @@
         if matches!(reason, StopReason::Unwanted) {
             info!("machine {}: {} is not wanted there", self.machine, key.task());
         }
-        let right = &self.right;
+        let authority = &self.authority;
         debug!(
             target: decision_log::TARGET,
             job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, incarnation = right.incarnation,
-            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
+            machine = self.machine, incarnation = authority.incarnation,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
             reason:? = reason;
             "stop"
         );
     }
 
     fn log_forget(&self, key: &Key) {
-        let right = &self.right;
+        let authority = &self.authority;
         debug!(
             target: decision_log::TARGET,
             job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, incarnation = right.incarnation,
-            shard = right.shard, term = right.term, fencing_token = right.fencing_token;
+            machine = self.machine, incarnation = authority.incarnation,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token;
             "forget"
         );
     }
 }
 
 /// The tasks that are wanted on a machine, each with whether it may be started.
-fn wanted_on<'a>(
+fn desired_here<'a>(
     desired: &'a [DesiredState],
     stages: &BTreeMap<String, CachedStage>,
     machine: &str,
-    right: ManagerRight,
-) -> Vec<Wanted<'a>> {
+    authority: CommandAuthority,
+) -> Vec<DesiredHere<'a>> {
     let mut list = Vec::new();
     for here in desired.iter().filter_map(|w| w.machines.get(machine)) {
         list.extend(here.tasks.iter().map(|task| {
             let known = stages.get(&task.job);
             let job = known.map(|k| JobEvidence { stage: k.stage, revision: k.revision });
-            Wanted { task, right: right.examine(task, here.known, job) }
+            DesiredHere { task, permit: authority.examine(task, here.known, job) }
         }));
     }
     list
 }
 
-impl Room {
+impl FreeCapacity {
     fn amounts(task: &DesiredTask) -> Amounts {
         [task.cpus, task.gpus, task.memory_gb]
     }
 
     fn fits(&self, task: &DesiredTask) -> bool {
-        self.free.iter().zip(Room::amounts(task)).all(|(free, amount)| *free + EPS >= amount)
+        self.free
+            .iter()
+            .zip(FreeCapacity::amounts(task))
+            .all(|(free, amount)| *free + EPS >= amount)
     }
 
     fn take(&mut self, task: &DesiredTask) {
-        for (free, amount) in self.free.iter_mut().zip(Room::amounts(task)) {
+        for (free, amount) in self.free.iter_mut().zip(FreeCapacity::amounts(task)) {
             *free -= amount;
         }
     }
--- a/src/controller/recovery.rs
+++ b/src/controller/recovery.rs
@@ -23,7 +23,7 @@
     pub(super) chunks: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
     /// Jobs whose record is still to be read.
     pub(super) todo: BTreeSet<String>,
-    pub(super) asked: BTreeSet<String>,
+    pub(super) in_flight: BTreeSet<String>,
     /// Asked for before changes may have been missed: read again.
     pub(super) stale: BTreeSet<String>,
     pub(super) records: BTreeMap<String, (Option<JobRecord>, u64)>,
@@ -88,14 +88,14 @@
             let call = KvRequest::List { prefix: format!("w/{s}/"), after: l.after.clone() };
             return self.state(Op::ReadRecoveryPage { shard: s, term }, call);
         }
-        let asked: Vec<String> =
-            l.todo.iter().take(LOADS.saturating_sub(l.asked.len())).cloned().collect();
-        for job in &asked {
+        let in_flight: Vec<String> =
+            l.todo.iter().take(LOADS.saturating_sub(l.in_flight.len())).cloned().collect();
+        for job in &in_flight {
             l.todo.remove(job);
-            l.asked.insert(job.clone());
+            l.in_flight.insert(job.clone());
         }
-        let finished = l.todo.is_empty() && l.asked.is_empty() && l.stale.is_empty();
-        for job in asked {
+        let finished = l.todo.is_empty() && l.in_flight.is_empty() && l.stale.is_empty();
+        for job in in_flight {
             let key = job::job_key(&job);
             self.state(Op::ReadRecoveredRecord { shard: s, term, job }, KvRequest::Get(key));
         }
@@ -157,7 +157,7 @@
         let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
-        l.asked.remove(job);
+        l.in_flight.remove(job);
         match reply {
             _ if l.stale.remove(job) => {
                 l.todo.insert(job.to_string());
@@ -284,11 +284,11 @@
             self.stop_job(&id);
         }
         for m in machines {
-            self.touch_slot(&m);
+            self.mark_capacity_stale(&m);
             self.evaluate_machine(s, &m);
         }
         if first {
-            self.place_wanted = true;
+            self.placement_due = true;
         }
     }
 }
--- a/src/controller/reservation.rs
+++ b/src/controller/reservation.rs
@@ -1,9 +1,9 @@
 //! Machines kept free for large tasks, and jobs raised that would starve.
 
 use super::Controller;
+use super::capacity::MachineCapacity;
 use super::job::Job;
-use super::placer::NO_ROOM;
-use super::slots::Slot;
+use super::scheduling_pass::NO_CAPACITY;
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
@@ -39,7 +39,7 @@
             !j.raised
                 && !j.cancelled
                 && !j.over
-                && j.booked() == 0
+                && j.reserved_tasks() == 0
                 && j.done() == 0
                 && !j.suspect()
                 && !j.waiting
@@ -58,7 +58,7 @@
     /// for long: filled up again task by task, no machine would ever have
     /// room for one that needs it whole. Those are taken that have it soonest.
     pub(super) fn reserve_for_large(&mut self) {
-        self.reserved.clear();
+        self.held_for_large_tasks.clear();
         if !self.holds_lease() {
             return;
         }
@@ -67,44 +67,47 @@
         for j in self.jobs.values().filter(|j| !j.cancelled && !j.over && j.open() > 0) {
             let within = self.within_s(&j.spec.class);
             let waited = wall.since(j.ready).as_secs_f64();
-            if waited > SOON_S && j.waits == NO_ROOM {
+            if waited > SOON_S && j.pending_reason == NO_CAPACITY {
                 waiting.push((waited > within * LATE, j.pending(), Rc::clone(&j.spec)));
             }
         }
         waiting.sort_by(|a, b| b.2.cpus.total_cmp(&a.2.cpus).then(b.0.cmp(&a.0)));
-        let ours = self.slots.iter().filter(|(_, _, s)| !s.foreign).count() as f64;
+        let ours = self.capacity.iter().filter(|(_, _, s)| !s.led_by_peer).count() as f64;
         for (late, tasks, spec) in waiting {
-            let large = |s: &Slot| s.tasks.iter().any(|b| b.amount[0] >= spec.cpus);
+            let large = |s: &MachineCapacity| s.tasks.iter().any(|b| b.amount[0] >= spec.cpus);
             let most = if late {
                 ours * RESERVED
             } else {
                 // Those that large tasks run on already are their share, too.
-                let run = self.slots.iter().filter(|(_, _, s)| !s.foreign && large(s)).count();
+                let run =
+                    self.capacity.iter().filter(|(_, _, s)| !s.led_by_peer && large(s)).count();
                 ours * SHARE - run as f64
             };
-            let left = (most.max(0.0) as usize).saturating_sub(self.reserved.len());
+            let left = (most.max(0.0) as usize).saturating_sub(self.held_for_large_tasks.len());
             if left == 0 {
                 continue;
             }
             let need = [spec.cpus, spec.gpus, spec.memory_gb];
             let mut soonest: Vec<(f64, Rc<str>)> = self
-                .slots
+                .capacity
                 .iter()
                 .filter(|(_, k, s)| {
-                    !s.foreign
+                    !s.led_by_peer
                         && (spec.spot || !k.spot)
                         && spec
                             .types
                             .as_ref()
                             .is_none_or(|l| l.iter().any(|t| **t == *k.machine_type))
                         && spec.zone.as_deref().is_none_or(|z| z == &*k.zone)
-                        && !self.reserved.contains(&s.machine)
+                        && !self.held_for_large_tasks.contains(&s.machine)
+                })
+                .filter_map(|(_, _, s)| {
+                    Some((s.time_until_available(wall, &need)?, Rc::clone(&s.machine)))
                 })
-                .filter_map(|(_, _, s)| Some((s.room_in(wall, &need)?, Rc::clone(&s.machine))))
                 .collect();
             soonest.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             let count = (tasks as usize).min(left);
-            self.reserved.extend(soonest.into_iter().take(count).map(|(_, m)| m));
+            self.held_for_large_tasks.extend(soonest.into_iter().take(count).map(|(_, m)| m));
         }
     }
 }
--- a/src/controller/placer.rs
+++ b/src/controller/scheduling_pass.rs
@@ -10,28 +10,28 @@
 use std::rc::Rc;
 
 /// Why a job waits for which no machine has room.
-pub(super) const NO_ROOM: &str = "no machine with room";
+pub(super) const NO_CAPACITY: &str = "no machine with room";
 /// Least time between two passes: what happens meanwhile is dealt with together.
-const PASS: Micros = Micros::millis(40);
+const PASS_INTERVAL: Micros = Micros::millis(40);
 /// Placements in one pass.
-const PASS_TASKS: usize = 64;
+const MAX_PLACEMENTS_PER_PASS: usize = 64;
 /// Placements that their machines have not reported, at most: so many, or
 /// two for each machine, since whole waves of machines come up at once.
-const UNOBSERVED_LIMIT: usize = 1_500;
+const MAX_UNOBSERVED: usize = 1_500;
 /// The same for low tasks, or one for every two machines: an array of thousands of
 /// tiny ones would take the processor from submissions and reports.
-const UNOBSERVED_LIMIT_LOW: usize = 750;
+const MAX_UNOBSERVED_LOW_PRIORITY: usize = 750;
 /// Searches in one pass for tasks that make room; each walks the fleet.
-const PASS_SEARCHES: usize = 8;
+const MAX_PREEMPTION_SEARCHES_PER_PASS: usize = 8;
 
 /// Up to this rank work goes before large tasks that wait.
-pub(super) const URGENT: u32 = 1;
+pub(super) const LOWEST_URGENT_RANK: u32 = 1;
 
 impl Controller {
     /// Own jobs in order of service: teams within their guarantee first, then
     /// priority, deadline and age.
     pub(super) fn queue_order(&self) -> Vec<((bool, u32), String)> {
-        let used = self.slots.usage();
+        let used = self.capacity.usage();
         let mut order: Vec<_> = self
             .jobs
             .iter()
@@ -71,13 +71,16 @@
 
     /// One pass over the queue. What is left when its bounds are reached goes
     /// on in the next turn, so that reports and renewals are never starved.
-    pub(super) fn place(&mut self) {
-        if !self.place_wanted || self.now < self.placed_at + PASS || self.types.is_empty() {
+    pub(super) fn run_scheduling_pass(&mut self) {
+        if !self.placement_due
+            || self.now < self.last_pass_at + PASS_INTERVAL
+            || self.types.is_empty()
+        {
             return;
         }
-        self.place_wanted = false;
-        self.placed_at = self.now;
-        self.refresh_slots();
+        self.placement_due = false;
+        self.last_pass_at = self.now;
+        self.refresh_capacity();
         let order = self.queue_order();
         if order.is_empty() {
             return;
@@ -91,14 +94,14 @@
         // Tasks that no machine has room for, though smaller ones might.
         let ours = self.demand();
         let blocked: Vec<Demand> =
-            theirs.iter().chain(&ours).filter(|d| !self.slots.takes(d)).cloned().collect();
+            theirs.iter().chain(&ours).filter(|d| !self.capacity.takes(d)).cloned().collect();
         let mut pass = Pass {
-            usage: self.slots.usage().clone(),
+            usage: self.capacity.usage().clone(),
             shards: BTreeMap::new(),
             blocked,
             failed: Vec::new(),
-            left: PASS_TASKS,
-            searches: PASS_SEARCHES,
+            left: MAX_PLACEMENTS_PER_PASS,
+            searches: MAX_PREEMPTION_SEARCHES_PER_PASS,
         };
         theirs.sort_by_key(Demand::turn);
         for (turn, id) in order {
@@ -107,11 +110,11 @@
                 || self.unstored_urgent_chunks(rank) >= self.chunk_backlog();
             if full {
                 // Those behind it may be more urgent, if beyond their guarantee.
-                self.place_wanted = true;
+                self.placement_due = true;
                 continue;
             }
             if pass.left == 0 {
-                self.place_wanted = true;
+                self.placement_due = true;
                 break;
             }
             // What waits at the peers and is more urgent gets its room first:
@@ -119,11 +122,11 @@
             // Equals hold nothing for each other, or nobody would move.
             let first = theirs.partition_point(|d| d.turn() < turn);
             for d in theirs.drain(..first) {
-                self.slots.hold(&d);
+                self.capacity.hold(&d);
             }
             self.place_job(&id, &mut pass);
         }
-        self.slots.release_holds();
+        self.capacity.release_holds();
     }
 
     /// Parts with placements that are not stored yet, of jobs that are as urgent: the
@@ -146,8 +149,8 @@
     pub(super) fn unobserved_limit(&self, rank: u32) -> usize {
         let machines = self.views.len();
         match rank {
-            0..=2 => UNOBSERVED_LIMIT.max(2 * machines) * (4 - rank as usize),
-            _ => UNOBSERVED_LIMIT_LOW.max(machines / 2),
+            0..=2 => MAX_UNOBSERVED.max(2 * machines) * (4 - rank as usize),
+            _ => MAX_UNOBSERVED_LOW_PRIORITY.max(machines / 2),
         }
     }
 
@@ -182,14 +185,14 @@
     }
 
     /// Whether the same search for tasks that make room failed for this shape.
-    pub(super) fn search_failed(&self, search: &RoomSearch, spec: &JobSpec) -> bool {
+    pub(super) fn search_failed(&self, search: &PreemptionSearch, spec: &JobSpec) -> bool {
         self.failed.iter().any(|f| f.search.as_ref() == Some(search) && f.covers(spec))
     }
 }
 
 /// For whom tasks were looked for that make room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct RoomSearch {
+pub(super) struct PreemptionSearch {
     /// Rank of the job.
     pub(super) rank: u32,
     /// Its team, if within its guarantee.
@@ -202,11 +205,11 @@
 pub(super) struct Failed {
     spec: Rc<JobSpec>,
     /// The search for tasks that make room; `None` for free room.
-    pub(super) search: Option<RoomSearch>,
+    pub(super) search: Option<PreemptionSearch>,
 }
 
 impl Failed {
-    pub(super) fn new(spec: &Rc<JobSpec>, search: Option<RoomSearch>) -> Failed {
+    pub(super) fn new(spec: &Rc<JobSpec>, search: Option<PreemptionSearch>) -> Failed {
         Failed { spec: Rc::clone(spec), search }
     }
 
--- a/src/controller/shard_leases.rs
+++ b/src/controller/shard_leases.rs
@@ -212,11 +212,11 @@
         // from a peer that had received them.
         for v in self.views.values().filter(|v| !v.address.is_empty()) {
             if let Ok(address) = v.address.parse() {
-                self.hints.entry(v.machine.clone()).or_insert((v.incarnation, address));
+                self.address_hints.entry(v.machine.clone()).or_insert((v.incarnation, address));
             }
         }
         let ours: Vec<String> =
-            self.hints.keys().filter(|m| self.shard_of_machine(m) == s).cloned().collect();
+            self.address_hints.keys().filter(|m| self.shard_of_machine(m) == s).cloned().collect();
         self.probes.extend(ours);
     }
 
@@ -344,7 +344,7 @@
                 self.invalidate_unfinished();
                 for l in self.recoveries.values_mut() {
                     l.todo.extend(std::mem::take(&mut l.records).into_keys());
-                    l.stale.append(&mut l.asked);
+                    l.stale.append(&mut l.in_flight);
                 }
                 let busy = self.jobs.iter().filter(|(_, j)| j.busy);
                 self.note_unknown(busy.map(|(id, _)| id.clone()).collect());
--- a/src/controller/start_gate.rs
+++ b/src/controller/start_gate.rs
@@ -1,6 +1,6 @@
 //! The only place that forms a start.
 //!
-//! A start is formed from a [`StartRight`], and that only comes from the rights of the
+//! A start is formed from a [`StartPermit`], and that only comes from the rights of the
 //! machine's manager and what is known of the task and its job. What is wrong with a right
 //! that has been granted is a fault of this program: it is told with the evidence and the
 //! start is not sent.
@@ -14,7 +14,7 @@
 
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum CommandRoute {
     /// In the answer to a report: everything that is still to be done.
     Answer,
     /// Straight to the worker: only what has not been sent yet.
@@ -23,7 +23,7 @@
 
 /// What the manager of a machine may act on at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ManagerRight {
+pub struct CommandAuthority {
     /// The time at which it is used.
     pub now: Micros,
     /// Shard of the machine.
@@ -93,15 +93,15 @@
 
 /// The right to start one attempt on one machine, with what it rests on.
 #[derive(Debug, Clone, Copy)]
-pub struct StartRight<'a> {
-    manager: ManagerRight,
+pub struct StartPermit<'a> {
+    authority: CommandAuthority,
     task: &'a DesiredTask,
     /// Term of the machine's shard that the task's owner knew.
     owner_knew: u64,
     job: Option<JobEvidence>,
 }
 
-impl ManagerRight {
+impl CommandAuthority {
     /// Whether a wanted task may be started; `owner_knew` is the term of the machine's
     /// shard that its owner knew when it asked for it.
     pub fn examine<'a>(
@@ -109,8 +109,8 @@
         task: &'a DesiredTask,
         owner_knew: u64,
         job: Option<JobEvidence>,
-    ) -> Result<StartRight<'a>, StartRefusal> {
-        if task.phase() != Phase::Wanted {
+    ) -> Result<StartPermit<'a>, StartRefusal> {
+        if task.phase() != Phase::DesiredHere {
             return Err(StartRefusal::NotWanted);
         }
         if job.is_some_and(|job| job.stage != StoredStage::Accepted) {
@@ -128,7 +128,7 @@
         if !self.cancellations_known {
             return Err(StartRefusal::CancellationsUnknown);
         }
-        Ok(StartRight { manager: *self, task, owner_knew, job })
+        Ok(StartPermit { authority: *self, task, owner_knew, job })
     }
 
     /// What is wrong with acting on this right at all.
@@ -143,26 +143,31 @@
     }
 }
 
-impl StartRight<'_> {
+impl StartPermit<'_> {
     /// The start of this very task, or what it would violate.
-    pub fn command(&self, machine: &str, task: &Key, way: Way) -> Result<Command, StartViolation> {
-        if let Some(violation) = self.manager.violation() {
+    pub fn command(
+        &self,
+        machine: &str,
+        task: &Key,
+        route: CommandRoute,
+    ) -> Result<Command, StartViolation> {
+        if let Some(violation) = self.authority.violation() {
             return Err(violation);
         }
         if !task.names(self.task) {
             return Err(StartViolation::OtherTask);
         }
-        let right = &self.manager;
+        let authority = &self.authority;
         log::debug!(
             target: decision_log::TARGET,
             job = task.job.as_str(), task = task.index, attempt = task.attempt,
-            machine = machine, incarnation = right.incarnation,
-            shard = right.shard, term = right.term, fencing_token = right.fencing_token,
-            lease_left_ms = right.lease_until.since(right.now).as_millis(),
+            machine = machine, incarnation = authority.incarnation,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
+            lease_left_ms = authority.lease_until.since(authority.now).as_millis(),
             owner_knew_term = self.owner_knew,
             job_stage:? = self.job.map(|job| job.stage),
             job_revision:? = self.job.map(|job| job.revision),
-            way:? = way;
+            route:? = route;
             "start"
         );
         Ok(Command::Start { task: task.task(), attempt: task.attempt })
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -193,7 +193,8 @@
         }
         let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
         for j in self.jobs.values().filter(|j| !j.cancelled && !j.over && j.pending() > 0) {
-            *counts.entry((&j.spec.class, &j.spec.team, j.waits)).or_default() += j.pending();
+            *counts.entry((&j.spec.class, &j.spec.team, j.pending_reason)).or_default() +=
+                j.pending();
         }
         for ((class, team, reason), tasks) in counts {
             log::debug!("{tasks} tasks of {class}, team {team}, wait: {reason}");
@@ -216,7 +217,7 @@
                     j.pending(),
                     j.running(),
                     j.done(),
-                    j.waits
+                    j.pending_reason
                 );
             }
         }
--- a/src/controller/status_queries.rs
+++ b/src/controller/status_queries.rs
@@ -115,10 +115,10 @@
                     return self.respond_retry_later(ticket, 429, "too many questions wait");
                 }
                 self.status_queries.count += 1;
-                let asked = self.status_queries.waiting.entry(id.to_string());
-                let asked =
-                    asked.or_insert(StatusQuery { revision: known.revision, who: Vec::new() });
-                asked.who.push((ticket, now));
+                let query = self.status_queries.waiting.entry(id.to_string());
+                let query =
+                    query.or_insert(StatusQuery { revision: known.revision, who: Vec::new() });
+                query.who.push((ticket, now));
             }
             _ => self.read_job(vec![ticket], id),
         }
@@ -139,17 +139,17 @@
             let mut left = COMPARISON_BYTES;
             let mut jobs = QueriedJobs::new();
             while jobs.len() < most
-                && let Some((id, asked)) = self.status_queries.next()
+                && let Some((id, query)) = self.status_queries.next()
             {
                 left = left.saturating_sub(id.len() + CONDITION_BYTES);
-                jobs.insert(id, asked);
+                jobs.insert(id, query);
                 if left == 0 {
                     break;
                 }
             }
-            let condition = |(id, asked): (&String, &StatusQuery)| Condition {
+            let condition = |(id, query): (&String, &StatusQuery)| Condition {
                 key: job::job_key(id),
-                revision: asked.revision,
+                revision: query.revision,
             };
             let conditions = jobs.iter().map(condition).collect();
             self.status_queries.under_way += 1;
@@ -164,33 +164,33 @@
             KvResponse::Applied(_) => Vec::new(),
             KvResponse::Conflict(failed) => failed,
             _ => {
-                let tickets = jobs.into_values().flat_map(|asked| asked.who);
+                let tickets = jobs.into_values().flat_map(|query| query.who);
                 return tickets
                     .for_each(|(t, _)| self.respond_retry_later(t, 503, "state service away"));
             }
         };
-        for (id, StatusQuery { revision, who: asked }) in jobs {
+        for (id, StatusQuery { revision, who: query }) in jobs {
             // What is known by now may be newer than the comparison.
             let known = self.cached_stages.get(&id).copied();
             match known {
                 Some(k) if k.stage == StoredStage::Accepted && !self.fresh(sent) => {
-                    for (ticket, _) in asked {
+                    for (ticket, _) in query {
                         self.respond_retry_later(ticket, 503, "the state service is slow");
                     }
                 }
                 Some(k) if k.stage != StoredStage::Accepted || failed.is_empty() => {
-                    for (ticket, _) in asked {
+                    for (ticket, _) in query {
                         self.answer_with_stage(ticket, 200, &id, k);
                     }
                 }
                 // Whether all that differ are named is not said: the others are
                 // compared once more.
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
-                    self.status_queries.count += asked.len();
+                    self.status_queries.count += query.len();
                     let again = self.status_queries.waiting.entry(id);
-                    again.or_insert(StatusQuery { revision, who: Vec::new() }).who.extend(asked);
+                    again.or_insert(StatusQuery { revision, who: Vec::new() }).who.extend(query);
                 }
-                _ => self.read_job(asked.into_iter().map(|(t, _)| t).collect(), &id),
+                _ => self.read_job(query.into_iter().map(|(t, _)| t).collect(), &id),
             }
         }
     }
--- a/src/controller/task_placement.rs
+++ b/src/controller/task_placement.rs
@@ -6,12 +6,12 @@
 
 use super::Controller;
 use super::autoscaler::fits;
+use super::capacity::{MachineCapacity, ReservedTask};
 use super::desired_state::expected_s;
+use super::image_locality;
 use super::job::Job;
-use super::place;
-use super::placer::{Failed, NO_ROOM, Pass, RoomSearch, URGENT};
 use super::quota::{Amount, EPS};
-use super::slots::{Booked, Slot};
+use super::scheduling_pass::{Failed, LOWEST_URGENT_RANK, NO_CAPACITY, Pass, PreemptionSearch};
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -30,11 +30,11 @@
     /// How many tasks a holder of the image may be ahead of the freest machine.
     slack: u32,
     /// Fetching its image would take most of the time within which it is to start.
-    hurried: bool,
+    latency_critical: bool,
     /// A larger task waits: the fullest machine is taken instead of the freest.
     pack: bool,
     /// It must leave reserved machines alone.
-    barred: bool,
+    excluded_from_held_machines: bool,
     /// Others of its shape fail for the same reason.
     plain: bool,
     /// Tasks that make room have the time to save.
@@ -46,7 +46,7 @@
     zones: BTreeMap<Rc<str>, u32>,
     /// Machines that hold its image, looked up once there is room at all: most jobs of
     /// a long queue find none.
-    holders: Option<Vec<usize>>,
+    cached_machines: Option<Vec<usize>>,
 }
 
 impl JobPlacement {
@@ -60,8 +60,8 @@
         (0..2).any(|r| self.need[r] > 0.0 && self.used[r] + self.need[r] > self.grant[r] + EPS)
     }
 
-    fn holders(&self) -> &[usize] {
-        self.holders.as_deref().unwrap_or_default()
+    fn cached_machines(&self) -> &[usize] {
+        self.cached_machines.as_deref().unwrap_or_default()
     }
 }
 
@@ -98,7 +98,7 @@
             }
         };
         if let Some(job) = self.jobs.get_mut(id) {
-            job.waits = reason;
+            job.pending_reason = reason;
         }
     }
 
@@ -120,12 +120,13 @@
         let shard = job.shard;
         let rank = job.rank();
         let counted = pass.shards.get(&(shard, spec.team.clone())).copied();
-        let hurried = self.fetch_too_slow(job);
+        let latency_critical = self.fetch_too_slow(job);
         let larger_waits =
             pass.blocked.iter().any(|d| d.cpus > spec.cpus || d.memory_gb > spec.memory_gb);
-        let pack = !hurried && larger_waits;
-        let barred = pack && rank > URGENT && !self.reserved.is_empty();
-        let pools = self.slots.pools(|k| {
+        let pack = !latency_critical && larger_waits;
+        let excluded_from_held_machines =
+            pack && rank > LOWEST_URGENT_RANK && !self.held_for_large_tasks.is_empty();
+        let pools = self.capacity.pools(|k| {
             spec.types.as_ref().is_none_or(|l| l.iter().any(|t| **t == *k.machine_type))
                 && (spec.spot || !k.spot)
                 && spec.zone.as_deref().is_none_or(|z| z == &*k.zone)
@@ -137,16 +138,23 @@
             rank,
             grant: self.quotas.get(&spec.team).map_or([0.0, 0.0], |q| q.grant(shard)),
             used: counted.unwrap_or_else(|| self.shard_usage(shard, &spec.team)),
-            slack: if hurried { u32::MAX } else { place::slack(&self.options, spec.image_gb) },
-            hurried,
+            slack: if latency_critical {
+                u32::MAX
+            } else {
+                image_locality::slack(&self.options, spec.image_gb)
+            },
+            latency_critical,
             pack,
-            barred,
-            plain: job.avoid.is_empty() && !spec.one_zone && !spec.spread && !barred,
+            excluded_from_held_machines,
+            plain: job.avoid.is_empty()
+                && !spec.one_zone
+                && !spec.spread
+                && !excluded_from_held_machines,
             save: self.time_to_save(job),
             expected_s: expected_s(job, &self.estimates),
             pools,
             zones: job.zones(),
-            holders: None,
+            cached_machines: None,
             spec,
         }
     }
@@ -157,11 +165,11 @@
         placement: &mut JobPlacement,
         pass: &mut Pass,
     ) -> Result<(), &'static str> {
-        let job = self.jobs.get(&placement.id).ok_or(NO_ROOM)?;
+        let job = self.jobs.get(&placement.id).ok_or(NO_CAPACITY)?;
         let index = self.next_task(job, placement, pass)?;
-        let choice = self.choose_machine(job, index, placement, pass).ok_or(NO_ROOM)?;
+        let choice = self.choose_machine(job, index, placement, pass).ok_or(NO_CAPACITY)?;
         self.stop_victims(&choice, placement, pass);
-        self.book_task(index, choice.at, placement, pass).ok_or(NO_ROOM)
+        self.book_task(index, choice.at, placement, pass).ok_or(NO_CAPACITY)
     }
 
     /// The number of the next task to be placed.
@@ -193,14 +201,15 @@
         index: u32,
         placement: &JobPlacement,
         at: usize,
-        slot: &Slot,
+        machine_capacity: &MachineCapacity,
     ) -> bool {
-        let zone = || self.slots.pool_of(at).map_or("", |k| &k.zone);
+        let zone = || self.capacity.pool_of(at).map_or("", |k| &k.zone);
         (!placement.zones_restricted() || job.zone_allows(&placement.zones, zone()))
-            && slot.yielded_until <= self.now
-            && (!placement.barred || !self.reserved.contains(&slot.machine))
-            && !job.avoid.contains(&slot.machine)
-            && !self.lists(&slot.machine, &placement.id, index)
+            && machine_capacity.yielded_until <= self.now
+            && (!placement.excluded_from_held_machines
+                || !self.held_for_large_tasks.contains(&machine_capacity.machine))
+            && !job.avoid.contains(&machine_capacity.machine)
+            && !self.lists(&machine_capacity.machine, &placement.id, index)
     }
 
     /// Chooses a machine for a task: one with room, or else one on which less urgent
@@ -217,20 +226,21 @@
             true => None,
             false => self.free_machine(job, index, placement),
         };
-        if placement.holders.is_none() && (free.is_some() || placement.hurried) {
-            let holders = self.holders_of(&placement.spec.image, &placement.pools);
-            placement.holders = Some(holders);
+        if placement.cached_machines.is_none() && (free.is_some() || placement.latency_critical) {
+            let cached_machines =
+                self.find_cached_machines(&placement.spec.image, &placement.pools);
+            placement.cached_machines = Some(cached_machines);
         }
-        let holder = free.and_then(|_| self.free_holder(job, index, placement));
-        let chosen = free.map(|free| self.prefer_holder(placement, free, holder));
+        let cached = free.and_then(|_| self.free_cached_machine(job, index, placement));
+        let chosen = free.map(|free| self.prefer_cached_machine(placement, free, cached));
         if free.is_none() && placement.plain && !known_full {
             pass.failed.push(Failed::new(&placement.spec, None));
         }
         // Nobody with room has the image: a holder on which less urgent tasks make
         // room starts the task sooner.
-        let for_image = placement.hurried && holder.is_none() && chosen.is_some();
+        let for_image = placement.latency_critical && cached.is_none() && chosen.is_some();
         if (chosen.is_none() || for_image)
-            && let Some(choice) = self.search_room(job, index, placement, for_image, pass)
+            && let Some(choice) = self.search_preemption(job, index, placement, for_image, pass)
         {
             return Some(choice);
         }
@@ -240,44 +250,60 @@
     /// The freest machine that has room, or the fullest where a larger task waits.
     fn free_machine(&self, job: &Job, index: u32, placement: &JobPlacement) -> Option<usize> {
         let (pools, need) = (&placement.pools, &placement.need);
-        let passes = |at: usize, slot: &Slot| self.suits(job, index, placement, at, slot);
+        let passes = |at: usize, machine_capacity: &MachineCapacity| {
+            self.suits(job, index, placement, at, machine_capacity)
+        };
         match placement.pack {
-            true => self.slots.fullest(pools, need, passes),
-            false => self.slots.freest(pools, need, passes),
+            true => self.capacity.best_fit(pools, need, passes),
+            false => self.capacity.least_loaded(pools, need, passes),
         }
     }
 
-    /// The same among the holders of the image.
-    fn free_holder(&self, job: &Job, index: u32, placement: &JobPlacement) -> Option<usize> {
+    /// The same among the cached_machines of the image.
+    fn free_cached_machine(
+        &self,
+        job: &Job,
+        index: u32,
+        placement: &JobPlacement,
+    ) -> Option<usize> {
         let (pools, need) = (&placement.pools, &placement.need);
-        let passes = |at: usize, slot: &Slot| self.suits(job, index, placement, at, slot);
-        let holders = placement.holders().iter();
+        let passes = |at: usize, machine_capacity: &MachineCapacity| {
+            self.suits(job, index, placement, at, machine_capacity)
+        };
+        let cached_machines = placement.cached_machines().iter();
         match placement.pack {
-            true => self.slots.tightest(holders, pools, need, passes),
-            false => self.slots.least(holders, pools, need, passes),
+            true => self.capacity.best_fit_among(cached_machines, pools, need, passes),
+            false => self.capacity.least_loaded_among(cached_machines, pools, need, passes),
         }
     }
 
     /// The holder of the image, if it wins over the machine chosen without regard to it.
-    fn prefer_holder(&self, placement: &JobPlacement, free: usize, holder: Option<usize>) -> usize {
-        let Some(holder) = holder else {
+    fn prefer_cached_machine(
+        &self,
+        placement: &JobPlacement,
+        free: usize,
+        cached: Option<usize>,
+    ) -> usize {
+        let Some(cached) = cached else {
             return free;
         };
         // Packing, room counts instead of tasks, in tasks of this job.
-        let count = |at: usize| match self.slots.get(at) {
-            Some(slot) if placement.pack => fits(&slot.free, &placement.need),
-            Some(slot) => slot.tasks.len() as u32,
+        let count = |at: usize| match self.capacity.get(at) {
+            Some(machine_capacity) if placement.pack => {
+                fits(&machine_capacity.free, &placement.need)
+            }
+            Some(machine_capacity) => machine_capacity.tasks.len() as u32,
             None => 0,
         };
-        match place::holder_wins(count(free), count(holder), placement.slack) {
-            true => holder,
+        match image_locality::cached_machine_wins(count(free), count(cached), placement.slack) {
+            true => cached,
             false => free,
         }
     }
 
     /// Looks for a machine on which less urgent tasks make room; for the sake of the
-    /// image only among its holders.
-    fn search_room(
+    /// image only among its cached_machines.
+    fn search_preemption(
         &self,
         job: &Job,
         index: u32,
@@ -287,23 +313,25 @@
     ) -> Option<Choice> {
         let spec = &placement.spec;
         let entitled = self.within_guarantee(&pass.usage, &spec.team, [spec.cpus, spec.gpus]);
-        let search = RoomSearch {
+        let search = PreemptionSearch {
             rank: placement.rank,
             guaranteed: entitled.then(|| spec.team.clone()),
             for_image,
         };
-        let claimed = entitled && self.may_claim.get(&spec.team).is_none_or(|c| *c <= 0.0);
+        let claimed = entitled && self.claimable_cpus.get(&spec.team).is_none_or(|c| *c <= 0.0);
         let hopeless = pass.searches == 0
             || claimed
-            || (!entitled && self.slots.below(placement.rank) == 0)
+            || (!entitled && self.capacity.below(placement.rank) == 0)
             || pass.search_failed(&search, spec);
         if hopeless {
             return None;
         }
         pass.searches -= 1;
-        let passes = |at: usize, slot: &Slot| self.suits(job, index, placement, at, slot);
-        let only = for_image.then_some(placement.holders());
-        let found = self.make_room(job, &placement.pools, entitled, only, passes);
+        let passes = |at: usize, machine_capacity: &MachineCapacity| {
+            self.suits(job, index, placement, at, machine_capacity)
+        };
+        let only = for_image.then_some(placement.cached_machines());
+        let found = self.find_victims(job, &placement.pools, entitled, only, passes);
         if found.is_none() && placement.plain {
             pass.failed.push(Failed::new(spec, Some(search)));
         }
@@ -316,30 +344,30 @@
             return;
         }
         let mut stopped = Vec::new();
-        self.slots.change(choice.at, |slot| {
+        self.capacity.change(choice.at, |machine_capacity| {
             for i in &choice.victims {
-                let victim = &mut slot.tasks[*i];
+                let victim = &mut machine_capacity.tasks[*i];
                 victim.stopping = true;
-                for (free, amount) in slot.free.iter_mut().zip(victim.amount) {
+                for (free, amount) in machine_capacity.free.iter_mut().zip(victim.amount) {
                     *free += amount;
                 }
-                stopped.push((Rc::clone(&slot.machine), victim.clone()));
+                stopped.push((Rc::clone(&machine_capacity.machine), victim.clone()));
             }
         });
         let team = &placement.spec.team;
         if choice.claims
-            && let Some(claim) = self.may_claim.get_mut(team)
+            && let Some(claim) = self.claimable_cpus.get_mut(team)
         {
             *claim -= placement.spec.cpus;
         }
         for (machine, victim) in stopped {
-            if let Some(left) = self.may_give.get_mut(&victim.team) {
+            if let Some(left) = self.preemptible_cpus.get_mut(&victim.team) {
                 *left -= victim.amount[0];
             }
             let usage = pass.usage.entry(victim.team.clone()).or_default();
             usage[0] -= victim.amount[0];
             usage[1] -= victim.amount[1];
-            self.ask_to_stop(&victim, placement.save, &machine);
+            self.request_preemption(&victim, placement.save, &machine);
         }
         // Room of any shape may have come up beside it.
         pass.failed.retain(|f| f.search.is_some());
@@ -354,14 +382,15 @@
         pass: &mut Pass,
     ) -> Option<()> {
         let (now, wall) = (self.now, self.wall());
-        let slot = self.slots.get(at)?;
-        let (machine, incarnation) = (Rc::clone(&slot.machine), slot.incarnation);
-        let zone = self.slots.pool_of(at).map(|k| Rc::clone(&k.zone)).unwrap_or_default();
+        let machine_capacity = self.capacity.get(at)?;
+        let (machine, incarnation) =
+            (Rc::clone(&machine_capacity.machine), machine_capacity.incarnation);
+        let zone = self.capacity.pool_of(at).map(|k| Rc::clone(&k.zone)).unwrap_or_default();
         let spec = &placement.spec;
         let hit = self.images.holds(now, &spec.image, &machine, incarnation);
         let job = self.jobs.get_mut(&placement.id)?;
         let attempt = job.put(wall, index, &machine, incarnation, &zone)?;
-        let booked = Booked {
+        let reserved_tasks = ReservedTask {
             rank: job.rank(),
             team: spec.team.clone(),
             amount: placement.need,
@@ -374,7 +403,7 @@
             expected_s: placement.expected_s,
         };
         log::debug!("task {}/{index} attempt {attempt} goes to {machine}", placement.id);
-        self.slots.change(at, |slot| slot.book(booked));
+        self.capacity.change(at, |machine_capacity| machine_capacity.reserve(reserved_tasks));
         self.unobserved += 1;
         self.counts.placed += 1;
         self.counts.image_hits += u64::from(hit);
@@ -388,8 +417,8 @@
         if placement.zones_restricted() {
             *placement.zones.entry(zone).or_insert(0) += 1;
         }
-        if let Some(holders) = placement.holders.as_mut().filter(|_| !hit) {
-            holders.push(at);
+        if let Some(cached_machines) = placement.cached_machines.as_mut().filter(|_| !hit) {
+            cached_machines.push(at);
         }
         self.changes.desired.insert((placement.shard, Rc::clone(&machine)));
         let tasks = self.by_machine.entry((placement.shard, machine)).or_default();
@@ -399,13 +428,13 @@
     }
 
     /// Machines of some pools that hold an image in their present session.
-    fn holders_of(&self, image: &str, pools: &[usize]) -> Vec<usize> {
+    fn find_cached_machines(&self, image: &str, pools: &[usize]) -> Vec<usize> {
         self.images
-            .holders(self.now, image)
+            .machines_with(self.now, image)
             .filter_map(|(machine, incarnation)| {
-                let id = self.slots.id(machine)?;
-                let present = self.slots.get(id)?.incarnation == incarnation;
-                (present && self.slots.among(id, pools)).then_some(id)
+                let id = self.capacity.id(machine)?;
+                let present = self.capacity.get(id)?.incarnation == incarnation;
+                (present && self.capacity.among(id, pools)).then_some(id)
             })
             .collect()
     }
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -90,7 +90,7 @@
     /// Decided and not written down yet: its room is booked, it is not started.
     Ahead = 0,
     /// Written down: to be started, or to go on.
-    Wanted = 1,
+    DesiredHere = 1,
     /// Its attempt has ended, which is not written down yet: it is not started
     /// again, and what is listed of it is kept.
     Over = 2,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,7 +1,7 @@
 //! One message between controllers.
 
 use super::{
-    Demand, DesiredStateMessage, Hint, InheritedUrgency, MachineView, MisdirectedHeartbeats,
+    AddressHint, Demand, DesiredStateMessage, InheritedUrgency, MachineView, MisdirectedHeartbeats,
     Preempt, Progress, QuotaDemand, ShardClaim,
 };
 use prost::Message;
@@ -62,7 +62,7 @@
     pub preempt: Vec<Preempt>,
     /// Machines of shards that the sender does not hold, as it last knew them.
     #[prost(message, repeated, tag = "16")]
-    pub hints: Vec<Hint>,
+    pub address_hints: Vec<AddressHint>,
     /// Machines of others' shards that report to the sender; taken with `demand`.
     #[prost(message, repeated, tag = "17")]
     pub misdirected: Vec<MisdirectedHeartbeats>,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -25,5 +25,5 @@
 };
 pub use encoding::{BadFrame, MAX_FRAME, read_frame, write_frame};
 pub use frame::{FORMAT, Frame};
-pub use shards::{Hint, MisdirectedHeartbeats, ShardClaim};
+pub use shards::{AddressHint, MisdirectedHeartbeats, ShardClaim};
 pub use views::{AppliedUpdate, MachineView, ObservedState, ObservedTask};
--- a/src/peer/shards.rs
+++ b/src/peer/shards.rs
@@ -16,7 +16,7 @@
 /// Where a machine was last known to be, for a controller that may take its
 /// shard without having known of it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Hint {
+pub struct AddressHint {
     /// Machine.
     #[prost(string, tag = "1")]
     pub machine: String,
--- a/tests/tables/autoscaler.rs
+++ b/tests/tables/autoscaler.rs
@@ -1,6 +1,6 @@
 //! Machines that are rented and returned, and how long tasks run.
 
-use millethold::controller::autoscaler::{self, Autoscaler, Room};
+use millethold::controller::autoscaler::{self, Autoscaler, FreeCapacity};
 use millethold::controller::estimate::Estimates;
 use millethold::peer::Demand;
 use millethold::time::Micros;
@@ -75,7 +75,7 @@
         rank: 2,
         beyond: false,
     };
-    let room = |cpus: f64, spot| Room {
+    let room = |cpus: f64, spot| FreeCapacity {
         machine_type: "small".into(),
         zone: "a".into(),
         spot,
--- a/tests/tables/jobs.rs
+++ b/tests/tables/jobs.rs
@@ -34,7 +34,7 @@
     // Read with other settings: the stored size of the parts holds.
     let other = ChunkLayout { tasks: 100, bytes: 1_000, described: false };
     let back = Job::restore(2, 9, other, &stored).expect("stored parts");
-    assert_eq!((back.done(), back.booked(), back.pending()), (5, 1, 10));
+    assert_eq!((back.done(), back.reserved_tasks(), back.pending()), (5, 1, 10));
     assert_eq!(back.accepted, Micros::secs(77));
     assert_eq!(back.chunks[1].placed[&7].attempt, 3);
     // A later holder knows since when it has been there.
@@ -195,7 +195,7 @@
         assert_eq!((j.limited_tasks(), j.zones().len()), (1, 1), "{name}: placed");
         assert!(j.end(6, end).is_some());
         let still = u32::from(counts);
-        assert_eq!(j.booked(), 0, "{name}");
+        assert_eq!(j.reserved_tasks(), 0, "{name}");
         assert_eq!((j.limited_tasks(), j.zones().len() as u32), (still, still), "{name}: ended");
         j.chunks[1].unstored_ends.clear();
         assert_eq!((j.limited_tasks(), j.zones().len()), (0, 0), "{name}: stored");
--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -4,7 +4,7 @@
 use millethold::controller::machine::{Key, ManagedMachine, Sent};
 use millethold::controller::shard::{TERM_STRIDE, next_term};
 use millethold::controller::start_gate::{
-    JobEvidence, ManagerRight, StartRefusal, StartViolation, Way,
+    CommandAuthority, CommandRoute, JobEvidence, StartRefusal, StartViolation,
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
@@ -156,8 +156,8 @@
 }
 
 /// The rights of a manager under this term, towards a machine in its first session.
-fn manager(term: u64) -> ManagerRight {
-    ManagerRight {
+fn manager(term: u64) -> CommandAuthority {
+    CommandAuthority {
         now: Micros::secs(50),
         shard: 0,
         term,
@@ -188,25 +188,30 @@
     let waits = stored(StoredStage::Accepted);
     // Task, the term that its owner knew, its job, why it does not start.
     let table = [
-        (wanted(Phase::Wanted, None, 1), 4, waits, None),
-        (wanted(Phase::Wanted, None, 1), 5, None, None),
-        (wanted(Phase::Wanted, None, 1), 3, waits, Some(OwnerUnaware)),
-        (wanted(Phase::Wanted, None, 1), 0, waits, Some(OwnerUnaware)),
-        (wanted(Phase::Wanted, Some(0), 1), 4, waits, Some(ToBeStopped)),
+        (wanted(Phase::DesiredHere, None, 1), 4, waits, None),
+        (wanted(Phase::DesiredHere, None, 1), 5, None, None),
+        (wanted(Phase::DesiredHere, None, 1), 3, waits, Some(OwnerUnaware)),
+        (wanted(Phase::DesiredHere, None, 1), 0, waits, Some(OwnerUnaware)),
+        (wanted(Phase::DesiredHere, Some(0), 1), 4, waits, Some(ToBeStopped)),
         (wanted(Phase::Ahead, None, 1), 4, waits, Some(NotWanted)),
         (wanted(Phase::Over, None, 1), 4, waits, Some(NotWanted)),
-        (wanted(Phase::Wanted, None, 2), 4, waits, Some(OtherIncarnation)),
-        (wanted(Phase::Wanted, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
-        (wanted(Phase::Wanted, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
+        (wanted(Phase::DesiredHere, None, 2), 4, waits, Some(OtherIncarnation)),
+        (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
+        (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
         // A phase of a later version must not read as one that starts.
-        (DesiredTask { phase: 77, ..wanted(Phase::Wanted, None, 1) }, 4, waits, Some(NotWanted)),
+        (
+            DesiredTask { phase: 77, ..wanted(Phase::DesiredHere, None, 1) },
+            4,
+            waits,
+            Some(NotWanted),
+        ),
     ];
     for (task, known, job, want) in table {
         let got = manager(4).examine(&task, known, job);
         assert_eq!(got.err(), want, "{task:?} {known} {job:?}");
     }
-    let blind = ManagerRight { cancellations_known: false, ..manager(4) };
-    let task = wanted(Phase::Wanted, None, 1);
+    let blind = CommandAuthority { cancellations_known: false, ..manager(4) };
+    let task = wanted(Phase::DesiredHere, None, 1);
     assert_eq!(blind.examine(&task, 4, waits).err(), Some(CancellationsUnknown));
 }
 
@@ -214,18 +219,18 @@
 #[test]
 fn violations_of_a_right() {
     use StartViolation::*;
-    let over = ManagerRight { now: Micros::secs(51), ..manager(4) };
-    let low = ManagerRight { fencing_token: 3, ..manager(4) };
+    let over = CommandAuthority { now: Micros::secs(51), ..manager(4) };
+    let low = CommandAuthority { fencing_token: 3, ..manager(4) };
     let table = [
         ("as it should be", manager(4), key(2), None),
         ("past the lease", over, key(2), Some(LeaseOver)),
         ("a token that fences nothing", low, key(2), Some(FencingTokenBelowTerm)),
         ("another attempt", manager(4), key(3), Some(OtherTask)),
     ];
-    let task = wanted(Phase::Wanted, None, 1);
+    let task = wanted(Phase::DesiredHere, None, 1);
     for (name, manager, used_for, want) in table {
         let right = manager.examine(&task, 4, None).expect("nothing is known against it");
-        assert_eq!(right.command("vm-1", &used_for, Way::Direct).err(), want, "{name}");
+        assert_eq!(right.command("vm-1", &used_for, CommandRoute::Direct).err(), want, "{name}");
     }
 }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -42,7 +42,7 @@
     for value_kb in [8.0, 2.0] {
         let stored = BTreeMap::from([(0, (chunk(), 5))]);
         let job = Job::restore(2, 9, ChunkLayout::new(value_kb), &stored).expect("a stored job");
-        assert_eq!((job.done(), job.booked(), job.pending()), (1, 2, 13), "{value_kb} KiB");
+        assert_eq!((job.done(), job.reserved_tasks(), job.pending()), (1, 2, 13), "{value_kb} KiB");
         assert!(!job.waiting && job.dependencies.is_empty());
         assert_eq!(job.encode_chunk(0), chunk(), "{value_kb} KiB");
     }
@@ -107,7 +107,12 @@
             let chunks = (0..3).map(|n| job.encode_chunk(n).to_string().len());
             assert!(chunks.max() <= Some(2_048), "task {task}");
         }
-        assert!(job.booked() >= 2 * size.tasks, "only {} of {}", job.booked(), 3 * size.tasks);
+        assert!(
+            job.reserved_tasks() >= 2 * size.tasks,
+            "only {} of {}",
+            job.reserved_tasks(),
+            3 * size.tasks
+        );
         // As some end, others have room.
         let first: Vec<u32> = job.chunks[0].placed.keys().copied().collect();
         first.iter().for_each(|i| drop(job.end(*i, TaskEnd::known(ObservedState::Done))));
@@ -128,17 +133,21 @@
         (Some(previous_chunk_layout), 232),
         (None, 232),
     ];
-    for (taken, booked) in table {
+    for (taken, reserved_tasks) in table {
         job.set_layout(small, taken);
         let free = (0..232).filter(|i| job.chunks[0].pending.contains(i)).collect::<Vec<u32>>();
         for task in free {
-            if job.first_pending().is_some() && job.booked() < booked {
+            if job.first_pending().is_some() && job.reserved_tasks() < reserved_tasks {
                 let machine = format!("vm-{task:06}");
                 job.put(Micros::secs(1_000), task, &machine, 3, "a");
             }
         }
-        assert_eq!(job.booked(), booked, "{taken:?}");
-        assert_eq!(job.first_pending().is_some(), taken.is_some() && booked < 232, "{taken:?}");
+        assert_eq!(job.reserved_tasks(), reserved_tasks, "{taken:?}");
+        assert_eq!(
+            job.first_pending().is_some(),
+            taken.is_some() && reserved_tasks < 232,
+            "{taken:?}"
+        );
     }
     assert!(job.encode_chunk(0).to_string().len() <= 8 * 1024);
     // One that was divided for small ones has always had their room.
