--- a/src/controller/admission.rs
+++ b/src/controller/api/admission.rs
@@ -2,11 +2,12 @@
 //!
 //! Where more come than this node's share of changes can take one by one, those
 //! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
-//! all their descriptions. What is written of them later: see [`super::batch`].
+//! all their descriptions. What is written of them later: see [`crate::controller::jobs::batch`].
 
-use super::dependencies::DependencyOutcome;
-use super::job::{self, Job, StoredStage};
-use super::{CachedStage, Controller, Op, Ticket, shard};
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::{self, Job, StoredStage};
+use crate::controller::leadership::shard;
+use crate::controller::{CachedStage, Controller, Op, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
@@ -18,7 +19,7 @@
 /// How long after a submission others are expected.
 const ADMITTING: Micros = Micros::millis(500);
 /// Changes that an admission of one job makes.
-pub(super) const ADMISSION_PUTS: usize = 2;
+pub(crate) const ADMISSION_PUTS: usize = 2;
 /// A submission that has waited for longer is answered, to be sent again.
 const GIVEN_UP: Micros = Micros::millis(2_500);
 /// Bytes of a value that is full: some are left for what surrounds the list.
@@ -28,7 +29,7 @@
 
 /// A submission on its way to the key-value store.
 #[derive(Debug, Clone)]
-pub(super) struct Submission {
+pub(crate) struct Submission {
     pub ticket: Ticket,
     pub spec: Rc<JobSpec>,
     /// Time of day at which it came.
@@ -40,7 +41,7 @@
 
 /// Descriptions of jobs accepted together.
 #[derive(Debug, Clone)]
-pub(super) struct Batch {
+pub(crate) struct Batch {
     pub shard: usize,
     pub revision: u64,
     /// Jobs whose description stands nowhere else.
@@ -51,7 +52,7 @@
 
 /// Submissions that wait, and the batches that are still needed.
 #[derive(Debug, Default)]
-pub(super) struct Admission {
+pub(crate) struct Admission {
     waiting: Vec<Submission>,
     pub batches: BTreeMap<String, Batch>,
     /// Where a job's description is, if in a batch.
@@ -97,7 +98,7 @@
 
 impl Controller {
     /// Puts a submission that can be accepted among those that wait.
-    pub(super) fn queue_submission(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+    pub(crate) fn queue_submission(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
         self.admitting_until = self.now + ADMITTING;
         let arrival = Submission { ticket, spec, accepted: self.wall(), came: self.now, size };
         self.admission.waiting.push(arrival);
@@ -110,13 +111,13 @@
 
     /// Changes that others leave to admissions: while submissions come, their
     /// users wait for them.
-    pub(super) fn admission_reserve(&self) -> f64 {
+    pub(crate) fn admission_reserve(&self) -> f64 {
         if self.now < self.admitting_until { self.puts.burst() / 2.0 } else { 0.0 }
     }
 
     /// Sends waiting submissions to the key-value store: one by one while there is
     /// plenty of this node's share, together where there is not.
-    pub(super) fn admit_waiting(&mut self) {
+    pub(crate) fn admit_waiting(&mut self) {
         while self.admission.len() > 0 {
             let shard = self.admitting_shard();
             let leadership = shard.and_then(|s| Some((s, self.shards[s].leadership.clone()?)));
@@ -183,7 +184,7 @@
         self.state(Op::Admit { list, shard: s, term: leadership.term, batch }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn admission_reply(
+    pub(crate) fn admission_reply(
         &mut self,
         list: Vec<Submission>,
         s: usize,
@@ -278,7 +279,7 @@
 
     /// Answers submissions that have waited for too long, or that nothing can
     /// be done for: their users are told when to come back.
-    pub(super) fn expire_submissions(&mut self) {
+    pub(crate) fn expire_submissions(&mut self) {
         if !self.holds_lease() {
             return self.refuse_waiting("state service away");
         }
@@ -301,12 +302,12 @@
     }
 
     /// A shard is lost, and what it had accepted is another's to remember.
-    pub(super) fn forget_batches(&mut self, s: usize) {
+    pub(crate) fn forget_batches(&mut self, s: usize) {
         self.admission.forget_shard(s);
     }
 
     /// Removes a batch that no job needs any more, when nothing urgent waits.
-    pub(super) fn drop_batch(&mut self) {
+    pub(crate) fn drop_batch(&mut self) {
         let unreadable = &self.unreadable;
         let idle = |key: &str, b: &Batch| b.jobs.is_empty() && !b.busy && !unreadable.contains(key);
         let found = self.admission.batches.iter_mut().find(|(key, b)| idle(key, b));
@@ -329,7 +330,7 @@
         self.state(op, KvRequest::Txn(txn));
     }
 
-    pub(super) fn batch_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
+    pub(crate) fn batch_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
         let Some(b) = self.admission.batches.get_mut(key) else {
             return;
         };
--- a/src/controller/api.rs
+++ b/src/controller/api/routing.rs
@@ -1,9 +1,10 @@
 //! What users and workers ask: routing, submissions, polls, cancellations.
 
-use super::admission::ADMISSION_PUTS;
-use super::dependencies::DependencyOutcome;
-use super::job::{self, JobRecord, StoredStage};
-use super::{CachedStage, Controller, Effect, Op, Ticket, shard};
+use crate::controller::api::admission::ADMISSION_PUTS;
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::{self, JobRecord, StoredStage};
+use crate::controller::leadership::shard;
+use crate::controller::{CachedStage, Controller, Effect, Op, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{self, Condition, JobAnswer, JobSpec, JobStage, Refusal, Txn, Write, path};
 use log::info;
@@ -17,7 +18,7 @@
 const CANCEL_TRIES: u32 = 4;
 
 impl Controller {
-    pub(super) fn respond(
+    pub(crate) fn respond(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -28,7 +29,7 @@
         self.effects.push(Effect::Respond { ticket, status, retry_after, body });
     }
 
-    pub(super) fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
+    pub(crate) fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
         self.note_refusal(status, reason);
         let s = if status == 429 { self.options.retry_after_s } else { 1 };
         self.respond(ticket, status, Some(s), &Refusal::new(reason));
@@ -41,13 +42,13 @@
         *self.refusals.entry((status, reason.to_string())).or_insert(0) += 1;
     }
 
-    pub(super) fn log_refusals(&mut self) {
+    pub(crate) fn log_refusals(&mut self) {
         for ((status, reason), count) in std::mem::take(&mut self.refusals) {
             info!("{count} requests answered {status}: {reason}");
         }
     }
 
-    pub(super) fn http(&mut self, ticket: Ticket, method: &str, target: &str, body: &[u8]) {
+    pub(crate) fn http(&mut self, ticket: Ticket, method: &str, target: &str, body: &[u8]) {
         let target = target.split('?').next().unwrap_or("");
         let allowed = if target == path::HEARTBEAT || target == path::JOBS {
             "POST"
@@ -125,7 +126,7 @@
     }
 
     /// The shard that accepts new jobs here: the home shard if it is owned.
-    pub(super) fn admitting_shard(&self) -> Option<usize> {
+    pub(crate) fn admitting_shard(&self) -> Option<usize> {
         if self.serves_shard(self.me) {
             return Some(self.me);
         }
@@ -218,7 +219,7 @@
 
     /// Answers with the job's state if it is known to the store, and with the
     /// given answer if not.
-    pub(super) fn read_or(
+    pub(crate) fn read_or(
         &mut self,
         ticket: Ticket,
         id: &str,
@@ -250,7 +251,7 @@
     }
 
     /// What a user is told of a job.
-    pub(super) fn job_answer<'a>(&self, id: &'a str, known: CachedStage) -> JobAnswer<'a> {
+    pub(crate) fn job_answer<'a>(&self, id: &'a str, known: CachedStage) -> JobAnswer<'a> {
         let (done, running) = match known.stage {
             StoredStage::Done => (known.tasks, 0),
             StoredStage::Cancelled => (self.progress.get(id).map_or(0, |p| p.0), 0),
@@ -267,7 +268,7 @@
     }
 
     /// Reads `j/REF`; what cannot be read counts as not answered.
-    pub(super) fn read_record(
+    pub(crate) fn read_record(
         &mut self,
         job: &str,
         reply: &KvResponse,
@@ -297,7 +298,7 @@
         }
     }
 
-    pub(super) fn api_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn api_reply(&mut self, op: Op, reply: KvResponse) {
         match op {
             Op::Admit { list, shard, term, batch } => {
                 self.admission_reply(list, shard, term, batch, reply);
--- a/src/controller/status.rs
+++ b/src/controller/api/status.rs
@@ -1,9 +1,9 @@
 //! What the status page, the queue page and the log tell of the controller.
 
-use super::Controller;
-use super::decision_log::DecisionCounts;
-use super::frames::PeerInfo;
-use super::shard::Shard;
+use crate::controller::Controller;
+use crate::controller::decision_log::DecisionCounts;
+use crate::controller::leadership::shard::Shard;
+use crate::controller::peers::frames::PeerInfo;
 use crate::peer::{self, MachineView};
 use crate::time::Micros;
 use serde::Serialize;
@@ -109,26 +109,26 @@
 
 /// Counters for the status page.
 #[derive(Debug, Clone, Default, Serialize)]
-pub(super) struct Counts {
-    pub(super) accepted: u64,
-    pub(super) refused: u64,
-    pub(super) done: u64,
-    pub(super) cancelled: u64,
+pub(crate) struct Counts {
+    pub(crate) accepted: u64,
+    pub(crate) refused: u64,
+    pub(crate) done: u64,
+    pub(crate) cancelled: u64,
     /// Jobs let go once all that they need was done.
-    pub(super) released: u64,
+    pub(crate) released: u64,
     /// Jobs cancelled with one that they need.
     #[serde(rename = "cancelled_with_upstream")]
-    pub(super) cancelled_with_dependency: u64,
-    pub(super) placed: u64,
-    pub(super) image_hits: u64,
-    pub(super) failed: u64,
-    pub(super) lost: u64,
-    pub(super) preempted: u64,
+    pub(crate) cancelled_with_dependency: u64,
+    pub(crate) placed: u64,
+    pub(crate) image_hits: u64,
+    pub(crate) failed: u64,
+    pub(crate) lost: u64,
+    pub(crate) preempted: u64,
     #[serde(rename = "reports")]
-    pub(super) heartbeats: u64,
+    pub(crate) heartbeats: u64,
     #[serde(rename = "bad_reports")]
-    pub(super) bad_heartbeats: u64,
-    pub(super) decisions: DecisionCounts,
+    pub(crate) bad_heartbeats: u64,
+    pub(crate) decisions: DecisionCounts,
 }
 
 impl Controller {
@@ -187,7 +187,7 @@
     }
 
     /// Tells the log how many tasks wait for what.
-    pub(super) fn log_waiting(&self) {
+    pub(crate) fn log_waiting(&self) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
         }
--- a/src/controller/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -6,10 +6,10 @@
 //! its job's key; in a storm those that wait are put together: one transaction
 //! that changes nothing and compares the versions of all their keys.
 
-use super::dependencies::DependencyOutcome;
-use super::job::{self, StoredStage};
-use super::{Controller, Op, Ticket};
 use crate::config;
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::{self, StoredStage};
+use crate::controller::{Controller, Op, Ticket};
 use crate::kv_store::{Bucket, KvRequest, KvResponse, REQUEST_RATE_SHARE};
 use crate::time::Micros;
 use crate::wire::{Condition, Refusal, Txn};
@@ -27,13 +27,13 @@
 const MOST_WAITING: usize = 2_000;
 /// A stage that is not final, or that a job is not there, is told only if the call
 /// that shows it was sent no longer ago.
-pub(super) const FRESH: Micros = Micros::millis(600);
+pub(crate) const FRESH: Micros = Micros::millis(600);
 /// A status query that has waited for longer is answered while its user listens.
 const LISTENS: Micros = Micros::millis(1_600);
 
 /// Status queries about one job.
 #[derive(Debug, Clone)]
-pub(super) struct StatusQuery {
+pub(crate) struct StatusQuery {
     /// Version of its key that is known.
     revision: u64,
     /// Who asks, and since when.
@@ -41,11 +41,11 @@
 }
 
 /// Jobs asked about together.
-pub(super) type QueriedJobs = BTreeMap<String, StatusQuery>;
+pub(crate) type QueriedJobs = BTreeMap<String, StatusQuery>;
 
 /// Status queries that wait for a comparison.
 #[derive(Debug)]
-pub(super) struct StatusQueries {
+pub(crate) struct StatusQueries {
     waiting: QueriedJobs,
     /// Status queries in `waiting`.
     count: usize,
@@ -98,7 +98,7 @@
 }
 
 impl Controller {
-    pub(super) fn poll(&mut self, ticket: Ticket, id: &str) {
+    pub(crate) fn poll(&mut self, ticket: Ticket, id: &str) {
         let now = self.now;
         let known = self.cached_stages.get(id).copied();
         if let Some(known) = known.filter(|k| k.stage != StoredStage::Accepted) {
@@ -130,7 +130,7 @@
     }
 
     /// Sends comparisons for the status queries that wait.
-    pub(super) fn send_status_comparisons(&mut self) {
+    pub(crate) fn send_status_comparisons(&mut self) {
         while self.status_queries.count > 0
             && self.status_queries.under_way < COMPARISONS
             && self.status_queries.calls.level(self.now) >= 1.0
@@ -158,7 +158,7 @@
         }
     }
 
-    pub(super) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: KvResponse) {
+    pub(crate) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: KvResponse) {
         self.status_queries.under_way = self.status_queries.under_way.saturating_sub(1);
         let failed = match reply {
             KvResponse::Applied(_) => Vec::new(),
@@ -197,11 +197,11 @@
 
     /// Whether what a call sent then has shown may still be told as the present
     /// state: what took long may have been overtaken by another node's word.
-    pub(super) fn fresh(&self, sent: Micros) -> bool {
+    pub(crate) fn fresh(&self, sent: Micros) -> bool {
         self.now.since(sent) <= FRESH
     }
 
-    pub(super) fn poll_read(
+    pub(crate) fn poll_read(
         &mut self,
         tickets: Vec<Ticket>,
         job: &str,
@@ -234,7 +234,7 @@
     }
 
     /// Answers status queries that have waited for as long as their users listen.
-    pub(super) fn maintain_status_queries(&mut self) {
+    pub(crate) fn maintain_status_queries(&mut self) {
         if self.status_queries.count == 0 {
             return;
         }
--- a/src/controller/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -6,10 +6,10 @@
 //! the revision up to which it has followed the jobs; or, where a peer does not say
 //! so, once whatever it may have read before is too old for it to be told.
 
-use super::dependencies::DependencyOutcome;
-use super::job::StoredStage;
-use super::status_queries::FRESH;
-use super::{CachedStage, Controller, Ticket};
+use crate::controller::api::status_queries::FRESH;
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::{CachedStage, Controller, Ticket};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 
 /// Final stages that were learnt a moment ago.
 #[derive(Debug, Default)]
-pub(super) struct TerminalStates {
+pub(crate) struct TerminalStates {
     /// When each was learnt here, and the revision that made it so.
     unacknowledged: BTreeMap<String, (Micros, u64)>,
     /// Who is to be told of them.
@@ -58,7 +58,7 @@
 impl Controller {
     /// Tells a user how a job stands: at once, unless the stage is final and a peer
     /// might still tell an older one.
-    pub(super) fn answer_with_stage(
+    pub(crate) fn answer_with_stage(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -101,7 +101,7 @@
     }
 
     /// Answers those who wait for terminal states that every peer knows of by now.
-    pub(super) fn answer_acknowledged(&mut self) {
+    pub(crate) fn answer_acknowledged(&mut self) {
         if self.terminal_states.unacknowledged.is_empty() {
             return;
         }
--- a/src/controller/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -1,8 +1,11 @@
 //! Talking to the cloud: types, lists, rents and returns.
 
-use super::autoscaler::{self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine};
-use super::{Controller, Op, shard};
 use crate::cloud::{CloudCall, CloudReply};
+use crate::controller::autoscaler::planning::{
+    self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine,
+};
+use crate::controller::leadership::shard;
+use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
 use crate::time::Micros;
@@ -37,7 +40,7 @@
 const REPLACED: usize = 4;
 
 impl Controller {
-    pub(super) fn maintain_autoscaler(&mut self) {
+    pub(crate) fn maintain_autoscaler(&mut self) {
         let now = self.now;
         // Every node needs the types, the renting one also their prices.
         let wait = if self.types.is_empty() { Micros::millis(700) } else { TYPES_EVERY };
@@ -122,8 +125,8 @@
                 });
             }
         }
-        let rest = autoscaler::unmet(&demand, &mut rooms);
-        let next = autoscaler::next_request(
+        let rest = planning::unmet(&demand, &mut rooms);
+        let next = planning::next_request(
             &rest,
             &self.types,
             &self.autoscaler.machines,
@@ -204,7 +207,7 @@
         }
     }
 
-    pub(super) fn cloud_reply(&mut self, op: Op, reply: CloudReply) {
+    pub(crate) fn cloud_reply(&mut self, op: Op, reply: CloudReply) {
         let now = self.now;
         match (op, reply) {
             (Op::Types, CloudReply::Types(types)) => {
@@ -276,7 +279,7 @@
         self.state(Op::StoreTypes, KvRequest::Txn(txn));
     }
 
-    pub(super) fn types_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn types_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
             (Op::StoredTypes, KvResponse::Value(Some(item))) => {
                 self.types_reading = false;
@@ -372,7 +375,7 @@
 }
 
 /// What a status page tells of the fleet.
-impl autoscaler::Autoscaler {
+impl planning::Fleet {
     /// Machines by stage.
     pub fn stages(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
--- /dev/null
+++ b/src/controller/autoscaler/mod.rs
@@ -0,0 +1,4 @@
+//! TODO
+
+pub mod cloud_calls;
+pub mod planning;
--- a/src/controller/autoscaler.rs
+++ b/src/controller/autoscaler/planning.rs
@@ -37,7 +37,7 @@
 
 /// What the renting shard knows.
 #[derive(Debug, Default)]
-pub struct Autoscaler {
+pub struct Fleet {
     /// Machines by name.
     pub machines: BTreeMap<String, RentedMachine>,
     /// When to list next.
@@ -196,7 +196,7 @@
     chosen.map(|offer| (offer, count.div_ceil(3).clamp(count.min(8), 50)))
 }
 
-impl Autoscaler {
+impl Fleet {
     /// Takes in a complete list that was asked for at `asked`. Returns the
     /// machines that are surely terminated: listed before, and missing from a list
     /// that is newer for certain, the lag being at most twice its nominal value.
--- a/src/controller/op.rs
+++ b/src/controller/calls.rs
@@ -1,9 +1,9 @@
 //! What the calls under way to the key-value store, the cloud and workers are for.
 
-use super::admission::Submission;
-use super::event::Ticket;
-use super::machine::Key;
-use super::status_queries::QueriedJobs;
+use crate::controller::api::admission::Submission;
+use crate::controller::api::status_queries::QueriedJobs;
+use crate::controller::event::Ticket;
+use crate::controller::machines::machine::Key;
 use crate::time::Micros;
 use crate::wire::JobSpec;
 use serde_json::Value;
@@ -12,7 +12,7 @@
 
 /// Which changes a watch follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Watch {
+pub(crate) enum Watch {
     Jobs,
     ShardLeases,
     Quotas,
@@ -20,7 +20,7 @@
 
 /// What a call was for.
 #[derive(Debug, Clone)]
-pub(super) enum Op {
+pub(crate) enum Op {
     GrantLease { sent: Micros },
     RenewLease { sent: Micros, epoch: u64 },
     ListLeases,
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -3,14 +3,14 @@
 //! All lines have one target and `key=value` fields with the same names everywhere, so
 //! that a log can be searched by `job`, `machine`, `shard`, `term` or `revision`.
 
-use super::Controller;
-use super::Watch;
-use super::autoscaler::AUTOSCALER_SHARD;
-use super::job::StoredStage;
-use super::machine::{ManagedMachine, Revocation};
-use super::shard::ShardLeadership;
-use super::stage_cache::CachedStage;
-use super::start_gate::{CommandAuthority, StartViolation};
+use crate::controller::Controller;
+use crate::controller::Watch;
+use crate::controller::autoscaler::planning::AUTOSCALER_SHARD;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::leadership::shard::ShardLeadership;
+use crate::controller::machines::machine::{ManagedMachine, Revocation};
+use crate::controller::machines::start_gate::{CommandAuthority, StartViolation};
 use crate::time::Micros;
 use serde::Serialize;
 
@@ -19,39 +19,39 @@
 
 /// How many decisions of each kind have been made, for the status page.
 #[derive(Debug, Clone, Default, Serialize)]
-pub(super) struct DecisionCounts {
+pub(crate) struct DecisionCounts {
     /// Starts sent straight to workers.
-    pub(super) direct_starts: u64,
+    pub(crate) direct_starts: u64,
     /// Starts in answers to reports.
-    pub(super) answered_starts: u64,
+    pub(crate) answered_starts: u64,
     /// Stops, either way.
-    pub(super) stops: u64,
+    pub(crate) stops: u64,
     /// Exited tasks removed from reports.
-    pub(super) forgets: u64,
+    pub(crate) forgets: u64,
     /// Direct commands with starts that got no answer.
-    pub(super) unanswered_starts: u64,
+    pub(crate) unanswered_starts: u64,
     /// Workers shown a higher token, so that starts on their way are not executed.
     #[serde(rename = "raised_tokens")]
-    pub(super) raised_fencing_tokens: u64,
+    pub(crate) raised_fencing_tokens: u64,
     /// Tasks that were on these workers: ending their sessions instead would have
     /// lost them.
-    pub(super) tasks_beside_raises: u64,
+    pub(crate) tasks_beside_raises: u64,
     /// Machines that were asked for, by request.
     #[serde(rename = "rent_requests")]
-    pub(super) scale_out_requests: u64,
+    pub(crate) scale_out_requests: u64,
     /// Machines that were returned.
     #[serde(rename = "returned_machines")]
-    pub(super) machines_scaled_in: u64,
+    pub(crate) machines_scaled_in: u64,
     /// Users told that their job is cancelled or done.
-    pub(super) final_answers: u64,
+    pub(crate) final_answers: u64,
     /// Decisions that were not carried out since they would have broken a rule. Any
     /// other value than 0 is a fault of this program.
-    pub(super) violations: u64,
+    pub(crate) violations: u64,
 }
 
 /// Something that this program must never do, found before it was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Violation {
+pub(crate) enum Violation {
     /// Of a start.
     Start(StartViolation),
     /// An answer would renew a lease while a start of a job that is over may arrive.
@@ -59,7 +59,7 @@
 }
 
 /// A shard's lease was taken.
-pub(super) fn shard_acquired(shard: usize, leadership: &ShardLeadership, lease_until: Micros) {
+pub(crate) fn shard_acquired(shard: usize, leadership: &ShardLeadership, lease_until: Micros) {
     log::info!(
         target: TARGET,
         shard = shard, term = leadership.term, revision = leadership.revision,
@@ -69,7 +69,7 @@
 }
 
 /// A shard is not acted for any more.
-pub(super) fn leadership_lost(shard: usize, leadership: &ShardLeadership, now: Micros, why: &str) {
+pub(crate) fn leadership_lost(shard: usize, leadership: &ShardLeadership, now: Micros, why: &str) {
     log::info!(
         target: TARGET,
         shard = shard, term = leadership.term, revision = leadership.revision, at_us = now.0, reason = why;
@@ -78,7 +78,7 @@
 }
 
 /// A job was found to be over; revision 0 if a peer told of it.
-pub(super) fn job_over(job: &str, known: CachedStage) {
+pub(crate) fn job_over(job: &str, known: CachedStage) {
     log::debug!(
         target: TARGET,
         job = job, job_stage:? = known.stage, revision = known.revision;
@@ -88,7 +88,7 @@
 
 impl Controller {
     /// A user is told that a job is done or cancelled.
-    pub(super) fn note_final_answer(&mut self, job: &str, known: CachedStage) {
+    pub(crate) fn note_final_answer(&mut self, job: &str, known: CachedStage) {
         if known.stage == StoredStage::Accepted {
             return;
         }
@@ -103,7 +103,7 @@
     }
 
     /// Machines are asked for.
-    pub(super) fn log_scale_out(&mut self, request: &str, term: u64) {
+    pub(crate) fn log_scale_out(&mut self, request: &str, term: u64) {
         self.counts.decisions.scale_out_requests += 1;
         log::debug!(
             target: TARGET,
@@ -114,7 +114,7 @@
     }
 
     /// Machines are returned.
-    pub(super) fn log_scale_in(&mut self, names: &[String]) {
+    pub(crate) fn log_scale_in(&mut self, names: &[String]) {
         self.counts.decisions.machines_scaled_in += names.len() as u64;
         let term = self.leading_term(AUTOSCALER_SHARD);
         for name in names {
@@ -129,7 +129,7 @@
     }
 
     /// A decision would break a rule: it is told with its evidence, and tests fail.
-    pub(super) fn record_violation(
+    pub(crate) fn record_violation(
         &mut self,
         machine: &str,
         authority: CommandAuthority,
@@ -149,7 +149,7 @@
     }
 
     /// A worker is shown a higher token from now on.
-    pub(super) fn note_raised_fencing_token(
+    pub(crate) fn note_raised_fencing_token(
         &mut self,
         machine: &str,
         authority: CommandAuthority,
--- a/src/controller/batch.rs
+++ b/src/controller/jobs/batch.rs
@@ -6,15 +6,16 @@
 //! their own with their first change; those count before the batch. The batch is
 //! removed once no job needs it.
 
-use super::job::{self, Job};
-use super::{Controller, Op, shard};
+use crate::controller::jobs::job::{self, Job};
+use crate::controller::leadership::shard;
+use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeMap;
 
 impl Controller {
     /// Whether what is written of a job goes into the batch that it came in.
-    pub(super) fn stays_batched(&self, id: &str) -> bool {
+    pub(crate) fn stays_batched(&self, id: &str) -> bool {
         let small = |j: &Job| {
             j.spec.tasks <= job::BATCHED_TASKS && !j.cancelled && !j.over && !j.complete()
         };
@@ -23,7 +24,7 @@
 
     /// Writes a job's batch with all that has changed of its jobs; false if the
     /// job is to have a key of its own after all.
-    pub(super) fn store_batch(&mut self, id: &str) -> bool {
+    pub(crate) fn store_batch(&mut self, id: &str) -> bool {
         let Some(key) = self.admission.batched.get(id).cloned() else {
             return false;
         };
@@ -86,7 +87,7 @@
         true
     }
 
-    pub(super) fn batch_stored(
+    pub(crate) fn batch_stored(
         &mut self,
         key: &str,
         term: u64,
@@ -145,7 +146,7 @@
         }
     }
 
-    pub(super) fn batch_read(&mut self, key: &str, term: u64, reply: KvResponse) {
+    pub(crate) fn batch_read(&mut self, key: &str, term: u64, reply: KvResponse) {
         let Some(batch) = self.admission.batches.get_mut(key) else {
             return;
         };
--- a/src/controller/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -7,8 +7,8 @@
 //! and nothing has to be stopped. A user is told so by any node, also before it is
 //! written: from the stages of all that come before.
 
-use super::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
-use super::{CachedStage, Controller, Op, Ticket};
+use crate::controller::jobs::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
+use crate::controller::{CachedStage, Controller, Op, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::InheritedUrgency;
 use crate::time::Micros;
@@ -37,7 +37,7 @@
 
 /// What becomes of a job, by all that comes before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum DependencyOutcome {
+pub(crate) enum DependencyOutcome {
     /// All that it needs is done.
     Satisfied,
     /// Something before it is not over.
@@ -73,7 +73,7 @@
 
 /// What this process knows of pipelines.
 #[derive(Debug, Default)]
-pub(super) struct DependencyGraph {
+pub(crate) struct DependencyGraph {
     /// What unfinished jobs need.
     dependencies: BTreeMap<String, Rc<[String]>>,
     /// Jobs of which only some of that is known.
@@ -154,7 +154,7 @@
 
 impl Controller {
     /// Works out what becomes of a job that needs others.
-    pub(super) fn dependency_outcome(&self, dependencies: &[String]) -> DependencyOutcome {
+    pub(crate) fn dependency_outcome(&self, dependencies: &[String]) -> DependencyOutcome {
         let stage = |id: &String| self.cached_stages.get(id).map(|k| k.stage);
         if dependencies.iter().all(|id| stage(id) == Some(StoredStage::Done)) {
             return DependencyOutcome::Satisfied;
@@ -190,7 +190,7 @@
     }
 
     /// What becomes of a job that is known as accepted.
-    pub(super) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
+    pub(crate) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
         match self.dependency_graph.dependencies.get(id) {
             Some(dependencies) => self.dependency_outcome(dependencies),
             None if self.dependency_graph.partial.contains_key(id) => {
@@ -223,7 +223,7 @@
     /// Tells a user how a job stands that waits for others: only if, at this moment,
     /// none of them is cancelled by the store either. Its own stage would say nothing
     /// of that until its shard's holder has written it.
-    pub(super) fn answer_blocked(
+    pub(crate) fn answer_blocked(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -245,7 +245,7 @@
         self.state(op, KvRequest::Txn(txn));
     }
 
-    pub(super) fn dependencies_compared(
+    pub(crate) fn dependencies_compared(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -281,7 +281,7 @@
     }
 
     /// Looks up the jobs that a submission needs: each must have been accepted.
-    pub(super) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+    pub(crate) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
         let absent = Refusal { error: "a job that was never accepted", field: Some("upstream") };
         if spec.dependencies.contains(&spec.id) {
             return self.read_or(ticket, &spec.id, 422, None, &absent);
@@ -318,7 +318,7 @@
         }
     }
 
-    pub(super) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
+    pub(crate) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
         let found = self.read_record(id, reply);
         let known = self.cached_stages.contains_key(id);
         let Some(g) = self.dependency_graph.lookups.get_mut(&number) else {
@@ -361,7 +361,7 @@
     }
 
     /// The record of a job as it is accepted.
-    pub(super) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
+    pub(crate) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
         let mut lists = self.dependency_lists(&spec.dependencies);
         let more = lists.len() as u32 - 1;
         let dependencies = lists.swap_remove(0);
@@ -371,7 +371,7 @@
     /// Writes what does not fit in a job's record, and then accepts the job: a record
     /// that names further keys must never be read before they stand. Written late, or
     /// of an earlier try, they fail on the record's mark.
-    pub(super) fn store_dependencies(
+    pub(crate) fn store_dependencies(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
@@ -398,14 +398,14 @@
         };
         let to = (from + 1 + most).min(lists.len());
         let conditions = vec![
-            Condition { key: super::shard::lease_key(s), revision },
+            Condition { key: crate::controller::leadership::shard::lease_key(s), revision },
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
         self.state(Op::StoreDependencies { ticket, spec, size, to: to - 1 }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn dependencies_stored(
+    pub(crate) fn dependencies_stored(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
@@ -437,7 +437,7 @@
         self.state(Op::ReadDependencies { job, number }, KvRequest::Get(key));
     }
 
-    pub(super) fn dependencies_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
+    pub(crate) fn dependencies_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
         let Some(partial) = self.dependency_graph.partial.get_mut(id) else {
             return;
         };
@@ -465,7 +465,7 @@
     }
 
     /// Looks at own waiting jobs: which may go, and which are cancelled.
-    pub(super) fn maintain_dependencies(&mut self) {
+    pub(crate) fn maintain_dependencies(&mut self) {
         self.read_dependencies();
         self.maintain_record_pages();
         if !self.holds_lease() || self.now < self.dependency_graph.next_check {
@@ -545,7 +545,7 @@
         self.state(Op::CancelDependent { job: id.to_string(), shard, tasks }, KvRequest::Txn(txn));
     }
 
-    pub(super) fn dependent_cancelled(
+    pub(crate) fn dependent_cancelled(
         &mut self,
         id: &str,
         shard: usize,
@@ -600,7 +600,7 @@
     }
 
     /// A job is needed by one of this rank and deadline.
-    pub(super) fn inherit_urgency(&mut self, id: &str, rank: u32, due: Micros) {
+    pub(crate) fn inherit_urgency(&mut self, id: &str, rank: u32, due: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/controller/job/chunk.rs
+++ b/src/controller/jobs/job/chunk.rs
@@ -10,7 +10,7 @@
 /// Bytes that a part's value takes beside its placements and description.
 const CHUNK_OVERHEAD_BYTES: usize = 400;
 /// Bytes that a placement takes with names of the usual length.
-pub(super) const PLACEMENT_BYTES: usize = 27;
+pub(crate) const PLACEMENT_BYTES: usize = 27;
 /// Longest description that fits in part 0.
 pub const MAX_SPEC_BYTES: usize = 1_400;
 /// Most tasks in a part.
@@ -45,7 +45,7 @@
 }
 
 /// Most bytes that a placement takes in its part's value.
-pub(super) fn stored_bytes(machine: &str, incarnation: u64, attempt: u64, zone: &str) -> usize {
+pub(crate) fn stored_bytes(machine: &str, incarnation: u64, attempt: u64, zone: &str) -> usize {
     let (head, width, _) = split_name(machine);
     // Numbers with their commas; a beginning or a zone that no other placement
     // has needs a line of its own, which for short ones the overhead holds.
@@ -80,7 +80,7 @@
     /// Since when it runs.
     pub running_since: Option<Micros>,
     /// Bytes that it takes in the part's value at most.
-    pub(super) bytes: usize,
+    pub(crate) bytes: usize,
 }
 
 /// How an attempt ended.
@@ -146,10 +146,10 @@
     /// Version of the newest placement.
     pub put: u64,
     /// Bytes that its placements take in its value at most.
-    pub(super) bytes: usize,
+    pub(crate) bytes: usize,
 }
 
-pub(super) fn spec_bytes(spec: &JobSpec) -> usize {
+pub(crate) fn spec_bytes(spec: &JobSpec) -> usize {
     serde_json::to_vec(spec).map_or(0, |v| v.len())
 }
 
--- a/src/controller/job_manager.rs
+++ b/src/controller/jobs/lifecycle.rs
@@ -1,8 +1,8 @@
 //! The jobs of this process's shards: what became of their tasks, what is
 //! written down, and what is therefore wanted on machines.
 
-use super::Controller;
-use super::job::{Job, TaskEnd};
+use crate::controller::Controller;
+use crate::controller::jobs::job::{Job, TaskEnd};
 use crate::peer::{MachineView, ObservedState, Preempt};
 use crate::time::Micros;
 use log::info;
@@ -13,7 +13,7 @@
 
 impl Controller {
     /// Looks at all tasks of a shard on a machine.
-    pub(super) fn evaluate_machine(&mut self, s: usize, machine: &str) {
+    pub(crate) fn evaluate_machine(&mut self, s: usize, machine: &str) {
         if !self.serves_shard(s) {
             return;
         }
@@ -27,7 +27,7 @@
 
     /// Looks at all own tasks: what was received while this process might not act has
     /// been taken in, and nobody has drawn its conclusions.
-    pub(super) fn evaluate_all(&mut self) {
+    pub(crate) fn evaluate_all(&mut self) {
         let all: Vec<(usize, Rc<str>)> = self.by_machine.keys().cloned().collect();
         for (s, machine) in all {
             self.evaluate_machine(s, &machine);
@@ -57,7 +57,9 @@
         }
         // A view of an earlier holder proves nothing any more: the present one
         // may begin what that one had refused.
-        let here = self.shards[super::shard::shard_of_machine(&machine, self.shards.len())].term;
+        let here = self.shards
+            [crate::controller::leadership::shard::shard_of_machine(&machine, self.shards.len())]
+        .term;
         let Some(view) = self.views.get(&*machine).filter(|v| v.term == here) else {
             return;
         };
@@ -159,7 +161,7 @@
     }
 
     /// Asks for a task to be stopped.
-    pub(super) fn stop_task(&mut self, id: &str, index: u32, grace: Micros) {
+    pub(crate) fn stop_task(&mut self, id: &str, index: u32, grace: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -177,7 +179,7 @@
     }
 
     /// One of our tasks is to make room for a more urgent one.
-    pub(super) fn preempt_task(&mut self, t: &Preempt) {
+    pub(crate) fn preempt_task(&mut self, t: &Preempt) {
         let Some(job) = self.jobs.get_mut(&t.job) else {
             return;
         };
@@ -199,7 +201,7 @@
     }
 
     /// Stops everything of a cancelled job.
-    pub(super) fn stop_job(&mut self, id: &str) {
+    pub(crate) fn stop_job(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -211,7 +213,7 @@
     }
 
     /// A job's user has cancelled it: on some node, perhaps this one.
-    pub(super) fn job_cancelled(&mut self, id: &str) {
+    pub(crate) fn job_cancelled(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id)
             && !job.cancelled
             && !job.over
@@ -224,7 +226,7 @@
     }
 
     /// A machine is known to be terminated, with everything on it.
-    pub(super) fn machine_terminated(&mut self, machine: &str) {
+    pub(crate) fn machine_terminated(&mut self, machine: &str) {
         if !self.terminated.insert(machine.to_string()) {
             return;
         }
@@ -244,7 +246,7 @@
         self.placement_due = true;
     }
 
-    pub(super) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
+    pub(crate) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
         let observed = end.observed;
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -290,7 +292,7 @@
     }
 
     /// Times out what waits for nothing else.
-    pub(super) fn check_spot_notices(&mut self) {
+    pub(crate) fn check_spot_notices(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -309,7 +311,7 @@
     }
 
     /// Takes in a view of a machine.
-    pub(super) fn apply_view(&mut self, view: MachineView) {
+    pub(crate) fn apply_view(&mut self, view: MachineView) {
         let h = self.shard_of_machine(&view.machine);
         if self.terminated.contains(&view.machine) || view.term < self.shards[h].term {
             return;
--- a/src/controller/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -4,8 +4,8 @@
 //! record of. Read one by one they would take longer than a user tries; a page of `j/`
 //! brings those beside them too.
 
-use super::job::{self, MAX_SINGLE_READS};
-use super::{Controller, Op};
+use crate::controller::jobs::job::{self, MAX_SINGLE_READS};
+use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
 
 /// Jobs whose records are to be read by pages.
 #[derive(Debug, Default)]
-pub(super) struct RecordPages {
+pub(crate) struct RecordPages {
     wanted: BTreeSet<String>,
     reading: bool,
     not_before: Micros,
@@ -55,7 +55,7 @@
 impl Controller {
     /// Jobs of which nothing is known here are to be read: each by itself, or if they
     /// are many by pages.
-    pub(super) fn read_records(&mut self, unknown: Vec<String>) {
+    pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
         if unknown.len() <= MAX_SINGLE_READS {
             return self.note_unknown(unknown);
         }
@@ -64,7 +64,7 @@
 
     /// Reads the next page, from the first job that is wanted, while more than half of
     /// this node's share of requests is there.
-    pub(super) fn maintain_record_pages(&mut self) {
+    pub(crate) fn maintain_record_pages(&mut self) {
         let now = self.now;
         let cached = &self.cached_stages;
         let pages = &mut self.record_pages;
@@ -86,7 +86,7 @@
     }
 
     /// Takes in a page of records.
-    pub(super) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
+    pub(crate) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
         self.record_pages.reading = false;
         let KvResponse::Page { items, more, .. } = reply else {
             self.record_pages.not_before = self.now + RETRY;
--- a/src/controller/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -1,7 +1,8 @@
 //! What is known of jobs' stages from the key-value store.
 
-use super::job::StoredStage;
-use super::{Controller, decision_log};
+use crate::controller::Controller;
+use crate::controller::decision_log;
+use crate::controller::jobs::job::StoredStage;
 use crate::wire::JobStage;
 
 /// Jobs whose terminal state is remembered in memory; older ones are read again.
@@ -9,16 +10,16 @@
 
 /// What is known of a job's stage from the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct CachedStage {
-    pub(super) stage: StoredStage,
-    pub(super) shard: usize,
-    pub(super) tasks: u32,
+pub(crate) struct CachedStage {
+    pub(crate) stage: StoredStage,
+    pub(crate) shard: usize,
+    pub(crate) tasks: u32,
     /// Version of its key that says so; it changes once, with the terminal state.
-    pub(super) revision: u64,
+    pub(crate) revision: u64,
 }
 
 impl Controller {
-    pub(super) fn cache_stage(&mut self, job: &str, known: CachedStage) {
+    pub(crate) fn cache_stage(&mut self, job: &str, known: CachedStage) {
         match self.cached_stages.insert(job.to_string(), known) {
             // A stage that is final stays: an answer read earlier may come later.
             Some(old) if old.stage != StoredStage::Accepted => {
@@ -45,7 +46,7 @@
         }
     }
 
-    pub(super) fn stage_word(stage: StoredStage) -> JobStage {
+    pub(crate) fn stage_word(stage: StoredStage) -> JobStage {
         match stage {
             StoredStage::Accepted => JobStage::Queued,
             StoredStage::Done => JobStage::Done,
--- a/src/controller/job_writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -1,9 +1,9 @@
 //! What is written down of own jobs: which changes go into which transaction, and
 //! what follows from the key-value store's answers.
 
-use super::job::{self, Job, JobRecord, StoredStage, TaskEnd};
-use super::shard;
-use super::{CachedStage, Controller, Op};
+use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage, TaskEnd};
+use crate::controller::leadership::shard;
+use crate::controller::{CachedStage, Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::ObservedState;
 use crate::time::Micros;
@@ -28,7 +28,7 @@
 
 /// How urgently a job's changes are to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum WriteUrgency {
+pub(crate) enum WriteUrgency {
     /// Starts, or the end of a whole job, wait for it.
     Now,
     /// Ends of tasks, and what is left of jobs that are over.
@@ -39,7 +39,7 @@
 
 impl Controller {
     /// Reads again how a job stands in the store.
-    pub(super) fn read_back(&mut self, id: &str) {
+    pub(crate) fn read_back(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -57,7 +57,7 @@
     /// Begins transactions for jobs with changes: starts that wait for their
     /// write and ends of whole jobs first, by rank; what nobody waits for later,
     /// together, and only from a share that is not needed for the others.
-    pub(super) fn store_dirty(&mut self) {
+    pub(crate) fn store_dirty(&mut self) {
         if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
             self.drop_batch();
         }
@@ -111,7 +111,9 @@
             return;
         }
         // A shard that is being handed over waits for its writes, so none begins.
-        let ready = |m: &&super::shard::ShardLeadership| m.recovered && !m.handing_over;
+        let ready = |m: &&crate::controller::leadership::shard::ShardLeadership| {
+            m.recovered && !m.handing_over
+        };
         let Some(leadership) = self.shards[s].leadership.as_ref().filter(ready) else {
             return;
         };
@@ -271,7 +273,7 @@
         }
     }
 
-    pub(super) fn store_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn store_reply(&mut self, op: Op, reply: KvResponse) {
         if matches!(op, Op::Store { .. }) {
             self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         }
@@ -400,7 +402,7 @@
     }
 
     /// Changes are stored: they may now be acted on. The mark is 0 in a batch.
-    pub(super) fn stored(
+    pub(crate) fn stored(
         &mut self,
         id: &str,
         revision: u64,
--- a/src/controller/shard_leases.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -1,9 +1,10 @@
 //! Lease, shards and watches: how this process learns what it may do.
 
-use super::recovery::ShardRecovery;
-use super::shard::{self, Shard, ShardLeadership};
-use super::watches::prefix;
-use super::{Controller, Op, Watch, decision_log};
+use crate::controller::decision_log;
+use crate::controller::leadership::recovery::ShardRecovery;
+use crate::controller::leadership::shard::{self, Shard, ShardLeadership};
+use crate::controller::leadership::watches::prefix;
+use crate::controller::{Controller, Op, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::KeyValue;
@@ -15,7 +16,7 @@
 const BLOCK: Micros = Micros::secs(20);
 
 impl Controller {
-    pub(super) fn maintain_shards(&mut self) {
+    pub(crate) fn maintain_shards(&mut self) {
         let now = self.now;
         let ttl = self.options.controller_lease;
         if !self.controller_lease.busy && now >= self.controller_lease.renew_at {
@@ -96,7 +97,7 @@
                 Micros::ZERO
             } else {
                 let rank = (self.me + self.shards.len() - s) % self.shards.len();
-                let well = |p: &super::PeerInfo| p.state_ok && !p.partitioned;
+                let well = |p: &crate::controller::PeerInfo| p.state_ok && !p.partitioned;
                 let home_well = self.peer_alive(s) && self.peers.get(&s).is_some_and(well);
                 let base = if home_well { Micros::millis(2_000) } else { Micros::millis(200) };
                 base + Micros::millis(rank as u64 * 250)
@@ -133,7 +134,7 @@
     }
 
     /// The store says that a shard's mark has changed.
-    pub(super) fn lease_revision_changed(&mut self, s: usize, term: u64) {
+    pub(crate) fn lease_revision_changed(&mut self, s: usize, term: u64) {
         if self.shards[s].leadership.as_ref().is_some_and(|m| m.term == term) {
             self.step_down(s, "its mark has changed");
         }
@@ -141,7 +142,7 @@
     }
 
     /// Forgets everything that belonged to a shard.
-    pub(super) fn step_down(&mut self, s: usize, why: &str) {
+    pub(crate) fn step_down(&mut self, s: usize, why: &str) {
         let Some(leadership) = self.shards[s].leadership.take() else {
             return;
         };
@@ -157,8 +158,8 @@
         let shards = self.shards.len();
         self.managed_machines.retain(|m, _| shard::shard_of_machine(m, shards) != s);
         self.changes.machines.retain(|m| shard::shard_of_machine(m, shards) != s);
-        if s == super::autoscaler::AUTOSCALER_SHARD {
-            self.autoscaler = super::autoscaler::Autoscaler::default();
+        if s == crate::controller::autoscaler::planning::AUTOSCALER_SHARD {
+            self.autoscaler = crate::controller::autoscaler::planning::Fleet::default();
         }
     }
 
@@ -220,7 +221,7 @@
         self.probes.extend(ours);
     }
 
-    pub(super) fn shard_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn shard_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
             (Op::GrantLease { sent }, KvResponse::LeaseGranted(id)) => {
                 self.controller_lease.busy = false;
@@ -373,7 +374,7 @@
         }
     }
 
-    pub(super) fn observe_lease(&mut self, s: usize, item: Option<&KeyValue>) {
+    pub(crate) fn observe_lease(&mut self, s: usize, item: Option<&KeyValue>) {
         let now = self.now;
         self.shards[s].observe_lease(now, item);
         let shard = &self.shards[s];
--- a/src/controller/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -7,7 +7,7 @@
 //! gives its shards up to those who can be reached. It is given none back until a
 //! worker answers it, and later each time, since a cut may be one-way.
 
-use super::{Controller, DirectReply, Effect, Op};
+use crate::controller::{Controller, DirectReply, Effect, Op};
 use crate::peer::MisdirectedHeartbeats;
 use crate::time::Micros;
 use log::info;
@@ -33,7 +33,7 @@
 
 /// What is known of the way between this node and the workers.
 #[derive(Debug, Default)]
-pub(super) struct Connectivity {
+pub(crate) struct Connectivity {
     /// When a worker of an own shard last reported or answered.
     last_contact: Micros,
     /// Machines of others' shards that reported here, and when.
@@ -94,7 +94,7 @@
 
 impl Controller {
     /// Machines of others' shards that report here, for those who own their shards.
-    pub(super) fn misdirected(&self) -> Vec<MisdirectedHeartbeats> {
+    pub(crate) fn misdirected(&self) -> Vec<MisdirectedHeartbeats> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for m in self.connectivity.misdirected.keys() {
             *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
@@ -107,7 +107,7 @@
 
     /// Gives shards up while their machines cannot reach this node, and looks
     /// whether they can again.
-    pub(super) fn check_connectivity(&mut self) {
+    pub(crate) fn check_connectivity(&mut self) {
         let now = self.now;
         let gap = now.since(self.connectivity.checked_at);
         if gap < Micros::millis(250) {
@@ -131,7 +131,8 @@
         let mut known = vec![0_usize; self.shards.len()];
         let mut all = 0;
         for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.incarnation > p.over_through) {
-            known[super::shard::shard_of_machine(m, self.shards.len())] += 1;
+            known[crate::controller::leadership::shard::shard_of_machine(m, self.shards.len())] +=
+                1;
             all += 1;
         }
         let silent = now.since(self.connectivity.last_contact)
@@ -173,7 +174,7 @@
     /// that grows with every cut, shards may come back.
     fn look_for_workers(&mut self) {
         let now = self.now;
-        let well = |p: &super::PeerInfo| p.state_ok && !p.partitioned;
+        let well = |p: &crate::controller::PeerInfo| p.state_ok && !p.partitioned;
         if self.peers.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
             // Also what was taken meanwhile because nobody else was there.
             self.give_up_shards();
@@ -200,7 +201,7 @@
         }
     }
 
-    pub(super) fn inspected(&mut self, reply: &DirectReply) {
+    pub(crate) fn inspected(&mut self, reply: &DirectReply) {
         if matches!(reply, DirectReply::Answered { status: 200, .. }) {
             self.connectivity.back.get_or_insert(self.now);
         }
--- a/src/controller/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -1,7 +1,7 @@
 //! Reading the jobs of a shard after it was taken.
 
-use super::job::{self, Job, JobRecord, StoredStage};
-use super::{CachedStage, Controller, Op, Watch};
+use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage};
+use crate::controller::{CachedStage, Controller, Op, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use log::{info, warn};
@@ -14,27 +14,27 @@
 
 /// A shard's jobs, being read after a take.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ShardRecovery {
-    pub(super) term: u64,
-    pub(super) after: Option<String>,
-    pub(super) listed: bool,
-    pub(super) busy: bool,
-    pub(super) retry: Micros,
-    pub(super) chunks: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
+pub(crate) struct ShardRecovery {
+    pub(crate) term: u64,
+    pub(crate) after: Option<String>,
+    pub(crate) listed: bool,
+    pub(crate) busy: bool,
+    pub(crate) retry: Micros,
+    pub(crate) chunks: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
     /// Jobs whose record is still to be read.
-    pub(super) todo: BTreeSet<String>,
-    pub(super) in_flight: BTreeSet<String>,
+    pub(crate) todo: BTreeSet<String>,
+    pub(crate) in_flight: BTreeSet<String>,
     /// Asked for before changes may have been missed: read again.
-    pub(super) stale: BTreeSet<String>,
-    pub(super) records: BTreeMap<String, (Option<JobRecord>, u64)>,
+    pub(crate) stale: BTreeSet<String>,
+    pub(crate) records: BTreeMap<String, (Option<JobRecord>, u64)>,
     /// Descriptions from batches: key and version of the batch, and part 0.
-    pub(super) batched: BTreeMap<String, (String, u64, Value)>,
+    pub(crate) batched: BTreeMap<String, (String, u64, Value)>,
 }
 
 impl Controller {
     /// A job that the store holds and this process does not: its acceptance
     /// was applied after the answer had been given up.
-    pub(super) fn adopt(&mut self, id: &str, s: usize) {
+    pub(crate) fn adopt(&mut self, id: &str, s: usize) {
         if s >= self.shards.len() || !self.serves_shard(s) || self.jobs.contains_key(id) {
             return;
         }
@@ -62,7 +62,7 @@
         loading.listed = false;
     }
 
-    pub(super) fn continue_recoveries(&mut self) {
+    pub(crate) fn continue_recoveries(&mut self) {
         // What changes after a record was read comes by the watch, which must stand.
         let watched = self.watches.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
         if !self.holds_lease() || !watched {
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn recovery_page_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
+    pub(crate) fn recovery_page_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
         let now = self.now;
         let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
         let KvResponse::Page { items, more, .. } = reply else {
@@ -147,7 +147,7 @@
         self.continue_recovery(s);
     }
 
-    pub(super) fn recovery_record_reply(
+    pub(crate) fn recovery_record_reply(
         &mut self,
         s: usize,
         term: u64,
@@ -178,7 +178,7 @@
     }
 
     /// Something stored cannot be read, which is told once: it stays as it is.
-    pub(super) fn note_unreadable(&mut self, name: &str, what: &str) {
+    pub(crate) fn note_unreadable(&mut self, name: &str, what: &str) {
         if self.unreadable.insert(name.to_string()) {
             warn!("{name}: {what}");
         }
--- a/src/controller/watches.rs
+++ b/src/controller/leadership/watches.rs
@@ -1,8 +1,8 @@
 //! Watches of the key-value store: how this process learns of changes.
 
-use super::job::{JobRecord, StoredStage};
-use super::shard;
-use super::{CachedStage, Controller, Op, Watch};
+use crate::controller::jobs::job::{JobRecord, StoredStage};
+use crate::controller::leadership::shard;
+use crate::controller::{CachedStage, Controller, Op, Watch};
 use crate::kv_store::KvRequest;
 use crate::time::Micros;
 use crate::wire::{KeyValue, WatchEvent};
@@ -13,19 +13,19 @@
 
 /// A watch.
 #[derive(Debug, Clone, Default)]
-pub(super) struct WatchState {
-    pub(super) after: Option<u64>,
-    pub(super) busy: bool,
-    pub(super) retry: Micros,
+pub(crate) struct WatchState {
+    pub(crate) after: Option<u64>,
+    pub(crate) busy: bool,
+    pub(crate) retry: Micros,
     /// When the call that is under way was sent.
-    pub(super) sent: Micros,
+    pub(crate) sent: Micros,
     /// When the last call that was answered had been sent.
-    pub(super) caught_up_at: Micros,
+    pub(crate) caught_up_at: Micros,
     /// When changes were last looked at beside the watch.
-    pub(super) next_check: Micros,
+    pub(crate) next_check: Micros,
 }
 
-pub(super) fn prefix(watch: Watch) -> &'static str {
+pub(crate) fn prefix(watch: Watch) -> &'static str {
     match watch {
         Watch::Jobs => "j/",
         Watch::ShardLeases => shard::LEASE_KEYS,
@@ -36,18 +36,18 @@
 impl WatchState {
     /// Changes up to a revision, asked for at a time, are taken in. A watch and a
     /// look may cross.
-    pub(super) fn advance_to(&mut self, revision: u64, sent: Micros) {
+    pub(crate) fn advance_to(&mut self, revision: u64, sent: Micros) {
         self.after = Some(self.after.unwrap_or(0).max(revision));
         self.caught_up_at = self.caught_up_at.max(sent);
     }
 
     /// All that had changed by then is known.
-    pub(super) fn caught_up_at(&self) -> Micros {
+    pub(crate) fn caught_up_at(&self) -> Micros {
         self.caught_up_at
     }
 
     /// Revision up to which changes are known, 0 for none.
-    pub(super) fn revision(&self) -> u64 {
+    pub(crate) fn revision(&self) -> u64 {
         self.after.unwrap_or(0)
     }
 }
@@ -55,7 +55,7 @@
 impl Controller {
     /// After an outage the lease is good at once, while the watch that was open waits
     /// on: reports are answered only once it is known what was cancelled meanwhile.
-    pub(super) fn poll_beside_watch(&mut self) {
+    pub(crate) fn poll_beside_watch(&mut self) {
         let now = self.now;
         if !self.holds_lease() || self.cancellations_up_to_date() {
             return;
@@ -72,7 +72,7 @@
         self.state(Op::PollChanges { sent: now }, call);
     }
 
-    pub(super) fn change(&mut self, watch: Watch, change: WatchEvent) {
+    pub(crate) fn change(&mut self, watch: Watch, change: WatchEvent) {
         let Some(key) = change.put.as_ref().or(change.delete.as_ref()).cloned() else {
             return;
         };
--- a/src/controller/cancel.rs
+++ b/src/controller/machines/cancellation.rs
@@ -6,10 +6,11 @@
 //! answers a machine's reports keeps its tasks alive, so that one acts on what it
 //! knows itself, and answers only while it is sure to learn of cancellations.
 
-use super::job::StoredStage;
-use super::machine::{self, Key};
-use super::{CachedStage, Controller, Op, Watch, job};
 use crate::config::Workers;
+use crate::controller::jobs::job;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::machines::machine::{self, Key};
+use crate::controller::{CachedStage, Controller, Op, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +32,8 @@
 /// by a controller that does not know of it: what a cancellation has, less the
 /// worker's own lease, which the last such answer begins anew.
 pub fn unanswered_limit(workers: &Workers) -> Micros {
-    let lease = Micros::from_secs_f64(workers.lease_s).stretched(super::shard::DRIFT);
+    let lease = Micros::from_secs_f64(workers.lease_s)
+        .stretched(crate::controller::leadership::shard::DRIFT);
     Micros::from_secs_f64(workers.cancel_s).since(lease + MARGIN)
 }
 
@@ -45,7 +47,7 @@
 
 /// What this process does about cancellations beside its own jobs.
 #[derive(Debug, Default)]
-pub(super) struct Cancels {
+pub(crate) struct Cancels {
     /// Jobs with tasks on own machines of which nothing is known from the store.
     unknown: BTreeSet<String>,
     reading: usize,
@@ -59,7 +61,7 @@
     /// Whether every cancellation that was confirmed long enough ago is known here.
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
-    pub(super) fn cancellations_up_to_date(&self) -> bool {
+    pub(crate) fn cancellations_up_to_date(&self) -> bool {
         let most = unanswered_limit(&self.settings.workers).max(self.options.controller_lease);
         let most = most.min(Micros(2 * self.options.controller_lease.0));
         let watched = self.watches.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
@@ -68,7 +70,7 @@
 
     /// A job was found to be cancelled: its tasks on own machines are stopped at
     /// once, whoever runs it.
-    pub(super) fn stop_on_machines(&mut self, id: &str) {
+    pub(crate) fn stop_on_machines(&mut self, id: &str) {
         let first = Key { job: id.to_string(), index: 0, attempt: 0 };
         let has = |keys: Option<&Key>| keys.is_some_and(|k| k.job == id);
         let there = |p: &machine::ManagedMachine| {
@@ -84,7 +86,7 @@
 
     /// A machine has a task of a job of which nothing is known here: it may have
     /// been cancelled before this process began to listen.
-    pub(super) fn note_unknown(&mut self, jobs: Vec<String>) {
+    pub(crate) fn note_unknown(&mut self, jobs: Vec<String>) {
         for id in jobs {
             if self.cancels.unknown.len() < MOST_UNKNOWN {
                 self.cancels.unknown.insert(id);
@@ -93,12 +95,12 @@
     }
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
-    pub(super) fn invalidate_unfinished(&mut self) {
+    pub(crate) fn invalidate_unfinished(&mut self) {
         self.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
     }
 
     /// Reads unknown jobs, a few at a time.
-    pub(super) fn read_unknown_jobs(&mut self) {
+    pub(crate) fn read_unknown_jobs(&mut self) {
         if !self.holds_lease() || self.cancels.reading >= READS || self.now < self.cancels.read_at {
             return;
         }
@@ -113,21 +115,21 @@
         }
     }
 
-    pub(super) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
+    pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
         self.cancels.reading = self.cancels.reading.saturating_sub(1);
         self.read_record(id, reply);
     }
 
     /// A cancellation was confirmed here: peers are told now, and again until each
     /// is known to have received it.
-    pub(super) fn announce_cancelled(&mut self, id: &str, revision: u64) {
+    pub(crate) fn announce_cancelled(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
         let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
         self.cancels.repeated.insert(id.to_string(), (revision, until));
     }
 
     /// Cancellations to be told once more.
-    pub(super) fn cancellations_to_repeat(&mut self) -> Vec<String> {
+    pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
         let now = self.now;
         let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
         self.cancels.repeated.retain(|_, (revision, until)| *revision > watched && now < *until);
@@ -135,7 +137,7 @@
     }
 
     /// A peer says that it has confirmed a cancellation.
-    pub(super) fn apply_peer_cancellation(&mut self, id: &str) {
+    pub(crate) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
         let known = match self.cached_stages.get(id).copied() {
             Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
--- a/src/controller/machine_commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,16 +1,16 @@
 //! Commands for the machines of own shards, sent in answers to reports or directly.
 
-use super::Controller;
-use super::decision_log::Violation;
-use super::job::StoredStage;
-use super::reconciler::{ReconcileOutcome, Reconciler};
-use super::start_gate::{CommandAuthority, CommandRoute};
+use crate::controller::Controller;
+use crate::controller::decision_log::Violation;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::machines::reconciler::{ReconcileOutcome, Reconciler};
+use crate::controller::machines::start_gate::{CommandAuthority, CommandRoute};
 use crate::wire::Command;
 
 impl Controller {
     /// What this process may act on towards a machine at present; `None` if it does not
     /// command it, or has no further token for it.
-    pub(super) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
+    pub(crate) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
         let shard = self.shard_of_machine(machine);
         let term = self.leading_term(shard)?;
         let managed = self.managed_machines.get(machine)?;
@@ -26,7 +26,7 @@
     }
 
     /// Works out the commands for a machine, and books what they start.
-    pub(super) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
+    pub(crate) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
         };
@@ -52,7 +52,7 @@
     /// The worker is shown a higher token, with which it refuses them, however long they
     /// are on their way; if it does not hear of it, its lease ends and with it the session
     /// that they are meant for.
-    pub(super) fn revoke_starts(&mut self, machine: &str) {
+    pub(crate) fn revoke_starts(&mut self, machine: &str) {
         let Some(authority) = self.command_authority(machine) else {
             return;
         };
@@ -76,7 +76,7 @@
 
     /// An answered report renews the machine's lease. A start of a job that is over must
     /// not be able to arrive in it any more.
-    pub(super) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
+    pub(crate) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
         let Some(managed) = self.managed_machines.get(machine) else {
             return;
         };
--- a/src/controller/desired_state.rs
+++ b/src/controller/machines/desired_state.rs
@@ -1,9 +1,9 @@
 //! What own shards want on machines, told to the machines' managers, and what was
 //! received from the other shards.
 
-use super::Controller;
-use super::estimate::Estimates;
-use super::job::{Job, Placement};
+use crate::controller::Controller;
+use crate::controller::jobs::job::{Job, Placement};
+use crate::controller::scheduler::estimate::Estimates;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 /// Seconds that a job's tasks are expected to run: what its completed ones
 /// took, or its owner's estimate, corrected.
-pub(super) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
+pub(crate) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
     match job.usual_run() {
         Some(run) => run.as_secs_f64(),
         None => job.spec.estimate_s * estimates.correction(&job.spec.class),
@@ -25,7 +25,7 @@
     /// Says again what is wanted of tasks that no machine has reported for long. Messages
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
-    pub(super) fn repeat_unobserved(&mut self) {
+    pub(crate) fn repeat_unobserved(&mut self) {
         if !self.holds_lease() || self.now < self.timers.reminder {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Marks the desired state of every machine that has tasks of the job.
-    pub(super) fn refresh_desired_state(&mut self, id: &str) {
+    pub(crate) fn refresh_desired_state(&mut self, id: &str) {
         let Some(shard) = self.jobs.get(id).map(|j| j.shard) else {
             return;
         };
@@ -103,7 +103,7 @@
 
     /// Sends what has changed in the desired state of own shards, to the own machine
     /// manager first.
-    pub(super) fn send_desired_state(&mut self, frame: &mut Frame) {
+    pub(crate) fn send_desired_state(&mut self, frame: &mut Frame) {
         let mut changed: BTreeMap<usize, (bool, Vec<Rc<str>>)> = BTreeMap::new();
         for s in std::mem::take(&mut self.changes.complete_desired) {
             let all = self.by_machine.keys().filter(|(shard, _)| *shard == s);
--- a/src/controller/desired_tracking.rs
+++ b/src/controller/machines/desired_tracking.rs
@@ -1,38 +1,39 @@
 //! What was received of the shards' desired state: which tasks each of them wants on
 //! which machine, and how much of that is known here.
 
-use super::{Controller, quota};
+use crate::controller::Controller;
+use crate::controller::quota::team_quota;
 use crate::peer::{DesiredTask, DesiredUpdate, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Desired state of a shard, as received.
 #[derive(Debug, Clone, Default)]
-pub(super) struct DesiredState {
-    pub(super) term: u64,
+pub(crate) struct DesiredState {
+    pub(crate) term: u64,
     /// Newest message of the term.
-    pub(super) seq: u64,
+    pub(crate) seq: u64,
     /// Newest message that named all machines; 0: none yet in this term.
-    pub(super) complete: u64,
+    pub(crate) complete: u64,
     /// Terms of all shards that its sender knew with the newest message.
-    pub(super) known_terms: Vec<u64>,
-    pub(super) machines: BTreeMap<String, DesiredOnMachine>,
+    pub(crate) known_terms: Vec<u64>,
+    pub(crate) machines: BTreeMap<String, DesiredOnMachine>,
     /// What the tasks use, by team.
-    pub(super) usage: BTreeMap<String, quota::Amount>,
+    pub(crate) usage: BTreeMap<String, team_quota::Amount>,
 }
 
 /// What a shard wants on one machine, as received.
 #[derive(Debug, Clone, Default)]
-pub(super) struct DesiredOnMachine {
+pub(crate) struct DesiredOnMachine {
     /// Number of the message.
-    pub(super) seq: u64,
+    pub(crate) seq: u64,
     /// Term of the machine's shard that the sender knew.
-    pub(super) known: u64,
-    pub(super) tasks: Vec<DesiredTask>,
+    pub(crate) known: u64,
+    pub(crate) tasks: Vec<DesiredTask>,
 }
 
 impl DesiredState {
     /// Adds tasks to the sums of what teams use, or takes them away.
-    pub(super) fn count(&mut self, tasks: &[DesiredTask], sign: f64) {
+    pub(crate) fn count(&mut self, tasks: &[DesiredTask], sign: f64) {
         for t in tasks.iter().filter(|t| t.phase() != Phase::Over) {
             let u = self.usage.entry(t.team.clone()).or_default();
             u[0] += sign * t.cpus;
@@ -43,7 +44,7 @@
 
 impl Controller {
     /// Takes in what a shard wants on machines.
-    pub(super) fn apply_desired_state(&mut self, message: DesiredUpdate) {
+    pub(crate) fn apply_desired_state(&mut self, message: DesiredUpdate) {
         let s = message.shard;
         if s >= self.desired.len() || message.term < self.shards[s].term {
             return;
@@ -91,7 +92,8 @@
                 }
             }
             current.count(&tasks, 1.0);
-            let h = super::shard::shard_of_machine(&machine, self.shards.len());
+            let h =
+                crate::controller::leadership::shard::shard_of_machine(&machine, self.shards.len());
             let known = match known {
                 0 => message.terms.get(h).copied().unwrap_or(0),
                 known => known,
@@ -123,7 +125,7 @@
     /// received: only then does a task's absence from the desired state mean that it is not
     /// wanted. What was received before the machine's shard changed hands is no longer
     /// all: its owner may have had more begun there through the earlier holder.
-    pub(super) fn knows_all_desired(&self, job: &str, at: usize) -> bool {
+    pub(crate) fn knows_all_desired(&self, job: &str, at: usize) -> bool {
         let term = self.shards[at].term;
         let complete = |s: usize| {
             let w = &self.desired[s];
--- a/src/controller/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -1,8 +1,8 @@
 //! Commands sent straight to a worker, instead of with the answer to its next report.
 
-use super::machine::Key;
-use super::start_gate::CommandRoute;
-use super::{Controller, DirectReply, Effect, Op};
+use crate::controller::machines::machine::Key;
+use crate::controller::machines::start_gate::CommandRoute;
+use crate::controller::{Controller, DirectReply, Effect, Op};
 use crate::time::Micros;
 use crate::wire::{Command, DirectCommands, Heartbeat};
 use log::debug;
@@ -14,7 +14,7 @@
 impl Controller {
     /// Sends what is new straight to the worker, instead of waiting for its
     /// next report.
-    pub(super) fn send_direct_commands(&mut self, machine: &str) {
+    pub(crate) fn send_direct_commands(&mut self, machine: &str) {
         let (Some(authority), Some(managed)) =
             (self.command_authority(machine), self.managed_machines.get(machine))
         else {
@@ -53,7 +53,7 @@
         self.effects.push(Effect::Direct { id, address, body });
     }
 
-    pub(super) fn direct_reply(
+    pub(crate) fn direct_reply(
         &mut self,
         machine: &str,
         starts: &[Key],
--- a/src/controller/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Reports of the machines of own shards: what they say is taken in and answered.
 
-use super::job::StoredStage;
-use super::machine::{self, MAX_NAME, Outcome};
-use super::shard::DRIFT;
-use super::start_gate::CommandRoute;
-use super::{Controller, Effect, Ticket};
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::leadership::shard::DRIFT;
+use crate::controller::machines::machine::{self, MAX_NAME, Outcome};
+use crate::controller::machines::start_gate::CommandRoute;
+use crate::controller::{Controller, Effect, Ticket};
 use crate::time::Micros;
 use crate::wire::{Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
 use log::{debug, info};
@@ -16,18 +16,18 @@
 const MACHINE_FAULTY: u32 = 3;
 /// How long its tasks must keep failing before it is returned: a job with a mistake shows as
 /// such once it has failed elsewhere, too.
-pub(super) const FAILING_FOR: Micros = Micros::secs(5);
+pub(crate) const FAILING_FOR: Micros = Micros::secs(5);
 /// Machines remembered of each failing job, and failing jobs, at most.
 const JOB_ELSEWHERE: usize = 2;
 const MAX_FAILING: usize = 2_000;
 
 impl Controller {
     /// Until when a worker may go on after its last answered report.
-    pub(super) fn worker_lease(&self) -> Micros {
+    pub(crate) fn worker_lease(&self) -> Micros {
         Micros::from_secs_f64(self.settings.workers.lease_s).stretched(DRIFT) + LEASE_MARGIN
     }
 
-    pub(super) fn heartbeat(&mut self, ticket: Ticket, body: &[u8]) {
+    pub(crate) fn heartbeat(&mut self, ticket: Ticket, body: &[u8]) {
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
             Err(e) => {
@@ -104,7 +104,7 @@
         self.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
 
-    pub(super) fn note_outcomes(&mut self, machine: &str, outcomes: Vec<Outcome>) {
+    pub(crate) fn note_outcomes(&mut self, machine: &str, outcomes: Vec<Outcome>) {
         for o in outcomes {
             match o {
                 Outcome::Done(_) => {
@@ -140,7 +140,7 @@
     /// Whether a machine's failures since its last success are its own: of jobs
     /// that complete elsewhere, or of several that fail nowhere else. A job with a
     /// mistake fails everywhere and says nothing of its machines.
-    pub(super) fn is_faulty(&self, managed: &machine::ManagedMachine) -> bool {
+    pub(crate) fn is_faulty(&self, managed: &machine::ManagedMachine) -> bool {
         if managed.failed_jobs.is_empty() {
             return false;
         }
--- a/src/controller/machine.rs
+++ b/src/controller/machines/machine.rs
@@ -1,8 +1,8 @@
 //! What a machine's shard knows of it: its reports, what was sent, what may
 //! still be under way.
 
-use super::shard;
-use super::start_gate::StartRefusal;
+use crate::controller::leadership::shard;
+use crate::controller::machines::start_gate::StartRefusal;
 use crate::peer::{DesiredTask, ObservedState, ObservedTask};
 use crate::time::Micros;
 use crate::wire::{Cause, Command, Heartbeat, TaskState};
--- a/src/controller/probes.rs
+++ b/src/controller/machines/probes.rs
@@ -1,8 +1,8 @@
 //! Questions to machines of own shards: commands that order nothing, whose answers say
 //! how a machine stands.
 
-use super::machine::MAX_NAME;
-use super::{Controller, Effect, Op};
+use crate::controller::machines::machine::MAX_NAME;
+use crate::controller::{Controller, Effect, Op};
 use crate::peer::AddressHint;
 use crate::wire::DirectCommands;
 use std::net::SocketAddrV4;
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// A peer tells where a machine was when it last knew of it.
-    pub(super) fn apply_hint(&mut self, hint: AddressHint) {
+    pub(crate) fn apply_hint(&mut self, hint: AddressHint) {
         let known =
             self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_heartbeat.is_some());
         if known
@@ -33,7 +33,7 @@
     /// Asks machines of a shard that was just taken how they stand, by commands
     /// that order nothing. They would report within their period only, and a
     /// second time under the new term before anything may be sent to them.
-    pub(super) fn send_probes(&mut self) {
+    pub(crate) fn send_probes(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Sends commands that order nothing: the answer shows that it receives commands.
-    pub(super) fn send_probe(&mut self, machine: &str, incarnation: u64, address: SocketAddrV4) {
+    pub(crate) fn send_probe(&mut self, machine: &str, incarnation: u64, address: SocketAddrV4) {
         let Some(term) = self.leading_term(self.shard_of_machine(machine)) else {
             return;
         };
--- a/src/controller/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -1,15 +1,16 @@
 //! What is to be done on one machine: the difference between what all shards want there
 //! and what its newest report says.
 
-use super::desired_tracking::DesiredState;
-use super::job::StoredStage;
-use super::machine::{self, Key, ManagedMachine, Sent};
-use super::quota::EPS;
-use super::stage_cache::CachedStage;
-use super::start_gate::{
+use crate::controller::Controller;
+use crate::controller::decision_log;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::machines::desired_tracking::DesiredState;
+use crate::controller::machines::machine::{self, Key, ManagedMachine, Sent};
+use crate::controller::machines::start_gate::{
     CommandAuthority, CommandRoute, JobEvidence, StartPermit, StartRefusal, StartViolation,
 };
-use super::{Controller, decision_log};
+use crate::controller::quota::team_quota::EPS;
 use crate::peer::{DesiredTask, ObservedState};
 use crate::time::Micros;
 use crate::wire::Command;
@@ -27,13 +28,13 @@
 
 /// Commands, and starts that were not formed since they would have broken a rule.
 #[derive(Default)]
-pub(super) struct ReconcileOutcome {
-    pub(super) commands: Vec<Command>,
-    pub(super) violations: Vec<StartViolation>,
+pub(crate) struct ReconcileOutcome {
+    pub(crate) commands: Vec<Command>,
+    pub(crate) violations: Vec<StartViolation>,
 }
 
 /// What is wanted on one machine and known of the jobs there.
-pub(super) struct Reconciler<'a> {
+pub(crate) struct Reconciler<'a> {
     machine: &'a str,
     authority: CommandAuthority,
     wanted: Vec<DesiredHere<'a>>,
@@ -67,7 +68,7 @@
 impl<'a> Reconciler<'a> {
     /// Gathers what is wanted on a machine. It has few tasks, and this is worked out at
     /// every report.
-    pub(super) fn collect(
+    pub(crate) fn collect(
         controller: &'a Controller,
         machine: &'a str,
         managed: &ManagedMachine,
@@ -102,7 +103,7 @@
 
     /// Whether a start must not be executed any more, and if so why: `None` inside if no
     /// shard wants it.
-    pub(super) fn refusal(&self, key: &Key) -> Option<Option<StartRefusal>> {
+    pub(crate) fn refusal(&self, key: &Key) -> Option<Option<StartRefusal>> {
         let over = self.stages.get(&key.job).is_some_and(|k| k.stage != StoredStage::Accepted);
         if over {
             return Some(Some(StartRefusal::JobOver));
@@ -114,14 +115,14 @@
     }
 
     /// Jobs with tasks on the machine of which nothing is known from the store.
-    pub(super) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
+    pub(crate) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
         let here = managed.tasks.iter().filter(|(_, observed)| !observed.over());
         let unknown = here.map(|(k, _)| &k.job).filter(|job| !self.stages.contains_key(*job));
         unknown.cloned().collect()
     }
 
     /// The commands that make the difference; what they start is booked.
-    pub(super) fn reconcile(
+    pub(crate) fn reconcile(
         &self,
         managed: &mut ManagedMachine,
         route: CommandRoute,
--- a/src/controller/start_gate.rs
+++ b/src/controller/machines/start_gate.rs
@@ -5,9 +5,9 @@
 //! that has been granted is a fault of this program: it is told with the evidence and the
 //! start is not sent.
 
-use super::decision_log;
-use super::job::StoredStage;
-use super::machine::Key;
+use crate::controller::decision_log;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::machines::machine::Key;
 use crate::peer::{DesiredTask, Phase};
 use crate::time::Micros;
 use crate::wire::Command;
--- a/src/controller/machine_views.rs
+++ b/src/controller/machines/views.rs
@@ -1,15 +1,15 @@
 //! Views of the machines of own shards: how each stands, told to the managers of
 //! the jobs that have tasks there; and the end of sessions that went silent.
 
-use super::Controller;
-use super::heartbeats::FAILING_FOR;
+use crate::controller::Controller;
+use crate::controller::machines::heartbeats::FAILING_FOR;
 use crate::peer::{AppliedUpdate, Frame, MachineView};
 use crate::time::Micros;
 use log::{info, warn};
 
 impl Controller {
     /// Looks for machines that have been silent for longer than a lease.
-    pub(super) fn expire_machine_incarnations(&mut self) {
+    pub(crate) fn expire_machine_incarnations(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -20,7 +20,9 @@
         let silent = self.silent();
         let shards = self.shards.len();
         for (name, managed) in &mut self.managed_machines {
-            let Some(Some(taken)) = taken.get(super::shard::shard_of_machine(name, shards)) else {
+            let Some(Some(taken)) =
+                taken.get(crate::controller::leadership::shard::shard_of_machine(name, shards))
+            else {
                 continue;
             };
             let base = managed.answered.unwrap_or(*taken).max(*taken);
@@ -51,7 +53,7 @@
     }
 
     /// Sends the views that have changed, to the own job manager first.
-    pub(super) fn send_views(&mut self, frame: &mut Frame) {
+    pub(crate) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let s = self.shard_of_machine(&machine);
             let Some(term) = self.leading_term(s) else {
@@ -85,7 +87,7 @@
     }
 
     /// A machine silent for longer is not counted on.
-    pub(super) fn silent(&self) -> Micros {
+    pub(crate) fn silent(&self) -> Micros {
         Micros::from_secs_f64(self.settings.workers.heartbeat_interval_s * 2.0 + 1.0)
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,55 +6,20 @@
 //! commands the machines of its shards ([`machine_commands`]). What it wants on machines
 //! goes out as whole-state messages that its own machine manager reads, too.
 
+pub mod api;
 pub mod autoscaler;
-pub mod capacity;
-pub mod estimate;
-pub mod event;
-pub mod image;
-pub mod image_locality;
-pub mod job;
-pub mod machine;
+pub mod jobs;
+pub mod leadership;
+pub mod machines;
+pub mod peers;
 pub mod quota;
-pub mod shard;
+pub mod scheduler;
 
-mod admission;
-mod api;
-mod batch;
-pub mod cancel;
-mod capacity_updates;
+mod calls;
 mod changes;
-mod cloud_calls;
-mod connectivity;
 mod decision_log;
-mod demand;
-mod dependencies;
-mod desired_state;
-mod desired_tracking;
-mod direct_commands;
-mod frames;
-mod heartbeats;
-mod job_manager;
-mod job_writer;
-mod machine_commands;
-mod machine_views;
-mod op;
-mod preemption;
-mod probes;
-mod quotas;
-mod reconciler;
-mod record_pages;
-mod recovery;
-mod reservation;
-mod scheduling_pass;
-mod shard_leases;
-mod stage_cache;
-pub mod start_gate;
-mod status;
-mod status_queries;
-mod task_placement;
-mod terminal_states;
+pub mod event;
 mod timers;
-mod watches;
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
@@ -64,20 +29,20 @@
 use crate::wire::MachineType;
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
-use autoscaler::Autoscaler;
+use api::status::Counts;
+use autoscaler::planning::Fleet;
+use calls::{Op, Watch};
 use changes::PendingChanges;
-use desired_tracking::DesiredState;
-use frames::PeerInfo;
-use image::ImageIndex;
-use job::Job;
-use machine::{Key, ManagedMachine};
-use op::{Op, Watch};
-use quota::TeamQuota;
+use jobs::job::Job;
+use jobs::stage_cache::CachedStage;
+use leadership::shard::{ControllerLease, Shard};
+use machines::desired_tracking::DesiredState;
+use machines::machine::{Key, ManagedMachine};
+use peers::frames::PeerInfo;
+use quota::team_quota::TeamQuota;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use shard::{ControllerLease, Shard};
-use stage_cache::CachedStage;
-use status::Counts;
+use scheduler::image::ImageIndex;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -105,10 +70,10 @@
     shards: Vec<Shard>,
     shards_read: bool,
     shards_reading: bool,
-    recoveries: BTreeMap<usize, recovery::ShardRecovery>,
+    recoveries: BTreeMap<usize, leadership::recovery::ShardRecovery>,
     /// Jobs and keys that cannot be read, and are left as they are.
     unreadable: BTreeSet<String>,
-    watches: BTreeMap<Watch, watches::WatchState>,
+    watches: BTreeMap<Watch, leadership::watches::WatchState>,
 
     types: BTreeMap<String, MachineType>,
     /// They are being read from the key-value store, since the cloud is away.
@@ -121,18 +86,18 @@
     progress: BTreeMap<String, (u32, u32)>,
     /// Own shards' tasks by shard and machine.
     by_machine: BTreeMap<(usize, Rc<str>), TaskSet>,
-    chunk_size: job::ChunkLayout,
+    chunk_size: jobs::job::ChunkLayout,
     /// How an earlier version divides jobs, as long as the key-value store takes values
     /// that are larger than it will later.
-    previous_chunk_layout: Option<job::ChunkLayout>,
+    previous_chunk_layout: Option<jobs::job::ChunkLayout>,
     submissions: usize,
-    status_queries: status_queries::StatusQueries,
-    admission: admission::Admission,
+    status_queries: api::status_queries::StatusQueries,
+    admission: api::admission::Admission,
     /// Submissions came a moment ago: more may, and writes leave them a share.
     admitting_until: Micros,
 
     desired: Vec<DesiredState>,
-    capacity: capacity::ClusterCapacity,
+    capacity: scheduler::capacity::ClusterCapacity,
     /// Machines to look at again before the next placement.
     stale_machines: BTreeSet<String>,
     /// Shards whose machines somebody commands, as last looked at.
@@ -154,7 +119,7 @@
     /// Machines kept free of small tasks until a large one fits.
     held_for_large_tasks: BTreeSet<Rc<str>>,
     draining: BTreeSet<String>,
-    estimates: estimate::Estimates,
+    estimates: scheduler::estimate::Estimates,
     images: ImageIndex,
     quotas: BTreeMap<String, TeamQuota>,
     quotas_read: bool,
@@ -162,8 +127,8 @@
     own_quota_demand: Vec<peer::QuotaDemand>,
     peers: BTreeMap<usize, PeerInfo>,
     /// Whether the workers and this node can reach each other.
-    connectivity: connectivity::Connectivity,
-    autoscaler: Autoscaler,
+    connectivity: leadership::connectivity::Connectivity,
+    autoscaler: Fleet,
     counts: Counts,
     /// Requests refused since the log last told of it, by status and reason.
     refusals: BTreeMap<(u16, String), u64>,
@@ -177,11 +142,11 @@
     seq: u64,
     /// Terms of the shards that own shards' desired state has taken into account.
     announced_terms: Vec<u64>,
-    dependency_graph: dependencies::DependencyGraph,
-    record_pages: record_pages::RecordPages,
+    dependency_graph: jobs::dependencies::DependencyGraph,
+    record_pages: jobs::record_pages::RecordPages,
     /// Final stages that peers may not know of yet, and who is to be told.
-    terminal_states: terminal_states::TerminalStates,
-    cancels: cancel::Cancels,
+    terminal_states: api::terminal_states::TerminalStates,
+    cancels: machines::cancellation::Cancels,
     /// Number of the last frame.
     frames: u64,
     /// Tasks of other shards that were asked to make room, and when.
@@ -205,7 +170,8 @@
     /// must outlive the process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let workers = &config.settings.workers;
-        let (controller_lease, fits) = cancel::fitting_lease(options.controller_lease, workers);
+        let (controller_lease, fits) =
+            machines::cancellation::fitting_lease(options.controller_lease, workers);
         if !fits {
             log::warn!(
                 "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
@@ -249,16 +215,16 @@
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
             by_machine: BTreeMap::new(),
-            chunk_size: job::ChunkLayout::new(config.settings.state.value_kb),
+            chunk_size: jobs::job::ChunkLayout::new(config.settings.state.value_kb),
             previous_chunk_layout: (config.settings.state.value_kb_now
                 > config.settings.state.value_kb)
-                .then(|| job::ChunkLayout::new(config.settings.state.value_kb_now)),
+                .then(|| jobs::job::ChunkLayout::new(config.settings.state.value_kb_now)),
             submissions: 0,
-            status_queries: status_queries::StatusQueries::new(&config.settings.state, count),
-            admission: admission::Admission::default(),
+            status_queries: api::status_queries::StatusQueries::new(&config.settings.state, count),
+            admission: api::admission::Admission::default(),
             admitting_until: Micros::ZERO,
             desired: vec![DesiredState::default(); count],
-            capacity: capacity::ClusterCapacity::default(),
+            capacity: scheduler::capacity::ClusterCapacity::default(),
             stale_machines: BTreeSet::new(),
             commanded: vec![false; count],
             capacity_sources: BTreeMap::new(),
@@ -275,14 +241,14 @@
             probes: BTreeSet::new(),
             held_for_large_tasks: BTreeSet::new(),
             draining: BTreeSet::new(),
-            estimates: estimate::Estimates::default(),
+            estimates: scheduler::estimate::Estimates::default(),
             images: ImageIndex::new(options.index_entries, options.index_age),
             quotas,
             quotas_read: false,
             own_quota_demand: Vec::new(),
             peers,
-            connectivity: connectivity::Connectivity::default(),
-            autoscaler: Autoscaler::default(),
+            connectivity: leadership::connectivity::Connectivity::default(),
+            autoscaler: Fleet::default(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
             reported_health: None,
@@ -290,10 +256,10 @@
             held_lease: false,
             seq: 0,
             announced_terms: vec![0; count],
-            dependency_graph: dependencies::DependencyGraph::default(),
-            record_pages: record_pages::RecordPages::default(),
-            terminal_states: terminal_states::TerminalStates::default(),
-            cancels: cancel::Cancels::default(),
+            dependency_graph: jobs::dependencies::DependencyGraph::default(),
+            record_pages: jobs::record_pages::RecordPages::default(),
+            terminal_states: api::terminal_states::TerminalStates::default(),
+            cancels: machines::cancellation::Cancels::default(),
             frames: 0,
             requested_preemptions: BTreeMap::new(),
             placement_due: false,
@@ -502,7 +468,7 @@
     }
 
     fn shard_of_machine(&self, machine: &str) -> usize {
-        shard::shard_of_machine(machine, self.shards.len())
+        leadership::shard::shard_of_machine(machine, self.shards.len())
     }
 
     /// The member that has a shard's lease, as far as known.
--- a/src/controller/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -1,9 +1,11 @@
 //! Frames from and to the other controllers: what they say is taken in, and what
 //! has changed here is told to them.
 
-use super::autoscaler;
-use super::timers::{DEMAND_EVERY, MISSED_EVERY, PEER_HEARTBEAT_INTERVAL, PROGRESS_EVERY};
-use super::{Controller, Effect, Watch};
+use crate::controller::autoscaler::planning;
+use crate::controller::timers::{
+    DEMAND_EVERY, MISSED_EVERY, PEER_HEARTBEAT_INTERVAL, PROGRESS_EVERY,
+};
+use crate::controller::{Controller, Effect, Watch};
 use crate::peer::{self, DesiredUpdate, Frame};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,36 +16,36 @@
 
 /// Another controller, by what its frames say.
 #[derive(Debug, Clone, Default)]
-pub(super) struct PeerInfo {
-    pub(super) last_frame: Option<Micros>,
-    pub(super) well_since: Option<Micros>,
-    pub(super) state_ok: bool,
-    pub(super) incarnation: u64,
-    pub(super) demand: Vec<peer::Demand>,
-    pub(super) quota_demand: Vec<peer::QuotaDemand>,
+pub(crate) struct PeerInfo {
+    pub(crate) last_frame: Option<Micros>,
+    pub(crate) well_since: Option<Micros>,
+    pub(crate) state_ok: bool,
+    pub(crate) incarnation: u64,
+    pub(crate) demand: Vec<peer::Demand>,
+    pub(crate) quota_demand: Vec<peer::QuotaDemand>,
     /// It gives its shards up, since it and its workers cannot reach each other.
-    pub(super) partitioned: bool,
+    pub(crate) partitioned: bool,
     /// Machines of others' shards that report to it, by shard.
-    pub(super) misdirected: BTreeMap<usize, u32>,
+    pub(crate) misdirected: BTreeMap<usize, u32>,
     /// Number of its last frame.
-    pub(super) number: u64,
+    pub(crate) number: u64,
     /// A frame of it was lost, and it has not told all since.
-    pub(super) behind: bool,
+    pub(crate) behind: bool,
     /// Revision of the key-value store up to which it has followed the jobs.
-    pub(super) watched: u64,
+    pub(crate) watched: u64,
     /// Format of what it stores and sends; 0 in versions that do not tell it.
-    pub(super) format: u32,
+    pub(crate) format: u32,
 }
 
 impl Controller {
-    pub(super) fn peer_alive(&self, member: usize) -> bool {
+    pub(crate) fn peer_alive(&self, member: usize) -> bool {
         self.peers
             .get(&member)
             .and_then(|p| p.last_frame)
             .is_some_and(|at| self.now.since(at) < PEER_SILENT)
     }
 
-    pub(super) fn peer_frame(&mut self, from: usize, frame: Frame) {
+    pub(crate) fn peer_frame(&mut self, from: usize, frame: Frame) {
         let now = self.now;
         let Some(info) = self.peers.get_mut(&from) else {
             return;
@@ -142,7 +144,7 @@
         }
     }
 
-    pub(super) fn send_frames(&mut self, mut frame: Frame) {
+    pub(crate) fn send_frames(&mut self, mut frame: Frame) {
         let holds_lease = self.holds_lease();
         // For display alone, and counted anew for every job: now and then will do.
         if self.now >= self.timers.progress {
@@ -202,7 +204,7 @@
                     frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
-            if self.leading_term(autoscaler::AUTOSCALER_SHARD).is_some() {
+            if self.leading_term(planning::AUTOSCALER_SHARD).is_some() {
                 frame.is_autoscaler = true;
                 frame.draining = self.autoscaler.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
@@ -225,14 +227,14 @@
         }
     }
 
-    pub(super) fn set_draining(&mut self, draining: BTreeSet<String>) {
+    pub(crate) fn set_draining(&mut self, draining: BTreeSet<String>) {
         let old = std::mem::replace(&mut self.draining, draining);
         let changed: Vec<String> = old.symmetric_difference(&self.draining).cloned().collect();
         self.stale_machines.extend(changed);
     }
 
     /// Everything that a peer must know which has received nothing so far.
-    pub(super) fn full_frame(&self, mut frame: Frame) -> Frame {
+    pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         frame.desired.clear();
         for shard in 0..self.shards.len() {
@@ -282,7 +284,7 @@
 
     /// A shard has a new term: what is wanted on its machines is said anew, with
     /// all that was concluded under the earlier one.
-    pub(super) fn announce_terms(&mut self) {
+    pub(crate) fn announce_terms(&mut self) {
         for h in 0..self.shards.len() {
             if self.shards[h].term > self.announced_terms[h] {
                 self.announced_terms[h] = self.shards[h].term;
--- /dev/null
+++ b/src/controller/peers/mod.rs
@@ -0,0 +1,3 @@
+//! TODO
+
+pub mod frames;
--- /dev/null
+++ b/src/controller/quota/mod.rs
@@ -0,0 +1,4 @@
+//! TODO
+
+pub mod sharing;
+pub mod team_quota;
--- a/src/controller/quotas.rs
+++ b/src/controller/quota/sharing.rs
@@ -1,7 +1,8 @@
 //! Moving unused grants of teams' limits to the shards that need them.
 
-use super::quota::{self, EPS, RankedDemand};
-use super::{Controller, Op, shard};
+use crate::controller::leadership::shard;
+use crate::controller::quota::team_quota::{self, EPS, RankedDemand};
+use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::{DesiredTask, Phase, Preempt, QuotaDemand};
 use crate::time::Micros;
@@ -27,13 +28,13 @@
     }
 
     /// What own shards lack, told to the peers that may have it unused.
-    pub(super) fn quota_demand(&self) -> Vec<QuotaDemand> {
+    pub(crate) fn quota_demand(&self) -> Vec<QuotaDemand> {
         let mut list = Vec::new();
         for (team, q) in self.quotas.iter().filter(|(_, q)| q.limited()) {
             for s in (0..self.shards.len()).filter(|s| self.serves_shard(*s)) {
                 let (used, grant) = (self.shard_usage(s, team), q.grant(s));
                 let room = [grant[0] - used[0], grant[1] - used[1]];
-                for n in quota::unmet_demand(room, &self.pending_demand(s, team)) {
+                for n in team_quota::unmet_demand(room, &self.pending_demand(s, team)) {
                     list.push(QuotaDemand {
                         shard: s as u32,
                         team: team.clone(),
@@ -48,7 +49,7 @@
     }
 
     /// The most urgent rank that lacks some of a team's limit, on any shard.
-    pub(super) fn quota_rank(&self, team: &str) -> Option<u32> {
+    pub(crate) fn quota_rank(&self, team: &str) -> Option<u32> {
         if !self.quotas.get(team).is_some_and(|q| q.limited()) {
             return None;
         }
@@ -62,7 +63,7 @@
             .min()
     }
 
-    pub(super) fn maintain_quotas(&mut self) {
+    pub(crate) fn maintain_quotas(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -124,7 +125,7 @@
         }
         // From here on the lowering may be applied at any time.
         q.sends(s, wanted);
-        let key = quota::key(team);
+        let key = team_quota::key(team);
         let txn = Txn {
             conditions: vec![
                 Condition { key: key.clone(), revision: q.revision },
@@ -193,7 +194,7 @@
     }
 
     /// Takes in a team's grants as stored at a revision.
-    pub(super) fn observe_quota(&mut self, team: &str, value: &Value, revision: u64) {
+    pub(crate) fn observe_quota(&mut self, team: &str, value: &Value, revision: u64) {
         if let Some(q) = self.quotas.get_mut(team)
             && revision > q.revision
         {
@@ -202,7 +203,7 @@
         }
     }
 
-    pub(super) fn quota_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn quota_reply(&mut self, op: Op, reply: KvResponse) {
         match (op, reply) {
             (Op::QuotaList, KvResponse::Page { items, .. }) => {
                 for item in items {
@@ -246,6 +247,6 @@
 
     fn read_quota(&mut self, team: &str) {
         let op = Op::QuotaRead { team: team.to_string() };
-        self.state(op, KvRequest::Get(quota::key(team)));
+        self.state(op, KvRequest::Get(team_quota::key(team)));
     }
 }
--- a/src/controller/capacity.rs
+++ b/src/controller/scheduler/capacity.rs
@@ -5,8 +5,8 @@
 //! both orders are indexes here, so that a change costs the change and a
 //! placement does not walk the fleet.
 
-use super::autoscaler::{allows, fits};
-use super::quota::Amount;
+use crate::controller::autoscaler::planning::{allows, fits};
+use crate::controller::quota::team_quota::Amount;
 use crate::peer::Demand;
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/src/controller/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -1,9 +1,9 @@
 //! Keeping the slots up to date: machines as placements see them.
 
-use super::Controller;
-use super::capacity::{MachineCapacity, PoolKey, ReservedTask};
-use super::desired_state::expected_s;
-use super::quota::EPS;
+use crate::controller::Controller;
+use crate::controller::machines::desired_state::expected_s;
+use crate::controller::quota::team_quota::EPS;
+use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
 use crate::peer::Phase;
 use crate::time::Micros;
 use std::rc::Rc;
@@ -113,14 +113,14 @@
     }
 
     /// Notes that a machine has to be looked at before the next placement.
-    pub(super) fn mark_capacity_stale(&mut self, machine: &str) {
+    pub(crate) fn mark_capacity_stale(&mut self, machine: &str) {
         if !self.stale_machines.contains(machine) {
             self.stale_machines.insert(machine.to_string());
         }
     }
 
     /// Brings the slots up to date: only what has changed is looked at.
-    pub(super) fn refresh_capacity(&mut self) {
+    pub(crate) fn refresh_capacity(&mut self) {
         for h in 0..self.shards.len() {
             let commanded = self.leading_term(h).is_some()
                 || self.shard_leader(h).is_some_and(|m| m != self.me && self.peer_alive(m));
--- a/src/controller/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -1,15 +1,15 @@
 //! What waits in own shards, for peers and for renting, and the room that is free.
 
-use super::Controller;
-use super::autoscaler::fits;
-use super::quota::{Amount, EPS};
+use crate::controller::Controller;
+use crate::controller::autoscaler::planning::fits;
+use crate::controller::quota::team_quota::{Amount, EPS};
 use crate::peer::Demand;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 impl Controller {
     /// Waiting tasks by shape, as far as their teams' limits let them run.
-    pub(super) fn demand(&self) -> Vec<Demand> {
+    pub(crate) fn demand(&self) -> Vec<Demand> {
         let usage = self.capacity.usage();
         let mut room: BTreeMap<&str, Amount> = BTreeMap::new();
         let mut list: Vec<Demand> = Vec::new();
@@ -55,11 +55,13 @@
     }
 
     /// Room that is free on known machines, for the renting shard.
-    pub(super) fn free_capacity(&self) -> Vec<super::autoscaler::FreeCapacity> {
+    pub(crate) fn free_capacity(
+        &self,
+    ) -> Vec<crate::controller::autoscaler::planning::FreeCapacity> {
         self.capacity
             .iter()
             .filter(|(_, _, s)| s.free[0] > EPS)
-            .map(|(_, key, s)| super::autoscaler::FreeCapacity {
+            .map(|(_, key, s)| crate::controller::autoscaler::planning::FreeCapacity {
                 machine_type: Rc::clone(&key.machine_type),
                 zone: Rc::clone(&key.zone),
                 spot: key.spot,
--- a/src/controller/reservation.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -1,9 +1,9 @@
 //! Machines kept free for large tasks, and jobs raised that would starve.
 
-use super::Controller;
-use super::capacity::MachineCapacity;
-use super::job::Job;
-use super::scheduling_pass::NO_CAPACITY;
+use crate::controller::Controller;
+use crate::controller::jobs::job::Job;
+use crate::controller::scheduler::capacity::MachineCapacity;
+use crate::controller::scheduler::scheduling_pass::NO_CAPACITY;
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
 
     /// Raises low work of which nothing has begun for long: behind a queue of
     /// standard work that never empties, a job began after four minutes.
-    pub(super) fn raise_starved(&mut self) {
+    pub(crate) fn raise_starved(&mut self) {
         let wall = self.wall();
         let starved = |j: &&Job| {
             !j.raised
@@ -57,7 +57,7 @@
     /// Keeps machines free of further small tasks where large ones have waited
     /// for long: filled up again task by task, no machine would ever have
     /// room for one that needs it whole. Those are taken that have it soonest.
-    pub(super) fn reserve_for_large(&mut self) {
+    pub(crate) fn reserve_for_large(&mut self) {
         self.held_for_large_tasks.clear();
         if !self.holds_lease() {
             return;
--- a/src/controller/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -1,12 +1,12 @@
 //! Preemption: which tasks make room for more urgent ones, and within which bounds.
 
-use super::Controller;
-use super::autoscaler::fits;
-use super::capacity::{MachineCapacity, ReservedTask};
-use super::job::Job;
-use super::machine::Key;
-use super::quota::EPS;
-use super::scheduling_pass::LOWEST_URGENT_RANK;
+use crate::controller::Controller;
+use crate::controller::autoscaler::planning::fits;
+use crate::controller::jobs::job::Job;
+use crate::controller::machines::machine::Key;
+use crate::controller::quota::team_quota::EPS;
+use crate::controller::scheduler::capacity::{MachineCapacity, ReservedTask};
+use crate::controller::scheduler::scheduling_pass::LOWEST_URGENT_RANK;
 use crate::peer::Preempt;
 use crate::time::Micros;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     /// Seconds of work that stopping a task at once would lose, by the time
     /// since it was placed. That is stored and told to all: counted from when
     /// this process first saw it run, a task would look new after every restart.
-    pub(super) fn lost_work_s(&self, placed: Micros, checkpoint_s: f64) -> f64 {
+    pub(crate) fn lost_work_s(&self, placed: Micros, checkpoint_s: f64) -> f64 {
         let ran = self.wall().since(placed).as_secs_f64();
         if checkpoint_s > 0.0 { ran % checkpoint_s } else { ran }
     }
@@ -32,7 +32,7 @@
     /// the job, choosing what loses least work; the machine and which of its
     /// tasks. Only lower priorities give way, or work that another team runs
     /// beyond its guarantee to a team that is within its own (`entitled`).
-    pub(super) fn find_victims(
+    pub(crate) fn find_victims(
         &self,
         job: &Job,
         pools: &[usize],
@@ -123,7 +123,7 @@
         best.map(|(_, at, victims)| (at, victims))
     }
 
-    pub(super) fn request_preemption(&mut self, b: &ReservedTask, save: bool, machine: &Rc<str>) {
+    pub(crate) fn request_preemption(&mut self, b: &ReservedTask, save: bool, machine: &Rc<str>) {
         log::debug!("task {}/{} makes room", b.job, b.index);
         let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
         if self.jobs.contains_key(&p.job) {
@@ -139,7 +139,7 @@
     /// guarantees: this node's part of what teams use beyond theirs, and of what
     /// others lack. All nodes stopping the whole of it would stop it several
     /// times over, and then the other way round.
-    pub(super) fn refresh_guarantees(&mut self) {
+    pub(crate) fn refresh_guarantees(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -155,7 +155,7 @@
     }
 
     /// Lets go of requests to make room that nobody has heeded.
-    pub(super) fn expire_preemption_requests(&mut self) {
+    pub(crate) fn expire_preemption_requests(&mut self) {
         let now = self.now;
         let mut stale = Vec::new();
         self.requested_preemptions.retain(|_, (at, machine)| {
@@ -172,7 +172,7 @@
 
     /// Whether another shard's task was asked to make room a moment ago. Asked
     /// again, it would be counted on twice; and its shard may be out of reach.
-    pub(super) fn preemption_requested(&self, job: &str, index: u32, attempt: u64) -> bool {
+    pub(crate) fn preemption_requested(&self, job: &str, index: u32, attempt: u64) -> bool {
         let key = Key { job: job.to_string(), index, attempt };
         self.requested_preemptions
             .get(&key)
@@ -186,7 +186,7 @@
     /// Whether fetching a job's image takes most of the time within which its
     /// tasks are to start. A holder with room then wins whatever its count: an
     /// exception to the design's slack, which weighs a fetch against a queue.
-    pub(super) fn fetch_too_slow(&self, job: &Job) -> bool {
+    pub(crate) fn fetch_too_slow(&self, job: &Job) -> bool {
         let rate = self.least_fetch_rate();
         self.settings
             .objectives
@@ -198,7 +198,7 @@
 
     /// Whether the objectives of a job's class leave time for the tasks that
     /// make room to save first.
-    pub(super) fn time_to_save(&self, job: &Job) -> bool {
+    pub(crate) fn time_to_save(&self, job: &Job) -> bool {
         self.settings
             .objectives
             .iter()
--- a/src/controller/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -1,8 +1,8 @@
 //! The queue of this process's shards, and where its tasks go.
 
-use super::Controller;
-use super::job::Job;
-use super::quota::{Amount, EPS};
+use crate::controller::Controller;
+use crate::controller::jobs::job::Job;
+use crate::controller::quota::team_quota::{Amount, EPS};
 use crate::peer::Demand;
 use crate::time::Micros;
 use crate::wire::JobSpec;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 /// Why a job waits for which no machine has room.
-pub(super) const NO_CAPACITY: &str = "no machine with room";
+pub(crate) const NO_CAPACITY: &str = "no machine with room";
 /// Least time between two passes: what happens meanwhile is dealt with together.
 const PASS_INTERVAL: Micros = Micros::millis(40);
 /// Placements in one pass.
@@ -25,12 +25,12 @@
 const MAX_PREEMPTION_SEARCHES_PER_PASS: usize = 8;
 
 /// Up to this rank work goes before large tasks that wait.
-pub(super) const LOWEST_URGENT_RANK: u32 = 1;
+pub(crate) const LOWEST_URGENT_RANK: u32 = 1;
 
 impl Controller {
     /// Own jobs in order of service: teams within their guarantee first, then
     /// priority, deadline and age.
-    pub(super) fn queue_order(&self) -> Vec<((bool, u32), String)> {
+    pub(crate) fn queue_order(&self) -> Vec<((bool, u32), String)> {
         let used = self.capacity.usage();
         let mut order: Vec<_> = self
             .jobs
@@ -45,7 +45,7 @@
         order.into_iter().map(|(beyond, rank, .., id)| ((beyond, rank), id)).collect()
     }
 
-    pub(super) fn within_guarantee(
+    pub(crate) fn within_guarantee(
         &self,
         used: &BTreeMap<String, Amount>,
         team: &str,
@@ -59,7 +59,7 @@
     }
 
     /// What a shard's tasks of a team use: from write-ahead until known gone.
-    pub(super) fn shard_usage(&self, s: usize, team: &str) -> Amount {
+    pub(crate) fn shard_usage(&self, s: usize, team: &str) -> Amount {
         let mut used = [0.0, 0.0];
         for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.limited_tasks());
@@ -71,7 +71,7 @@
 
     /// One pass over the queue. What is left when its bounds are reached goes
     /// on in the next turn, so that reports and renewals are never starved.
-    pub(super) fn run_scheduling_pass(&mut self) {
+    pub(crate) fn run_scheduling_pass(&mut self) {
         if !self.placement_due
             || self.now < self.last_pass_at + PASS_INTERVAL
             || self.types.is_empty()
@@ -139,14 +139,14 @@
     /// Counts the placements that their machines have not reported yet.
     /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
     /// once, took nearly all of the memory at every node.
-    pub(super) fn count_unobserved(&mut self) {
+    pub(crate) fn count_unobserved(&mut self) {
         let placed = self.jobs.values().flat_map(|j| &j.chunks).flat_map(|p| p.placed.values());
         self.unobserved = placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
     }
 
     /// The more urgent, the more: an array of low tasks that fills its part of the
     /// buffer must not keep urgent ones out.
-    pub(super) fn unobserved_limit(&self, rank: u32) -> usize {
+    pub(crate) fn unobserved_limit(&self, rank: u32) -> usize {
         let machines = self.views.len();
         match rank {
             0..=2 => MAX_UNOBSERVED.max(2 * machines) * (4 - rank as usize),
@@ -163,53 +163,53 @@
 }
 
 /// What a pass over the queue has found out so far.
-pub(super) struct Pass {
+pub(crate) struct Pass {
     /// What teams use, with what this pass has placed.
-    pub(super) usage: BTreeMap<String, Amount>,
+    pub(crate) usage: BTreeMap<String, Amount>,
     /// What own shards use of teams' limits, likewise.
-    pub(super) shards: BTreeMap<(usize, String), Amount>,
+    pub(crate) shards: BTreeMap<(usize, String), Amount>,
     /// Waiting tasks that no machine has room for.
-    pub(super) blocked: Vec<Demand>,
+    pub(crate) blocked: Vec<Demand>,
     /// Shapes that found no room.
-    pub(super) failed: Vec<Failed>,
+    pub(crate) failed: Vec<Failed>,
     /// Placements that may still be made.
-    pub(super) left: usize,
+    pub(crate) left: usize,
     /// Searches for tasks that make room that may still be made.
-    pub(super) searches: usize,
+    pub(crate) searches: usize,
 }
 
 impl Pass {
     /// Whether a job of this shape found no free room.
-    pub(super) fn known_full(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn known_full(&self, spec: &JobSpec) -> bool {
         self.failed.iter().any(|f| f.search.is_none() && f.covers(spec))
     }
 
     /// Whether the same search for tasks that make room failed for this shape.
-    pub(super) fn search_failed(&self, search: &PreemptionSearch, spec: &JobSpec) -> bool {
+    pub(crate) fn search_failed(&self, search: &PreemptionSearch, spec: &JobSpec) -> bool {
         self.failed.iter().any(|f| f.search.as_ref() == Some(search) && f.covers(spec))
     }
 }
 
 /// For whom tasks were looked for that make room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct PreemptionSearch {
+pub(crate) struct PreemptionSearch {
     /// Rank of the job.
-    pub(super) rank: u32,
+    pub(crate) rank: u32,
     /// Its team, if within its guarantee.
-    pub(super) guaranteed: Option<String>,
+    pub(crate) guaranteed: Option<String>,
     /// Only holders of the image were looked at.
-    pub(super) for_image: bool,
+    pub(crate) for_image: bool,
 }
 
 /// A shape that found no room, so that others like it need not look again.
-pub(super) struct Failed {
+pub(crate) struct Failed {
     spec: Rc<JobSpec>,
     /// The search for tasks that make room; `None` for free room.
-    pub(super) search: Option<PreemptionSearch>,
+    pub(crate) search: Option<PreemptionSearch>,
 }
 
 impl Failed {
-    pub(super) fn new(spec: &Rc<JobSpec>, search: Option<PreemptionSearch>) -> Failed {
+    pub(crate) fn new(spec: &Rc<JobSpec>, search: Option<PreemptionSearch>) -> Failed {
         Failed { spec: Rc::clone(spec), search }
     }
 
--- a/src/controller/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -4,14 +4,16 @@
 //! or a holder of the image that is not much busier. Where none has room, less urgent
 //! tasks are stopped to make some.
 
-use super::Controller;
-use super::autoscaler::fits;
-use super::capacity::{MachineCapacity, ReservedTask};
-use super::desired_state::expected_s;
-use super::image_locality;
-use super::job::Job;
-use super::quota::{Amount, EPS};
-use super::scheduling_pass::{Failed, LOWEST_URGENT_RANK, NO_CAPACITY, Pass, PreemptionSearch};
+use crate::controller::Controller;
+use crate::controller::autoscaler::planning::fits;
+use crate::controller::jobs::job::Job;
+use crate::controller::machines::desired_state::expected_s;
+use crate::controller::quota::team_quota::{Amount, EPS};
+use crate::controller::scheduler::capacity::{MachineCapacity, ReservedTask};
+use crate::controller::scheduler::image_locality;
+use crate::controller::scheduler::scheduling_pass::{
+    Failed, LOWEST_URGENT_RANK, NO_CAPACITY, Pass, PreemptionSearch,
+};
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -76,7 +78,7 @@
 
 impl Controller {
     /// Places tasks of a job until none is left, or none can be placed now.
-    pub(super) fn place_job(&mut self, id: &str, pass: &mut Pass) {
+    pub(crate) fn place_job(&mut self, id: &str, pass: &mut Pass) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -3,8 +3,8 @@
 
 mod solo;
 
-use millethold::controller::job::stored_placements;
-use millethold::controller::shard::shard_of_machine;
+use millethold::controller::jobs::job::stored_placements;
+use millethold::controller::leadership::shard::shard_of_machine;
 use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::peer::{Frame, QuotaDemand};
 use millethold::time::Micros;
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -4,7 +4,7 @@
 use super::settings::{CONTROLLERS, LIMITS, LOWERED};
 use super::store;
 use super::world::{Watch, World};
-use millethold::controller::shard::{shard_of_key, shard_of_machine};
+use millethold::controller::leadership::shard::{shard_of_key, shard_of_machine};
 use millethold::controller::{CallId, Event, Reply};
 use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::time::Micros;
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,6 +1,8 @@
 //! A stand-in of the key-value store.
 
-use millethold::controller::job::{StoredPlacement, decode_batch, is_batch, stored_placements};
+use millethold::controller::jobs::job::{
+    StoredPlacement, decode_batch, is_batch, stored_placements,
+};
 use millethold::kv_store::{KvRequest, KvResponse};
 use millethold::time::Micros;
 use millethold::wire::{KeyValue, Txn, WatchEvent, Write};
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -2,8 +2,8 @@
 
 mod solo;
 
-use millethold::controller::job::stored_placements;
-use millethold::controller::shard::shard_of_machine;
+use millethold::controller::jobs::job::stored_placements;
+use millethold::controller::leadership::shard::shard_of_machine;
 use millethold::peer::{AppliedUpdate, Frame, MachineView, ShardClaim};
 use millethold::time::Micros;
 use serde_json::{Value, json};
--- a/tests/tables/jobs.rs
+++ b/tests/tables/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs and how they are stored.
 
 use super::submission;
-use millethold::controller::job::{
+use millethold::controller::jobs::job::{
     self, ChunkLayout, Job, TaskEnd, batch_key, decode_batch, encode_batch, is_batch,
 };
 use millethold::peer::ObservedState;
--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -1,9 +1,9 @@
 //! What a machine's shard concludes from reports, and what it starts.
 
-use millethold::controller::job::StoredStage;
-use millethold::controller::machine::{Key, ManagedMachine, Sent};
-use millethold::controller::shard::{TERM_STRIDE, next_term};
-use millethold::controller::start_gate::{
+use millethold::controller::jobs::job::StoredStage;
+use millethold::controller::leadership::shard::{TERM_STRIDE, next_term};
+use millethold::controller::machines::machine::{Key, ManagedMachine, Sent};
+use millethold::controller::machines::start_gate::{
     CommandAuthority, CommandRoute, JobEvidence, StartRefusal, StartViolation,
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
--- a/tests/tables/placement.rs
+++ b/tests/tables/placement.rs
@@ -1,10 +1,12 @@
 //! Where a task is placed: the choice, the machines with room, the images.
 
 use millethold::config::Options;
-use millethold::controller::autoscaler;
-use millethold::controller::capacity::{ClusterCapacity, MachineCapacity, PoolKey, ReservedTask};
-use millethold::controller::image::ImageIndex;
-use millethold::controller::image_locality;
+use millethold::controller::autoscaler::planning;
+use millethold::controller::scheduler::capacity::{
+    ClusterCapacity, MachineCapacity, PoolKey, ReservedTask,
+};
+use millethold::controller::scheduler::image::ImageIndex;
+use millethold::controller::scheduler::image_locality;
 use millethold::peer::Demand;
 use millethold::time::Micros;
 use rand::rngs::StdRng;
@@ -86,7 +88,7 @@
         let need = [[1.0, 0.0, 1.0], [4.0, 0.0, 12.0]][step % 2];
         let open: Vec<&MachineCapacity> = plain
             .values()
-            .filter(|(k, s)| (spot || !k.spot) && autoscaler::fits(&s.free, &need) > 0)
+            .filter(|(k, s)| (spot || !k.spot) && planning::fits(&s.free, &need) > 0)
             .map(|(_, s)| s)
             .collect();
         let load = |s: &MachineCapacity| (s.tasks.len(), s.led_by_peer, -(s.free[0] as i64));
--- a/tests/tables/quotas.rs
+++ b/tests/tables/quotas.rs
@@ -1,7 +1,7 @@
 //! Grants of teams' limits.
 
 use millethold::config::Team;
-use millethold::controller::quota::{self, RankedDemand, TeamQuota};
+use millethold::controller::quota::team_quota::{self, RankedDemand, TeamQuota};
 use serde_json::{Value, json};
 
 fn quota(limit: f64, grants: &[(usize, f64)]) -> TeamQuota {
@@ -63,6 +63,6 @@
     q.refused();
     assert_eq!(q.grant(0)[0], 12.0, "surely not carried out");
     assert!(quota(0.0, &[]).grant(0)[0].is_infinite(), "0 means no limit");
-    let rest = quota::unmet_demand([6.0, 0.0], &[need(3, 9.0), need(1, 4.0)]);
+    let rest = team_quota::unmet_demand([6.0, 0.0], &[need(3, 9.0), need(1, 4.0)]);
     assert_eq!(rest, [need(3, 7.0)], "the more urgent is served first");
 }
--- a/tests/tables/shards.rs
+++ b/tests/tables/shards.rs
@@ -1,8 +1,8 @@
 //! Shards, their terms and leases.
 
 use millethold::config::Workers;
-use millethold::controller::cancel;
-use millethold::controller::shard::{self, ControllerLease, Shard, ShardLease};
+use millethold::controller::leadership::shard::{self, ControllerLease, Shard, ShardLease};
+use millethold::controller::machines::cancellation;
 use millethold::time::Micros;
 use millethold::wire::{KeyValue, Write};
 use serde_json::json;
@@ -109,11 +109,11 @@
     for (lease_s, cancel_s, wished, unheard_s, used, safe) in table {
         let workers = Workers { heartbeat_interval_s: 3.0, lease_s, cancel_s };
         assert_eq!(
-            cancel::unanswered_limit(&workers).as_millis() / 1_000,
+            cancellation::unanswered_limit(&workers).as_millis() / 1_000,
             unheard_s,
             "{workers:?}"
         );
-        let (lease, fits) = cancel::fitting_lease(Micros::millis(wished), &workers);
+        let (lease, fits) = cancellation::fitting_lease(Micros::millis(wished), &workers);
         assert_eq!((lease.as_millis(), fits), (used, safe), "{workers:?}, {wished} ms wished");
     }
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -7,11 +7,11 @@
 
 mod solo;
 
-use millethold::controller::job::{
+use millethold::controller::jobs::job::{
     ChunkLayout, Job, JobRecord, decode_batch, encode_batch, is_batch, parse_chunk_key,
 };
-use millethold::controller::quota::TeamQuota;
-use millethold::controller::shard::{ShardLease, Term};
+use millethold::controller::leadership::shard::{ShardLease, Term};
+use millethold::controller::quota::team_quota::TeamQuota;
 use millethold::peer::{self, Frame};
 use millethold::time::Micros;
 use millethold::wire::MachineType;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,7 +1,7 @@
 //! What the version in production before pipelines had stored and sent, as its code
 //! wrote it: this one reads it, and writes the same where no job needs another.
 
-use millethold::controller::job::{
+use millethold::controller::jobs::job::{
     self, ChunkLayout, Job, JobRecord, StoredStage, TaskEnd, decode_batch, encode_batch,
 };
 use millethold::peer::{self, InheritedUrgency, ObservedState};
