--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -135,18 +135,18 @@
     /// For the status page.
     pub fn status(&self, now: Micros) -> Value {
         let page = StatusPage {
-            member: &self.member,
+            member: &self.context.member,
             format: peer::FORMAT,
-            lease_valid: self.controller_lease.valid(now),
+            lease_valid: self.leadership.controller_lease.valid(now),
             peers: self.peer_statuses(),
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
-            jobs: self.jobs.len(),
-            jobs_with_dependencies: self.jobs.values().filter(|j| j.waiting).count(),
-            tasks_waiting: self.jobs.values().map(|j| u64::from(j.pending())).sum(),
+            jobs: self.jobs.by_id.len(),
+            jobs_with_dependencies: self.jobs.by_id.values().filter(|j| j.waiting).count(),
+            tasks_waiting: self.jobs.by_id.values().map(|j| u64::from(j.pending())).sum(),
             machines: self.machine_statuses(),
-            rented: self.autoscaler.stages(),
-            image_entries: self.images.len(),
+            rented: self.autoscaler.fleet.stages(),
+            image_entries: self.scheduler.images.len(),
             counts: &self.counts,
         };
         serde_json::json!(page)
@@ -154,17 +154,17 @@
 
     fn peer_statuses(&self) -> Vec<PeerStatus<'_>> {
         let status = |(number, peer): (&usize, &PeerInfo)| PeerStatus {
-            member: &self.members[*number],
+            member: &self.context.members[*number],
             alive: self.peer_alive(*number),
             state_ok: peer.state_ok,
             format: peer.last_frame.map(|_| peer.format),
         };
-        self.peers.iter().map(status).collect()
+        self.peers.by_member.iter().map(status).collect()
     }
 
     fn state_limits_status(&self) -> StateLimitsStatus {
-        let limits = &self.settings.state;
-        let lowered = self.previous_chunk_layout.is_none();
+        let limits = &self.context.settings.state;
+        let lowered = self.jobs.previous_chunk_layout.is_none();
         StateLimitsStatus {
             rps: limits.rps,
             write_rps: limits.write_rps,
@@ -175,7 +175,8 @@
     }
 
     fn shard_statuses(&self) -> Vec<ShardStatus<'_>> {
-        self.shards
+        self.leadership
+            .shards
             .iter()
             .enumerate()
             .map(|(number, shard)| ShardStatus::of(number, shard))
@@ -183,7 +184,7 @@
     }
 
     fn machine_statuses(&self) -> Vec<MachineStatus<'_>> {
-        self.views.values().map(MachineStatus::of).collect()
+        self.machines.views.values().map(MachineStatus::of).collect()
     }
 
     /// Tells the log how many tasks wait for what.
@@ -192,7 +193,7 @@
             return;
         }
         let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled && !j.over && j.pending() > 0) {
+        for j in self.jobs.by_id.values().filter(|j| !j.cancelled && !j.over && j.pending() > 0) {
             *counts.entry((&j.spec.class, &j.spec.team, j.pending_reason)).or_default() +=
                 j.pending();
         }
@@ -206,7 +207,7 @@
         use std::fmt::Write;
         let mut page = String::from("job class team priority waiting running done reason\n");
         for (_, id) in self.queue_order() {
-            if let Some(j) = self.jobs.get(&id) {
+            if let Some(j) = self.jobs.by_id.get(&id) {
                 // Writing into a String cannot fail.
                 let _ = writeln!(
                     page,
@@ -221,7 +222,8 @@
                 );
             }
         }
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.waiting && !j.cancelled && !j.over) {
+        for (id, j) in self.jobs.by_id.iter().filter(|(_, j)| j.waiting && !j.cancelled && !j.over)
+        {
             let needs: Vec<&str> = j.dependencies.iter().map(String::as_str).collect();
             let _ = writeln!(
                 page,
@@ -238,6 +240,6 @@
 
     /// Number of shards owned, for tests and the log.
     pub fn led_shard_count(&self) -> usize {
-        self.shards.iter().filter(|s| s.leadership.is_some()).count()
+        self.leadership.shards.iter().filter(|s| s.leadership.is_some()).count()
     }
 }
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -6,11 +6,11 @@
 //! its job's key; in a storm those that wait are put together: one transaction
 //! that changes nothing and compares the versions of all their keys.
 
-use crate::config;
+use crate::controller::calls::ApiCall;
 use crate::controller::jobs::dependencies::DependencyOutcome;
 use crate::controller::jobs::job::{self, StoredStage};
-use crate::controller::{Controller, Op, Ticket};
-use crate::kv_store::{Bucket, KvRequest, KvResponse, REQUEST_RATE_SHARE};
+use crate::controller::{Controller, Ticket};
+use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::{Condition, Refusal, Txn};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 pub(crate) type QueriedJobs = BTreeMap<String, StatusQuery>;
 
 /// Status queries that wait for a comparison.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub(crate) struct StatusQueries {
     waiting: QueriedJobs,
     /// Status queries in `waiting`.
@@ -52,30 +52,9 @@
     /// The job last asked about: the next ones have their turn after it.
     last: String,
     under_way: usize,
-    /// This node's share of requests, as far as used.
-    calls: Bucket,
 }
 
 impl StatusQueries {
-    pub fn new(state: &config::StateLimits, nodes: usize) -> StatusQueries {
-        let share = state.rps * REQUEST_RATE_SHARE / nodes.max(1) as f64;
-        StatusQueries {
-            waiting: QueriedJobs::new(),
-            count: 0,
-            last: String::new(),
-            under_way: 0,
-            calls: Bucket::new(share, share),
-        }
-    }
-
-    /// A call goes to the key-value store.
-    pub fn note_call(&mut self, now: Micros, call: &KvRequest) {
-        if !call.urgent() {
-            self.calls.level(now);
-            self.calls.take(1.0);
-        }
-    }
-
     /// The next job that is asked about.
     fn next(&mut self) -> Option<(String, StatusQuery)> {
         let after = (Bound::Excluded(self.last.as_str()), Bound::Unbounded);
@@ -85,22 +64,12 @@
         self.count -= found.1.who.len();
         Some(found)
     }
-
-    /// Whether a status query may have a request of its own.
-    fn plenty(&mut self, now: Micros) -> bool {
-        self.count == 0 && self.spare(now)
-    }
-
-    /// Whether more than half of this node's share of requests is there.
-    pub fn spare(&mut self, now: Micros) -> bool {
-        self.calls.level(now) > self.calls.burst() / 2.0
-    }
 }
 
 impl Controller {
     pub(crate) fn poll(&mut self, ticket: Ticket, id: &str) {
-        let now = self.now;
-        let known = self.cached_stages.get(id).copied();
+        let now = self.context.now;
+        let known = self.jobs.cached_stages.get(id).copied();
         if let Some(known) = known.filter(|k| k.stage != StoredStage::Accepted) {
             return self.answer_with_stage(ticket, 200, id, known);
         }
@@ -110,12 +79,14 @@
             return self.answer_with_stage(ticket, 200, id, known);
         }
         match known.filter(|k| k.revision > 0) {
-            Some(known) if !self.status_queries.plenty(now) => {
-                if self.status_queries.count >= MOST_WAITING {
+            Some(known)
+                if !(self.api.status_queries.count == 0 && self.context.has_spare_requests()) =>
+            {
+                if self.api.status_queries.count >= MOST_WAITING {
                     return self.respond_retry_later(ticket, 429, "too many questions wait");
                 }
-                self.status_queries.count += 1;
-                let query = self.status_queries.waiting.entry(id.to_string());
+                self.api.status_queries.count += 1;
+                let query = self.api.status_queries.waiting.entry(id.to_string());
                 let query =
                     query.or_insert(StatusQuery { revision: known.revision, who: Vec::new() });
                 query.who.push((ticket, now));
@@ -125,21 +96,21 @@
     }
 
     fn read_job(&mut self, tickets: Vec<Ticket>, id: &str) {
-        let op = Op::Poll { tickets, job: id.to_string(), sent: self.now };
-        self.state(op, KvRequest::Get(job::job_key(id)));
+        let op = ApiCall::Poll { tickets, job: id.to_string(), sent: self.context.now };
+        self.context.call_store(op, KvRequest::Get(job::job_key(id)));
     }
 
     /// Sends comparisons for the status queries that wait.
     pub(crate) fn send_status_comparisons(&mut self) {
-        while self.status_queries.count > 0
-            && self.status_queries.under_way < COMPARISONS
-            && self.status_queries.calls.level(self.now) >= 1.0
+        while self.api.status_queries.count > 0
+            && self.api.status_queries.under_way < COMPARISONS
+            && self.context.request_budget.level(self.context.now) >= 1.0
         {
-            let most = (self.settings.state.txn_ops * CONDITIONS).max(1);
+            let most = (self.context.settings.state.txn_ops * CONDITIONS).max(1);
             let mut left = COMPARISON_BYTES;
             let mut jobs = QueriedJobs::new();
             while jobs.len() < most
-                && let Some((id, query)) = self.status_queries.next()
+                && let Some((id, query)) = self.api.status_queries.next()
             {
                 left = left.saturating_sub(id.len() + CONDITION_BYTES);
                 jobs.insert(id, query);
@@ -152,14 +123,17 @@
                 revision: query.revision,
             };
             let conditions = jobs.iter().map(condition).collect();
-            self.status_queries.under_way += 1;
+            self.api.status_queries.under_way += 1;
             let txn = Txn { conditions, writes: Vec::new() };
-            self.state(Op::CompareStages { jobs, sent: self.now }, KvRequest::Txn(txn));
+            self.context.call_store(
+                ApiCall::CompareStages { jobs, sent: self.context.now },
+                KvRequest::Txn(txn),
+            );
         }
     }
 
     pub(crate) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: KvResponse) {
-        self.status_queries.under_way = self.status_queries.under_way.saturating_sub(1);
+        self.api.status_queries.under_way = self.api.status_queries.under_way.saturating_sub(1);
         let failed = match reply {
             KvResponse::Applied(_) => Vec::new(),
             KvResponse::Conflict(failed) => failed,
@@ -171,7 +145,7 @@
         };
         for (id, StatusQuery { revision, who: query }) in jobs {
             // What is known by now may be newer than the comparison.
-            let known = self.cached_stages.get(&id).copied();
+            let known = self.jobs.cached_stages.get(&id).copied();
             match known {
                 Some(k) if k.stage == StoredStage::Accepted && !self.fresh(sent) => {
                     for (ticket, _) in query {
@@ -186,8 +160,8 @@
                 // Whether all that differ are named is not said: the others are
                 // compared once more.
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
-                    self.status_queries.count += query.len();
-                    let again = self.status_queries.waiting.entry(id);
+                    self.api.status_queries.count += query.len();
+                    let again = self.api.status_queries.waiting.entry(id);
                     again.or_insert(StatusQuery { revision, who: Vec::new() }).who.extend(query);
                 }
                 _ => self.read_job(query.into_iter().map(|(t, _)| t).collect(), &id),
@@ -198,7 +172,7 @@
     /// Whether what a call sent then has shown may still be told as the present
     /// state: what took long may have been overtaken by another node's word.
     pub(crate) fn fresh(&self, sent: Micros) -> bool {
-        self.now.since(sent) <= FRESH
+        self.context.now.since(sent) <= FRESH
     }
 
     pub(crate) fn poll_read(
@@ -219,12 +193,12 @@
                 }
             }
             // Accepted since the read.
-            Some(None) if self.cached_stages.contains_key(job) || !self.fresh(sent) => {
+            Some(None) if self.jobs.cached_stages.contains_key(job) || !self.fresh(sent) => {
                 tickets.into_iter().for_each(|t| self.respond_retry_later(t, 503, slow));
             }
             Some(None) => {
                 for ticket in tickets {
-                    self.respond(ticket, 404, None, &Refusal::new("no such job"));
+                    self.context.respond(ticket, 404, None, &Refusal::new("no such job"));
                 }
             }
             None => tickets
@@ -235,16 +209,16 @@
 
     /// Answers status queries that have waited for as long as their users listen.
     pub(crate) fn maintain_status_queries(&mut self) {
-        if self.status_queries.count == 0 {
+        if self.api.status_queries.count == 0 {
             return;
         }
-        let now = self.now;
+        let now = self.context.now;
         let mut late = Vec::new();
-        self.status_queries.waiting.retain(|_, StatusQuery { who, .. }| {
+        self.api.status_queries.waiting.retain(|_, StatusQuery { who, .. }| {
             late.extend(who.extract_if(.., |(_, came)| now.since(*came) > LISTENS));
             !who.is_empty()
         });
-        self.status_queries.count -= late.len();
+        self.api.status_queries.count -= late.len();
         for (ticket, _) in late {
             self.respond_retry_later(ticket, 503, "too many questions wait");
         }
--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -65,8 +65,8 @@
         id: &str,
         known: CachedStage,
     ) {
-        if known.stage != StoredStage::Accepted && !self.terminal_states.acknowledged(id) {
-            self.terminal_states.waiting.push((ticket, id.to_string()));
+        if known.stage != StoredStage::Accepted && !self.api.terminal_states.acknowledged(id) {
+            self.api.terminal_states.waiting.push((ticket, id.to_string()));
             return;
         }
         if known.stage == StoredStage::Accepted {
@@ -84,39 +84,43 @@
                     );
                 }
                 DependencyOutcome::Cancelled { acknowledged: false } => {
-                    self.terminal_states.waiting.push((ticket, id.to_string()));
+                    self.api.terminal_states.waiting.push((ticket, id.to_string()));
                     return;
                 }
                 DependencyOutcome::Cancelled { acknowledged: true } => {
                     let known = CachedStage { stage: StoredStage::Cancelled, ..known };
                     self.note_final_answer(id, known);
                     let answer = self.job_answer(id, known);
-                    return self.respond(ticket, status, None, &answer);
+                    return self.context.respond(ticket, status, None, &answer);
                 }
             }
         }
         self.note_final_answer(id, known);
         let answer = self.job_answer(id, known);
-        self.respond(ticket, status, None, &answer);
+        self.context.respond(ticket, status, None, &answer);
     }
 
     /// Answers those who wait for terminal states that every peer knows of by now.
     pub(crate) fn answer_acknowledged(&mut self) {
-        if self.terminal_states.unacknowledged.is_empty() {
+        if self.api.terminal_states.unacknowledged.is_empty() {
             return;
         }
-        let now = self.now;
-        let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
+        let now = self.context.now;
+        let watched = self.peers.by_member.values().map(|p| p.watched).min().unwrap_or(UNKNOWN);
         let acknowledged =
             |at: Micros, revision: u64| revision <= watched || now.since(at) >= SETTLED;
-        self.terminal_states
+        self.api
+            .terminal_states
             .unacknowledged
             .retain(|_, (at, revision)| !acknowledged(*at, *revision));
-        let unacknowledged = &self.terminal_states.unacknowledged;
-        let ready =
-            self.terminal_states.waiting.extract_if(.., |(_, id)| !unacknowledged.contains_key(id));
+        let unacknowledged = &self.api.terminal_states.unacknowledged;
+        let ready = self
+            .api
+            .terminal_states
+            .waiting
+            .extract_if(.., |(_, id)| !unacknowledged.contains_key(id));
         for (ticket, id) in ready.collect::<Vec<_>>() {
-            match self.cached_stages.get(&id).copied() {
+            match self.jobs.cached_stages.get(&id).copied() {
                 Some(known) => self.answer_with_stage(ticket, 200, &id, known),
                 None => self.respond_retry_later(ticket, 503, "undecided"),
             }
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -1,11 +1,12 @@
 //! Talking to the cloud: types, lists, rents and returns.
 
 use crate::cloud::{CloudCall, CloudReply};
+use crate::controller::Controller;
 use crate::controller::autoscaler::planning::{
     self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine,
 };
+use crate::controller::calls::AutoscalerCall;
 use crate::controller::leadership::shard;
-use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
 use crate::time::Micros;
@@ -41,51 +42,59 @@
 
 impl Controller {
     pub(crate) fn maintain_autoscaler(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         // Every node needs the types, the renting one also their prices.
-        let wait = if self.types.is_empty() { Micros::millis(700) } else { TYPES_EVERY };
-        if now >= self.autoscaler.types_at {
-            self.autoscaler.types_at = now + wait;
-            self.cloud(Op::Types, CloudCall::Types);
+        let wait = if self.autoscaler.machine_types.is_empty() {
+            Micros::millis(700)
+        } else {
+            TYPES_EVERY
+        };
+        if now >= self.autoscaler.fleet.types_at {
+            self.autoscaler.fleet.types_at = now + wait;
+            self.context.call_cloud(AutoscalerCall::Types, CloudCall::Types);
         }
         let Some(term) = self.leading_term(AUTOSCALER_SHARD) else {
             return;
         };
-        if now >= self.autoscaler.list_at && self.autoscaler.listing.is_none() {
+        if now >= self.autoscaler.fleet.list_at && self.autoscaler.fleet.listing.is_none() {
             // A page holds 500: more pages leave less of the rate for renting.
-            let pages = self.autoscaler.machines.len() as u64 / 500 + 1;
-            self.autoscaler.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
-            self.autoscaler.listing = Some((now, Vec::new()));
-            let op = Op::ListMachines { requested_at: now, term };
-            self.cloud(op, CloudCall::List { after: None });
+            let pages = self.autoscaler.fleet.machines.len() as u64 / 500 + 1;
+            self.autoscaler.fleet.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
+            self.autoscaler.fleet.listing = Some((now, Vec::new()));
+            let op = AutoscalerCall::ListMachines { requested_at: now, term };
+            self.context.call_cloud(op, CloudCall::List { after: None });
         }
-        if self.autoscaler.request.is_some()
-            && !self.autoscaler.busy
-            && now >= self.autoscaler.request_at
+        if self.autoscaler.fleet.request.is_some()
+            && !self.autoscaler.fleet.busy
+            && now >= self.autoscaler.fleet.request_at
         {
             self.send_scale_out(term);
         }
-        if self.autoscaler.listed && !self.types.is_empty() && now >= self.autoscaler.plan_at {
-            self.autoscaler.plan_at = now + PLAN_EVERY;
+        if self.autoscaler.fleet.listed
+            && !self.autoscaler.machine_types.is_empty()
+            && now >= self.autoscaler.fleet.plan_at
+        {
+            self.autoscaler.fleet.plan_at = now + PLAN_EVERY;
             self.store_types();
             self.plan_scale_in();
-            if self.autoscaler.request.is_none() {
+            if self.autoscaler.fleet.request.is_none() {
                 self.plan_scale_out(term);
             }
         }
     }
 
     fn send_scale_out(&mut self, term: u64) {
-        if let Some(request) = self.autoscaler.request.clone() {
-            self.autoscaler.busy = true;
-            self.cloud(Op::ScaleOut { term }, CloudCall::ScaleOut(request));
+        if let Some(request) = self.autoscaler.fleet.request.clone() {
+            self.autoscaler.fleet.busy = true;
+            self.context
+                .call_cloud(AutoscalerCall::ScaleOut { term }, CloudCall::ScaleOut(request));
         }
     }
 
     /// Everything that waits, here and at the peers.
     fn all_demand(&self) -> Vec<Demand> {
         let mut all = self.demand();
-        for (n, p) in &self.peers {
+        for (n, p) in &self.peers.by_member {
             if self.peer_alive(*n) {
                 all.extend(p.demand.iter().cloned());
             }
@@ -94,19 +103,21 @@
     }
 
     fn plan_scale_out(&mut self, term: u64) {
-        let now = self.now;
+        let now = self.context.now;
         let mut demand = self.all_demand();
         for d in &mut demand {
             // Spare room, so that what comes next finds a machine that is up.
-            let spare = (f64::from(d.tasks) * self.options.spare_share).ceil();
+            let spare = (f64::from(d.tasks) * self.context.options.spare_share).ceil();
             d.tasks = d.tasks.saturating_add(spare as u32);
         }
         self.refresh_capacity();
         let mut rooms: Vec<FreeCapacity> = self.free_capacity();
-        let mut replaced = self.autoscaler.machines.len() / REPLACED;
-        for (name, m) in &self.autoscaler.machines {
-            let up = self.views.get(name).is_some_and(|v| v.known);
-            if up || m.stage == MachineStage::Failed || self.autoscaler.draining.contains_key(name)
+        let mut replaced = self.autoscaler.fleet.machines.len() / REPLACED;
+        for (name, m) in &self.autoscaler.fleet.machines {
+            let up = self.machines.views.get(name).is_some_and(|v| v.known);
+            if up
+                || m.stage == MachineStage::Failed
+                || self.autoscaler.fleet.draining.contains_key(name)
             {
                 continue;
             }
@@ -116,7 +127,7 @@
                 replaced -= 1;
                 continue;
             }
-            if let Some(t) = self.types.get(&m.machine_type) {
+            if let Some(t) = self.autoscaler.machine_types.get(&m.machine_type) {
                 rooms.push(FreeCapacity {
                     machine_type: Rc::from(m.machine_type.as_str()),
                     zone: Rc::from(m.zone.as_str()),
@@ -128,41 +139,42 @@
         let rest = planning::unmet(&demand, &mut rooms);
         let next = planning::next_request(
             &rest,
-            &self.types,
-            &self.autoscaler.machines,
-            &self.autoscaler.refused,
+            &self.autoscaler.machine_types,
+            &self.autoscaler.fleet.machines,
+            &self.autoscaler.fleet.refused,
             now,
         );
         let Some(((machine_type, zone, spot), count)) = next else {
             return;
         };
-        self.autoscaler.count += 1;
+        self.autoscaler.fleet.count += 1;
         // The term is this ownership's alone, so the name is, too.
-        let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.autoscaler.count);
+        let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.autoscaler.fleet.count);
         self.log_scale_out(&request, term);
         info!("renting {count} {machine_type} in {zone}, spot {spot}");
-        self.autoscaler.request =
+        self.autoscaler.fleet.request =
             Some(ScaleOutRequest { request, machine_type, zone, spot, count });
         self.send_scale_out(term);
     }
 
     /// So many times a machine type's boot time.
     fn boot_limit(&self, machine_type: &str, times: f64) -> Micros {
-        let nominal = self.types.get(machine_type).map_or(60.0, |t| t.boot_s);
+        let nominal = self.autoscaler.machine_types.get(machine_type).map_or(60.0, |t| t.boot_s);
         Micros::from_secs_f64(nominal * times)
     }
 
     fn plan_scale_in(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         self.refresh_capacity();
-        let idle = self.options.idle;
+        let idle = self.context.options.idle;
         let waiting = !self.all_demand().is_empty();
         let mut drain: Vec<String> = Vec::new();
         let mut give: Vec<String> = Vec::new();
         let limit = |t: &String| (t.clone(), self.boot_limit(t, LOST_BOOT));
-        let limits: BTreeMap<String, Micros> = self.types.keys().map(limit).collect();
-        for (name, m) in &mut self.autoscaler.machines {
-            let view = self.views.get(name);
+        let limits: BTreeMap<String, Micros> =
+            self.autoscaler.machine_types.keys().map(limit).collect();
+        for (name, m) in &mut self.autoscaler.fleet.machines {
+            let view = self.machines.views.get(name);
             let never_up = view.is_none()
                 && m.stage != MachineStage::Running
                 && now.since(m.since) > limits.get(&m.machine_type).copied().unwrap_or(Micros::FAR);
@@ -172,9 +184,10 @@
             }
             let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.observed().over()))
                 || self
+                    .scheduler
                     .capacity
                     .id(name)
-                    .and_then(|id| self.capacity.get(id))
+                    .and_then(|id| self.scheduler.capacity.get(id))
                     .is_some_and(|s| !s.tasks.is_empty());
             if view.is_some_and(|v| v.faulty) {
                 drain.push(name.clone());
@@ -185,60 +198,65 @@
             } else if now.since(*m.idle_since.get_or_insert(now)) > idle {
                 drain.push(name.clone());
             }
-            if self.autoscaler.draining.get(name).is_some_and(|at| now.since(*at) > DRAIN) && !busy
+            if self.autoscaler.fleet.draining.get(name).is_some_and(|at| now.since(*at) > DRAIN)
+                && !busy
             {
                 give.push(name.clone());
             }
         }
         for name in drain {
-            if !self.autoscaler.draining.contains_key(&name) {
+            if !self.autoscaler.fleet.draining.contains_key(&name) {
                 info!("machine {name} is to be returned");
-                self.autoscaler.draining.insert(name.clone(), now);
+                self.autoscaler.fleet.draining.insert(name.clone(), now);
                 self.mark_capacity_stale(&name);
-                self.draining.insert(name);
+                self.autoscaler.draining.insert(name);
             }
         }
-        give.retain(|n| !self.autoscaler.returning.contains(n));
+        give.retain(|n| !self.autoscaler.fleet.returning.contains(n));
         give.truncate(20);
         if !give.is_empty() {
-            self.autoscaler.returning.extend(give.iter().cloned());
+            self.autoscaler.fleet.returning.extend(give.iter().cloned());
             self.log_scale_in(&give);
-            self.cloud(Op::ScaleIn { names: give.clone() }, CloudCall::ScaleIn(give));
+            self.context.call_cloud(
+                AutoscalerCall::ScaleIn { names: give.clone() },
+                CloudCall::ScaleIn(give),
+            );
         }
     }
 
-    pub(crate) fn cloud_reply(&mut self, op: Op, reply: CloudReply) {
-        let now = self.now;
+    pub(crate) fn cloud_reply(&mut self, op: AutoscalerCall, reply: CloudReply) {
+        let now = self.context.now;
         match (op, reply) {
-            (Op::Types, CloudReply::Types(types)) => {
+            (AutoscalerCall::Types, CloudReply::Types(types)) => {
                 self.take_types(types);
             }
-            (Op::Types, _) => {
-                self.autoscaler.types_at = now + Micros::secs(1);
-                if self.types.is_empty() && !self.types_reading {
-                    self.types_reading = true;
-                    self.state(Op::StoredTypes, KvRequest::Get(TYPES_KEY.into()));
+            (AutoscalerCall::Types, _) => {
+                self.autoscaler.fleet.types_at = now + Micros::secs(1);
+                if self.autoscaler.machine_types.is_empty() && !self.autoscaler.types_reading {
+                    self.autoscaler.types_reading = true;
+                    self.context
+                        .call_store(AutoscalerCall::StoredTypes, KvRequest::Get(TYPES_KEY.into()));
                 }
             }
-            (Op::ScaleOut { term }, reply) => {
+            (AutoscalerCall::ScaleOut { term }, reply) => {
                 if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
                     self.scale_out_reply(reply);
                 }
             }
-            (Op::ScaleIn { names }, CloudReply::ScaledIn) => {
+            (AutoscalerCall::ScaleIn { names }, CloudReply::ScaledIn) => {
                 // By now the machines and everything on them are gone.
                 for name in names {
                     self.changes.terminated.push(name.clone());
                     self.machine_terminated(&name);
-                    self.autoscaler.forget(&name);
+                    self.autoscaler.fleet.forget(&name);
                 }
             }
-            (Op::ScaleIn { names }, _) => {
+            (AutoscalerCall::ScaleIn { names }, _) => {
                 for name in names {
-                    self.autoscaler.returning.remove(&name);
+                    self.autoscaler.fleet.returning.remove(&name);
                 }
             }
-            (Op::ListMachines { requested_at, term }, reply) => {
+            (AutoscalerCall::ListMachines { requested_at, term }, reply) => {
                 if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
                     self.list_reply(requested_at, term, reply);
                 }
@@ -248,65 +266,67 @@
     }
 
     fn take_types(&mut self, types: Vec<MachineType>) {
-        if self.types.is_empty() {
+        if self.autoscaler.machine_types.is_empty() {
             info!("{} machine types known", types.len());
         }
-        self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
-        self.placement_due = true;
-        self.changes.machines.extend(self.managed_machines.keys().cloned());
+        self.autoscaler.machine_types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+        self.scheduler.placement_due = true;
+        self.changes.machines.extend(self.machines.managed.keys().cloned());
     }
 
     /// Writes the types down, once a term of the renting shard: a process that
     /// starts while the cloud is away could otherwise accept and place nothing.
     fn store_types(&mut self) {
-        let Some(leadership) =
-            self.shards[AUTOSCALER_SHARD].leadership.as_ref().filter(|_| self.holds_lease())
+        let Some(leadership) = self.leadership.shards[AUTOSCALER_SHARD]
+            .leadership
+            .as_ref()
+            .filter(|_| self.holds_lease())
         else {
             return;
         };
         let (revision, term) = (leadership.revision, leadership.term);
-        let list: Vec<&MachineType> = self.types.values().collect();
+        let list: Vec<&MachineType> = self.autoscaler.machine_types.values().collect();
         let value = serde_json::json!(list);
-        let most = self.settings.state.value_kb * 1024.0;
-        if self.types_stored == term || value.to_string().len() as f64 > most {
+        let most = self.context.settings.state.value_kb * 1024.0;
+        if self.autoscaler.types_stored == term || value.to_string().len() as f64 > most {
             return;
         }
-        self.types_stored = term;
+        self.autoscaler.types_stored = term;
         let txn = Txn {
             conditions: vec![Condition { key: shard::lease_key(AUTOSCALER_SHARD), revision }],
             writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
         };
-        self.state(Op::StoreTypes, KvRequest::Txn(txn));
+        self.context.call_store(AutoscalerCall::StoreTypes, KvRequest::Txn(txn));
     }
 
-    pub(crate) fn types_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn types_reply(&mut self, op: AutoscalerCall, reply: KvResponse) {
         match (op, reply) {
-            (Op::StoredTypes, KvResponse::Value(Some(item))) => {
-                self.types_reading = false;
+            (AutoscalerCall::StoredTypes, KvResponse::Value(Some(item))) => {
+                self.autoscaler.types_reading = false;
                 // What the cloud itself said meanwhile is newer.
-                if self.types.is_empty()
+                if self.autoscaler.machine_types.is_empty()
                     && let Ok(types) = serde_json::from_value(item.value)
                 {
                     self.take_types(types);
                 }
             }
-            (Op::StoredTypes, _) => self.types_reading = false,
-            (Op::StoreTypes, KvResponse::Applied(_)) => {}
+            (AutoscalerCall::StoredTypes, _) => self.autoscaler.types_reading = false,
+            (AutoscalerCall::StoreTypes, KvResponse::Applied(_)) => {}
             // Tried again with the next plan.
-            _ => self.types_stored = 0,
+            _ => self.autoscaler.types_stored = 0,
         }
     }
 
     /// Between requests for machines: lists and returns keep a good part of the
     /// cloud's rate.
     fn scale_out_pause(&self) -> Micros {
-        Micros::from_secs_f64(1.0 / (self.settings.cloud.rps * SCALE_OUT_RATE_SHARE))
+        Micros::from_secs_f64(1.0 / (self.context.settings.cloud.rps * SCALE_OUT_RATE_SHARE))
     }
 
     fn scale_out_reply(&mut self, reply: CloudReply) {
-        let now = self.now;
-        self.autoscaler.busy = false;
-        let Some(request) = self.autoscaler.request.clone() else {
+        let now = self.context.now;
+        self.autoscaler.fleet.busy = false;
+        let Some(request) = self.autoscaler.fleet.request.clone() else {
             return;
         };
         let offer = (request.machine_type.clone(), request.zone.clone(), request.spot);
@@ -314,10 +334,10 @@
             CloudReply::ScaledOut(names) => {
                 info!("rented {} of {}: {}", names.len(), request.count, names.join(" "));
                 if names.len() < request.count as usize {
-                    self.autoscaler.refused.insert(offer, now + self.options.refused);
+                    self.autoscaler.fleet.refused.insert(offer, now + self.context.options.refused);
                 }
                 for name in names {
-                    self.autoscaler.machines.entry(name).or_insert_with(|| RentedMachine {
+                    self.autoscaler.fleet.machines.entry(name).or_insert_with(|| RentedMachine {
                         machine_type: request.machine_type.clone(),
                         zone: request.zone.clone(),
                         spot: request.spot,
@@ -327,23 +347,23 @@
                         idle_since: None,
                     });
                 }
-                self.autoscaler.request = None;
-                self.autoscaler.plan_at = now + self.scale_out_pause();
+                self.autoscaler.fleet.request = None;
+                self.autoscaler.fleet.plan_at = now + self.scale_out_pause();
             }
             CloudReply::NoCapacity => {
-                self.autoscaler.refused.insert(offer, now + self.options.refused);
-                self.autoscaler.request = None;
-                self.autoscaler.plan_at = now + self.scale_out_pause();
+                self.autoscaler.fleet.refused.insert(offer, now + self.context.options.refused);
+                self.autoscaler.fleet.request = None;
+                self.autoscaler.fleet.plan_at = now + self.scale_out_pause();
             }
             // Repeated under its name until it is known what became of it:
             // under another name it could rent twice.
-            _ => self.autoscaler.request_at = now + Micros::millis(1_500),
+            _ => self.autoscaler.fleet.request_at = now + Micros::millis(1_500),
         }
     }
 
     fn list_reply(&mut self, requested_at: Micros, term: u64, reply: CloudReply) {
-        let now = self.now;
-        let Some((_, mut list)) = self.autoscaler.listing.take() else {
+        let now = self.context.now;
+        let Some((_, mut list)) = self.autoscaler.fleet.listing.take() else {
             return;
         };
         let CloudReply::Page { machines, more } = reply else {
@@ -352,17 +372,19 @@
         let last = machines.last().map(|m| m.name.clone());
         list.extend(machines);
         if let (true, Some(after)) = (more, last) {
-            self.autoscaler.listing = Some((requested_at, list));
-            let op = Op::ListMachines { requested_at, term };
-            return self.cloud(op, CloudCall::List { after: Some(after) });
+            self.autoscaler.fleet.listing = Some((requested_at, list));
+            let op = AutoscalerCall::ListMachines { requested_at, term };
+            return self.context.call_cloud(op, CloudCall::List { after: Some(after) });
         }
         // Failed machines stay listed until they are deleted.
-        list.retain(|m| m.stage == MachineStage::Failed || !self.terminated.contains(&m.name));
-        let lag = Micros::from_secs_f64(self.settings.cloud.list_lag_s);
-        let mut terminated = self.autoscaler.take_list(now, requested_at, &list, lag);
+        list.retain(|m| {
+            m.stage == MachineStage::Failed || !self.machines.terminated.contains(&m.name)
+        });
+        let lag = Micros::from_secs_f64(self.context.settings.cloud.list_lag_s);
+        let mut terminated = self.autoscaler.fleet.take_list(now, requested_at, &list, lag);
         terminated.extend(failed(&list));
         for name in terminated {
-            if !self.terminated.contains(&name) {
+            if !self.machines.terminated.contains(&name) {
                 self.changes.terminated.push(name.clone());
                 self.machine_terminated(&name);
             }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -18,9 +18,9 @@
     Quotas,
 }
 
-/// What a call was for.
+/// What a call about leases, terms, watches and recoveries is for.
 #[derive(Debug, Clone)]
-pub(crate) enum Op {
+pub(crate) enum LeadershipCall {
     GrantLease { sent: Micros },
     RenewLease { sent: Micros, epoch: u64 },
     ListLeases,
@@ -32,30 +32,55 @@
     Release { shard: usize },
     ReadRecoveryPage { shard: usize, term: u64 },
     ReadRecoveredRecord { shard: usize, term: u64, job: String },
+}
+
+/// What a call that a user awaits is for.
+#[derive(Debug, Clone)]
+pub(crate) enum ApiCall {
     Admit { list: Vec<Submission>, shard: usize, term: u64, batch: Option<String> },
     LookUpDependency { number: u64, job: String },
     StoreDependencies { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
-    ReadRecordPage { first: String },
-    ReadDependencies { job: String, number: u32 },
     CompareDependencies { ticket: Ticket, status: u16, job: String, sent: Micros },
-    CancelDependent { job: String, shard: usize, tasks: u32 },
-    DropBatch { key: String, term: u64 },
-    StoreBatch { key: String, term: u64, jobs: Vec<(String, u64)> },
-    ReadBatch { key: String, term: u64 },
     SubmitRead { ticket: Ticket, job: String, sent: Micros, otherwise: (u16, Option<u64>, Vec<u8>) },
     Poll { tickets: Vec<Ticket>, job: String, sent: Micros },
     CompareStages { jobs: QueriedJobs, sent: Micros },
-    ReadUnknown { job: String },
     CancelRead { ticket: Ticket, job: String, tries: u32 },
     CancelWrite { ticket: Ticket, job: String, shard: usize, tasks: u32, tries: u32 },
+}
+
+/// What a call about the jobs of own shards and what is known of others is for.
+#[derive(Debug, Clone)]
+pub(crate) enum JobsCall {
+    ReadRecordPage { first: String },
+    ReadDependencies { job: String, number: u32 },
+    CancelDependent { job: String, shard: usize, tasks: u32 },
+    DropBatch { key: String, term: u64 },
+    StoreBatch { key: String, term: u64, jobs: Vec<(String, u64)> },
+    ReadBatch { key: String, term: u64 },
     Store { job: String, term: u64, chunks: Vec<(usize, u64)>, done: bool, drops: Vec<usize> },
     ReadBack { job: String, term: u64 },
     ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, (u64, u64)> },
+}
+
+/// What a call about machines: direct commands, and reads of jobs that run there is for.
+#[derive(Debug, Clone)]
+pub(crate) enum MachinesCall {
+    ReadUnknown { job: String },
+    Direct { machine: String, starts: Vec<Key>, term: u64 },
+    Inspect,
+}
+
+/// What a call about grants is for.
+#[derive(Debug, Clone)]
+pub(crate) enum QuotaCall {
     QuotaList,
     QuotaRead { team: String },
     QuotaWrite { team: String, value: Value },
-    Direct { machine: String, starts: Vec<Key>, term: u64 },
-    Inspect,
+}
+
+/// What a call about machine types and the fleet is for.
+#[derive(Debug, Clone)]
+pub(crate) enum AutoscalerCall {
     Types,
     StoreTypes,
     StoredTypes,
@@ -63,3 +88,50 @@
     ScaleIn { names: Vec<String> },
     ListMachines { requested_at: Micros, term: u64 },
 }
+
+/// What a call in flight is for, by the component that takes its reply.
+#[derive(Debug, Clone)]
+pub(crate) enum PendingCall {
+    Leadership(LeadershipCall),
+    Api(ApiCall),
+    Jobs(JobsCall),
+    Machines(MachinesCall),
+    Quota(QuotaCall),
+    Autoscaler(AutoscalerCall),
+}
+
+impl From<LeadershipCall> for PendingCall {
+    fn from(call: LeadershipCall) -> PendingCall {
+        PendingCall::Leadership(call)
+    }
+}
+
+impl From<ApiCall> for PendingCall {
+    fn from(call: ApiCall) -> PendingCall {
+        PendingCall::Api(call)
+    }
+}
+
+impl From<JobsCall> for PendingCall {
+    fn from(call: JobsCall) -> PendingCall {
+        PendingCall::Jobs(call)
+    }
+}
+
+impl From<MachinesCall> for PendingCall {
+    fn from(call: MachinesCall) -> PendingCall {
+        PendingCall::Machines(call)
+    }
+}
+
+impl From<QuotaCall> for PendingCall {
+    fn from(call: QuotaCall) -> PendingCall {
+        PendingCall::Quota(call)
+    }
+}
+
+impl From<AutoscalerCall> for PendingCall {
+    fn from(call: AutoscalerCall) -> PendingCall {
+        PendingCall::Autoscaler(call)
+    }
+}
--- /dev/null
+++ b/src/controller/context.rs
@@ -0,0 +1,123 @@
+//! What every component is lent: the time, the settings, random numbers, and the outbox of
+//! effects with the calls in flight.
+
+use crate::cloud::CloudCall;
+use crate::config::{Config, Options, Settings};
+use crate::controller::calls::PendingCall;
+use crate::controller::event::{CallId, Effect, Ticket};
+use crate::kv_store::{Bucket, KvRequest, REQUEST_RATE_SHARE, WRITE_RATE_SHARE};
+use crate::time::Micros;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// Time, settings, identity and outbox of a controller.
+#[derive(Debug)]
+pub(crate) struct Context {
+    /// This member's name.
+    pub(crate) member: String,
+    /// Its number among the members.
+    pub(crate) me: usize,
+    /// All members, sorted by name.
+    pub(crate) members: Vec<String>,
+    /// Tells this process from earlier ones of the same member.
+    pub(crate) incarnation: u64,
+    pub(crate) settings: Settings,
+    pub(crate) options: Options,
+    pub(crate) rng: StdRng,
+    /// Time of day at the zero of the steady clock.
+    pub(crate) wall: Micros,
+    pub(crate) now: Micros,
+    /// What is to be done, in order.
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) next_call: u64,
+    /// Calls that have not been answered, with what each is for.
+    pub(crate) calls: BTreeMap<CallId, PendingCall>,
+    /// This node's share of the key-value store's rate of changes.
+    pub(crate) write_budget: Bucket,
+    /// Its share of the rate of requests.
+    pub(crate) request_budget: Bucket,
+}
+
+impl Context {
+    /// The context of a process that has just started. `seed` makes its random numbers
+    /// and its incarnation, `wall` is the time of day at the zero of the steady clock.
+    pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
+        let members = config.members();
+        let me = members.iter().position(|member| *member == config.member).unwrap_or(0);
+        let limits = &config.settings.state;
+        let write_rate = limits.write_rps * WRITE_RATE_SHARE / members.len() as f64;
+        let request_rate = limits.rps * REQUEST_RATE_SHARE / members.len() as f64;
+        Context {
+            member: config.member.clone(),
+            me,
+            members,
+            // Zero stands for no process.
+            incarnation: seed.max(1),
+            settings: config.settings.clone(),
+            options,
+            rng: StdRng::seed_from_u64(seed),
+            wall,
+            now: Micros::ZERO,
+            effects: Vec::new(),
+            next_call: 1,
+            calls: BTreeMap::new(),
+            write_budget: Bucket::new(write_rate, write_rate),
+            request_budget: Bucket::new(request_rate, request_rate),
+        }
+    }
+
+    /// The time of day.
+    pub(crate) fn wall(&self) -> Micros {
+        self.wall + self.now
+    }
+
+    /// Number of a member.
+    pub(crate) fn member_number(&self, name: &str) -> Option<usize> {
+        self.members.binary_search_by(|member| member.as_str().cmp(name)).ok()
+    }
+
+    /// Answers a request.
+    pub(crate) fn respond(
+        &mut self,
+        ticket: Ticket,
+        status: u16,
+        retry_after: Option<u64>,
+        body: &impl Serialize,
+    ) {
+        let body = serde_json::to_vec(body).unwrap_or_default();
+        self.effects.push(Effect::Respond { ticket, status, retry_after, body });
+    }
+
+    /// Registers what a call is for; its reply comes under this id.
+    pub(crate) fn register_call(&mut self, purpose: impl Into<PendingCall>) -> CallId {
+        let id = CallId(self.next_call);
+        self.next_call += 1;
+        self.calls.insert(id, purpose.into());
+        id
+    }
+
+    /// Calls the key-value store.
+    pub(crate) fn call_store(&mut self, purpose: impl Into<PendingCall>, call: KvRequest) {
+        self.write_budget.level(self.now);
+        self.write_budget.take(call.puts() as f64);
+        if !call.urgent() {
+            self.request_budget.level(self.now);
+            self.request_budget.take(1.0);
+        }
+        let id = self.register_call(purpose);
+        self.effects.push(Effect::KvStore { id, call });
+    }
+
+    /// Calls the cloud.
+    pub(crate) fn call_cloud(&mut self, purpose: impl Into<PendingCall>, call: CloudCall) {
+        let id = self.register_call(purpose);
+        self.effects.push(Effect::Cloud { id, call });
+    }
+
+    /// Whether more than half of this node's share of requests to the store is left.
+    pub(crate) fn has_spare_requests(&mut self) -> bool {
+        self.request_budget.level(self.now) > self.request_budget.burst() / 2.0
+    }
+}
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -93,7 +93,7 @@
             return;
         }
         self.counts.decisions.final_answers += 1;
-        let followed = self.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        let followed = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
         log::debug!(
             target: TARGET,
             job = job, job_stage:? = known.stage, revision = known.revision,
@@ -108,7 +108,7 @@
         log::debug!(
             target: TARGET,
             request = request, shard = AUTOSCALER_SHARD, term = term,
-            lease_left_ms = self.controller_lease.valid_until.since(self.now).as_millis();
+            lease_left_ms = self.leadership.controller_lease.valid_until.since(self.context.now).as_millis();
             "rent"
         );
     }
@@ -119,7 +119,7 @@
         let term = self.leading_term(AUTOSCALER_SHARD);
         for name in names {
             let machine = name.as_str();
-            let tasks = self.views.get(name).map_or(0, |view| view.tasks.len());
+            let tasks = self.machines.views.get(name).map_or(0, |view| view.tasks.len());
             log::debug!(
                 target: TARGET,
                 machine = machine, shard = AUTOSCALER_SHARD, term:? = term, tasks = tasks;
@@ -156,7 +156,7 @@
         r: &Revocation,
     ) {
         self.counts.decisions.raised_fencing_tokens += 1;
-        let beside = self.managed_machines.get(machine).map_or(0, ManagedMachine::present_count);
+        let beside = self.machines.managed.get(machine).map_or(0, ManagedMachine::present_count);
         self.counts.decisions.tasks_beside_raises += beside as u64;
         log::info!(
             target: TARGET,
--- a/src/controller/jobs/batch.rs
+++ b/src/controller/jobs/batch.rs
@@ -6,9 +6,10 @@
 //! their own with their first change; those count before the batch. The batch is
 //! removed once no job needs it.
 
+use crate::controller::Controller;
+use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job};
 use crate::controller::leadership::shard;
-use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeMap;
@@ -19,27 +20,27 @@
         let small = |j: &Job| {
             j.spec.tasks <= job::BATCHED_TASKS && !j.cancelled && !j.over && !j.complete()
         };
-        self.admission.batched.contains_key(id) && self.jobs.get(id).is_some_and(small)
+        self.api.admission.batched.contains_key(id) && self.jobs.by_id.get(id).is_some_and(small)
     }
 
     /// Writes a job's batch with all that has changed of its jobs; false if the
     /// job is to have a key of its own after all.
     pub(crate) fn store_batch(&mut self, id: &str) -> bool {
-        let Some(key) = self.admission.batched.get(id).cloned() else {
+        let Some(key) = self.api.admission.batched.get(id).cloned() else {
             return false;
         };
-        let Some(batch) = self.admission.batches.get(&key) else {
+        let Some(batch) = self.api.admission.batches.get(&key) else {
             return false;
         };
         // Rewritten, it would lose what cannot be read of it.
-        if self.unreadable.contains(&key) {
+        if self.jobs.unreadable.contains(&key) {
             return false;
         }
         if batch.busy {
             return true;
         }
         let s = batch.shard;
-        let Some(leadership) = self.shards[s].leadership.as_ref() else {
+        let Some(leadership) = self.leadership.shards[s].leadership.as_ref() else {
             return true;
         };
         let term = leadership.term;
@@ -48,7 +49,7 @@
             Condition { key: key.clone(), revision: batch.revision },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
-        let known = batch.jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
+        let known = batch.jobs.iter().filter_map(|id| Some((id, self.jobs.by_id.get(id)?)));
         // What is over is said by its record.
         for (id, job) in known.filter(|(_, j)| !j.over) {
             let chunk = &job.chunks[0];
@@ -64,26 +65,26 @@
             }
         }
         let value = job::encode_batch(values);
-        let most = self.settings.state.value_kb * 1024.0;
+        let most = self.context.settings.state.value_kb * 1024.0;
         // It may be of a time with larger limits.
-        let conditions_fit = conditions.len() <= 4 * self.settings.state.txn_ops;
+        let conditions_fit = conditions.len() <= 4 * self.context.settings.state.txn_ops;
         if changed.is_empty() || !conditions_fit || value.to_string().len() as f64 > most {
             return false;
         }
         for (id, _) in &changed {
             self.changes.jobs.remove(id);
-            if let Some(job) = self.jobs.get_mut(id) {
+            if let Some(job) = self.jobs.by_id.get_mut(id) {
                 job.busy = true;
                 job.deferred_since = None;
             }
         }
-        if let Some(batch) = self.admission.batches.get_mut(&key) {
+        if let Some(batch) = self.api.admission.batches.get_mut(&key) {
             batch.busy = true;
         }
-        self.writes_in_flight += 1;
+        self.jobs.writes_in_flight += 1;
         let writes = vec![Write::Put { key: key.clone(), value, lease: None }];
-        let op = Op::StoreBatch { key, term, jobs: changed };
-        self.state(op, KvRequest::Txn(Txn { conditions, writes }));
+        let op = JobsCall::StoreBatch { key, term, jobs: changed };
+        self.context.call_store(op, KvRequest::Txn(Txn { conditions, writes }));
         true
     }
 
@@ -94,13 +95,13 @@
         jobs: Vec<(String, u64)>,
         reply: KvResponse,
     ) {
-        self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
-        let Some(batch) = self.admission.batches.get_mut(key) else {
+        self.jobs.writes_in_flight = self.jobs.writes_in_flight.saturating_sub(1);
+        let Some(batch) = self.api.admission.batches.get_mut(key) else {
             return;
         };
         let s = batch.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
+        if self.leadership.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
@@ -108,7 +109,7 @@
             batch.revision = revision;
         }
         for (id, _) in &jobs {
-            if let Some(job) = self.jobs.get_mut(id) {
+            if let Some(job) = self.jobs.by_id.get_mut(id) {
                 job.busy = false;
                 self.changes.jobs.insert(id.clone());
             }
@@ -139,18 +140,18 @@
     }
 
     fn read_batch(&mut self, key: &str, term: u64) {
-        if let Some(batch) = self.admission.batches.get_mut(key) {
+        if let Some(batch) = self.api.admission.batches.get_mut(key) {
             batch.busy = true;
-            let op = Op::ReadBatch { key: key.to_string(), term };
-            self.state(op, KvRequest::Get(key.to_string()));
+            let op = JobsCall::ReadBatch { key: key.to_string(), term };
+            self.context.call_store(op, KvRequest::Get(key.to_string()));
         }
     }
 
     pub(crate) fn batch_read(&mut self, key: &str, term: u64, reply: KvResponse) {
-        let Some(batch) = self.admission.batches.get_mut(key) else {
+        let Some(batch) = self.api.admission.batches.get_mut(key) else {
             return;
         };
-        if self.shards[batch.shard].leadership.as_ref().is_none_or(|m| m.term != term) {
+        if self.leadership.shards[batch.shard].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
         batch.busy = false;
@@ -163,7 +164,7 @@
         let stored: BTreeMap<String, u64> =
             job::decode_batch(&item.value).into_iter().filter_map(version).collect();
         for (id, version) in stored {
-            let applied = self.jobs.get(&id).is_some_and(|j| {
+            let applied = self.jobs.by_id.get(&id).is_some_and(|j| {
                 let chunk = &j.chunks[0];
                 chunk.revision == 0 && version > chunk.stored && version <= chunk.version
             });
--- a/src/controller/jobs/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -7,8 +7,10 @@
 //! and nothing has to be stopped. A user is told so by any node, also before it is
 //! written: from the stages of all that come before.
 
+use crate::controller::calls::ApiCall;
+use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
-use crate::controller::{CachedStage, Controller, Op, Ticket};
+use crate::controller::{CachedStage, Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::InheritedUrgency;
 use crate::time::Micros;
@@ -155,7 +157,7 @@
 impl Controller {
     /// Works out what becomes of a job that needs others.
     pub(crate) fn dependency_outcome(&self, dependencies: &[String]) -> DependencyOutcome {
-        let stage = |id: &String| self.cached_stages.get(id).map(|k| k.stage);
+        let stage = |id: &String| self.jobs.cached_stages.get(id).map(|k| k.stage);
         if dependencies.iter().all(|id| stage(id) == Some(StoredStage::Done)) {
             return DependencyOutcome::Satisfied;
         }
@@ -166,13 +168,14 @@
             match stage(id) {
                 None => unknown.push(id.clone()),
                 Some(StoredStage::Done) => {}
-                Some(StoredStage::Cancelled) if self.terminal_states.acknowledged(id) => {
+                Some(StoredStage::Cancelled) if self.api.terminal_states.acknowledged(id) => {
                     return DependencyOutcome::Cancelled { acknowledged: true };
                 }
                 Some(StoredStage::Cancelled) => cancelled = true,
                 Some(StoredStage::Accepted) => {
-                    partial |= self.dependency_graph.partial.contains_key(id);
+                    partial |= self.jobs.dependency_graph.partial.contains_key(id);
                     let before = self
+                        .jobs
                         .dependency_graph
                         .dependencies
                         .get(id)
@@ -191,9 +194,9 @@
 
     /// What becomes of a job that is known as accepted.
     pub(crate) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
-        match self.dependency_graph.dependencies.get(id) {
+        match self.jobs.dependency_graph.dependencies.get(id) {
             Some(dependencies) => self.dependency_outcome(dependencies),
-            None if self.dependency_graph.partial.contains_key(id) => {
+            None if self.jobs.dependency_graph.partial.contains_key(id) => {
                 DependencyOutcome::Unknown(Vec::new())
             }
             None => DependencyOutcome::Satisfied,
@@ -207,10 +210,10 @@
         let mut todo: Vec<&str> = vec![id];
         while let Some(id) = todo.pop() {
             let dependencies =
-                self.dependency_graph.dependencies.get(id).into_iter().flat_map(|n| n.iter());
+                self.jobs.dependency_graph.dependencies.get(id).into_iter().flat_map(|n| n.iter());
             for n in dependencies.filter(|n| observed.insert(n)) {
                 if let Some(k) =
-                    self.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
+                    self.jobs.cached_stages.get(n).filter(|k| k.stage == StoredStage::Accepted)
                 {
                     list.push((n.clone(), k.revision));
                     todo.push(n);
@@ -233,7 +236,7 @@
         if !self.cancellations_up_to_date() {
             return self.respond_retry_later(ticket, 503, "cancellations are not heard");
         }
-        let most = (self.settings.state.txn_ops * CONDITIONS).max(2) - 1;
+        let most = (self.context.settings.state.txn_ops * CONDITIONS).max(2) - 1;
         let mut revisions = self.unfinished_dependencies(id);
         revisions.truncate(most);
         revisions.push((id.to_string(), known.revision));
@@ -241,8 +244,13 @@
         let conditions = conditions
             .map(|(id, revision)| Condition { key: job::job_key(id), revision: *revision });
         let txn = Txn { conditions: conditions.collect(), writes: Vec::new() };
-        let op = Op::CompareDependencies { ticket, status, job: id.to_string(), sent: self.now };
-        self.state(op, KvRequest::Txn(txn));
+        let op = ApiCall::CompareDependencies {
+            ticket,
+            status,
+            job: id.to_string(),
+            sent: self.context.now,
+        };
+        self.context.call_store(op, KvRequest::Txn(txn));
     }
 
     pub(crate) fn dependencies_compared(
@@ -253,7 +261,7 @@
         sent: Micros,
         reply: &KvResponse,
     ) {
-        let Some(known) = self.cached_stages.get(id).copied() else {
+        let Some(known) = self.jobs.cached_stages.get(id).copied() else {
             return self.respond_retry_later(ticket, 503, "undecided");
         };
         let unfinished = known.stage == StoredStage::Accepted;
@@ -269,7 +277,7 @@
             }
             KvResponse::Applied(_) if self.fresh(sent) => {
                 let answer = self.job_answer(id, known);
-                self.respond(ticket, status, None, &answer);
+                self.context.respond(ticket, status, None, &answer);
             }
             KvResponse::Applied(_) => {
                 self.respond_retry_later(ticket, 503, "the state service is slow")
@@ -286,15 +294,18 @@
         if spec.dependencies.contains(&spec.id) {
             return self.read_or(ticket, &spec.id, 422, None, &absent);
         }
-        let known = |id: &&String| self.cached_stages.contains_key(*id);
+        let known = |id: &&String| self.jobs.cached_stages.contains_key(*id);
         let mut unknown: Vec<String> =
             spec.dependencies.iter().filter(|id| !known(id)).cloned().collect();
         if unknown.is_empty() {
             return self.store_dependencies(ticket, spec, size, 0);
         }
         if unknown.len() > MAX_SINGLE_READS {
-            let absent: Vec<String> =
-                unknown.iter().filter(|id| self.record_pages.was_absent(id)).cloned().collect();
+            let absent: Vec<String> = unknown
+                .iter()
+                .filter(|id| self.jobs.record_pages.was_absent(id))
+                .cloned()
+                .collect();
             if absent.is_empty() {
                 self.read_records(unknown);
                 return self.respond_retry_later(
@@ -307,21 +318,22 @@
             unknown = absent;
             unknown.truncate(MAX_SINGLE_READS);
         }
-        self.dependency_graph.count += 1;
-        let number = self.dependency_graph.count;
+        self.jobs.dependency_graph.count += 1;
+        let number = self.jobs.dependency_graph.count;
         let left = unknown.len();
         let lookups = DependencyLookup { ticket, spec, size, left, missing: false, failed: false };
-        self.dependency_graph.lookups.insert(number, lookups);
+        self.jobs.dependency_graph.lookups.insert(number, lookups);
         for id in unknown {
             let key = job::job_key(&id);
-            self.state(Op::LookUpDependency { number, job: id }, KvRequest::Get(key));
+            self.context
+                .call_store(ApiCall::LookUpDependency { number, job: id }, KvRequest::Get(key));
         }
     }
 
     pub(crate) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
         let found = self.read_record(id, reply);
-        let known = self.cached_stages.contains_key(id);
-        let Some(g) = self.dependency_graph.lookups.get_mut(&number) else {
+        let known = self.jobs.cached_stages.contains_key(id);
+        let Some(g) = self.jobs.dependency_graph.lookups.get_mut(&number) else {
             return;
         };
         g.left = g.left.saturating_sub(1);
@@ -333,7 +345,7 @@
         if g.left > 0 {
             return;
         }
-        let Some(g) = self.dependency_graph.lookups.remove(&number) else {
+        let Some(g) = self.jobs.dependency_graph.lookups.remove(&number) else {
             return;
         };
         if g.failed {
@@ -344,7 +356,7 @@
                 Refusal { error: "a job that was never accepted", field: Some("upstream") };
             return self.read_or(g.ticket, &g.spec.id, 422, None, &absent);
         }
-        if !g.spec.dependencies.iter().all(|id| self.cached_stages.contains_key(id)) {
+        if !g.spec.dependencies.iter().all(|id| self.jobs.cached_stages.contains_key(id)) {
             return self.respond_retry_later(
                 g.ticket,
                 503,
@@ -356,7 +368,7 @@
 
     /// Names of needed jobs that a value has room for.
     fn dependency_lists(&self, dependencies: &[String]) -> Vec<Vec<String>> {
-        let bytes = (self.settings.state.value_kb * 1024.0 * FULL) as usize;
+        let bytes = (self.context.settings.state.value_kb * 1024.0 * FULL) as usize;
         divide(dependencies, bytes.saturating_sub(RECORD_BYTES))
     }
 
@@ -380,17 +392,17 @@
     ) {
         let lists = self.dependency_lists(&spec.dependencies);
         if from + 1 >= lists.len() {
-            self.submissions += 1;
+            self.api.undecided_submissions += 1;
             return self.queue_submission(ticket, spec, size);
         }
         let leadership = self
             .admitting_shard()
-            .and_then(|s| Some((s, self.shards[s].leadership.as_ref()?.revision)));
+            .and_then(|s| Some((s, self.leadership.shards[s].leadership.as_ref()?.revision)));
         let Some((s, revision)) = leadership else {
             return self.respond_retry_later(ticket, 503, "no seat is held");
         };
-        let by_size = TXN_BYTES / (self.settings.state.value_kb * 1024.0) as usize;
-        let most = self.settings.state.txn_ops.min(by_size).max(1);
+        let by_size = TXN_BYTES / (self.context.settings.state.value_kb * 1024.0) as usize;
+        let most = self.context.settings.state.txn_ops.min(by_size).max(1);
         let write = |n: usize| Write::Put {
             key: job::dependency_key(&spec.id, n as u32),
             value: json!({ "u": lists[n] }),
@@ -402,7 +414,10 @@
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
-        self.state(Op::StoreDependencies { ticket, spec, size, to: to - 1 }, KvRequest::Txn(txn));
+        self.context.call_store(
+            ApiCall::StoreDependencies { ticket, spec, size, to: to - 1 },
+            KvRequest::Txn(txn),
+        );
     }
 
     pub(crate) fn dependencies_stored(
@@ -425,25 +440,25 @@
 
     /// Reads the further keys of jobs that need many others.
     fn read_dependencies(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         let open =
-            self.dependency_graph.partial.iter_mut().find(|(_, p)| !p.busy && now >= p.retry);
+            self.jobs.dependency_graph.partial.iter_mut().find(|(_, p)| !p.busy && now >= p.retry);
         let Some((id, partial)) = open else {
             return;
         };
         partial.busy = true;
         let (job, number) = (id.clone(), partial.read + 1);
         let key = job::dependency_key(id, number);
-        self.state(Op::ReadDependencies { job, number }, KvRequest::Get(key));
+        self.context.call_store(JobsCall::ReadDependencies { job, number }, KvRequest::Get(key));
     }
 
     pub(crate) fn dependencies_read(&mut self, id: &str, number: u32, reply: &KvResponse) {
-        let Some(partial) = self.dependency_graph.partial.get_mut(id) else {
+        let Some(partial) = self.jobs.dependency_graph.partial.get_mut(id) else {
             return;
         };
         partial.busy = false;
         // What cannot be read now is read later, and others first.
-        partial.retry = self.now + READ_AGAIN;
+        partial.retry = self.context.now + READ_AGAIN;
         let KvResponse::Value(item) = reply else {
             return;
         };
@@ -460,7 +475,7 @@
         }
         if partial.read >= partial.more {
             let dependencies = std::mem::take(&mut partial.dependencies);
-            self.dependency_graph.set_dependencies(id, &dependencies);
+            self.jobs.dependency_graph.set_dependencies(id, &dependencies);
         }
     }
 
@@ -468,30 +483,31 @@
     pub(crate) fn maintain_dependencies(&mut self) {
         self.read_dependencies();
         self.maintain_record_pages();
-        if !self.holds_lease() || self.now < self.dependency_graph.next_check {
+        if !self.holds_lease() || self.context.now < self.jobs.dependency_graph.next_check {
             return;
         }
-        self.dependency_graph.next_check = self.now + LOOK_EVERY;
-        let wall = self.wall();
-        for id in self.dependency_graph.waiting.iter().cloned().collect::<Vec<_>>() {
+        self.jobs.dependency_graph.next_check = self.context.now + LOOK_EVERY;
+        let wall = self.context.wall();
+        for id in self.jobs.dependency_graph.waiting.iter().cloned().collect::<Vec<_>>() {
             let waits = |j: &&Job| j.waiting && !j.cancelled && !j.over;
-            let Some(job) = self.jobs.get(&id).filter(waits) else {
-                self.dependency_graph.waiting.remove(&id);
+            let Some(job) = self.jobs.by_id.get(&id).filter(waits) else {
+                self.jobs.dependency_graph.waiting.remove(&id);
                 continue;
             };
             if let Some(dependencies) = self
+                .jobs
                 .dependency_graph
                 .dependencies
                 .get(&id)
                 .filter(|n| n.len() > job.dependencies.len())
             {
                 let dependencies = Rc::clone(dependencies);
-                if let Some(job) = self.jobs.get_mut(&id) {
+                if let Some(job) = self.jobs.by_id.get_mut(&id) {
                     job.dependencies = dependencies;
                 }
             }
             // Nothing known of what it needs is no reason to let it go.
-            let noted = self.dependency_graph.dependencies.contains_key(&id);
+            let noted = self.jobs.dependency_graph.dependencies.contains_key(&id);
             match if noted {
                 self.dependency_outcome_of(&id)
             } else {
@@ -500,13 +516,13 @@
                 DependencyOutcome::Satisfied => {
                     info!("job {id} may start: all that it dependencies is done");
                     self.counts.released += 1;
-                    self.dependency_graph.waiting.remove(&id);
-                    if let Some(job) = self.jobs.get_mut(&id) {
+                    self.jobs.dependency_graph.waiting.remove(&id);
+                    if let Some(job) = self.jobs.by_id.get_mut(&id) {
                         job.waiting = false;
                         job.ready = wall;
                         job.pending_reason = "new";
                     }
-                    self.placement_due = true;
+                    self.scheduler.placement_due = true;
                 }
                 DependencyOutcome::Cancelled { .. } => self.cancel_dependent(&id),
                 DependencyOutcome::Unknown(list) => self.read_records(list),
@@ -518,14 +534,17 @@
 
     /// Writes down that a waiting job is cancelled with one before it.
     fn cancel_dependent(&mut self, id: &str) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.jobs.by_id.get(id) else {
             return;
         };
-        let full = self.dependency_graph.cancelling.len() >= MAX_CANCELLATIONS_IN_FLIGHT;
-        if full || self.dependency_graph.cancelling.contains(id) || !self.serves_shard(job.shard) {
+        let full = self.jobs.dependency_graph.cancelling.len() >= MAX_CANCELLATIONS_IN_FLIGHT;
+        if full
+            || self.jobs.dependency_graph.cancelling.contains(id)
+            || !self.serves_shard(job.shard)
+        {
             // The next look comes soon.
-            self.dependency_graph.next_check =
-                self.dependency_graph.next_check.min(self.now + Micros::millis(100));
+            self.jobs.dependency_graph.next_check =
+                self.jobs.dependency_graph.next_check.min(self.context.now + Micros::millis(100));
             return;
         }
         let (shard, tasks) = (job.shard, job.spec.tasks);
@@ -541,8 +560,11 @@
             conditions: vec![Condition { key: key.clone(), revision: job.revision }],
             writes: vec![Write::Put { key, value: json!(record), lease: None }],
         };
-        self.dependency_graph.cancelling.insert(id.to_string());
-        self.state(Op::CancelDependent { job: id.to_string(), shard, tasks }, KvRequest::Txn(txn));
+        self.jobs.dependency_graph.cancelling.insert(id.to_string());
+        self.context.call_store(
+            JobsCall::CancelDependent { job: id.to_string(), shard, tasks },
+            KvRequest::Txn(txn),
+        );
     }
 
     pub(crate) fn dependent_cancelled(
@@ -552,7 +574,7 @@
         tasks: u32,
         reply: &KvResponse,
     ) {
-        self.dependency_graph.cancelling.remove(id);
+        self.jobs.dependency_graph.cancelling.remove(id);
         match reply {
             KvResponse::Applied(revision) => {
                 info!("job {id} cancelled with one that it dependencies");
@@ -575,43 +597,46 @@
 
     /// Works out how urgent the jobs are that own ones wait for, and tells it.
     fn update_inherited_urgency(&mut self) {
-        let all = self.now >= self.dependency_graph.urgency_at;
+        let all = self.context.now >= self.jobs.dependency_graph.urgency_at;
         if all {
-            self.dependency_graph.urgency_at = self.now + URGENCY_EVERY;
+            self.jobs.dependency_graph.urgency_at = self.context.now + URGENCY_EVERY;
         }
         let mut inherited_urgency: BTreeMap<String, (u32, Micros)> = BTreeMap::new();
-        for job in self.dependency_graph.waiting.iter().filter_map(|id| self.jobs.get(id)) {
+        for job in
+            self.jobs.dependency_graph.waiting.iter().filter_map(|id| self.jobs.by_id.get(id))
+        {
             let (rank, due) = (job.rank(), job.due());
             for id in job.dependencies.iter() {
-                if self.cached_stages.get(id).is_some_and(|k| k.stage == StoredStage::Accepted) {
+                if self.jobs.cached_stages.get(id).is_some_and(|k| k.stage == StoredStage::Accepted)
+                {
                     let most = inherited_urgency.entry(id.clone()).or_insert((rank, due));
                     *most = (most.0.min(rank), most.1.min(due));
                 }
             }
         }
         for (id, (rank, due)) in &inherited_urgency {
-            if all || self.dependency_graph.inherited_urgency.get(id) != Some(&(*rank, *due)) {
+            if all || self.jobs.dependency_graph.inherited_urgency.get(id) != Some(&(*rank, *due)) {
                 let news = InheritedUrgency { job: id.clone(), rank: *rank, due_us: due.0 };
-                self.dependency_graph.news.push(news);
+                self.jobs.dependency_graph.news.push(news);
             }
             self.inherit_urgency(id, *rank, *due);
         }
-        self.dependency_graph.inherited_urgency = inherited_urgency;
+        self.jobs.dependency_graph.inherited_urgency = inherited_urgency;
     }
 
     /// A job is needed by one of this rank and deadline.
     pub(crate) fn inherit_urgency(&mut self, id: &str, rank: u32, due: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let (r, d) = job.inherited_urgency.unwrap_or((u32::MAX, Micros::FAR));
         let most = (r.min(rank), d.min(due));
         if job.inherited_urgency != Some(most) {
             job.inherited_urgency = Some(most);
-            self.placement_due = true;
-            if self.dependency_graph.waiting.contains(id) {
+            self.scheduler.placement_due = true;
+            if self.jobs.dependency_graph.waiting.contains(id) {
                 // What it needs itself is as urgent.
-                self.dependency_graph.next_check = Micros::ZERO;
+                self.jobs.dependency_graph.next_check = Micros::ZERO;
             }
         }
     }
--- a/src/controller/jobs/lifecycle.rs
+++ b/src/controller/jobs/lifecycle.rs
@@ -17,7 +17,7 @@
         if !self.serves_shard(s) {
             return;
         }
-        let Some(tasks) = self.by_machine.get(&(s, Rc::from(machine))).cloned() else {
+        let Some(tasks) = self.jobs.tasks_by_machine.get(&(s, Rc::from(machine))).cloned() else {
             return;
         };
         for (job, index) in &tasks {
@@ -28,7 +28,7 @@
     /// Looks at all own tasks: what was received while this process might not act has
     /// been taken in, and nobody has drawn its conclusions.
     pub(crate) fn evaluate_all(&mut self) {
-        let all: Vec<(usize, Rc<str>)> = self.by_machine.keys().cloned().collect();
+        let all: Vec<(usize, Rc<str>)> = self.jobs.tasks_by_machine.keys().cloned().collect();
         for (s, machine) in all {
             self.evaluate_machine(s, &machine);
         }
@@ -36,11 +36,11 @@
 
     /// Works out what became of a task from what its machine's shard says.
     fn evaluate_task(&mut self, id: &str, index: u32) {
-        let Some(term) = self.jobs.get(id).and_then(|j| self.leading_term(j.shard)) else {
+        let Some(term) = self.jobs.by_id.get(id).and_then(|j| self.leading_term(j.shard)) else {
             return;
         };
-        let (now, wall) = (self.now, self.wall());
-        let Some(job) = self.jobs.get_mut(id) else {
+        let (now, wall) = (self.context.now, self.context.wall());
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let s = job.shard;
@@ -51,16 +51,18 @@
             return;
         };
         let machine = Rc::clone(&p.machine);
-        if self.terminated.contains(&*machine) {
+        if self.machines.terminated.contains(&*machine) {
             self.counts.lost += 1;
             return self.end_task(id, index, TaskEnd::known(ObservedState::Stopped));
         }
         // A view of an earlier holder proves nothing any more: the present one
         // may begin what that one had refused.
-        let here = self.shards
-            [crate::controller::leadership::shard::shard_of_machine(&machine, self.shards.len())]
+        let here = self.leadership.shards[crate::controller::leadership::shard::shard_of_machine(
+            &machine,
+            self.leadership.shards.len(),
+        )]
         .term;
-        let Some(view) = self.views.get(&*machine).filter(|v| v.term == here) else {
+        let Some(view) = self.machines.views.get(&*machine).filter(|v| v.term == here) else {
             return;
         };
         // That a machine has never reported proves nothing of a later session, which a view
@@ -118,12 +120,12 @@
     /// A spot machine is about to be taken: tasks that can save do so, tasks
     /// that cannot end in time move at once, the others may still end.
     fn handle_spot_notice(&mut self, id: &str, index: u32) {
-        let now = self.now;
-        let Some(job) = self.jobs.get_mut(id) else {
+        let now = self.context.now;
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let spec = Rc::clone(&job.spec);
-        let correction = self.estimates.correction(&spec.class);
+        let correction = self.scheduler.estimates.correction(&spec.class);
         let typical =
             job.usual_run().unwrap_or_else(|| Micros::from_secs_f64(spec.estimate_s * correction));
         let Some(p) = job.chunk_of(index).and_then(|chunk| chunk.placed.get_mut(&index)) else {
@@ -132,7 +134,7 @@
         if p.stop.is_some() {
             return;
         }
-        let Some(left) = self.views.get(&*p.machine).and_then(|v| v.notice_ms) else {
+        let Some(left) = self.machines.views.get(&*p.machine).and_then(|v| v.notice_ms) else {
             return;
         };
         let left = Micros::millis(left);
@@ -162,7 +164,7 @@
 
     /// Asks for a task to be stopped.
     pub(crate) fn stop_task(&mut self, id: &str, index: u32, grace: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let s = job.shard;
@@ -180,7 +182,7 @@
 
     /// One of our tasks is to make room for a more urgent one.
     pub(crate) fn preempt_task(&mut self, t: &Preempt) {
-        let Some(job) = self.jobs.get_mut(&t.job) else {
+        let Some(job) = self.jobs.by_id.get_mut(&t.job) else {
             return;
         };
         let saves = t.save && job.spec.checkpoint_s > 0.0;
@@ -202,7 +204,7 @@
 
     /// Stops everything of a cancelled job.
     pub(crate) fn stop_job(&mut self, id: &str) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.jobs.by_id.get(id) else {
             return;
         };
         let placed: Vec<u32> = job.chunks.iter().flat_map(|p| p.placed.keys().copied()).collect();
@@ -214,42 +216,42 @@
 
     /// A job's user has cancelled it: on some node, perhaps this one.
     pub(crate) fn job_cancelled(&mut self, id: &str) {
-        if let Some(job) = self.jobs.get_mut(id)
+        if let Some(job) = self.jobs.by_id.get_mut(id)
             && !job.cancelled
             && !job.over
         {
             job.cancelled = true;
             self.counts.cancelled += 1;
             self.stop_job(id);
-            self.placement_due = true;
+            self.scheduler.placement_due = true;
         }
     }
 
     /// A machine is known to be terminated, with everything on it.
     pub(crate) fn machine_terminated(&mut self, machine: &str) {
-        if !self.terminated.insert(machine.to_string()) {
+        if !self.machines.terminated.insert(machine.to_string()) {
             return;
         }
         info!("machine {machine} is terminated");
-        while self.terminated.len() > 5_000 {
+        while self.machines.terminated.len() > 5_000 {
             // Names rise with time, so the first is the oldest.
-            self.terminated.pop_first();
+            self.machines.terminated.pop_first();
         }
-        self.managed_machines.remove(machine);
-        self.views.remove(machine);
+        self.machines.managed.remove(machine);
+        self.machines.views.remove(machine);
         self.mark_capacity_stale(machine);
         self.changes.machines.remove(machine);
-        self.autoscaler.forget(machine);
-        for s in 0..self.shards.len() {
+        self.autoscaler.fleet.forget(machine);
+        for s in 0..self.leadership.shards.len() {
             self.evaluate_machine(s, machine);
         }
-        self.placement_due = true;
+        self.scheduler.placement_due = true;
     }
 
     pub(crate) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
         let observed = end.observed;
-        let now = self.now;
-        let Some(job) = self.jobs.get_mut(id) else {
+        let now = self.context.now;
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let Some(p) = job.end(index, end) else {
@@ -264,7 +266,9 @@
                     let ran = now.since(at);
                     let estimate = job.spec.estimate_s;
                     if estimate > 0.0 {
-                        self.estimates.learn(&job.spec.class, ran.as_secs_f64() / estimate);
+                        self.scheduler
+                            .estimates
+                            .learn(&job.spec.class, ran.as_secs_f64() / estimate);
                     }
                     job.note_run(ran);
                 }
@@ -288,7 +292,7 @@
         self.changes.progress.insert(id.to_string());
         self.changes.desired.insert((s, Rc::clone(&machine)));
         self.mark_capacity_stale(&machine);
-        self.placement_due = true;
+        self.scheduler.placement_due = true;
     }
 
     /// Times out what waits for nothing else.
@@ -298,13 +302,14 @@
         }
         // Notices run down between reports.
         let noticed: Vec<String> = self
+            .machines
             .views
             .iter()
             .filter(|(_, v)| v.notice_ms.is_some())
             .map(|(m, _)| m.clone())
             .collect();
         for m in noticed {
-            for s in 0..self.shards.len() {
+            for s in 0..self.leadership.shards.len() {
                 self.evaluate_machine(s, &m);
             }
         }
@@ -313,16 +318,22 @@
     /// Takes in a view of a machine.
     pub(crate) fn apply_view(&mut self, view: MachineView) {
         let h = self.shard_of_machine(&view.machine);
-        if self.terminated.contains(&view.machine) || view.term < self.shards[h].term {
+        if self.machines.terminated.contains(&view.machine)
+            || view.term < self.leadership.shards[h].term
+        {
             return;
         }
-        if let Some(old) = self.views.get(&view.machine)
+        if let Some(old) = self.machines.views.get(&view.machine)
             && (view.term, view.seq) <= (old.term, old.seq)
         {
             return;
         }
-        let now = self.now;
-        let old = self.views.get(&view.machine).filter(|old| old.incarnation == view.incarnation);
+        let now = self.context.now;
+        let old = self
+            .machines
+            .views
+            .get(&view.machine)
+            .filter(|old| old.incarnation == view.incarnation);
         for t in &view.tasks {
             // What was there already has been noted.
             let there = old.is_some_and(|old| old.tasks.contains(t));
@@ -333,6 +344,7 @@
                 )
             {
                 let image = self
+                    .machines
                     .desired
                     .iter()
                     .filter_map(|w| w.machines.get(&view.machine))
@@ -340,17 +352,17 @@
                     .find(|w| w.index == t.index && w.attempt == t.attempt && w.job == t.job)
                     .map(|w| &w.image);
                 if let Some(image) = image {
-                    self.images.note(now, image, &view.machine, view.incarnation);
+                    self.scheduler.images.note(now, image, &view.machine, view.incarnation);
                 }
             }
         }
         let machine = view.machine.clone();
-        self.views.insert(machine.clone(), view);
+        self.machines.views.insert(machine.clone(), view);
         self.mark_capacity_stale(&machine);
-        for s in 0..self.shards.len() {
+        for s in 0..self.leadership.shards.len() {
             self.evaluate_machine(s, &machine);
         }
-        self.placement_due = true;
+        self.scheduler.placement_due = true;
     }
 }
 
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -4,8 +4,9 @@
 //! record of. Read one by one they would take longer than a user tries; a page of `j/`
 //! brings those beside them too.
 
+use crate::controller::Controller;
+use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, MAX_SINGLE_READS};
-use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -59,15 +60,15 @@
         if unknown.len() <= MAX_SINGLE_READS {
             return self.note_unknown(unknown);
         }
-        self.record_pages.want(unknown);
+        self.jobs.record_pages.want(unknown);
     }
 
     /// Reads the next page, from the first job that is wanted, while more than half of
     /// this node's share of requests is there.
     pub(crate) fn maintain_record_pages(&mut self) {
-        let now = self.now;
-        let cached = &self.cached_stages;
-        let pages = &mut self.record_pages;
+        let now = self.context.now;
+        let cached = &self.jobs.cached_stages;
+        let pages = &mut self.jobs.record_pages;
         pages.absent.retain(|_, at| now.since(*at) < ABSENT_FOR);
         while pages.wanted.first().is_some_and(|id| cached.contains_key(id)) {
             pages.wanted.pop_first();
@@ -76,30 +77,30 @@
         let Some(first) = pages.wanted.first().cloned() else {
             return;
         };
-        if !may_read || !self.holds_lease() || !self.status_queries.spare(now) {
+        if !may_read || !self.holds_lease() || !self.context.has_spare_requests() {
             return;
         }
-        self.record_pages.reading = true;
+        self.jobs.record_pages.reading = true;
         let after = Some(job::key_before(&first));
         let call = KvRequest::List { prefix: job::job_key(""), after };
-        self.state(Op::ReadRecordPage { first }, call);
+        self.context.call_store(JobsCall::ReadRecordPage { first }, call);
     }
 
     /// Takes in a page of records.
     pub(crate) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
-        self.record_pages.reading = false;
+        self.jobs.record_pages.reading = false;
         let KvResponse::Page { items, more, .. } = reply else {
-            self.record_pages.not_before = self.now + RETRY;
+            self.jobs.record_pages.not_before = self.context.now + RETRY;
             return;
         };
         let last = items.last().filter(|_| more).map(|item| item.key.clone());
         for item in items {
             let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
-            if self.record_pages.wanted.remove(&id) {
+            if self.jobs.record_pages.wanted.remove(&id) {
                 self.read_record(&id, &KvResponse::Value(Some(item)));
             }
         }
-        self.record_pages.note_absent(self.now, first, last.as_deref());
+        self.jobs.record_pages.note_absent(self.context.now, first, last.as_deref());
         self.maintain_record_pages();
     }
 }
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -20,28 +20,28 @@
 
 impl Controller {
     pub(crate) fn cache_stage(&mut self, job: &str, known: CachedStage) {
-        match self.cached_stages.insert(job.to_string(), known) {
+        match self.jobs.cached_stages.insert(job.to_string(), known) {
             // A stage that is final stays: an answer read earlier may come later.
             Some(old) if old.stage != StoredStage::Accepted => {
-                self.cached_stages.insert(job.to_string(), old);
-                self.terminal_states.correct(job, known.revision);
+                self.jobs.cached_stages.insert(job.to_string(), old);
+                self.api.terminal_states.correct(job, known.revision);
                 return;
             }
             Some(_) => {}
-            None => self.cached_order.push_back(job.to_string()),
+            None => self.jobs.cached_order.push_back(job.to_string()),
         }
         if known.stage != StoredStage::Accepted {
             decision_log::job_over(job, known);
-            self.terminal_states.add(self.now, job, known.revision);
-            self.dependency_graph.over(job);
+            self.api.terminal_states.add(self.context.now, job, known.revision);
+            self.jobs.dependency_graph.over(job);
         }
         if known.stage == StoredStage::Cancelled {
             self.stop_on_machines(job);
         }
-        while self.cached_order.len() > CACHED_JOBS {
-            if let Some(old) = self.cached_order.pop_front() {
-                self.cached_stages.remove(&old);
-                self.progress.remove(&old);
+        while self.jobs.cached_order.len() > CACHED_JOBS {
+            if let Some(old) = self.jobs.cached_order.pop_front() {
+                self.jobs.cached_stages.remove(&old);
+                self.jobs.progress.remove(&old);
             }
         }
     }
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -1,9 +1,10 @@
 //! What is written down of own jobs: which changes go into which transaction, and
 //! what follows from the key-value store's answers.
 
+use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage, TaskEnd};
 use crate::controller::leadership::shard;
-use crate::controller::{CachedStage, Controller, Op};
+use crate::controller::{CachedStage, Controller};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::ObservedState;
 use crate::time::Micros;
@@ -40,39 +41,42 @@
 impl Controller {
     /// Reads again how a job stands in the store.
     pub(crate) fn read_back(&mut self, id: &str) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         if job.busy {
             return;
         }
-        let Some(term) = self.shards[job.shard].leadership.as_ref().map(|m| m.term) else {
+        let Some(term) = self.leadership.shards[job.shard].leadership.as_ref().map(|m| m.term)
+        else {
             return;
         };
         job.busy = true;
-        let op = Op::ReadBack { job: id.to_string(), term };
-        self.state(op, KvRequest::Get(job::job_key(id)));
+        let op = JobsCall::ReadBack { job: id.to_string(), term };
+        self.context.call_store(op, KvRequest::Get(job::job_key(id)));
     }
 
     /// Begins transactions for jobs with changes: starts that wait for their
     /// write and ends of whole jobs first, by rank; what nobody waits for later,
     /// together, and only from a share that is not needed for the others.
     pub(crate) fn store_dirty(&mut self) {
-        if self.puts.level(self.now) > 1.0 + self.puts.burst() / 2.0 {
+        if self.context.write_budget.level(self.context.now)
+            > 1.0 + self.context.write_budget.burst() / 2.0
+        {
             self.drop_batch();
         }
         if self.changes.jobs.is_empty()
-            || self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
+            || self.jobs.writes_in_flight >= MAX_WRITES_IN_FLIGHT
             || !self.holds_lease()
         {
             return;
         }
-        let now = self.now;
-        let level = self.puts.level(now);
+        let now = self.context.now;
+        let level = self.context.write_budget.level(now);
         let accepting = self.admission_reserve();
         let mut order: Vec<(WriteUrgency, u32, Micros, String)> = Vec::new();
         for id in &self.changes.jobs {
-            let Some(job) = self.jobs.get(id) else {
+            let Some(job) = self.jobs.by_id.get(id) else {
                 order.push((WriteUrgency::Now, 0, Micros::ZERO, id.clone()));
                 continue;
             };
@@ -89,10 +93,10 @@
             // would be written as it was.
             let least = match urgency {
                 WriteUrgency::Now => 1.0 + accepting,
-                _ => 1.0 + accepting + self.puts.burst() / 2.0,
+                _ => 1.0 + accepting + self.context.write_budget.burst() / 2.0,
             };
-            if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
-                || level.min(self.puts.level(now)) < least
+            if self.jobs.writes_in_flight >= MAX_WRITES_IN_FLIGHT
+                || level.min(self.context.write_budget.level(now)) < least
             {
                 return;
             }
@@ -101,8 +105,8 @@
     }
 
     fn store(&mut self, id: &str, urgency: WriteUrgency) {
-        let now = self.now;
-        let Some(job) = self.jobs.get_mut(id) else {
+        let now = self.context.now;
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             self.changes.jobs.remove(id);
             return;
         };
@@ -114,23 +118,24 @@
         let ready = |m: &&crate::controller::leadership::shard::ShardLeadership| {
             m.recovered && !m.handing_over
         };
-        let Some(leadership) = self.shards[s].leadership.as_ref().filter(ready) else {
+        let Some(leadership) = self.leadership.shards[s].leadership.as_ref().filter(ready) else {
             return;
         };
         let (lease_revision, term) = (leadership.revision, leadership.term);
         if self.stays_batched(id) && self.store_batch(id) {
             return;
         }
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
-        let most = self.settings.state.txn_ops.min(CHUNKS_PER_TXN);
+        let most = self.context.settings.state.txn_ops.min(CHUNKS_PER_TXN);
         // What is larger is refused once the key-value store has its new limits.
-        let limit = self
-            .previous_chunk_layout
-            .map_or(self.settings.state.value_kb, |_| self.settings.state.value_kb_now);
+        let limit =
+            self.jobs.previous_chunk_layout.map_or(self.context.settings.state.value_kb, |_| {
+                self.context.settings.state.value_kb_now
+            });
         let limit = (limit * 1024.0) as usize;
-        let lowered = self.settings.state.next.is_some();
+        let lowered = self.context.settings.state.next.is_some();
         if job.cancelled && !job.over {
             // Its ends need not be stored: nothing of it is ever started again.
             for chunk in &mut job.chunks {
@@ -221,31 +226,31 @@
         if !rest {
             self.changes.jobs.remove(id);
         }
-        self.writes_in_flight += 1;
-        let op = Op::Store { job: id.to_string(), term, chunks, done, drops };
-        self.state(op, KvRequest::Txn(txn));
+        self.jobs.writes_in_flight += 1;
+        let op = JobsCall::Store { job: id.to_string(), term, chunks, done, drops };
+        self.context.call_store(op, KvRequest::Txn(txn));
     }
 
     /// The key-value store refuses values that it took before: it has its new limits.
     fn limits_lowered(&mut self) {
         info!("the state service takes only smaller values from now on");
-        self.previous_chunk_layout = None;
-        let size = self.chunk_size;
-        self.jobs.values_mut().for_each(|j| j.set_layout(size, None));
+        self.jobs.previous_chunk_layout = None;
+        let size = self.jobs.chunk_layout;
+        self.jobs.by_id.values_mut().for_each(|j| j.set_layout(size, None));
     }
 
     /// Takes back placements of parts that are too large to be written. Never written,
     /// their tasks would never start, and so never end and make the part smaller.
     fn withdraw_unstored(&mut self, id: &str, chunks: &[usize]) {
         for n in chunks {
-            let unstored = self.jobs.get(id).map_or(Vec::new(), |job| job.unstored_tasks(*n));
+            let unstored = self.jobs.by_id.get(id).map_or(Vec::new(), |job| job.unstored_tasks(*n));
             for index in unstored {
                 self.end_task(id, index, TaskEnd::known(ObservedState::Stopped));
             }
-            if let Some(job) = self.jobs.get_mut(id) {
+            if let Some(job) = self.jobs.by_id.get_mut(id) {
                 let chunk = &mut job.chunks[*n];
                 chunk.put = chunk.put.min(chunk.stored);
-                job.not_before = job.not_before.max(self.now + WITHDRAWN_PAUSE);
+                job.not_before = job.not_before.max(self.context.now + WITHDRAWN_PAUSE);
             }
         }
     }
@@ -253,19 +258,20 @@
     fn forget_job(&mut self, id: &str) {
         self.changes.jobs.remove(id);
         self.refresh_desired_state(id);
-        self.admission.unbatch(id);
-        if let Some(job) = self.jobs.remove(id) {
+        self.api.admission.unbatch(id);
+        if let Some(job) = self.jobs.by_id.remove(id) {
             let machines: Vec<(usize, Rc<str>)> = self
-                .by_machine
+                .jobs
+                .tasks_by_machine
                 .iter()
                 .filter(|((s, _), tasks)| *s == job.shard && tasks.iter().any(|(j, _)| j == id))
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in machines {
-                if let Some(tasks) = self.by_machine.get_mut(&key) {
+                if let Some(tasks) = self.jobs.tasks_by_machine.get_mut(&key) {
                     tasks.retain(|(j, _)| j != id);
                     if tasks.is_empty() {
-                        self.by_machine.remove(&key);
+                        self.jobs.tasks_by_machine.remove(&key);
                     }
                 }
                 self.changes.desired.insert(key);
@@ -273,47 +279,49 @@
         }
     }
 
-    pub(crate) fn store_reply(&mut self, op: Op, reply: KvResponse) {
-        if matches!(op, Op::Store { .. }) {
-            self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
+    pub(crate) fn store_reply(&mut self, op: JobsCall, reply: KvResponse) {
+        if matches!(op, JobsCall::Store { .. }) {
+            self.jobs.writes_in_flight = self.jobs.writes_in_flight.saturating_sub(1);
         }
-        let (Op::Store { job: id, term, .. }
-        | Op::ReadBack { job: id, term }
-        | Op::ReadBackChunks { job: id, term, .. }) = &op
+        let (JobsCall::Store { job: id, term, .. }
+        | JobsCall::ReadBack { job: id, term }
+        | JobsCall::ReadBackChunks { job: id, term, .. }) = &op
         else {
             return;
         };
         let id = id.clone();
-        let Some(job) = self.jobs.get_mut(&id) else {
+        let Some(job) = self.jobs.by_id.get_mut(&id) else {
             return;
         };
         let s = job.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != *term) {
+        if self.leadership.shards[s].leadership.as_ref().is_none_or(|m| m.term != *term) {
             return;
         }
         job.busy = false;
         self.changes.jobs.insert(id.clone());
         match (op, reply) {
-            (Op::Store { chunks, done, drops, .. }, KvResponse::Applied(revision)) => {
+            (JobsCall::Store { chunks, done, drops, .. }, KvResponse::Applied(revision)) => {
                 self.stored(&id, revision, &chunks, done, &drops);
             }
-            (Op::Store { term, .. }, KvResponse::Conflict(failed)) => {
+            (JobsCall::Store { term, .. }, KvResponse::Conflict(failed)) => {
                 if failed.contains(&shard::lease_key(s)) {
                     self.lease_revision_changed(s, term);
                 } else {
                     self.read_back(&id);
                 }
             }
-            (Op::Store { .. }, KvResponse::NotExecuted) => {}
-            (Op::Store { .. }, KvResponse::Rejected) if self.previous_chunk_layout.is_some() => {
+            (JobsCall::Store { .. }, KvResponse::NotExecuted) => {}
+            (JobsCall::Store { .. }, KvResponse::Rejected)
+                if self.jobs.previous_chunk_layout.is_some() =>
+            {
                 self.limits_lowered();
                 self.read_back(&id);
             }
             // It may have been applied, or may be later: what is stored decides,
             // and a late one fails on the parts' marks.
-            (Op::Store { .. }, _) => self.read_back(&id),
-            (Op::ReadBack { term, .. }, KvResponse::Value(Some(item))) => {
+            (JobsCall::Store { .. }, _) => self.read_back(&id),
+            (JobsCall::ReadBack { term, .. }, KvResponse::Value(Some(item))) => {
                 let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
                     warn!("unreadable record of job {id}");
                     return;
@@ -321,26 +329,30 @@
                 let revision = item.revision;
                 let known =
                     CachedStage { stage: r.stage, shard: r.shard, tasks: r.tasks, revision };
-                self.dependency_graph.note(&id, &r);
+                self.jobs.dependency_graph.note(&id, &r);
                 self.cache_stage(&id, known);
                 match r.stage {
                     StoredStage::Cancelled => self.job_cancelled(&id),
                     StoredStage::Done => {
-                        if let Some(job) = self.jobs.get_mut(&id) {
+                        if let Some(job) = self.jobs.by_id.get_mut(&id) {
                             job.over = true;
                         }
                     }
                     StoredStage::Accepted => {}
                 }
-                if let Some(job) = self.jobs.get_mut(&id) {
+                if let Some(job) = self.jobs.by_id.get_mut(&id) {
                     job.revision = item.revision;
                     job.busy = true;
-                    let op = Op::ReadBackChunks { job: id.clone(), term, read: BTreeMap::new() };
+                    let op =
+                        JobsCall::ReadBackChunks { job: id.clone(), term, read: BTreeMap::new() };
                     let prefix = format!("w/{s}/{id}/");
-                    self.state(op, KvRequest::List { prefix, after: None });
+                    self.context.call_store(op, KvRequest::List { prefix, after: None });
                 }
             }
-            (Op::ReadBackChunks { term, mut read, .. }, KvResponse::Page { items, more, .. }) => {
+            (
+                JobsCall::ReadBackChunks { term, mut read, .. },
+                KvResponse::Page { items, more, .. },
+            ) => {
                 for item in &items {
                     if let Some((_, n)) = job::parse_chunk_key(&item.key) {
                         let v = item.value.get("v").and_then(serde_json::Value::as_u64);
@@ -350,18 +362,20 @@
                 match items.last().filter(|_| more) {
                     // A mark missed on a further page would fail every write.
                     Some(last) => {
-                        if let Some(job) = self.jobs.get_mut(&id) {
+                        if let Some(job) = self.jobs.by_id.get_mut(&id) {
                             job.busy = true;
                         }
                         let after = Some(last.key.clone());
-                        let op = Op::ReadBackChunks { job: id.clone(), term, read };
+                        let op = JobsCall::ReadBackChunks { job: id.clone(), term, read };
                         let prefix = format!("w/{s}/{id}/");
-                        self.state(op, KvRequest::List { prefix, after });
+                        self.context.call_store(op, KvRequest::List { prefix, after });
                     }
                     None => self.chunks_read_back(&id, &read),
                 }
             }
-            (Op::ReadBack { .. } | Op::ReadBackChunks { .. }, _) => self.retry_read_back(&id),
+            (JobsCall::ReadBack { .. } | JobsCall::ReadBackChunks { .. }, _) => {
+                self.retry_read_back(&id)
+            }
             _ => {}
         }
     }
@@ -369,14 +383,14 @@
     /// A recheck failed. The job's next write would fail on its marks and so
     /// lead here again; nothing is lost by trying that.
     fn retry_read_back(&mut self, id: &str) {
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.not_before = job.not_before.max(self.now + Micros::millis(200));
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
+            job.not_before = job.not_before.max(self.context.now + Micros::millis(200));
         }
     }
 
     /// Takes in the stored versions and marks of all of a job's parts.
     fn chunks_read_back(&mut self, id: &str, stored: &BTreeMap<usize, (u64, u64)>) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let mut applied: Vec<(usize, u64)> = Vec::new();
@@ -396,7 +410,7 @@
             job.chunks[n].revision = revision;
         }
         for (n, v) in applied {
-            let revision = self.jobs.get(id).map_or(0, |j| j.chunks[n].revision);
+            let revision = self.jobs.by_id.get(id).map_or(0, |j| j.chunks[n].revision);
             self.stored(id, revision, &[(n, v)], false, &[]);
         }
     }
@@ -410,7 +424,7 @@
         done: bool,
         drops: &[usize],
     ) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let s = job.shard;
@@ -425,7 +439,7 @@
             let stored = chunk.stored;
             let ended = chunk.unstored_ends.iter().filter(|ended| ended.version <= stored);
             // What they held of the limit is free only now.
-            self.placement_due |= ended.clone().any(|ended| ended.may_still_start);
+            self.scheduler.placement_due |= ended.clone().any(|ended| ended.may_still_start);
             touched.extend(ended.map(|e| (Rc::clone(&e.placement.machine), e.index)));
             chunk.unstored_ends.retain(|ended| ended.version > stored);
         }
@@ -434,7 +448,7 @@
         }
         // Without a mark it was written in the batch, where it stays.
         if revision > 0 && chunks.iter().any(|(n, _)| *n == 0) {
-            self.admission.unbatch(id);
+            self.api.admission.unbatch(id);
         }
         if done {
             info!("job {id} done: {} tasks", job.spec.tasks);
@@ -457,7 +471,7 @@
 
     /// Removes a task from its machine's list once nothing of it is left there.
     fn unlink(&mut self, id: &str, index: u32, machine: &Rc<str>) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
         let s = job.shard;
@@ -473,10 +487,10 @@
             return;
         }
         let key = (s, Rc::clone(machine));
-        if let Some(tasks) = self.by_machine.get_mut(&key) {
+        if let Some(tasks) = self.jobs.tasks_by_machine.get_mut(&key) {
             tasks.remove(&(id.to_string(), index));
             if tasks.is_empty() {
-                self.by_machine.remove(&key);
+                self.jobs.tasks_by_machine.remove(&key);
             }
         }
     }
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -7,7 +7,8 @@
 //! gives its shards up to those who can be reached. It is given none back until a
 //! worker answers it, and later each time, since a cut may be one-way.
 
-use crate::controller::{Controller, DirectReply, Effect, Op};
+use crate::controller::calls::MachinesCall;
+use crate::controller::{Controller, DirectReply, Effect};
 use crate::peer::MisdirectedHeartbeats;
 use crate::time::Micros;
 use log::info;
@@ -96,7 +97,7 @@
     /// Machines of others' shards that report here, for those who own their shards.
     pub(crate) fn misdirected(&self) -> Vec<MisdirectedHeartbeats> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-        for m in self.connectivity.misdirected.keys() {
+        for m in self.leadership.connectivity.misdirected.keys() {
             *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
         }
         counts
@@ -108,64 +109,69 @@
     /// Gives shards up while their machines cannot reach this node, and looks
     /// whether they can again.
     pub(crate) fn check_connectivity(&mut self) {
-        let now = self.now;
-        let gap = now.since(self.connectivity.checked_at);
+        let now = self.context.now;
+        let gap = now.since(self.leadership.connectivity.checked_at);
         if gap < Micros::millis(250) {
             return;
         }
-        self.connectivity.checked_at = now;
-        self.connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_FOR);
+        self.leadership.connectivity.checked_at = now;
+        self.leadership.connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_FOR);
         if gap > GAP {
             // What has come meanwhile is not read yet.
-            self.connectivity.last_contact = now;
-            self.connectivity.suspected = None;
+            self.leadership.connectivity.last_contact = now;
+            self.leadership.connectivity.suspected = None;
             return;
         }
-        if self.connectivity.cut {
+        if self.leadership.connectivity.cut {
             return self.look_for_workers();
         }
         if !self.holds_lease() {
-            self.connectivity.suspected = None;
+            self.leadership.connectivity.suspected = None;
             return;
         }
-        let mut known = vec![0_usize; self.shards.len()];
+        let mut known = vec![0_usize; self.leadership.shards.len()];
         let mut all = 0;
-        for (m, _) in self.managed_machines.iter().filter(|(_, p)| p.incarnation > p.over_through) {
-            known[crate::controller::leadership::shard::shard_of_machine(m, self.shards.len())] +=
-                1;
+        for (m, _) in self.machines.managed.iter().filter(|(_, p)| p.incarnation > p.over_through) {
+            known[crate::controller::leadership::shard::shard_of_machine(
+                m,
+                self.leadership.shards.len(),
+            )] += 1;
             all += 1;
         }
-        let silent = now.since(self.connectivity.last_contact)
-            > silence(all, self.settings.workers.heartbeat_interval_s);
-        let found = (0..self.shards.len())
+        let silent = now.since(self.leadership.connectivity.last_contact)
+            > silence(all, self.context.settings.workers.heartbeat_interval_s);
+        let found = (0..self.leadership.shards.len())
             .filter(|s| {
-                let leadership = self.shards[*s].leadership.as_ref();
+                let leadership = self.leadership.shards[*s].leadership.as_ref();
                 leadership.is_some_and(|m| m.recovered && now.since(m.acquired_at) > SETTLED)
             })
             .filter_map(|s| {
-                let alive =
-                    self.peers.iter().filter(|(n, p)| self.peer_alive(**n) && !p.partitioned);
+                let alive = self
+                    .peers
+                    .by_member
+                    .iter()
+                    .filter(|(n, p)| self.peer_alive(**n) && !p.partitioned);
                 let misdirected = alive.filter_map(|(_, p)| p.misdirected.get(&s)).max().copied();
                 signs(known[s], misdirected.unwrap_or(0), silent)
             })
             .min();
         let Some(lasting) = found else {
-            self.connectivity.suspected = None;
+            self.leadership.connectivity.suspected = None;
             return;
         };
-        if now.since(*self.connectivity.suspected.get_or_insert(now)) < lasting {
+        if now.since(*self.leadership.connectivity.suspected.get_or_insert(now)) < lasting {
             return;
         }
         info!("the workers do not reach this node; its shards are given up");
-        self.connectivity.suspected = None;
-        self.connectivity.cut = true;
-        self.connectivity.back = None;
-        self.connectivity.cuts += 1;
+        self.leadership.connectivity.suspected = None;
+        self.leadership.connectivity.cut = true;
+        self.leadership.connectivity.back = None;
+        self.leadership.connectivity.cuts += 1;
         self.give_up_shards();
     }
 
     fn give_up_shards(&mut self) {
-        for leadership in self.shards.iter_mut().filter_map(|s| s.leadership.as_mut()) {
+        for leadership in self.leadership.shards.iter_mut().filter_map(|s| s.leadership.as_mut()) {
             leadership.handing_over = true;
         }
     }
@@ -173,37 +179,37 @@
     /// Asks a few machines how they are; once one answers, and after a pause
     /// that grows with every cut, shards may come back.
     fn look_for_workers(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         let well = |p: &crate::controller::PeerInfo| p.state_ok && !p.partitioned;
-        if self.peers.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
+        if self.peers.by_member.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
             // Also what was taken meanwhile because nobody else was there.
             self.give_up_shards();
         }
-        if let Some(at) = self.connectivity.back {
-            let doublings = (self.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
-            let pause = Micros(self.options.failback_delay.0 * ((1 << doublings) - 1));
+        if let Some(at) = self.leadership.connectivity.back {
+            let doublings = (self.leadership.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
+            let pause = Micros(self.context.options.failback_delay.0 * ((1 << doublings) - 1));
             if now.since(at) >= pause {
                 info!("workers answer again; shards may come back");
-                self.connectivity.cut = false;
-                self.connectivity.last_contact = now;
+                self.leadership.connectivity.cut = false;
+                self.leadership.connectivity.last_contact = now;
             }
             return;
         }
-        if now < self.connectivity.probe_at {
+        if now < self.leadership.connectivity.probe_at {
             return;
         }
-        self.connectivity.probe_at = now + PROBE_EVERY;
-        let there = self.views.values().filter(|v| v.healthy);
+        self.leadership.connectivity.probe_at = now + PROBE_EVERY;
+        let there = self.machines.views.values().filter(|v| v.healthy);
         let addresses = there.filter_map(|v| v.address.parse().ok());
-        for address in addresses.sample(&mut self.rng, PROBED) {
-            let id = self.call_id(Op::Inspect);
-            self.effects.push(Effect::Inspect { id, address });
+        for address in addresses.sample(&mut self.context.rng, PROBED) {
+            let id = self.context.register_call(MachinesCall::Inspect);
+            self.context.effects.push(Effect::Inspect { id, address });
         }
     }
 
     pub(crate) fn inspected(&mut self, reply: &DirectReply) {
         if matches!(reply, DirectReply::Answered { status: 200, .. }) {
-            self.connectivity.back.get_or_insert(self.now);
+            self.leadership.connectivity.back.get_or_insert(self.context.now);
         }
     }
 }
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -1,7 +1,9 @@
 //! Reading the jobs of a shard after it was taken.
 
+use crate::controller::calls::LeadershipCall;
+use crate::controller::calls::{ApiCall, PendingCall};
 use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage};
-use crate::controller::{CachedStage, Controller, Op, Watch};
+use crate::controller::{CachedStage, Controller, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use log::{info, warn};
@@ -35,17 +37,20 @@
     /// A job that the store holds and this process does not: its acceptance
     /// was applied after the answer had been given up.
     pub(crate) fn adopt(&mut self, id: &str, s: usize) {
-        if s >= self.shards.len() || !self.serves_shard(s) || self.jobs.contains_key(id) {
+        if s >= self.leadership.shards.len()
+            || !self.serves_shard(s)
+            || self.jobs.by_id.contains_key(id)
+        {
             return;
         }
         // Read again and again it would be no more readable.
-        if self.unreadable.contains(id) {
+        if self.jobs.unreadable.contains(id) {
             return;
         }
         let under_way = self
-            .ops
+            .context.calls
             .values()
-            .any(|op| matches!(op, Op::Admit { list, .. } if list.iter().any(|a| a.spec.id == id)));
+            .any(|call| matches!(call, PendingCall::Api(ApiCall::Admit { list, .. }) if list.iter().any(|a| a.spec.id == id)));
         if under_way {
             return;
         }
@@ -55,6 +60,7 @@
         info!("job {id} found in the store");
         // The whole list again: it is short, and only unknown jobs are taken.
         let loading = self
+            .leadership
             .recoveries
             .entry(s)
             .or_insert_with(|| ShardRecovery { term, ..ShardRecovery::default() });
@@ -64,19 +70,19 @@
 
     pub(crate) fn continue_recoveries(&mut self) {
         // What changes after a record was read comes by the watch, which must stand.
-        let watched = self.watches.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
+        let watched = self.leadership.watches.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
         if !self.holds_lease() || !watched {
             return;
         }
-        let shards: Vec<usize> = self.recoveries.keys().copied().collect();
+        let shards: Vec<usize> = self.leadership.recoveries.keys().copied().collect();
         for s in shards {
             self.continue_recovery(s);
         }
     }
 
     fn continue_recovery(&mut self, s: usize) {
-        let now = self.now;
-        let Some(l) = self.recoveries.get_mut(&s) else {
+        let now = self.context.now;
+        let Some(l) = self.leadership.recoveries.get_mut(&s) else {
             return;
         };
         if l.busy || now < l.retry {
@@ -86,7 +92,9 @@
         if !l.listed {
             l.busy = true;
             let call = KvRequest::List { prefix: format!("w/{s}/"), after: l.after.clone() };
-            return self.state(Op::ReadRecoveryPage { shard: s, term }, call);
+            return self
+                .context
+                .call_store(LeadershipCall::ReadRecoveryPage { shard: s, term }, call);
         }
         let in_flight: Vec<String> =
             l.todo.iter().take(LOADS.saturating_sub(l.in_flight.len())).cloned().collect();
@@ -97,7 +105,10 @@
         let finished = l.todo.is_empty() && l.in_flight.is_empty() && l.stale.is_empty();
         for job in in_flight {
             let key = job::job_key(&job);
-            self.state(Op::ReadRecoveredRecord { shard: s, term, job }, KvRequest::Get(key));
+            self.context.call_store(
+                LeadershipCall::ReadRecoveredRecord { shard: s, term, job },
+                KvRequest::Get(key),
+            );
         }
         if finished {
             self.finish_recovery(s);
@@ -105,10 +116,10 @@
     }
 
     pub(crate) fn recovery_page_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
-        let now = self.now;
-        let known = |id: &str, c: &Controller| c.jobs.contains_key(id);
+        let now = self.context.now;
+        let known = |id: &str, c: &Controller| c.jobs.by_id.contains_key(id);
         let KvResponse::Page { items, more, .. } = reply else {
-            if let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) {
+            if let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) {
                 l.busy = false;
                 l.retry = now + Micros::millis(200);
             }
@@ -130,7 +141,7 @@
                 new.push((id.to_string(), chunk, i.clone()));
             }
         }
-        let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
+        let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
         l.busy = false;
@@ -154,7 +165,7 @@
         job: &str,
         reply: KvResponse,
     ) {
-        let Some(l) = self.recoveries.get_mut(&s).filter(|l| l.term == term) else {
+        let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) else {
             return;
         };
         l.in_flight.remove(job);
@@ -170,7 +181,7 @@
             }
             _ => {
                 l.todo.insert(job.to_string());
-                l.retry = self.now + Micros::millis(150);
+                l.retry = self.context.now + Micros::millis(150);
                 return;
             }
         }
@@ -179,7 +190,7 @@
 
     /// Something stored cannot be read, which is told once: it stays as it is.
     pub(crate) fn note_unreadable(&mut self, name: &str, what: &str) {
-        if self.unreadable.insert(name.to_string()) {
+        if self.jobs.unreadable.insert(name.to_string()) {
             warn!("{name}: {what}");
         }
     }
@@ -187,14 +198,14 @@
     /// A job cannot be read, and its batch, if it is in one, is kept for it.
     fn leave_unreadable(&mut self, id: &str, what: &str) {
         self.note_unreadable(id, what);
-        if let Some(batch) = self.admission.batched.get(id).cloned() {
-            self.unreadable.insert(batch);
+        if let Some(batch) = self.api.admission.batched.get(id).cloned() {
+            self.jobs.unreadable.insert(batch);
         }
-        self.admission.unbatch(id);
+        self.api.admission.unbatch(id);
     }
 
     fn finish_recovery(&mut self, s: usize) {
-        let Some(mut l) = self.recoveries.remove(&s) else {
+        let Some(mut l) = self.leadership.recoveries.remove(&s) else {
             return;
         };
         // A job's own part 0 is newer than what it was accepted with.
@@ -208,18 +219,18 @@
             }
         }
         for ((key, version), jobs) in batches {
-            self.admission.batch(&key, s, version, jobs);
+            self.api.admission.batch(&key, s, version, jobs);
         }
         let mut count = 0;
         for (id, chunks) in l.chunks {
-            if self.jobs.contains_key(&id) {
+            if self.jobs.by_id.contains_key(&id) {
                 continue;
             }
             let Some((Some(record), revision)) = l.records.remove(&id) else {
                 self.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
-            self.dependency_graph.note(&id, &record);
+            self.jobs.dependency_graph.note(&id, &record);
             self.cache_stage(
                 &id,
                 CachedStage {
@@ -229,19 +240,19 @@
                     revision,
                 },
             );
-            let Some(mut job) = Job::restore(s, revision, self.chunk_size, &chunks) else {
+            let Some(mut job) = Job::restore(s, revision, self.jobs.chunk_layout, &chunks) else {
                 self.leave_unreadable(&id, "stored tasks cannot be read");
                 continue;
             };
-            job.set_layout(self.chunk_size, self.previous_chunk_layout);
+            job.set_layout(self.jobs.chunk_layout, self.jobs.previous_chunk_layout);
             // What was said since its record was read came by the watch.
-            let stage = self.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
+            let stage = self.jobs.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
             job.cancelled = stage == StoredStage::Cancelled;
             job.over = stage == StoredStage::Done;
             job.dependencies = record.dependencies.as_slice().into();
             job.waiting = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
             if job.waiting {
-                self.dependency_graph.wait(&id);
+                self.jobs.dependency_graph.wait(&id);
             }
             if job.over {
                 // What its parts still name has completed; it must not be
@@ -251,7 +262,8 @@
             count += 1;
             for chunk in &job.chunks {
                 for (index, p) in &chunk.placed {
-                    self.by_machine
+                    self.jobs
+                        .tasks_by_machine
                         .entry((s, p.machine.clone()))
                         .or_default()
                         .insert((id.clone(), *index));
@@ -259,9 +271,9 @@
             }
             self.changes.jobs.insert(id.clone());
             self.changes.progress.insert(id.clone());
-            self.jobs.insert(id, job);
+            self.jobs.by_id.insert(id, job);
         }
-        let first = match &mut self.shards[s].leadership {
+        let first = match &mut self.leadership.shards[s].leadership {
             Some(m) if m.term == l.term => !std::mem::replace(&mut m.recovered, true),
             _ => return,
         };
@@ -269,13 +281,15 @@
         // The whole of the shard's desired state: whatever it does not name is not wanted.
         self.changes.complete_desired.insert(s);
         let machines: Vec<String> = self
-            .by_machine
+            .jobs
+            .tasks_by_machine
             .keys()
             .filter(|(shard, _)| *shard == s)
             .map(|(_, m)| m.to_string())
             .collect();
         let cancelled: Vec<String> = self
             .jobs
+            .by_id
             .iter()
             .filter(|(_, j)| j.shard == s && j.cancelled)
             .map(|(id, _)| id.clone())
@@ -288,7 +302,7 @@
             self.evaluate_machine(s, &m);
         }
         if first {
-            self.placement_due = true;
+            self.scheduler.placement_due = true;
         }
     }
 }
--- a/src/controller/leadership/watches.rs
+++ b/src/controller/leadership/watches.rs
@@ -1,8 +1,9 @@
 //! Watches of the key-value store: how this process learns of changes.
 
+use crate::controller::calls::LeadershipCall;
 use crate::controller::jobs::job::{JobRecord, StoredStage};
 use crate::controller::leadership::shard;
-use crate::controller::{CachedStage, Controller, Op, Watch};
+use crate::controller::{CachedStage, Controller, Watch};
 use crate::kv_store::KvRequest;
 use crate::time::Micros;
 use crate::wire::{KeyValue, WatchEvent};
@@ -56,11 +57,12 @@
     /// After an outage the lease is good at once, while the watch that was open waits
     /// on: reports are answered only once it is known what was cancelled meanwhile.
     pub(crate) fn poll_beside_watch(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         if !self.holds_lease() || self.cancellations_up_to_date() {
             return;
         }
-        let Some(f) = self.watches.get_mut(&Watch::Jobs).filter(|f| now >= f.next_check) else {
+        let Some(f) = self.leadership.watches.get_mut(&Watch::Jobs).filter(|f| now >= f.next_check)
+        else {
             return;
         };
         let Some(after) = f.after else {
@@ -69,7 +71,7 @@
         f.next_check = now + LOOK_EVERY;
         let prefix = prefix(Watch::Jobs).to_string();
         let call = KvRequest::Watch { prefix, after, block: Micros::ZERO };
-        self.state(Op::PollChanges { sent: now }, call);
+        self.context.call_store(LeadershipCall::PollChanges { sent: now }, call);
     }
 
     pub(crate) fn change(&mut self, watch: Watch, change: WatchEvent) {
@@ -83,11 +85,16 @@
         });
         match watch {
             Watch::ShardLeases => {
-                let Some(s) = shard::shard_of_key(&key).filter(|s| *s < self.shards.len()) else {
+                let Some(s) =
+                    shard::shard_of_key(&key).filter(|s| *s < self.leadership.shards.len())
+                else {
                     return;
                 };
                 // News older than the own take: the shard has been taken since.
-                if self.shards[s].leadership.as_ref().is_some_and(|m| change.revision <= m.revision)
+                if self.leadership.shards[s]
+                    .leadership
+                    .as_ref()
+                    .is_some_and(|m| change.revision <= m.revision)
                 {
                     return;
                 }
@@ -101,8 +108,8 @@
                     warn!("unreadable record of job {id}");
                     return;
                 };
-                self.dependency_graph.note(id, &record);
-                self.unreadable.remove(id);
+                self.jobs.dependency_graph.note(id, &record);
+                self.jobs.unreadable.remove(id);
                 self.cache_stage(
                     id,
                     CachedStage {
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -6,11 +6,12 @@
 //! answers a machine's reports keeps its tasks alive, so that one acts on what it
 //! knows itself, and answers only while it is sure to learn of cancellations.
 
-use crate::config::Workers;
+use crate::config::{Settings, Workers};
+use crate::controller::calls::MachinesCall;
 use crate::controller::jobs::job;
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::machines::machine::{self, Key};
-use crate::controller::{CachedStage, Controller, Op, Watch};
+use crate::controller::{CachedStage, Controller, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,6 +46,21 @@
     (wished.min(most.max(SHORTEST_LEASE)), most >= SHORTEST_LEASE)
 }
 
+/// The lease to ask the key-value store for where `wished` may be too long; what was
+/// changed is logged.
+pub(crate) fn usable_lease(wished: Micros, settings: &Settings) -> Micros {
+    let (lease, fits) = fitting_lease(wished, &settings.workers);
+    if !fits {
+        log::warn!(
+            "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
+             when the key-value store is away"
+        );
+    } else if lease < wished {
+        log::info!("the controller's lease is shortened to {} ms", lease.as_millis());
+    }
+    lease
+}
+
 /// What this process does about cancellations beside its own jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Cancels {
@@ -62,10 +78,12 @@
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
     pub(crate) fn cancellations_up_to_date(&self) -> bool {
-        let most = unanswered_limit(&self.settings.workers).max(self.options.controller_lease);
-        let most = most.min(Micros(2 * self.options.controller_lease.0));
-        let watched = self.watches.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
-        self.now.since(watched) <= most
+        let most = unanswered_limit(&self.context.settings.workers)
+            .max(self.context.options.controller_lease);
+        let most = most.min(Micros(2 * self.context.options.controller_lease.0));
+        let watched =
+            self.leadership.watches.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
+        self.context.now.since(watched) <= most
     }
 
     /// A job was found to be cancelled: its tasks on own machines are stopped at
@@ -79,7 +97,7 @@
                 || has(p.waiting.range(&first..).next())
         };
         let machines =
-            self.managed_machines.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
+            self.machines.managed.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
         let machines: Vec<String> = machines.collect();
         self.changes.machines.extend(machines);
     }
@@ -88,35 +106,40 @@
     /// been cancelled before this process began to listen.
     pub(crate) fn note_unknown(&mut self, jobs: Vec<String>) {
         for id in jobs {
-            if self.cancels.unknown.len() < MOST_UNKNOWN {
-                self.cancels.unknown.insert(id);
+            if self.machines.cancellations.unknown.len() < MOST_UNKNOWN {
+                self.machines.cancellations.unknown.insert(id);
             }
         }
     }
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
     pub(crate) fn invalidate_unfinished(&mut self) {
-        self.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
+        self.jobs.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
     }
 
     /// Reads unknown jobs, a few at a time.
     pub(crate) fn read_unknown_jobs(&mut self) {
-        if !self.holds_lease() || self.cancels.reading >= READS || self.now < self.cancels.read_at {
+        if !self.holds_lease()
+            || self.machines.cancellations.reading >= READS
+            || self.context.now < self.machines.cancellations.read_at
+        {
             return;
         }
-        while let Some(id) = self.cancels.unknown.pop_first() {
-            if self.cached_stages.contains_key(&id) {
+        while let Some(id) = self.machines.cancellations.unknown.pop_first() {
+            if self.jobs.cached_stages.contains_key(&id) {
                 continue;
             }
-            self.cancels.reading += 1;
-            self.cancels.read_at = self.now + READ_EVERY;
+            self.machines.cancellations.reading += 1;
+            self.machines.cancellations.read_at = self.context.now + READ_EVERY;
             let key = job::job_key(&id);
-            return self.state(Op::ReadUnknown { job: id }, KvRequest::Get(key));
+            return self
+                .context
+                .call_store(MachinesCall::ReadUnknown { job: id }, KvRequest::Get(key));
         }
     }
 
     pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
-        self.cancels.reading = self.cancels.reading.saturating_sub(1);
+        self.machines.cancellations.reading = self.machines.cancellations.reading.saturating_sub(1);
         self.read_record(id, reply);
     }
 
@@ -124,22 +147,26 @@
     /// is known to have received it.
     pub(crate) fn announce_cancelled(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
-        let until = self.now + Micros::from_secs_f64(self.settings.workers.cancel_s);
-        self.cancels.repeated.insert(id.to_string(), (revision, until));
+        let until =
+            self.context.now + Micros::from_secs_f64(self.context.settings.workers.cancel_s);
+        self.machines.cancellations.repeated.insert(id.to_string(), (revision, until));
     }
 
     /// Cancellations to be told once more.
     pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
-        let now = self.now;
-        let watched = self.peers.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
-        self.cancels.repeated.retain(|_, (revision, until)| *revision > watched && now < *until);
-        self.cancels.repeated.keys().take(MOST_REPEATED).cloned().collect()
+        let now = self.context.now;
+        let watched = self.peers.by_member.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
+        self.machines
+            .cancellations
+            .repeated
+            .retain(|_, (revision, until)| *revision > watched && now < *until);
+        self.machines.cancellations.repeated.keys().take(MOST_REPEATED).cloned().collect()
     }
 
     /// A peer says that it has confirmed a cancellation.
     pub(crate) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
-        let known = match self.cached_stages.get(id).copied() {
+        let known = match self.jobs.cached_stages.get(id).copied() {
             Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
             // Which shard runs it does not matter any more.
             None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -13,14 +13,14 @@
     pub(crate) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
         let shard = self.shard_of_machine(machine);
         let term = self.leading_term(shard)?;
-        let managed = self.managed_machines.get(machine)?;
+        let managed = self.machines.managed.get(machine)?;
         Some(CommandAuthority {
-            now: self.now,
+            now: self.context.now,
             shard,
             term,
             fencing_token: managed.fencing_token(term)?,
             incarnation: managed.incarnation,
-            lease_until: self.controller_lease.valid_until,
+            lease_until: self.leadership.controller_lease.valid_until,
             cancellations_known: self.cancellations_up_to_date(),
         })
     }
@@ -30,14 +30,14 @@
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
         };
-        let Some(kept) = self.managed_machines.get_mut(machine) else {
+        let Some(kept) = self.machines.managed.get_mut(machine) else {
             return Vec::new();
         };
         let mut managed = std::mem::take(kept);
         let work = Reconciler::collect(self, machine, &managed, authority);
         let unknown = work.unknown_jobs(&managed);
         let ReconcileOutcome { commands, violations } = work.reconcile(&mut managed, route);
-        if let Some(kept) = self.managed_machines.get_mut(machine) {
+        if let Some(kept) = self.machines.managed.get_mut(machine) {
             *kept = managed;
         }
         for violation in violations {
@@ -56,7 +56,7 @@
         let Some(authority) = self.command_authority(machine) else {
             return;
         };
-        let Some(managed) = self.managed_machines.get(machine) else {
+        let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
         if !managed.has_direct_starts() {
@@ -69,7 +69,7 @@
             return;
         };
         self.note_raised_fencing_token(machine, authority, &revocation);
-        if let Some(managed) = self.managed_machines.get_mut(machine) {
+        if let Some(managed) = self.machines.managed.get_mut(machine) {
             managed.raise_fencing_token();
         }
     }
@@ -77,11 +77,14 @@
     /// An answered report renews the machine's lease. A start of a job that is over must
     /// not be able to arrive in it any more.
     pub(crate) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
-        let Some(managed) = self.managed_machines.get(machine) else {
+        let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
         let over = |job: &str| {
-            self.cached_stages.get(job).is_some_and(|known| known.stage != StoredStage::Accepted)
+            self.jobs
+                .cached_stages
+                .get(job)
+                .is_some_and(|known| known.stage != StoredStage::Accepted)
         };
         if managed.direct_starts(authority.fencing_token).any(|start| over(&start.job)) {
             self.record_violation(machine, authority, Violation::OpenStartOfEndedJob);
--- a/src/controller/machines/desired_state.rs
+++ b/src/controller/machines/desired_state.rs
@@ -26,14 +26,14 @@
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and its part of the team's limit, waiting for ever.
     pub(crate) fn repeat_unobserved(&mut self) {
-        if !self.holds_lease() || self.now < self.timers.reminder {
+        if !self.holds_lease() || self.context.now < self.timers.reminder {
             return;
         }
-        self.timers.reminder = self.now + REMIND;
-        let wall = self.wall();
+        self.timers.reminder = self.context.now + REMIND;
+        let wall = self.context.wall();
         let unobserved = |p: &Placement| p.observed.is_none() && wall.since(p.at) > REMIND;
         let mut machines: Vec<(usize, Rc<str>)> = Vec::new();
-        for job in self.jobs.values() {
+        for job in self.jobs.by_id.values() {
             let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
             machines
                 .extend(placed.filter(|p| unobserved(p)).map(|p| (job.shard, p.machine.clone())));
@@ -43,11 +43,12 @@
 
     /// Marks the desired state of every machine that has tasks of the job.
     pub(crate) fn refresh_desired_state(&mut self, id: &str) {
-        let Some(shard) = self.jobs.get(id).map(|j| j.shard) else {
+        let Some(shard) = self.jobs.by_id.get(id).map(|j| j.shard) else {
             return;
         };
         let keys: Vec<(usize, Rc<str>)> = self
-            .by_machine
+            .jobs
+            .tasks_by_machine
             .iter()
             .filter(|((s, _), tasks)| *s == shard && tasks.iter().any(|(j, _)| j == id))
             .map(|(k, _)| k.clone())
@@ -57,15 +58,15 @@
 
     /// What a shard wants on a machine, by what is stored.
     fn desired_on(&mut self, s: usize, machine: &Rc<str>, seq: u64) -> Vec<DesiredTask> {
-        let Some(tasks) = self.by_machine.get(&(s, Rc::clone(machine))).cloned() else {
+        let Some(tasks) = self.jobs.tasks_by_machine.get(&(s, Rc::clone(machine))).cloned() else {
             return Vec::new();
         };
         let mut list = Vec::new();
         for (id, index) in tasks {
-            let Some(job) = self.jobs.get_mut(&id) else {
+            let Some(job) = self.jobs.by_id.get_mut(&id) else {
                 continue;
             };
-            let shape = job.shape(expected_s(job, &self.estimates));
+            let shape = job.shape(expected_s(job, &self.scheduler.estimates));
             let Some(chunk) = job.chunk_of(index) else {
                 continue;
             };
@@ -106,7 +107,7 @@
     pub(crate) fn send_desired_state(&mut self, frame: &mut Frame) {
         let mut changed: BTreeMap<usize, (bool, Vec<Rc<str>>)> = BTreeMap::new();
         for s in std::mem::take(&mut self.changes.complete_desired) {
-            let all = self.by_machine.keys().filter(|(shard, _)| *shard == s);
+            let all = self.jobs.tasks_by_machine.keys().filter(|(shard, _)| *shard == s);
             changed.insert(s, (true, all.map(|(_, m)| Rc::clone(m)).collect()));
         }
         for (s, m) in std::mem::take(&mut self.changes.desired) {
@@ -116,7 +117,7 @@
             }
         }
         if std::mem::take(&mut self.changes.announce_terms) {
-            for s in 0..self.shards.len() {
+            for s in 0..self.leadership.shards.len() {
                 changed.entry(s).or_default();
             }
         }
@@ -124,11 +125,11 @@
             let (Some(term), true) = (self.leading_term(s), self.runs_or_releases(s)) else {
                 continue;
             };
-            self.seq += 1;
-            let seq = self.seq;
+            self.peers.desired_state_seq += 1;
+            let seq = self.peers.desired_state_seq;
             let machines =
                 machines.iter().map(|m| (m.to_string(), 0, self.desired_on(s, m, seq))).collect();
-            let terms: Vec<u64> = self.shards.iter().map(|s| s.term).collect();
+            let terms: Vec<u64> = self.leadership.shards.iter().map(|s| s.term).collect();
             let known_terms = terms.clone();
             let desired =
                 DesiredUpdate { shard: s, term, seq, complete, machines, terms, known_terms };
@@ -138,7 +139,7 @@
     }
 
     fn runs_or_releases(&self, s: usize) -> bool {
-        self.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
+        self.leadership.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
     }
 }
 
--- a/src/controller/machines/desired_tracking.rs
+++ b/src/controller/machines/desired_tracking.rs
@@ -46,10 +46,10 @@
     /// Takes in what a shard wants on machines.
     pub(crate) fn apply_desired_state(&mut self, message: DesiredUpdate) {
         let s = message.shard;
-        if s >= self.desired.len() || message.term < self.shards[s].term {
+        if s >= self.machines.desired.len() || message.term < self.leadership.shards[s].term {
             return;
         }
-        let current = &mut self.desired[s];
+        let current = &mut self.machines.desired[s];
         // After a gap the whole is told again, under its old number if nothing of it has
         // changed: dropped as old, all later changes of it would be, too.
         let again = message.complete
@@ -77,10 +77,10 @@
             current.usage.clear();
             touched.extend(std::mem::take(&mut current.machines).into_keys());
         }
-        let now = self.now;
+        let now = self.context.now;
         for (machine, known, tasks) in message.machines {
             touched.insert(machine.clone());
-            let current = &mut self.desired[s];
+            let current = &mut self.machines.desired[s];
             let old = current.machines.get(&machine).map_or(&[][..], |old| &old.tasks);
             for t in &tasks {
                 // What was wanted before has been noted.
@@ -88,12 +88,14 @@
                     o.attempt == t.attempt && o.index == t.index && o.job == t.job
                 };
                 if t.stop_ms.is_none() && !old.iter().any(there) {
-                    self.images.note(now, &t.image, &machine, t.incarnation);
+                    self.scheduler.images.note(now, &t.image, &machine, t.incarnation);
                 }
             }
             current.count(&tasks, 1.0);
-            let h =
-                crate::controller::leadership::shard::shard_of_machine(&machine, self.shards.len());
+            let h = crate::controller::leadership::shard::shard_of_machine(
+                &machine,
+                self.leadership.shards.len(),
+            );
             let known = match known {
                 0 => message.terms.get(h).copied().unwrap_or(0),
                 known => known,
@@ -109,14 +111,14 @@
     }
 
     fn desired_state_changed(&mut self, machine: &str) {
-        self.placement_due = true;
+        self.scheduler.placement_due = true;
         self.mark_capacity_stale(machine);
         if self.leading_term(self.shard_of_machine(machine)).is_none()
-            || self.terminated.contains(machine)
+            || self.machines.terminated.contains(machine)
         {
             return;
         }
-        self.managed_machines.entry(machine.to_string()).or_default();
+        self.machines.managed.entry(machine.to_string()).or_default();
         self.send_direct_commands(machine);
         self.changes.machines.insert(machine.to_string());
     }
@@ -126,15 +128,15 @@
     /// wanted. What was received before the machine's shard changed hands is no longer
     /// all: its owner may have had more begun there through the earlier holder.
     pub(crate) fn knows_all_desired(&self, job: &str, at: usize) -> bool {
-        let term = self.shards[at].term;
+        let term = self.leadership.shards[at].term;
         let complete = |s: usize| {
-            let w = &self.desired[s];
+            let w = &self.machines.desired[s];
             let known_terms = w.known_terms.get(at).copied().unwrap_or(0);
-            w.complete > 0 && w.term == self.shards[s].term && known_terms >= term
+            w.complete > 0 && w.term == self.leadership.shards[s].term && known_terms >= term
         };
-        match self.cached_stages.get(job) {
-            Some(k) if k.shard < self.desired.len() => complete(k.shard),
-            _ => (0..self.desired.len()).all(complete),
+        match self.jobs.cached_stages.get(job) {
+            Some(k) if k.shard < self.machines.desired.len() => complete(k.shard),
+            _ => (0..self.machines.desired.len()).all(complete),
         }
     }
 }
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -1,8 +1,9 @@
 //! Commands sent straight to a worker, instead of with the answer to its next report.
 
+use crate::controller::calls::MachinesCall;
 use crate::controller::machines::machine::Key;
 use crate::controller::machines::start_gate::CommandRoute;
-use crate::controller::{Controller, DirectReply, Effect, Op};
+use crate::controller::{Controller, DirectReply, Effect};
 use crate::time::Micros;
 use crate::wire::{Command, DirectCommands, Heartbeat};
 use log::debug;
@@ -16,13 +17,15 @@
     /// next report.
     pub(crate) fn send_direct_commands(&mut self, machine: &str) {
         let (Some(authority), Some(managed)) =
-            (self.command_authority(machine), self.managed_machines.get(machine))
+            (self.command_authority(machine), self.machines.managed.get(machine))
         else {
             return;
         };
         // A worker that is silent is not waited for with further connections.
-        let quiet = managed.last_heartbeat.is_none_or(|at| self.now.since(at) > self.silent());
-        if !managed.known || managed.direct_busy || quiet || self.now < managed.direct_after {
+        let quiet =
+            managed.last_heartbeat.is_none_or(|at| self.context.now.since(at) > self.silent());
+        if !managed.known || managed.direct_busy || quiet || self.context.now < managed.direct_after
+        {
             return;
         }
         let Some(address) = managed.address else {
@@ -39,7 +42,7 @@
                 _ => None,
             })
             .collect();
-        if let Some(managed) = self.managed_machines.get_mut(machine) {
+        if let Some(managed) = self.machines.managed.get_mut(machine) {
             managed.direct_busy = true;
         }
         let body = DirectCommands {
@@ -48,9 +51,21 @@
             commands,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let op = Op::Direct { machine: machine.to_string(), starts, term: authority.term };
-        let id = self.call_id(op);
-        self.effects.push(Effect::Direct { id, address, body });
+        let op =
+            MachinesCall::Direct { machine: machine.to_string(), starts, term: authority.term };
+        let id = self.context.register_call(op);
+        self.context.effects.push(Effect::Direct { id, address, body });
+    }
+
+    /// Takes in a worker's reply.
+    pub(crate) fn machines_reply(&mut self, call: MachinesCall, reply: DirectReply) {
+        match call {
+            MachinesCall::Direct { machine, starts, term } => {
+                self.direct_reply(&machine, &starts, term, reply);
+            }
+            MachinesCall::Inspect => self.inspected(&reply),
+            MachinesCall::ReadUnknown { .. } => {}
+        }
     }
 
     pub(crate) fn direct_reply(
@@ -61,11 +76,11 @@
         reply: DirectReply,
     ) {
         let s = self.shard_of_machine(machine);
-        if self.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
+        if self.leadership.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
             return;
         }
-        let now = self.now;
-        let Some(managed) = self.managed_machines.get_mut(machine) else {
+        let now = self.context.now;
+        let Some(managed) = self.machines.managed.get_mut(machine) else {
             return;
         };
         let (executed, body) = match reply {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -24,7 +24,7 @@
 impl Controller {
     /// Until when a worker may go on after its last answered report.
     pub(crate) fn worker_lease(&self) -> Micros {
-        Micros::from_secs_f64(self.settings.workers.lease_s).stretched(DRIFT) + LEASE_MARGIN
+        Micros::from_secs_f64(self.context.settings.workers.lease_s).stretched(DRIFT) + LEASE_MARGIN
     }
 
     pub(crate) fn heartbeat(&mut self, ticket: Ticket, body: &[u8]) {
@@ -33,7 +33,7 @@
             Err(e) => {
                 self.counts.bad_heartbeats += 1;
                 debug!("malformed report: {e}");
-                return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
+                return self.context.respond(ticket, 400, None, &Refusal::new("malformed report"));
             }
         };
         if heartbeat.machine.is_empty()
@@ -42,41 +42,44 @@
             || heartbeat.incarnation == 0
         {
             self.counts.bad_heartbeats += 1;
-            return self.respond(ticket, 400, None, &Refusal::new("malformed report"));
+            return self.context.respond(ticket, 400, None, &Refusal::new("malformed report"));
         }
         self.counts.heartbeats += 1;
         let s = self.shard_of_machine(&heartbeat.machine);
         let Some(term) = self.leading_term(s) else {
             let away = Refusal::new("seat not held here");
             return match self.shard_leader(s) {
-                Some(h) if h != self.me => {
-                    self.connectivity.note_misdirected(self.now, &heartbeat.machine);
-                    let member = self.members[h].clone();
-                    self.respond(ticket, 421, None, &HeartbeatRedirect { member: &member })
+                Some(h) if h != self.context.me => {
+                    self.leadership
+                        .connectivity
+                        .note_misdirected(self.context.now, &heartbeat.machine);
+                    let member = self.context.members[h].clone();
+                    self.context.respond(ticket, 421, None, &HeartbeatRedirect { member: &member })
                 }
-                _ => self.respond(ticket, 503, Some(1), &away),
+                _ => self.context.respond(ticket, 503, Some(1), &away),
             };
         };
         if !self.cancellations_up_to_date() {
             // Its answer would keep tasks alive whose users were told that they
             // are cancelled.
             let lags = Refusal::new("cancellations are not heard");
-            return self.respond(ticket, 503, Some(1), &lags);
+            return self.context.respond(ticket, 503, Some(1), &lags);
         }
         let shown = self
-            .managed_machines
+            .machines
+            .managed
             .get(&heartbeat.machine)
             .map_or(Some(term), |m| m.fencing_token(term));
         if shown.is_none_or(|shown| heartbeat.fencing_token > shown)
-            || self.terminated.contains(&heartbeat.machine)
+            || self.machines.terminated.contains(&heartbeat.machine)
         {
-            return self.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
+            return self.context.respond(ticket, 503, Some(1), &Refusal::new("superseded"));
         }
-        let now = self.now;
-        self.connectivity.record_contact(now);
-        let lease = Micros::from_secs_f64(self.settings.workers.lease_s);
+        let now = self.context.now;
+        self.leadership.connectivity.record_contact(now);
+        let lease = Micros::from_secs_f64(self.context.settings.workers.lease_s);
         let machine = heartbeat.machine.clone();
-        let managed = self.managed_machines.entry(machine.clone()).or_default();
+        let managed = self.machines.managed.entry(machine.clone()).or_default();
         if managed.incarnation == 0 {
             info!("machine {machine} reports: {} in {}", heartbeat.machine_type, heartbeat.zone);
         }
@@ -84,7 +87,7 @@
         let Some(outcomes) = managed.apply_heartbeat(now, &heartbeat, term, true) else {
             // Overtaken on its way: the worker has long given it up, and an
             // answer would claim a lease that has been declared over.
-            return self.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
+            return self.context.respond(ticket, 503, Some(1), &Refusal::new("overtaken"));
         };
         managed.update_responsiveness(now, before, lease);
         managed.answered = Some(now);
@@ -95,25 +98,25 @@
             if known { self.commands(&machine, CommandRoute::Answer) } else { Vec::new() };
         let Some(authority) = self.command_authority(&machine) else {
             // Its session ends, and with it what may still arrive.
-            return self.respond(ticket, 503, Some(1), &Refusal::new("no token is left"));
+            return self.context.respond(ticket, 503, Some(1), &Refusal::new("no token is left"));
         };
         self.check_answer(&machine, authority);
         self.changes.machines.insert(machine);
         let reply = HeartbeatResponse { fencing_token: authority.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
-        self.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
+        self.context.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
 
     pub(crate) fn note_outcomes(&mut self, machine: &str, outcomes: Vec<Outcome>) {
         for o in outcomes {
             match o {
                 Outcome::Done(_) => {
-                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                    if let Some(managed) = self.machines.managed.get_mut(machine) {
                         managed.failed_jobs.clear();
                     }
                 }
                 Outcome::Failed(key) => {
-                    if let Some(managed) = self.managed_machines.get_mut(machine) {
+                    if let Some(managed) = self.machines.managed.get_mut(machine) {
                         *managed.failed_jobs.entry(key.job.clone()).or_insert(0) += 1;
                     }
                     self.note_failed_on(key.job, machine);
@@ -124,13 +127,13 @@
 
     /// Remembers on which machines of own shards a job failed; a few will do.
     fn note_failed_on(&mut self, job: String, machine: &str) {
-        if self.failed_on_machines.len() >= MAX_FAILING {
-            let known = &self.cached_stages;
+        if self.machines.failed_on_machines.len() >= MAX_FAILING {
+            let known = &self.jobs.cached_stages;
             let over = |id: &String| known.get(id).is_none_or(|k| k.stage != StoredStage::Accepted);
-            self.failed_on_machines.retain(|id, _| !over(id));
+            self.machines.failed_on_machines.retain(|id, _| !over(id));
         }
-        if self.failed_on_machines.len() < MAX_FAILING {
-            let machines = self.failed_on_machines.entry(job).or_default();
+        if self.machines.failed_on_machines.len() < MAX_FAILING {
+            let machines = self.machines.failed_on_machines.entry(job).or_default();
             if machines.len() < JOB_ELSEWHERE {
                 machines.insert(machine.to_string());
             }
@@ -144,8 +147,9 @@
         if managed.failed_jobs.is_empty() {
             return false;
         }
-        let completes = |job: &str| self.progress.get(job).is_some_and(|(done, _)| *done > 0);
-        let elsewhere = |job: &str| self.failed_on_machines.get(job).is_some_and(|m| m.len() > 1);
+        let completes = |job: &str| self.jobs.progress.get(job).is_some_and(|(done, _)| *done > 0);
+        let elsewhere =
+            |job: &str| self.machines.failed_on_machines.get(job).is_some_and(|m| m.len() > 1);
         let jobs = &managed.failed_jobs;
         let good: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
         let only_here = jobs.keys().filter(|j| completes(j) || !elsewhere(j)).count();
--- a/src/controller/machines/probes.rs
+++ b/src/controller/machines/probes.rs
@@ -1,8 +1,9 @@
 //! Questions to machines of own shards: commands that order nothing, whose answers say
 //! how a machine stands.
 
+use crate::controller::calls::MachinesCall;
 use crate::controller::machines::machine::MAX_NAME;
-use crate::controller::{Controller, Effect, Op};
+use crate::controller::{Controller, Effect};
 use crate::peer::AddressHint;
 use crate::wire::DirectCommands;
 use std::net::SocketAddrV4;
@@ -16,17 +17,17 @@
     /// A peer tells where a machine was when it last knew of it.
     pub(crate) fn apply_hint(&mut self, hint: AddressHint) {
         let known =
-            self.managed_machines.get(&hint.machine).is_some_and(|p| p.last_heartbeat.is_some());
+            self.machines.managed.get(&hint.machine).is_some_and(|p| p.last_heartbeat.is_some());
         if known
-            || self.terminated.contains(&hint.machine)
+            || self.machines.terminated.contains(&hint.machine)
             || hint.machine.len() > MAX_NAME
-            || self.address_hints.len() >= MAX_HINTS
+            || self.machines.address_hints.len() >= MAX_HINTS
         {
             return;
         }
         if let Ok(address) = hint.address.parse() {
-            self.address_hints.insert(hint.machine.clone(), (hint.incarnation, address));
-            self.probes.insert(hint.machine);
+            self.machines.address_hints.insert(hint.machine.clone(), (hint.incarnation, address));
+            self.machines.pending_probes.insert(hint.machine);
         }
     }
 
@@ -39,20 +40,20 @@
         }
         let mut sent = 0;
         while sent < PROBES_PER_TURN
-            && let Some(machine) = self.probes.pop_first()
+            && let Some(machine) = self.machines.pending_probes.pop_first()
         {
             let s = self.shard_of_machine(&machine);
             if self.leading_term(s).is_none() {
                 // Kept among the hints until the shard is taken.
                 continue;
             }
-            let Some((incarnation, address)) = self.address_hints.remove(&machine) else {
+            let Some((incarnation, address)) = self.machines.address_hints.remove(&machine) else {
                 continue;
             };
-            if self.terminated.contains(&machine) {
+            if self.machines.terminated.contains(&machine) {
                 continue;
             }
-            let managed = self.managed_machines.entry(machine.clone()).or_default();
+            let managed = self.machines.managed.entry(machine.clone()).or_default();
             if managed.known || managed.last_heartbeat.is_some() || managed.direct_busy {
                 continue;
             }
@@ -67,7 +68,7 @@
         let Some(term) = self.leading_term(self.shard_of_machine(machine)) else {
             return;
         };
-        let Some(managed) = self.managed_machines.get_mut(machine).filter(|p| !p.direct_busy)
+        let Some(managed) = self.machines.managed.get_mut(machine).filter(|p| !p.direct_busy)
         else {
             return;
         };
@@ -77,8 +78,8 @@
         managed.direct_busy = true;
         let body = DirectCommands { fencing_token, incarnation, commands: Vec::new() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let op = Op::Direct { machine: machine.to_string(), starts: Vec::new(), term };
-        let id = self.call_id(op);
-        self.effects.push(Effect::Direct { id, address, body });
+        let op = MachinesCall::Direct { machine: machine.to_string(), starts: Vec::new(), term };
+        let id = self.context.register_call(op);
+        self.context.effects.push(Effect::Direct { id, address, body });
     }
 }
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -74,19 +74,19 @@
         managed: &ManagedMachine,
         authority: CommandAuthority,
     ) -> Reconciler<'a> {
-        let stages = &controller.cached_stages;
-        let desired = || controller.desired.iter().filter_map(|w| w.machines.get(machine));
+        let stages = &controller.jobs.cached_stages;
+        let desired = || controller.machines.desired.iter().filter_map(|w| w.machines.get(machine));
         let is_desired = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
         let undesired = managed
             .attempts()
             .filter(|k| !is_desired(k) && controller.knows_all_desired(&k.job, authority.shard))
             .cloned()
             .collect();
-        let machine_type = controller.types.get(&managed.machine_type);
+        let machine_type = controller.autoscaler.machine_types.get(&managed.machine_type);
         Reconciler {
             machine,
             authority,
-            wanted: desired_here(&controller.desired, stages, machine, authority),
+            wanted: desired_here(&controller.machines.desired, stages, machine, authority),
             undesired,
             size: machine_type.map(|t| [t.cpus, t.gpus, t.memory_gb]),
             stages,
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -13,13 +13,17 @@
         if !self.holds_lease() {
             return;
         }
-        let (now, lease) = (self.now, self.worker_lease());
-        let taken: Vec<Option<Micros>> =
-            self.shards.iter().map(|s| s.leadership.as_ref().map(|m| m.acquired_at)).collect();
+        let (now, lease) = (self.context.now, self.worker_lease());
+        let taken: Vec<Option<Micros>> = self
+            .leadership
+            .shards
+            .iter()
+            .map(|s| s.leadership.as_ref().map(|m| m.acquired_at))
+            .collect();
         let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
         let silent = self.silent();
-        let shards = self.shards.len();
-        for (name, managed) in &mut self.managed_machines {
+        let shards = self.leadership.shards.len();
+        for (name, managed) in &mut self.machines.managed {
             let Some(Some(taken)) =
                 taken.get(crate::controller::leadership::shard::shard_of_machine(name, shards))
             else {
@@ -59,14 +63,14 @@
             let Some(term) = self.leading_term(s) else {
                 continue;
             };
-            if self.managed_machines.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
+            if self.machines.managed.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
                 self.send_direct_commands(&machine);
             }
             let mut view = self.view_of(&machine, term);
-            let Some(managed) = self.managed_machines.get_mut(&machine) else {
+            let Some(managed) = self.machines.managed.get_mut(&machine) else {
                 continue;
             };
-            if let Some(old) = self.views.get(&machine) {
+            if let Some(old) = self.machines.views.get(&machine) {
                 let old_notice = old.notice_ms;
                 view.seq = old.seq;
                 // A notice runs down by itself; only its coming is news.
@@ -88,16 +92,17 @@
 
     /// A machine silent for longer is not counted on.
     pub(crate) fn silent(&self) -> Micros {
-        Micros::from_secs_f64(self.settings.workers.heartbeat_interval_s * 2.0 + 1.0)
+        Micros::from_secs_f64(self.context.settings.workers.heartbeat_interval_s * 2.0 + 1.0)
     }
 
     fn view_of(&mut self, machine: &str, term: u64) -> MachineView {
         let silent = self.silent();
-        let now = self.now;
-        let failing_tasks = self.managed_machines.get(machine).is_some_and(|p| self.is_faulty(p));
+        let now = self.context.now;
+        let failing_tasks = self.machines.managed.get(machine).is_some_and(|p| self.is_faulty(p));
         let at = self.shard_of_machine(machine);
-        let taken = self.shards[at].leadership.as_ref().map_or(Micros::ZERO, |m| m.acquired_at);
-        let Some(managed) = self.managed_machines.get_mut(machine) else {
+        let taken =
+            self.leadership.shards[at].leadership.as_ref().map_or(Micros::ZERO, |m| m.acquired_at);
+        let Some(managed) = self.machines.managed.get_mut(machine) else {
             return MachineView::default();
         };
         let base = managed.answered.unwrap_or(taken).max(taken);
@@ -111,6 +116,7 @@
         }
         let faulty = managed.failing_since.is_some_and(|at| now.since(at) > FAILING_FOR);
         let applied = self
+            .machines
             .desired
             .iter()
             .enumerate()
@@ -133,7 +139,7 @@
             zone: managed.zone.clone(),
             spot: managed.spot,
             address: managed.address.map(|a| a.to_string()).unwrap_or_default(),
-            notice_ms: managed.reclaimed_at.map(|at| at.since(self.now).as_millis()),
+            notice_ms: managed.reclaimed_at.map(|at| at.since(self.context.now).as_millis()),
             healthy: fresh && !failing_tasks && !managed.unresponsive,
             tasks: managed.observed_tasks(),
             applied,
--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -40,14 +40,15 @@
 impl Controller {
     pub(crate) fn peer_alive(&self, member: usize) -> bool {
         self.peers
+            .by_member
             .get(&member)
             .and_then(|p| p.last_frame)
-            .is_some_and(|at| self.now.since(at) < PEER_SILENT)
+            .is_some_and(|at| self.context.now.since(at) < PEER_SILENT)
     }
 
     pub(crate) fn peer_frame(&mut self, from: usize, frame: Frame) {
-        let now = self.now;
-        let Some(info) = self.peers.get_mut(&from) else {
+        let now = self.context.now;
+        let Some(info) = self.peers.by_member.get_mut(&from) else {
             return;
         };
         let next = info.incarnation == frame.incarnation && info.number + 1 == frame.number;
@@ -56,13 +57,13 @@
         if !frame.full && !next {
             // What was lost is not known, so nothing follows from what the rest
             // does not name.
-            for s in 0..self.shards.len() {
+            for s in 0..self.leadership.shards.len() {
                 if self.shard_leader(s) == Some(from) {
-                    self.desired[s].complete = 0;
+                    self.machines.desired[s].complete = 0;
                 }
             }
         }
-        let Some(info) = self.peers.get_mut(&from) else {
+        let Some(info) = self.peers.by_member.get_mut(&from) else {
             return;
         };
         if info.incarnation != frame.incarnation {
@@ -96,7 +97,7 @@
             info.quota_demand = frame.quota_demand;
         }
         for h in &frame.shard_claims {
-            let Some(shard) = self.shards.get_mut(h.shard as usize) else {
+            let Some(shard) = self.leadership.shards.get_mut(h.shard as usize) else {
                 continue;
             };
             if h.term > shard.term {
@@ -118,7 +119,7 @@
             self.apply_view(v);
         }
         for p in frame.progress {
-            self.progress.insert(p.job, (p.done, p.running));
+            self.jobs.progress.insert(p.job, (p.done, p.running));
         }
         for job in frame.cancelled {
             // Answers that were read before the cancellation must not go out now.
@@ -139,7 +140,7 @@
         for h in frame.address_hints {
             self.apply_hint(h);
         }
-        if frame.missed.contains(&(self.me as u32)) {
+        if frame.missed.contains(&(self.context.me as u32)) {
             self.changes.peers_to_sync.insert(from);
         }
     }
@@ -147,13 +148,13 @@
     pub(crate) fn send_frames(&mut self, mut frame: Frame) {
         let holds_lease = self.holds_lease();
         // For display alone, and counted anew for every job: now and then will do.
-        if self.now >= self.timers.progress {
-            self.timers.progress = self.now + PROGRESS_EVERY;
+        if self.context.now >= self.timers.progress {
+            self.timers.progress = self.context.now + PROGRESS_EVERY;
             for job in std::mem::take(&mut self.changes.progress) {
-                if let Some(j) = self.jobs.get(&job) {
+                if let Some(j) = self.jobs.by_id.get(&job) {
                     let (done, running) = (j.done(), j.running());
-                    if self.progress.get(&job) != Some(&(done, running)) {
-                        self.progress.insert(job.clone(), (done, running));
+                    if self.jobs.progress.get(&job) != Some(&(done, running)) {
+                        self.jobs.progress.insert(job.clone(), (done, running));
                         frame.progress.push(peer::Progress { job, done, running });
                     }
                 }
@@ -162,19 +163,19 @@
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
         frame.terminated = std::mem::take(&mut self.changes.terminated);
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
-        frame.inherited_urgency = std::mem::take(&mut self.dependency_graph.news);
-        if self.now >= self.timers.missed_frames {
-            let behind = self.peers.iter().filter(|(_, p)| p.behind);
+        frame.inherited_urgency = std::mem::take(&mut self.jobs.dependency_graph.news);
+        if self.context.now >= self.timers.missed_frames {
+            let behind = self.peers.by_member.iter().filter(|(_, p)| p.behind);
             frame.missed = behind.map(|(n, _)| *n as u32).collect();
             if !frame.missed.is_empty() {
-                self.timers.missed_frames = self.now + MISSED_EVERY;
+                self.timers.missed_frames = self.context.now + MISSED_EVERY;
             }
         }
-        let beat = self.now >= self.timers.peer_heartbeat;
+        let beat = self.context.now >= self.timers.peer_heartbeat;
         let idle =
-            frame == Frame::default() && !std::mem::take(&mut self.terminal_states.acknowledge);
-        if beat || self.now >= self.timers.demand {
-            self.timers.demand = self.now + DEMAND_EVERY;
+            frame == Frame::default() && !std::mem::take(&mut self.api.terminal_states.acknowledge);
+        if beat || self.context.now >= self.timers.demand {
+            self.timers.demand = self.context.now + DEMAND_EVERY;
             if holds_lease {
                 frame.has_demand = true;
                 frame.demand = self.demand();
@@ -186,40 +187,40 @@
             return;
         }
         if beat {
-            self.timers.peer_heartbeat = self.now + PEER_HEARTBEAT_INTERVAL;
+            self.timers.peer_heartbeat = self.context.now + PEER_HEARTBEAT_INTERVAL;
             let again = self.cancellations_to_repeat();
             frame.cancelled.extend(again);
         }
         frame.format = peer::FORMAT;
-        frame.watched = self.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
-        self.frames += 1;
-        frame.number = self.frames;
-        frame.member.clone_from(&self.member);
-        frame.incarnation = self.incarnation;
+        frame.watched = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        self.peers.frames_sent += 1;
+        frame.number = self.peers.frames_sent;
+        frame.member.clone_from(&self.context.member);
+        frame.incarnation = self.context.incarnation;
         frame.state_ok = holds_lease;
-        frame.partitioned = self.connectivity.partitioned();
+        frame.partitioned = self.leadership.connectivity.partitioned();
         if holds_lease {
-            for (n, shard) in self.shards.iter().enumerate() {
+            for (n, shard) in self.leadership.shards.iter().enumerate() {
                 if let Some(m) = &shard.leadership {
                     frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
             if self.leading_term(planning::AUTOSCALER_SHARD).is_some() {
                 frame.is_autoscaler = true;
-                frame.draining = self.autoscaler.draining.keys().cloned().collect();
+                frame.draining = self.autoscaler.fleet.draining.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
             }
         }
         let frame = Rc::new(frame);
         let sync = std::mem::take(&mut self.changes.peers_to_sync);
-        let peers: Vec<usize> = self.peers.keys().copied().collect();
+        let peers: Vec<usize> = self.peers.by_member.keys().copied().collect();
         for to in peers {
             let frame = if sync.contains(&to) && holds_lease {
                 Rc::new(self.full_frame((*frame).clone()))
             } else {
                 Rc::clone(&frame)
             };
-            self.effects.push(Effect::Peer { to, frame });
+            self.context.effects.push(Effect::Peer { to, frame });
         }
         if !holds_lease {
             // Nothing could be said yet; the new connections still need all of it.
@@ -228,17 +229,18 @@
     }
 
     pub(crate) fn set_draining(&mut self, draining: BTreeSet<String>) {
-        let old = std::mem::replace(&mut self.draining, draining);
-        let changed: Vec<String> = old.symmetric_difference(&self.draining).cloned().collect();
-        self.stale_machines.extend(changed);
+        let old = std::mem::replace(&mut self.autoscaler.draining, draining);
+        let changed: Vec<String> =
+            old.symmetric_difference(&self.autoscaler.draining).cloned().collect();
+        self.scheduler.stale_machines.extend(changed);
     }
 
     /// Everything that a peer must know which has received nothing so far.
     pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         frame.desired.clear();
-        for shard in 0..self.shards.len() {
-            let desired = &self.desired[shard];
+        for shard in 0..self.leadership.shards.len() {
+            let desired = &self.machines.desired[shard];
             if !self.serves_shard(shard)
                 || self.leading_term(shard) != Some(desired.term)
                 || desired.complete == 0
@@ -261,36 +263,44 @@
             };
             frame.desired.push(desired.to_message());
         }
-        frame.views =
-            self.managed_machines.keys().filter_map(|m| self.views.get(m)).cloned().collect();
+        frame.views = self
+            .machines
+            .managed
+            .keys()
+            .filter_map(|m| self.machines.views.get(m))
+            .cloned()
+            .collect();
         frame.progress = self
             .jobs
+            .by_id
             .iter()
             .map(|(id, j)| peer::Progress { job: id.clone(), done: j.done(), running: j.running() })
             .collect();
         frame.address_hints = self
+            .machines
             .views
             .values()
-            .filter(|v| !self.managed_machines.contains_key(&v.machine) && !v.address.is_empty())
+            .filter(|v| !self.machines.managed.contains_key(&v.machine) && !v.address.is_empty())
             .map(|v| peer::AddressHint {
                 machine: v.machine.clone(),
                 incarnation: v.incarnation,
                 address: v.address.clone(),
             })
             .collect();
-        frame.terminated = self.terminated.iter().rev().take(500).cloned().collect();
+        frame.terminated = self.machines.terminated.iter().rev().take(500).cloned().collect();
         frame
     }
 
     /// A shard has a new term: what is wanted on its machines is said anew, with
     /// all that was concluded under the earlier one.
     pub(crate) fn announce_terms(&mut self) {
-        for h in 0..self.shards.len() {
-            if self.shards[h].term > self.announced_terms[h] {
-                self.announced_terms[h] = self.shards[h].term;
+        for h in 0..self.leadership.shards.len() {
+            if self.leadership.shards[h].term > self.peers.announced_terms[h] {
+                self.peers.announced_terms[h] = self.leadership.shards[h].term;
                 self.changes.announce_terms = true;
                 let there: Vec<(usize, Rc<str>)> = self
-                    .by_machine
+                    .jobs
+                    .tasks_by_machine
                     .keys()
                     .filter(|(_, m)| self.shard_of_machine(m) == h)
                     .cloned()
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -1,8 +1,9 @@
 //! Moving unused grants of teams' limits to the shards that need them.
 
+use crate::controller::Controller;
+use crate::controller::calls::QuotaCall;
 use crate::controller::leadership::shard;
 use crate::controller::quota::team_quota::{self, EPS, RankedDemand};
-use crate::controller::{Controller, Op};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::{DesiredTask, Phase, Preempt, QuotaDemand};
 use crate::time::Micros;
@@ -13,9 +14,9 @@
     /// What a shard's waiting tasks of a team would take, by rank.
     fn pending_demand(&self, s: usize, team: &str) -> Vec<RankedDemand> {
         let mut list: Vec<RankedDemand> = Vec::new();
-        for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
+        for j in self.jobs.by_id.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.open());
-            if j.cancelled || j.over || n == 0.0 || self.now < j.not_before {
+            if j.cancelled || j.over || n == 0.0 || self.context.now < j.not_before {
                 continue;
             }
             let amount = [n * j.spec.cpus, n * j.spec.gpus];
@@ -30,8 +31,8 @@
     /// What own shards lack, told to the peers that may have it unused.
     pub(crate) fn quota_demand(&self) -> Vec<QuotaDemand> {
         let mut list = Vec::new();
-        for (team, q) in self.quotas.iter().filter(|(_, q)| q.limited()) {
-            for s in (0..self.shards.len()).filter(|s| self.serves_shard(*s)) {
+        for (team, q) in self.quota.teams.iter().filter(|(_, q)| q.limited()) {
+            for s in (0..self.leadership.shards.len()).filter(|s| self.serves_shard(*s)) {
                 let (used, grant) = (self.shard_usage(s, team), q.grant(s));
                 let room = [grant[0] - used[0], grant[1] - used[1]];
                 for n in team_quota::unmet_demand(room, &self.pending_demand(s, team)) {
@@ -50,14 +51,15 @@
 
     /// The most urgent rank that lacks some of a team's limit, on any shard.
     pub(crate) fn quota_rank(&self, team: &str) -> Option<u32> {
-        if !self.quotas.get(team).is_some_and(|q| q.limited()) {
+        if !self.quota.teams.get(team).is_some_and(|q| q.limited()) {
             return None;
         }
         self.peers
+            .by_member
             .iter()
             .filter(|(n, _)| self.peer_alive(**n))
             .flat_map(|(_, p)| &p.quota_demand)
-            .chain(&self.own_quota_demand)
+            .chain(&self.quota.own_demand)
             .filter(|n| n.team == team)
             .map(|n| n.rank)
             .min()
@@ -67,17 +69,17 @@
         if !self.holds_lease() {
             return;
         }
-        if !self.quotas_read {
-            self.quotas_read = true;
+        if !self.quota.is_read {
+            self.quota.is_read = true;
             let call = KvRequest::List { prefix: "quota/".into(), after: None };
-            return self.state(Op::QuotaList, call);
+            return self.context.call_store(QuotaCall::QuotaList, call);
         }
         let own = self.quota_demand();
-        self.own_quota_demand.clone_from(&own);
+        self.quota.own_demand.clone_from(&own);
         let teams: Vec<String> =
-            self.quotas.iter().filter(|(_, q)| q.limited()).map(|(t, _)| t.clone()).collect();
+            self.quota.teams.iter().filter(|(_, q)| q.limited()).map(|(t, _)| t.clone()).collect();
         for team in teams {
-            for s in 0..self.shards.len() {
+            for s in 0..self.leadership.shards.len() {
                 self.maintain_quota(&team, s, &own);
             }
         }
@@ -87,11 +89,12 @@
         if !self.serves_shard(s) {
             return;
         }
-        let revision = self.shards[s].leadership.as_ref().map_or(0, |m| m.revision);
+        let revision = self.leadership.shards[s].leadership.as_ref().map_or(0, |m| m.revision);
         let (waits, used) = (self.pending_demand(s, team), self.shard_usage(s, team));
-        let (shards, reserve) = (self.shards.len(), self.admission_reserve());
+        let (shards, reserve) = (self.leadership.shards.len(), self.admission_reserve());
         let all: Vec<&QuotaDemand> = self
             .peers
+            .by_member
             .iter()
             .filter(|(n, _)| self.peer_alive(**n))
             .flat_map(|(_, p)| &p.quota_demand)
@@ -103,7 +106,7 @@
             all.iter().filter(|n| n.shard as usize != s).map(need).collect();
         let everyone: Vec<RankedDemand> = all.iter().map(need).collect();
         self.preempt_over_limit(team, s, &everyone);
-        let Some(q) = self.quotas.get_mut(team) else {
+        let Some(q) = self.quota.teams.get_mut(team) else {
             return;
         };
         if q.busy {
@@ -120,7 +123,7 @@
         };
         // Admissions go first: grants that move with every job that comes would
         // take their changes.
-        if self.puts.level(self.now) < 1.0 + reserve {
+        if self.context.write_budget.level(self.context.now) < 1.0 + reserve {
             return;
         }
         // From here on the lowering may be applied at any time.
@@ -133,8 +136,8 @@
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
-        let op = Op::QuotaWrite { team: team.to_string(), value };
-        self.state(op, KvRequest::Txn(txn));
+        let op = QuotaCall::QuotaWrite { team: team.to_string(), value };
+        self.context.call_store(op, KvRequest::Txn(txn));
     }
 
     /// The team's limit is used up and more urgent tasks of it wait: this
@@ -143,7 +146,7 @@
         let Some(rank) = lacks.iter().map(|n| n.rank).min() else {
             return;
         };
-        let Some(q) = self.quotas.get(team) else {
+        let Some(q) = self.quota.teams.get(team) else {
             return;
         };
         let urgent: f64 = lacks.iter().filter(|n| n.rank == rank).map(|n| n.amount[0]).sum();
@@ -152,7 +155,7 @@
         let mut coming = q.free()[0];
         let (mut total, mut ours) = (0.0, 0.0);
         let mut victims: Vec<(f64, Preempt, f64)> = Vec::new();
-        for (n, w) in self.desired.iter().enumerate() {
+        for (n, w) in self.machines.desired.iter().enumerate() {
             for m in w.machines.values() {
                 let counts = |t: &&DesiredTask| t.team == team && t.phase() != Phase::Over;
                 for t in m.tasks.iter().filter(counts) {
@@ -176,7 +179,8 @@
             }
         }
         // What other shards hold unused comes back by itself.
-        let used: f64 = self.desired.iter().filter_map(|w| w.usage.get(team)).map(|u| u[0]).sum();
+        let used: f64 =
+            self.machines.desired.iter().filter_map(|w| w.usage.get(team)).map(|u| u[0]).sum();
         let unused = (q.limit[0] - used - coming).max(0.0);
         let missing = urgent - coming - unused;
         if missing <= EPS || total <= EPS {
@@ -195,58 +199,57 @@
 
     /// Takes in a team's grants as stored at a revision.
     pub(crate) fn observe_quota(&mut self, team: &str, value: &Value, revision: u64) {
-        if let Some(q) = self.quotas.get_mut(team)
+        if let Some(q) = self.quota.teams.get_mut(team)
             && revision > q.revision
         {
             q.observe(value, revision);
-            self.placement_due = true;
+            self.scheduler.placement_due = true;
         }
     }
 
-    pub(crate) fn quota_reply(&mut self, op: Op, reply: KvResponse) {
+    pub(crate) fn quota_reply(&mut self, op: QuotaCall, reply: KvResponse) {
         match (op, reply) {
-            (Op::QuotaList, KvResponse::Page { items, .. }) => {
+            (QuotaCall::QuotaList, KvResponse::Page { items, .. }) => {
                 for item in items {
                     if let Some(team) = item.key.strip_prefix("quota/") {
                         self.observe_quota(team, &item.value, item.revision);
                     }
                 }
             }
-            (Op::QuotaList, _) => self.quotas_read = false,
-            (Op::QuotaWrite { team, value }, KvResponse::Applied(revision)) => {
+            (QuotaCall::QuotaList, _) => self.quota.is_read = false,
+            (QuotaCall::QuotaWrite { team, value }, KvResponse::Applied(revision)) => {
                 self.observe_quota(&team, &value, revision);
-                if let Some(q) = self.quotas.get_mut(&team) {
+                if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.busy = false;
                 }
             }
-            (Op::QuotaWrite { team, .. }, KvResponse::NotExecuted) => {
-                if let Some(q) = self.quotas.get_mut(&team) {
+            (QuotaCall::QuotaWrite { team, .. }, KvResponse::NotExecuted) => {
+                if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.refused();
                 }
             }
             // Perhaps applied: until what is stored is read, the lower grant
             // holds, and a late one fails once the key has changed again.
-            (Op::QuotaWrite { team, .. }, reply) => {
-                if let Some(q) = self.quotas.get_mut(&team) {
+            (QuotaCall::QuotaWrite { team, .. }, reply) => {
+                if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.unsure |= !matches!(reply, KvResponse::Conflict(_));
                 }
                 self.read_quota(&team);
             }
-            (Op::QuotaRead { team }, KvResponse::Value(item)) => {
+            (QuotaCall::QuotaRead { team }, KvResponse::Value(item)) => {
                 if let Some(item) = item {
                     self.observe_quota(&team, &item.value, item.revision);
                 }
-                if let Some(q) = self.quotas.get_mut(&team) {
+                if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.busy = false;
                 }
             }
-            (Op::QuotaRead { team }, _) => self.read_quota(&team),
-            _ => {}
+            (QuotaCall::QuotaRead { team }, _) => self.read_quota(&team),
         }
     }
 
     fn read_quota(&mut self, team: &str) {
-        let op = Op::QuotaRead { team: team.to_string() };
-        self.state(op, KvRequest::Get(team_quota::key(team)));
+        let op = QuotaCall::QuotaRead { team: team.to_string() };
+        self.context.call_store(op, KvRequest::Get(team_quota::key(team)));
     }
 }
