--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -14,19 +14,19 @@
 impl Controller {
     /// A machine as placements see it; `None` if nothing may be placed on it.
     fn capacity_of(&self, name: &str) -> Option<(PoolKey, MachineCapacity)> {
-        let v = self.views.get(name)?;
+        let v = self.machines.views.get(name)?;
         let h = self.shard_of_machine(name);
         if !v.known
             || !v.healthy
-            || !self.commanded[h]
+            || !self.scheduler.commanded[h]
             || v.notice_ms.is_some()
-            || v.term != self.shards[h].term
-            || self.draining.contains(name)
-            || self.terminated.contains(name)
+            || v.term != self.leadership.shards[h].term
+            || self.autoscaler.draining.contains(name)
+            || self.machines.terminated.contains(name)
         {
             return None;
         }
-        let t = self.types.get(&v.machine_type)?;
+        let t = self.autoscaler.machine_types.get(&v.machine_type)?;
         let size = [t.cpus, t.gpus, t.memory_gb];
         let led_by_peer = self.leading_term(h).is_none();
         let mut machine_capacity =
@@ -36,7 +36,7 @@
                 t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
             })
         };
-        for (s, w) in self.desired.iter().enumerate() {
+        for (s, w) in self.machines.desired.iter().enumerate() {
             if self.has_jobs_of(s) {
                 continue;
             }
@@ -64,13 +64,14 @@
                 });
             }
         }
-        for s in (0..self.shards.len()).filter(|s| self.has_jobs_of(*s)) {
-            let Some(tasks) = self.by_machine.get(&(s, Rc::clone(&machine_capacity.machine)))
+        for s in (0..self.leadership.shards.len()).filter(|s| self.has_jobs_of(*s)) {
+            let Some(tasks) =
+                self.jobs.tasks_by_machine.get(&(s, Rc::clone(&machine_capacity.machine)))
             else {
                 continue;
             };
             for (id, index) in tasks {
-                let Some(j) = self.jobs.get(id) else {
+                let Some(j) = self.jobs.by_id.get(id) else {
                     continue;
                 };
                 let chunk = &j.chunks[(*index / j.chunk_size) as usize];
@@ -87,7 +88,7 @@
                     stopping: p.stop.is_some(),
                     placed: p.at,
                     checkpoint_s: j.spec.checkpoint_s,
-                    expected_s: expected_s(j, &self.estimates),
+                    expected_s: expected_s(j, &self.scheduler.estimates),
                 });
             }
         }
@@ -109,45 +110,55 @@
 
     /// Whether a shard's jobs are known here; else the desired state received from it counts.
     fn has_jobs_of(&self, s: usize) -> bool {
-        self.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
+        self.leadership.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
     }
 
     /// Notes that a machine has to be looked at before the next placement.
     pub(crate) fn mark_capacity_stale(&mut self, machine: &str) {
-        if !self.stale_machines.contains(machine) {
-            self.stale_machines.insert(machine.to_string());
+        if !self.scheduler.stale_machines.contains(machine) {
+            self.scheduler.stale_machines.insert(machine.to_string());
         }
     }
 
     /// Brings the slots up to date: only what has changed is looked at.
     pub(crate) fn refresh_capacity(&mut self) {
-        for h in 0..self.shards.len() {
+        for h in 0..self.leadership.shards.len() {
             let commanded = self.leading_term(h).is_some()
-                || self.shard_leader(h).is_some_and(|m| m != self.me && self.peer_alive(m));
-            let was = std::mem::replace(&mut self.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.leading_term(h), self.shards[h].term);
-            if was != commanded || self.capacity_sources.get(&h) != Some(&state) {
+                || self.shard_leader(h).is_some_and(|m| m != self.context.me && self.peer_alive(m));
+            let was = std::mem::replace(&mut self.scheduler.commanded[h], commanded);
+            let state = (self.has_jobs_of(h), self.leading_term(h), self.leadership.shards[h].term);
+            if was != commanded || self.scheduler.capacity_sources.get(&h) != Some(&state) {
                 // The shard has changed hands or its holder has fallen silent.
-                self.capacity_sources.insert(h, state);
-                let theirs: Vec<String> =
-                    self.views.keys().filter(|m| self.shard_of_machine(m) == h).cloned().collect();
-                self.stale_machines.extend(theirs);
+                self.scheduler.capacity_sources.insert(h, state);
+                let theirs: Vec<String> = self
+                    .machines
+                    .views
+                    .keys()
+                    .filter(|m| self.shard_of_machine(m) == h)
+                    .cloned()
+                    .collect();
+                self.scheduler.stale_machines.extend(theirs);
                 // What it wants is read from another place from now on.
-                let wanted: Vec<String> = self.desired[h].machines.keys().cloned().collect();
-                self.stale_machines.extend(wanted);
+                let wanted: Vec<String> =
+                    self.machines.desired[h].machines.keys().cloned().collect();
+                self.scheduler.stale_machines.extend(wanted);
             }
         }
-        for machine in std::mem::take(&mut self.stale_machines) {
+        for machine in std::mem::take(&mut self.scheduler.stale_machines) {
             let mut machine_capacity = self.capacity_of(&machine);
             if let Some((_, new)) = machine_capacity.as_mut().filter(|(_, s)| s.led_by_peer) {
-                let old = self.capacity.id(&machine).and_then(|id| self.capacity.get(id));
+                let old = self
+                    .scheduler
+                    .capacity
+                    .id(&machine)
+                    .and_then(|id| self.scheduler.capacity.get(id));
                 let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
                 new.yielded_until = match old {
                     Some(old) if !more => old.yielded_until,
-                    _ => self.now + PEER_CAPACITY_YIELD,
+                    _ => self.context.now + PEER_CAPACITY_YIELD,
                 };
             }
-            self.capacity.set(&machine, machine_capacity);
+            self.scheduler.capacity.set(&machine, machine_capacity);
         }
     }
 }
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -10,15 +10,16 @@
 impl Controller {
     /// Waiting tasks by shape, as far as their teams' limits let them run.
     pub(crate) fn demand(&self) -> Vec<Demand> {
-        let usage = self.capacity.usage();
+        let usage = self.scheduler.capacity.usage();
         let mut room: BTreeMap<&str, Amount> = BTreeMap::new();
         let mut list: Vec<Demand> = Vec::new();
         for ((beyond, rank), id) in self.queue_order() {
-            let Some(j) = self.jobs.get(&id).filter(|j| self.now >= j.not_before) else {
+            let Some(j) = self.jobs.by_id.get(&id).filter(|j| self.context.now >= j.not_before)
+            else {
                 continue;
             };
             let spec = &j.spec;
-            let Some(quota) = self.quotas.get(&spec.team) else {
+            let Some(quota) = self.quota.teams.get(&spec.team) else {
                 continue;
             };
             let left = room.entry(&spec.team).or_insert_with(|| {
@@ -58,7 +59,8 @@
     pub(crate) fn free_capacity(
         &self,
     ) -> Vec<crate::controller::autoscaler::planning::FreeCapacity> {
-        self.capacity
+        self.scheduler
+            .capacity
             .iter()
             .filter(|(_, _, s)| s.free[0] > EPS)
             .map(|(_, key, s)| crate::controller::autoscaler::planning::FreeCapacity {
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -24,7 +24,7 @@
     /// since it was placed. That is stored and told to all: counted from when
     /// this process first saw it run, a task would look new after every restart.
     pub(crate) fn lost_work_s(&self, placed: Micros, checkpoint_s: f64) -> f64 {
-        let ran = self.wall().since(placed).as_secs_f64();
+        let ran = self.context.wall().since(placed).as_secs_f64();
         if checkpoint_s > 0.0 { ran % checkpoint_s } else { ran }
     }
 
@@ -44,10 +44,11 @@
         let rank = job.rank();
         let need = [spec.cpus, spec.gpus, spec.memory_gb];
         let beyond: Vec<&str> = self
-            .quotas
+            .quota
+            .teams
             .keys()
             .map(String::as_str)
-            .filter(|t| self.preemptible_cpus.get(*t).is_some_and(|left| *left > EPS))
+            .filter(|t| self.scheduler.preemptible_cpus.get(*t).is_some_and(|left| *left > EPS))
             .collect();
         // More urgent work never gives way, or it would take the room back. What a
         // team runs within its guarantee goes before borrowed work in the queue,
@@ -63,26 +64,36 @@
         };
         let too_slow = self.fetch_too_slow(job);
         let mut best: Option<(f64, usize, Vec<usize>)> = None;
-        let all = self.capacity.iter().map(|(id, _, machine_capacity)| (id, machine_capacity));
-        let some =
-            only.unwrap_or_default().iter().filter_map(|id| Some((*id, self.capacity.get(*id)?)));
+        let all =
+            self.scheduler.capacity.iter().map(|(id, _, machine_capacity)| (id, machine_capacity));
+        let some = only
+            .unwrap_or_default()
+            .iter()
+            .filter_map(|id| Some((*id, self.scheduler.capacity.get(*id)?)));
         let capacity: Box<dyn Iterator<Item = (usize, &MachineCapacity)>> =
             if only.is_some() { Box::new(some) } else { Box::new(all) };
         for (at, machine_capacity) in capacity {
-            if !machine_capacity.tasks.iter().any(&gives) || !self.capacity.among(at, pools) {
+            if !machine_capacity.tasks.iter().any(&gives)
+                || !self.scheduler.capacity.among(at, pools)
+            {
                 continue;
             }
             let mut free = machine_capacity.room();
-            let mut cost = if self.images.holds(
-                self.now,
+            let mut cost = if self.scheduler.images.holds(
+                self.context.now,
                 &spec.image,
                 &machine_capacity.machine,
                 machine_capacity.incarnation,
             ) {
                 0.0
             } else {
-                let machine_type = self.capacity.pool_of(at).map_or("", |k| &k.machine_type);
-                let rate = self.types.get(machine_type).map_or(1.0, |t| t.fetch_gb_per_s);
+                let machine_type =
+                    self.scheduler.capacity.pool_of(at).map_or("", |k| &k.machine_type);
+                let rate = self
+                    .autoscaler
+                    .machine_types
+                    .get(machine_type)
+                    .map_or(1.0, |t| t.fetch_gb_per_s);
                 let fetch = spec.image_gb / rate.max(0.01);
                 // A start that then waits for its image comes late, but much
                 // work thrown away for it costs more.
@@ -126,11 +137,13 @@
     pub(crate) fn request_preemption(&mut self, b: &ReservedTask, save: bool, machine: &Rc<str>) {
         log::debug!("task {}/{} makes room", b.job, b.index);
         let p = Preempt { job: b.job.clone(), index: b.index, attempt: b.attempt, save };
-        if self.jobs.contains_key(&p.job) {
+        if self.jobs.by_id.contains_key(&p.job) {
             self.preempt_task(&p);
         } else {
             let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
-            self.requested_preemptions.insert(key, (self.now, Rc::clone(machine)));
+            self.scheduler
+                .requested_preemptions
+                .insert(key, (self.context.now, Rc::clone(machine)));
             self.changes.preemptions.push(p);
         }
     }
@@ -144,21 +157,21 @@
             return;
         }
         self.refresh_capacity();
-        let nodes = self.shards.len().max(1) as f64;
-        for (team, q) in &self.quotas {
-            let used = self.capacity.usage().get(team).map_or(0.0, |u| u[0]);
+        let nodes = self.leadership.shards.len().max(1) as f64;
+        for (team, q) in &self.quota.teams {
+            let used = self.scheduler.capacity.usage().get(team).map_or(0.0, |u| u[0]);
             let beyond = (used - q.guarantee[0]).max(0.0);
             let lacks = (q.guarantee[0] - used).max(0.0);
-            self.preemptible_cpus.insert(team.clone(), beyond / nodes);
-            self.claimable_cpus.insert(team.clone(), lacks / nodes);
+            self.scheduler.preemptible_cpus.insert(team.clone(), beyond / nodes);
+            self.scheduler.claimable_cpus.insert(team.clone(), lacks / nodes);
         }
     }
 
     /// Lets go of requests to make room that nobody has heeded.
     pub(crate) fn expire_preemption_requests(&mut self) {
-        let now = self.now;
+        let now = self.context.now;
         let mut stale = Vec::new();
-        self.requested_preemptions.retain(|_, (at, machine)| {
+        self.scheduler.requested_preemptions.retain(|_, (at, machine)| {
             let stands = now.since(*at) < PREEMPTION_REQUEST_TTL;
             if !stands {
                 stale.push(Rc::clone(machine));
@@ -174,13 +187,19 @@
     /// again, it would be counted on twice; and its shard may be out of reach.
     pub(crate) fn preemption_requested(&self, job: &str, index: u32, attempt: u64) -> bool {
         let key = Key { job: job.to_string(), index, attempt };
-        self.requested_preemptions
+        self.scheduler
+            .requested_preemptions
             .get(&key)
-            .is_some_and(|(at, _)| self.now.since(*at) < PREEMPTION_REQUEST_TTL)
+            .is_some_and(|(at, _)| self.context.now.since(*at) < PREEMPTION_REQUEST_TTL)
     }
 
     fn least_fetch_rate(&self) -> f64 {
-        self.types.values().map(|t| t.fetch_gb_per_s).fold(f64::INFINITY, f64::min).max(0.01)
+        self.autoscaler
+            .machine_types
+            .values()
+            .map(|t| t.fetch_gb_per_s)
+            .fold(f64::INFINITY, f64::min)
+            .max(0.01)
     }
 
     /// Whether fetching a job's image takes most of the time within which its
@@ -188,7 +207,8 @@
     /// exception to the design's slack, which weighs a fetch against a queue.
     pub(crate) fn fetch_too_slow(&self, job: &Job) -> bool {
         let rate = self.least_fetch_rate();
-        self.settings
+        self.context
+            .settings
             .objectives
             .iter()
             .filter(|o| o.kind == "wait" && o.class == job.spec.class)
@@ -199,7 +219,8 @@
     /// Whether the objectives of a job's class leave time for the tasks that
     /// make room to save first.
     pub(crate) fn time_to_save(&self, job: &Job) -> bool {
-        self.settings
+        self.context
+            .settings
             .objectives
             .iter()
             .filter(|o| o.class == job.spec.class)
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -31,9 +31,10 @@
     /// Own jobs in order of service: teams within their guarantee first, then
     /// priority, deadline and age.
     pub(crate) fn queue_order(&self) -> Vec<((bool, u32), String)> {
-        let used = self.capacity.usage();
+        let used = self.scheduler.capacity.usage();
         let mut order: Vec<_> = self
             .jobs
+            .by_id
             .iter()
             .filter(|(_, j)| !j.cancelled && !j.over && !j.waiting && j.pending() > 0)
             .map(|(id, j)| {
@@ -51,7 +52,7 @@
         team: &str,
         more: Amount,
     ) -> bool {
-        let Some(quota) = self.quotas.get(team) else {
+        let Some(quota) = self.quota.teams.get(team) else {
             return false;
         };
         let used = used.get(team).copied().unwrap_or_default();
@@ -61,7 +62,7 @@
     /// What a shard's tasks of a team use: from write-ahead until known gone.
     pub(crate) fn shard_usage(&self, s: usize, team: &str) -> Amount {
         let mut used = [0.0, 0.0];
-        for j in self.jobs.values().filter(|j| j.shard == s && j.spec.team == team) {
+        for j in self.jobs.by_id.values().filter(|j| j.shard == s && j.spec.team == team) {
             let n = f64::from(j.limited_tasks());
             used[0] += n * j.spec.cpus;
             used[1] += n * j.spec.gpus;
@@ -72,14 +73,14 @@
     /// One pass over the queue. What is left when its bounds are reached goes
     /// on in the next turn, so that reports and renewals are never starved.
     pub(crate) fn run_scheduling_pass(&mut self) {
-        if !self.placement_due
-            || self.now < self.last_pass_at + PASS_INTERVAL
-            || self.types.is_empty()
+        if !self.scheduler.placement_due
+            || self.context.now < self.scheduler.last_pass_at + PASS_INTERVAL
+            || self.autoscaler.machine_types.is_empty()
         {
             return;
         }
-        self.placement_due = false;
-        self.last_pass_at = self.now;
+        self.scheduler.placement_due = false;
+        self.scheduler.last_pass_at = self.context.now;
         self.refresh_capacity();
         let order = self.queue_order();
         if order.is_empty() {
@@ -87,16 +88,21 @@
         }
         let mut theirs: Vec<Demand> = self
             .peers
+            .by_member
             .iter()
             .filter(|(n, _)| self.peer_alive(**n))
             .flat_map(|(_, p)| p.demand.iter().cloned())
             .collect();
         // Tasks that no machine has room for, though smaller ones might.
         let ours = self.demand();
-        let blocked: Vec<Demand> =
-            theirs.iter().chain(&ours).filter(|d| !self.capacity.takes(d)).cloned().collect();
+        let blocked: Vec<Demand> = theirs
+            .iter()
+            .chain(&ours)
+            .filter(|d| !self.scheduler.capacity.takes(d))
+            .cloned()
+            .collect();
         let mut pass = Pass {
-            usage: self.capacity.usage().clone(),
+            usage: self.scheduler.capacity.usage().clone(),
             shards: BTreeMap::new(),
             blocked,
             failed: Vec::new(),
@@ -106,15 +112,15 @@
         theirs.sort_by_key(Demand::turn);
         for (turn, id) in order {
             let (_, rank) = turn;
-            let full = self.unobserved >= self.unobserved_limit(rank)
+            let full = self.scheduler.unobserved >= self.unobserved_limit(rank)
                 || self.unstored_urgent_chunks(rank) >= self.chunk_backlog();
             if full {
                 // Those behind it may be more urgent, if beyond their guarantee.
-                self.placement_due = true;
+                self.scheduler.placement_due = true;
                 continue;
             }
             if pass.left == 0 {
-                self.placement_due = true;
+                self.scheduler.placement_due = true;
                 break;
             }
             // What waits at the peers and is more urgent gets its room first:
@@ -122,17 +128,17 @@
             // Equals hold nothing for each other, or nobody would move.
             let first = theirs.partition_point(|d| d.turn() < turn);
             for d in theirs.drain(..first) {
-                self.capacity.hold(&d);
+                self.scheduler.capacity.hold(&d);
             }
             self.place_job(&id, &mut pass);
         }
-        self.capacity.release_holds();
+        self.scheduler.capacity.release_holds();
     }
 
     /// Parts with placements that are not stored yet, of jobs that are as urgent: the
     /// others are written after them and hold nothing up.
     fn unstored_urgent_chunks(&self, rank: u32) -> usize {
-        let dirty = self.changes.jobs.iter().filter_map(|id| self.jobs.get(id));
+        let dirty = self.changes.jobs.iter().filter_map(|id| self.jobs.by_id.get(id));
         dirty.filter(|j| j.rank() <= rank).map(Job::unstored_chunks).sum()
     }
 
@@ -140,14 +146,16 @@
     /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
     /// once, took nearly all of the memory at every node.
     pub(crate) fn count_unobserved(&mut self) {
-        let placed = self.jobs.values().flat_map(|j| &j.chunks).flat_map(|p| p.placed.values());
-        self.unobserved = placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
+        let placed =
+            self.jobs.by_id.values().flat_map(|j| &j.chunks).flat_map(|p| p.placed.values());
+        self.scheduler.unobserved =
+            placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
     }
 
     /// The more urgent, the more: an array of low tasks that fills its part of the
     /// buffer must not keep urgent ones out.
     pub(crate) fn unobserved_limit(&self, rank: u32) -> usize {
-        let machines = self.views.len();
+        let machines = self.machines.views.len();
         match rank {
             0..=2 => MAX_UNOBSERVED.max(2 * machines) * (4 - rank as usize),
             _ => MAX_UNOBSERVED_LOW_PRIORITY.max(machines / 2),
@@ -157,7 +165,8 @@
     /// Placements wait for writes in a small buffer, about a second's worth: a
     /// later decision knows more.
     fn chunk_backlog(&self) -> usize {
-        let share = self.settings.state.write_rps / self.shards.len().max(1) as f64;
+        let share =
+            self.context.settings.state.write_rps / self.leadership.shards.len().max(1) as f64;
         (share as usize).max(4)
     }
 }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -79,7 +79,7 @@
 impl Controller {
     /// Places tasks of a job until none is left, or none can be placed now.
     pub(crate) fn place_job(&mut self, id: &str, pass: &mut Pass) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.jobs.by_id.get(id) else {
             return;
         };
         if !self.serves_shard(job.shard) || job.waiting {
@@ -99,14 +99,14 @@
                 reason
             }
         };
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.pending_reason = reason;
         }
     }
 
     /// Why nothing of a job may be placed now, wherever there is room.
     fn placement_barrier(&self, job: &Job) -> Option<&'static str> {
-        if self.now < job.not_before {
+        if self.context.now < job.not_before {
             return Some("backed off after failures");
         }
         // Placed now, it would be stopped again for those that lack the grant, and so
@@ -127,8 +127,8 @@
             pass.blocked.iter().any(|d| d.cpus > spec.cpus || d.memory_gb > spec.memory_gb);
         let pack = !latency_critical && larger_waits;
         let excluded_from_held_machines =
-            pack && rank > LOWEST_URGENT_RANK && !self.held_for_large_tasks.is_empty();
-        let pools = self.capacity.pools(|k| {
+            pack && rank > LOWEST_URGENT_RANK && !self.scheduler.held_for_large_tasks.is_empty();
+        let pools = self.scheduler.capacity.pools(|k| {
             spec.types.as_ref().is_none_or(|l| l.iter().any(|t| **t == *k.machine_type))
                 && (spec.spot || !k.spot)
                 && spec.zone.as_deref().is_none_or(|z| z == &*k.zone)
@@ -138,12 +138,12 @@
             shard,
             need: [spec.cpus, spec.gpus, spec.memory_gb],
             rank,
-            grant: self.quotas.get(&spec.team).map_or([0.0, 0.0], |q| q.grant(shard)),
+            grant: self.quota.teams.get(&spec.team).map_or([0.0, 0.0], |q| q.grant(shard)),
             used: counted.unwrap_or_else(|| self.shard_usage(shard, &spec.team)),
             slack: if latency_critical {
                 u32::MAX
             } else {
-                image_locality::slack(&self.options, spec.image_gb)
+                image_locality::slack(&self.context.options, spec.image_gb)
             },
             latency_critical,
             pack,
@@ -153,7 +153,7 @@
                 && !spec.spread
                 && !excluded_from_held_machines,
             save: self.time_to_save(job),
-            expected_s: expected_s(job, &self.estimates),
+            expected_s: expected_s(job, &self.scheduler.estimates),
             pools,
             zones: job.zones(),
             cached_machines: None,
@@ -167,7 +167,7 @@
         placement: &mut JobPlacement,
         pass: &mut Pass,
     ) -> Result<(), &'static str> {
-        let job = self.jobs.get(&placement.id).ok_or(NO_CAPACITY)?;
+        let job = self.jobs.by_id.get(&placement.id).ok_or(NO_CAPACITY)?;
         let index = self.next_task(job, placement, pass)?;
         let choice = self.choose_machine(job, index, placement, pass).ok_or(NO_CAPACITY)?;
         self.stop_victims(&choice, placement, pass);
@@ -190,7 +190,7 @@
         if placement.beyond_grant() {
             return Err("the team's limit");
         }
-        if pass.left == 0 || self.unobserved >= self.unobserved_limit(placement.rank) {
+        if pass.left == 0 || self.scheduler.unobserved >= self.unobserved_limit(placement.rank) {
             return Err("the next pass");
         }
         Ok(index)
@@ -205,11 +205,11 @@
         at: usize,
         machine_capacity: &MachineCapacity,
     ) -> bool {
-        let zone = || self.capacity.pool_of(at).map_or("", |k| &k.zone);
+        let zone = || self.scheduler.capacity.pool_of(at).map_or("", |k| &k.zone);
         (!placement.zones_restricted() || job.zone_allows(&placement.zones, zone()))
-            && machine_capacity.yielded_until <= self.now
+            && machine_capacity.yielded_until <= self.context.now
             && (!placement.excluded_from_held_machines
-                || !self.held_for_large_tasks.contains(&machine_capacity.machine))
+                || !self.scheduler.held_for_large_tasks.contains(&machine_capacity.machine))
             && !job.avoid.contains(&machine_capacity.machine)
             && !self.lists(&machine_capacity.machine, &placement.id, index)
     }
@@ -256,8 +256,8 @@
             self.suits(job, index, placement, at, machine_capacity)
         };
         match placement.pack {
-            true => self.capacity.best_fit(pools, need, passes),
-            false => self.capacity.least_loaded(pools, need, passes),
+            true => self.scheduler.capacity.best_fit(pools, need, passes),
+            false => self.scheduler.capacity.least_loaded(pools, need, passes),
         }
     }
 
@@ -274,8 +274,10 @@
         };
         let cached_machines = placement.cached_machines().iter();
         match placement.pack {
-            true => self.capacity.best_fit_among(cached_machines, pools, need, passes),
-            false => self.capacity.least_loaded_among(cached_machines, pools, need, passes),
+            true => self.scheduler.capacity.best_fit_among(cached_machines, pools, need, passes),
+            false => {
+                self.scheduler.capacity.least_loaded_among(cached_machines, pools, need, passes)
+            }
         }
     }
 
@@ -290,7 +292,7 @@
             return free;
         };
         // Packing, room counts instead of tasks, in tasks of this job.
-        let count = |at: usize| match self.capacity.get(at) {
+        let count = |at: usize| match self.scheduler.capacity.get(at) {
             Some(machine_capacity) if placement.pack => {
                 fits(&machine_capacity.free, &placement.need)
             }
@@ -320,10 +322,11 @@
             guaranteed: entitled.then(|| spec.team.clone()),
             for_image,
         };
-        let claimed = entitled && self.claimable_cpus.get(&spec.team).is_none_or(|c| *c <= 0.0);
+        let claimed =
+            entitled && self.scheduler.claimable_cpus.get(&spec.team).is_none_or(|c| *c <= 0.0);
         let hopeless = pass.searches == 0
             || claimed
-            || (!entitled && self.capacity.below(placement.rank) == 0)
+            || (!entitled && self.scheduler.capacity.below(placement.rank) == 0)
             || pass.search_failed(&search, spec);
         if hopeless {
             return None;
@@ -346,7 +349,7 @@
             return;
         }
         let mut stopped = Vec::new();
-        self.capacity.change(choice.at, |machine_capacity| {
+        self.scheduler.capacity.change(choice.at, |machine_capacity| {
             for i in &choice.victims {
                 let victim = &mut machine_capacity.tasks[*i];
                 victim.stopping = true;
@@ -358,12 +361,12 @@
         });
         let team = &placement.spec.team;
         if choice.claims
-            && let Some(claim) = self.claimable_cpus.get_mut(team)
+            && let Some(claim) = self.scheduler.claimable_cpus.get_mut(team)
         {
             *claim -= placement.spec.cpus;
         }
         for (machine, victim) in stopped {
-            if let Some(left) = self.preemptible_cpus.get_mut(&victim.team) {
+            if let Some(left) = self.scheduler.preemptible_cpus.get_mut(&victim.team) {
                 *left -= victim.amount[0];
             }
             let usage = pass.usage.entry(victim.team.clone()).or_default();
@@ -383,14 +386,15 @@
         placement: &mut JobPlacement,
         pass: &mut Pass,
     ) -> Option<()> {
-        let (now, wall) = (self.now, self.wall());
-        let machine_capacity = self.capacity.get(at)?;
+        let (now, wall) = (self.context.now, self.context.wall());
+        let machine_capacity = self.scheduler.capacity.get(at)?;
         let (machine, incarnation) =
             (Rc::clone(&machine_capacity.machine), machine_capacity.incarnation);
-        let zone = self.capacity.pool_of(at).map(|k| Rc::clone(&k.zone)).unwrap_or_default();
+        let zone =
+            self.scheduler.capacity.pool_of(at).map(|k| Rc::clone(&k.zone)).unwrap_or_default();
         let spec = &placement.spec;
-        let hit = self.images.holds(now, &spec.image, &machine, incarnation);
-        let job = self.jobs.get_mut(&placement.id)?;
+        let hit = self.scheduler.images.holds(now, &spec.image, &machine, incarnation);
+        let job = self.jobs.by_id.get_mut(&placement.id)?;
         let attempt = job.put(wall, index, &machine, incarnation, &zone)?;
         let reserved_tasks = ReservedTask {
             rank: job.rank(),
@@ -405,11 +409,13 @@
             expected_s: placement.expected_s,
         };
         log::debug!("task {}/{index} attempt {attempt} goes to {machine}", placement.id);
-        self.capacity.change(at, |machine_capacity| machine_capacity.reserve(reserved_tasks));
-        self.unobserved += 1;
+        self.scheduler
+            .capacity
+            .change(at, |machine_capacity| machine_capacity.reserve(reserved_tasks));
+        self.scheduler.unobserved += 1;
         self.counts.placed += 1;
         self.counts.image_hits += u64::from(hit);
-        self.images.note(now, &spec.image, &machine, incarnation);
+        self.scheduler.images.note(now, &spec.image, &machine, incarnation);
         pass.left -= 1;
         let team = pass.usage.entry(spec.team.clone()).or_default();
         for ((team, used), need) in team.iter_mut().zip(&mut placement.used).zip(placement.need) {
@@ -423,7 +429,7 @@
             cached_machines.push(at);
         }
         self.changes.desired.insert((placement.shard, Rc::clone(&machine)));
-        let tasks = self.by_machine.entry((placement.shard, machine)).or_default();
+        let tasks = self.jobs.tasks_by_machine.entry((placement.shard, machine)).or_default();
         tasks.insert((placement.id.clone(), index));
         self.changes.jobs.insert(placement.id.clone());
         Some(())
@@ -431,12 +437,13 @@
 
     /// Machines of some pools that hold an image in their present session.
     fn find_cached_machines(&self, image: &str, pools: &[usize]) -> Vec<usize> {
-        self.images
-            .machines_with(self.now, image)
+        self.scheduler
+            .images
+            .machines_with(self.context.now, image)
             .filter_map(|(machine, incarnation)| {
-                let id = self.capacity.id(machine)?;
-                let present = self.capacity.get(id)?.incarnation == incarnation;
-                (present && self.capacity.among(id, pools)).then_some(id)
+                let id = self.scheduler.capacity.id(machine)?;
+                let present = self.scheduler.capacity.get(id)?.incarnation == incarnation;
+                (present && self.scheduler.capacity.among(id, pools)).then_some(id)
             })
             .collect()
     }
@@ -446,7 +453,8 @@
     /// forgotten by a worker that takes another attempt in its place; and then
     /// the late command would start the task a second time.
     fn lists(&self, machine: &str, job: &str, index: u32) -> bool {
-        self.views
+        self.machines
+            .views
             .get(machine)
             .is_some_and(|v| v.tasks.iter().any(|t| t.index == index && t.job == job))
     }
