--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -73,9 +73,9 @@
 /// What a call about grants is for.
 #[derive(Debug, Clone)]
 pub(crate) enum QuotaCall {
-    QuotaList,
-    QuotaRead { team: String },
-    QuotaWrite { team: String, value: Value },
+    List,
+    Read { team: String },
+    Write { team: String, value: Value },
 }
 
 /// What a call about machine types and the fleet is for.
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -72,7 +72,7 @@
         if !self.quota.is_read {
             self.quota.is_read = true;
             let call = KvRequest::List { prefix: "quota/".into(), after: None };
-            return self.context.call_store(QuotaCall::QuotaList, call);
+            return self.context.call_store(QuotaCall::List, call);
         }
         let own = self.quota_demand();
         self.quota.own_demand.clone_from(&own);
@@ -136,7 +136,7 @@
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
-        let op = QuotaCall::QuotaWrite { team: team.to_string(), value };
+        let op = QuotaCall::Write { team: team.to_string(), value };
         self.context.call_store(op, KvRequest::Txn(txn));
     }
 
@@ -209,34 +209,34 @@
 
     pub(crate) fn quota_reply(&mut self, op: QuotaCall, reply: KvResponse) {
         match (op, reply) {
-            (QuotaCall::QuotaList, KvResponse::Page { items, .. }) => {
+            (QuotaCall::List, KvResponse::Page { items, .. }) => {
                 for item in items {
                     if let Some(team) = item.key.strip_prefix("quota/") {
                         self.observe_quota(team, &item.value, item.revision);
                     }
                 }
             }
-            (QuotaCall::QuotaList, _) => self.quota.is_read = false,
-            (QuotaCall::QuotaWrite { team, value }, KvResponse::Applied(revision)) => {
+            (QuotaCall::List, _) => self.quota.is_read = false,
+            (QuotaCall::Write { team, value }, KvResponse::Applied(revision)) => {
                 self.observe_quota(&team, &value, revision);
                 if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.busy = false;
                 }
             }
-            (QuotaCall::QuotaWrite { team, .. }, KvResponse::NotExecuted) => {
+            (QuotaCall::Write { team, .. }, KvResponse::NotExecuted) => {
                 if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.refused();
                 }
             }
             // Perhaps applied: until what is stored is read, the lower grant
             // holds, and a late one fails once the key has changed again.
-            (QuotaCall::QuotaWrite { team, .. }, reply) => {
+            (QuotaCall::Write { team, .. }, reply) => {
                 if let Some(q) = self.quota.teams.get_mut(&team) {
                     q.unsure |= !matches!(reply, KvResponse::Conflict(_));
                 }
                 self.read_quota(&team);
             }
-            (QuotaCall::QuotaRead { team }, KvResponse::Value(item)) => {
+            (QuotaCall::Read { team }, KvResponse::Value(item)) => {
                 if let Some(item) = item {
                     self.observe_quota(&team, &item.value, item.revision);
                 }
@@ -244,12 +244,12 @@
                     q.busy = false;
                 }
             }
-            (QuotaCall::QuotaRead { team }, _) => self.read_quota(&team),
+            (QuotaCall::Read { team }, _) => self.read_quota(&team),
         }
     }
 
     fn read_quota(&mut self, team: &str) {
-        let op = QuotaCall::QuotaRead { team: team.to_string() };
+        let op = QuotaCall::Read { team: team.to_string() };
         self.context.call_store(op, KvRequest::Get(team_quota::key(team)));
     }
 }
