--- a/src/controller/jobs/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -311,7 +311,7 @@
                 return self.respond_retry_later(
                     ticket,
                     503,
-                    "the jobs that it dependencies are being read",
+                    "the jobs that it needs are being read",
                 );
             }
             // Perhaps accepted by now: one that still is not there decides.
@@ -360,7 +360,7 @@
             return self.respond_retry_later(
                 g.ticket,
                 503,
-                "the jobs that it dependencies are being read",
+                "the jobs that it needs are being read",
             );
         }
         self.store_dependencies(g.ticket, g.spec, g.size, 0);
@@ -514,7 +514,7 @@
                 DependencyOutcome::Unknown(Vec::new())
             } {
                 DependencyOutcome::Satisfied => {
-                    info!("job {id} may start: all that it dependencies is done");
+                    info!("job {id} may start: all its dependencies are done");
                     self.counts.released += 1;
                     self.jobs.dependency_graph.waiting.remove(&id);
                     if let Some(job) = self.jobs.by_id.get_mut(&id) {
@@ -577,7 +577,7 @@
         self.jobs.dependency_graph.cancelling.remove(id);
         match reply {
             KvResponse::Applied(revision) => {
-                info!("job {id} cancelled with one that it dependencies");
+                info!("job {id} cancelled with a dependency");
                 self.counts.cancelled_with_dependency += 1;
                 let known = CachedStage {
                     stage: StoredStage::Cancelled,
--- a/src/runtime/connection.rs
+++ b/src/runtime/connection.rs
@@ -50,7 +50,7 @@
 /// An open socket and what waits to be read from it or written to it.
 pub(super) struct Connection {
     pub(super) stream: Rc<TcpStream>,
-    pub(super) fencing_token: RegistrationToken,
+    pub(super) registration: RegistrationToken,
     pub(super) role: Role,
     pub(super) connected: bool,
     pub(super) inbound: Vec<u8>,
@@ -97,7 +97,7 @@
         self.next_connection += 1;
         let stream = Rc::new(stream);
         let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
-        let fencing_token = self
+        let registration = self
             .handle
             .insert_source(source, move |ready, _, runtime: &mut Runtime| {
                 runtime.socket_ready(id, ready.readable, ready.writable);
@@ -111,7 +111,7 @@
         }
         let connection = Connection {
             stream,
-            fencing_token,
+            registration,
             role,
             connected,
             inbound: Vec::new(),
@@ -299,7 +299,7 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        self.handle.remove(connection.fencing_token);
+        self.handle.remove(connection.registration);
         match connection.role {
             Role::Sender { .. } => self.senders -= 1,
             Role::PeerIn { .. } => {}
--- a/src/runtime/status.rs
+++ b/src/runtime/status.rs
@@ -87,6 +87,7 @@
 #[derive(Serialize)]
 struct LatencyPage {
     answers: LatencySummary,
+    #[serde(rename = "reports")]
     heartbeats: LatencySummary,
     state_calls: LatencySummary,
 }
--- a/tests/simulation/settings.rs
+++ b/tests/simulation/settings.rs
@@ -55,7 +55,7 @@
 [[settings.teams]]
 name = "blue"
 [settings.workers]
-heartbeat_interval_s = 2.0
+report_s = 2.0
 lease_s = {LEASE_S}
 cancel_s = {CANCEL_S}
 [settings.state]
--- a/tests/solo/mod.rs
+++ b/tests/solo/mod.rs
@@ -152,7 +152,7 @@
 [[settings.teams]]
 name = "blue"
 [settings.workers]
-heartbeat_interval_s = 2.0
+report_s = 2.0
 lease_s = 12.0
 cancel_s = 30.0
 [settings.state]
--- a/tests/tables/http.rs
+++ b/tests/tables/http.rs
@@ -90,7 +90,7 @@
         (watches, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
         (
             KvRequest::Txn(txn),
-            with_body("POST /txn", r#"{"if":[{"k":"a","revision":4}],"writes":[{"drop":"b"}]}"#),
+            with_body("POST /txn", r#"{"if":[{"k":"a","mark":4}],"writes":[{"drop":"b"}]}"#),
         ),
         (KvRequest::GrantLease(second), with_body("POST /leases", r#"{"ttlMs":1000}"#)),
         (KvRequest::RenewLease(9), with_body("POST /leases/9/extend", "{}")),
--- a/tests/tables/settings.rs
+++ b/tests/tables/settings.rs
@@ -18,7 +18,7 @@
 [[settings.teams]]
 name = "red"
 [settings.workers]
-heartbeat_interval_s = 2.0
+report_s = 2.0
 lease_s = 12.0
 cancel_s = 30.0
 [settings.state]
--- a/tests/tables/state.rs
+++ b/tests/tables/state.rs
@@ -32,7 +32,7 @@
     for (call, status, body, want) in table {
         assert_eq!(call.decode(status, body.as_bytes()), want, "{call:?} {status} {body}");
     }
-    let changes = br#"{"ledger":433,"events":[{"set":"j/9","value":{},"revision":433},{"drop":"j/1","revision":432}]}"#;
+    let changes = br#"{"ledger":433,"events":[{"set":"j/9","value":{},"mark":433},{"drop":"j/1","mark":432}]}"#;
     match watches.decode(200, changes) {
         KvResponse::WatchEvents(433, list) => {
             assert_eq!(
