--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -7,9 +7,10 @@
 //! so, once whatever it may have read before is too old for it to be told.
 
 use crate::controller::api::status_queries::FRESH;
+use crate::controller::decision_log;
 use crate::controller::jobs::dependencies::DependencyOutcome;
 use crate::controller::jobs::job::StoredStage;
-use crate::controller::{CachedStage, Controller, Ticket};
+use crate::controller::{CachedStage, Controller, Ticket, Watch};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
@@ -100,6 +101,16 @@
         self.context.respond(ticket, status, None, &answer);
     }
 
+    /// A user is told that a job is done or cancelled.
+    fn note_final_answer(&mut self, job: &str, known: CachedStage) {
+        if known.stage == StoredStage::Accepted {
+            return;
+        }
+        self.counts.decisions.final_answers += 1;
+        let followed = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        decision_log::final_answer(job, known.stage, known.revision, followed);
+    }
+
     /// Answers those who wait for terminal states that every peer knows of by now.
     pub(crate) fn answer_acknowledged(&mut self) {
         if self.api.terminal_states.unacknowledged.is_empty() {
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -6,6 +6,7 @@
     self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine,
 };
 use crate::controller::calls::AutoscalerCall;
+use crate::controller::decision_log;
 use crate::controller::leadership::shard;
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
@@ -150,7 +151,9 @@
         self.autoscaler.fleet.count += 1;
         // The term is this ownership's alone, so the name is, too.
         let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.autoscaler.fleet.count);
-        self.log_scale_out(&request, term);
+        self.counts.decisions.scale_out_requests += 1;
+        let lease_left = self.leadership.controller_lease.valid_until.since(now);
+        decision_log::scale_out(&request, AUTOSCALER_SHARD, term, lease_left);
         info!("renting {count} {machine_type} in {zone}, spot {spot}");
         self.autoscaler.fleet.request =
             Some(ScaleOutRequest { request, machine_type, zone, spot, count });
@@ -216,7 +219,12 @@
         give.truncate(20);
         if !give.is_empty() {
             self.autoscaler.fleet.returning.extend(give.iter().cloned());
-            self.log_scale_in(&give);
+            self.counts.decisions.machines_scaled_in += give.len() as u64;
+            let term = self.leading_term(AUTOSCALER_SHARD);
+            for name in &give {
+                let tasks = self.machines.views.get(name).map_or(0, |view| view.tasks.len());
+                decision_log::scale_in(name, AUTOSCALER_SHARD, term, tasks);
+            }
             self.context.call_cloud(
                 AutoscalerCall::ScaleIn { names: give.clone() },
                 CloudCall::ScaleIn(give),
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -3,7 +3,7 @@
 use crate::controller::api::admission::Submission;
 use crate::controller::api::status_queries::QueriedJobs;
 use crate::controller::event::Ticket;
-use crate::controller::machines::machine::Key;
+use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
 use crate::wire::JobSpec;
 use serde_json::Value;
@@ -62,11 +62,14 @@
     ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, (u64, u64)> },
 }
 
-/// What a call about machines: direct commands, and reads of jobs that run there is for.
+/// What a call about the machines of own shards is for.
 #[derive(Debug, Clone)]
 pub(crate) enum MachinesCall {
-    ReadUnknown { job: String },
-    Direct { machine: String, starts: Vec<Key>, term: u64 },
+    /// Reads the record of a job that runs on a machine and of which nothing is known.
+    ReadUnknownJob { job: String },
+    /// Direct commands, with the starts among them, under a term of the machine's shard.
+    Direct { machine: String, starts: Vec<AttemptId>, term: u64 },
+    /// Checks whether a worker can be reached at all.
     Inspect,
 }
 
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -1,18 +1,14 @@
-//! Log lines and counters of the decisions on which the rules rest.
+//! Log lines and counters of the decisions on which the safety rules rest.
 //!
 //! All lines have one target and `key=value` fields with the same names everywhere, so
-//! that a log can be searched by `job`, `machine`, `shard`, `term` or `revision`.
+//! that a log can be searched by `job`, `machine`, `shard`, `term` or `revision`. Takes plain
+//! values only: whoever decides hands over the evidence.
 
-use crate::controller::Controller;
-use crate::controller::Watch;
-use crate::controller::autoscaler::planning::AUTOSCALER_SHARD;
 use crate::controller::jobs::job::StoredStage;
-use crate::controller::jobs::stage_cache::CachedStage;
-use crate::controller::leadership::shard::ShardLeadership;
-use crate::controller::machines::machine::{ManagedMachine, Revocation};
-use crate::controller::machines::start_gate::{CommandAuthority, StartViolation};
+use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
 use serde::Serialize;
+use std::fmt::Debug;
 
 /// Target of the log lines about decisions.
 pub const TARGET: &str = "millethold::decision";
@@ -22,24 +18,24 @@
 pub(crate) struct DecisionCounts {
     /// Starts sent straight to workers.
     pub(crate) direct_starts: u64,
-    /// Starts in answers to reports.
+    /// Starts in responses to heartbeats.
     pub(crate) answered_starts: u64,
     /// Stops, either way.
     pub(crate) stops: u64,
-    /// Exited tasks removed from reports.
+    /// Commands to forget a task that has ended.
     pub(crate) forgets: u64,
-    /// Direct commands with starts that got no answer.
+    /// Starts in direct commands whose outcome is unknown.
     pub(crate) unanswered_starts: u64,
-    /// Workers shown a higher token, so that starts on their way are not executed.
+    /// Workers shown a higher fencing token, so that starts in flight are not executed.
     #[serde(rename = "raised_tokens")]
     pub(crate) raised_fencing_tokens: u64,
-    /// Tasks that were on these workers: ending their sessions instead would have
+    /// Tasks that were on these workers: ending their incarnations instead would have
     /// lost them.
     pub(crate) tasks_beside_raises: u64,
-    /// Machines that were asked for, by request.
+    /// Requests to the cloud to scale out.
     #[serde(rename = "rent_requests")]
     pub(crate) scale_out_requests: u64,
-    /// Machines that were returned.
+    /// Machines that the cloud was to remove.
     #[serde(rename = "returned_machines")]
     pub(crate) machines_scaled_in: u64,
     /// Users told that their job is cancelled or done.
@@ -49,123 +45,147 @@
     pub(crate) violations: u64,
 }
 
-/// Something that this program must never do, found before it was done.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Violation {
-    /// Of a start.
-    Start(StartViolation),
-    /// An answer would renew a lease while a start of a job that is over may arrive.
-    OpenStartOfEndedJob,
+/// What every line about commands to a machine says of the right to command it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct CommandEvidence<'a> {
+    /// Name of the machine.
+    pub(crate) machine: &'a str,
+    /// Incarnation of its worker.
+    pub(crate) incarnation: u64,
+    /// Its shard.
+    pub(crate) shard: usize,
+    /// Term of the shard.
+    pub(crate) term: u64,
+    /// Fencing token of the commands.
+    pub(crate) fencing_token: u64,
 }
 
-/// A shard's lease was taken.
-pub(crate) fn shard_acquired(shard: usize, leadership: &ShardLeadership, lease_until: Micros) {
+/// A lease on a shard, at the beginning or the end of this process's leadership.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct LeadershipEvidence {
+    /// The shard.
+    pub(crate) shard: usize,
+    /// Term of the leadership.
+    pub(crate) term: u64,
+    /// Revision of the shard's lease in the key-value store.
+    pub(crate) revision: u64,
+    /// When it begins or ends, by this process's clock.
+    pub(crate) at: Micros,
+}
+
+/// This process has acquired the lease of a shard; its own lease is valid until
+/// `lease_until`.
+pub(crate) fn leadership_acquired(evidence: LeadershipEvidence, lease_until: Micros) {
     log::info!(
         target: TARGET,
-        shard = shard, term = leadership.term, revision = leadership.revision,
-        at_us = leadership.acquired_at.0, lease_until_us = lease_until.0;
-        "shard_taken"
+        shard = evidence.shard, term = evidence.term, revision = evidence.revision,
+        at_us = evidence.at.0, lease_until_us = lease_until.0;
+        "leadership_acquired"
     );
 }
 
-/// A shard is not acted for any more.
-pub(crate) fn leadership_lost(shard: usize, leadership: &ShardLeadership, now: Micros, why: &str) {
+/// This process does not act for a shard any more.
+pub(crate) fn leadership_lost(evidence: LeadershipEvidence, reason: &str) {
     log::info!(
         target: TARGET,
-        shard = shard, term = leadership.term, revision = leadership.revision, at_us = now.0, reason = why;
-        "shard_lost"
+        shard = evidence.shard, term = evidence.term, revision = evidence.revision,
+        at_us = evidence.at.0, reason = reason;
+        "leadership_lost"
     );
 }
 
-/// A job was found to be over; revision 0 if a peer told of it.
-pub(crate) fn job_over(job: &str, known: CachedStage) {
+/// A job was found to be over; revision 0 if a peer said so.
+pub(crate) fn job_over(job: &str, stage: StoredStage, revision: u64) {
     log::debug!(
         target: TARGET,
-        job = job, job_stage:? = known.stage, revision = known.revision;
+        job = job, job_stage:? = stage, revision = revision;
         "job_over"
     );
 }
 
-impl Controller {
-    /// A user is told that a job is done or cancelled.
-    pub(crate) fn note_final_answer(&mut self, job: &str, known: CachedStage) {
-        if known.stage == StoredStage::Accepted {
-            return;
-        }
-        self.counts.decisions.final_answers += 1;
-        let followed = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
-        log::debug!(
-            target: TARGET,
-            job = job, job_stage:? = known.stage, revision = known.revision,
-            followed_revision = followed;
-            "final_answer"
-        );
-    }
+/// A user is told that a job is done or cancelled. `followed_revision` is the revision up to
+/// which changes of jobs have been followed here.
+pub(crate) fn final_answer(job: &str, stage: StoredStage, revision: u64, followed_revision: u64) {
+    log::debug!(
+        target: TARGET,
+        job = job, job_stage:? = stage, revision = revision,
+        followed_revision = followed_revision;
+        "final_answer"
+    );
+}
+
+/// The cloud is asked for machines.
+pub(crate) fn scale_out(request: &str, shard: usize, term: u64, lease_left: Micros) {
+    log::debug!(
+        target: TARGET,
+        request = request, shard = shard, term = term, lease_left_ms = lease_left.as_millis();
+        "scale_out"
+    );
+}
+
+/// The cloud is to remove a machine, on which so many tasks are known.
+pub(crate) fn scale_in(machine: &str, shard: usize, term: Option<u64>, tasks: usize) {
+    log::debug!(
+        target: TARGET,
+        machine = machine, shard = shard, term:? = term, tasks = tasks;
+        "scale_in"
+    );
+}
 
-    /// Machines are asked for.
-    pub(crate) fn log_scale_out(&mut self, request: &str, term: u64) {
-        self.counts.decisions.scale_out_requests += 1;
-        log::debug!(
-            target: TARGET,
-            request = request, shard = AUTOSCALER_SHARD, term = term,
-            lease_left_ms = self.leadership.controller_lease.valid_until.since(self.context.now).as_millis();
-            "rent"
-        );
-    }
+/// A task is commanded to stop.
+pub(crate) fn stop(evidence: CommandEvidence<'_>, attempt: &AttemptId, reason: impl Debug) {
+    log::debug!(
+        target: TARGET,
+        job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
+        machine = evidence.machine, incarnation = evidence.incarnation,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
+        reason:? = reason;
+        "stop"
+    );
+}
 
-    /// Machines are returned.
-    pub(crate) fn log_scale_in(&mut self, names: &[String]) {
-        self.counts.decisions.machines_scaled_in += names.len() as u64;
-        let term = self.leading_term(AUTOSCALER_SHARD);
-        for name in names {
-            let machine = name.as_str();
-            let tasks = self.machines.views.get(name).map_or(0, |view| view.tasks.len());
-            log::debug!(
-                target: TARGET,
-                machine = machine, shard = AUTOSCALER_SHARD, term:? = term, tasks = tasks;
-                "return"
-            );
-        }
-    }
+/// A worker is commanded to forget a task that has ended.
+pub(crate) fn forget(evidence: CommandEvidence<'_>, attempt: &AttemptId) {
+    log::debug!(
+        target: TARGET,
+        job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
+        machine = evidence.machine, incarnation = evidence.incarnation,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token;
+        "forget"
+    );
+}
 
-    /// A decision would break a rule: it is told with its evidence, and tests fail.
-    pub(crate) fn record_violation(
-        &mut self,
-        machine: &str,
-        authority: CommandAuthority,
-        what: Violation,
-    ) {
-        self.counts.decisions.violations += 1;
-        log::error!(
-            target: TARGET,
-            machine = machine, incarnation = authority.incarnation,
-            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
-            now_us = authority.now.0, lease_until_us = authority.lease_until.0,
-            cancellations_known = authority.cancellations_known,
-            violation:? = what;
-            "violation"
-        );
-        debug_assert!(false, "{machine}: {what:?} under {authority:?}");
-    }
+/// A worker is shown a higher fencing token from now on, so that a start which may still
+/// arrive is not executed; so many tasks are on the machine.
+pub(crate) fn raise_fencing_token(
+    evidence: CommandEvidence<'_>,
+    revoked: &AttemptId,
+    revoked_fencing_token: u64,
+    tasks_beside: usize,
+    reason: impl Debug,
+) {
+    log::info!(
+        target: TARGET,
+        job = revoked.job.as_str(), task = revoked.index, attempt = revoked.attempt,
+        machine = evidence.machine, incarnation = evidence.incarnation,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
+        revoked_fencing_token = revoked_fencing_token, tasks_beside = tasks_beside,
+        reason:? = reason;
+        "raise_fencing_token"
+    );
+}
 
-    /// A worker is shown a higher token from now on.
-    pub(crate) fn note_raised_fencing_token(
-        &mut self,
-        machine: &str,
-        authority: CommandAuthority,
-        r: &Revocation,
-    ) {
-        self.counts.decisions.raised_fencing_tokens += 1;
-        let beside = self.machines.managed.get(machine).map_or(0, ManagedMachine::present_count);
-        self.counts.decisions.tasks_beside_raises += beside as u64;
-        log::info!(
-            target: TARGET,
-            job = r.start.job.as_str(), task = r.start.index, attempt = r.start.attempt,
-            machine = machine, incarnation = authority.incarnation,
-            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
-            revoked_fencing_token = r.revoked_fencing_token, tasks_beside = beside,
-            reason:? = r.reason;
-            "raise_token"
-        );
-    }
+/// A decision would have broken a rule of this program. `authority` is all that it rested on.
+pub(crate) fn violation(
+    evidence: CommandEvidence<'_>,
+    authority: impl Debug,
+    violation: impl Debug,
+) {
+    log::error!(
+        target: TARGET,
+        machine = evidence.machine, incarnation = evidence.incarnation,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
+        authority:? = authority, violation:? = violation;
+        "violation"
+    );
 }
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -58,7 +58,7 @@
     /// are many by pages.
     pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
         if unknown.len() <= MAX_SINGLE_READS {
-            return self.note_unknown(unknown);
+            return self.machines.cancellations.add_unknown(unknown);
         }
         self.jobs.record_pages.want(unknown);
     }
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -31,7 +31,7 @@
             None => self.jobs.cached_order.push_back(job.to_string()),
         }
         if known.stage != StoredStage::Accepted {
-            decision_log::job_over(job, known);
+            decision_log::job_over(job, known.stage, known.revision);
             self.api.terminal_states.add(self.context.now, job, known.revision);
             self.jobs.dependency_graph.over(job);
         }
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -11,7 +11,6 @@
 use crate::wire::KeyValue;
 use log::{info, warn};
 use rand::RngExt;
-use std::collections::BTreeSet;
 
 /// How long a watch waits for changes.
 const BLOCK: Micros = Micros::secs(20);
@@ -171,7 +170,7 @@
         let Some(leadership) = self.leadership.shards[s].leadership.take() else {
             return;
         };
-        decision_log::leadership_lost(s, &leadership, self.context.now, why);
+        decision_log::leadership_lost(leadership.evidence(s, self.context.now), why);
         self.leadership.recoveries.remove(&s);
         // It is tried once more under the next term.
         self.jobs.unreadable.clear();
@@ -206,7 +205,10 @@
             recovered: false,
             handing_over: false,
         };
-        decision_log::shard_acquired(s, &leadership, self.leadership.controller_lease.valid_until);
+        decision_log::leadership_acquired(
+            leadership.evidence(s, leadership.acquired_at),
+            self.leadership.controller_lease.valid_until,
+        );
         let shard = &mut self.leadership.shards[s];
         shard.term = shard.term.max(term);
         shard.term_revision = shard.term_revision.max(revision);
@@ -220,39 +222,9 @@
         };
         shard.lease = Some((lease, revision));
         self.leadership.recoveries.insert(s, ShardRecovery { term, ..ShardRecovery::default() });
-        // Machines that some shard wants tasks on: each is unknown until it
-        // reports under the new term, or has been silent for a whole lease.
-        let machines: BTreeSet<String> = self
-            .machines
-            .desired
-            .iter()
-            .flat_map(|w| w.machines.iter())
-            .filter(|(_, m)| !m.tasks.is_empty())
-            .map(|(m, _)| m.clone())
-            .filter(|m| self.shard_of_machine(m) == s)
-            .collect();
-        for m in machines {
-            self.machines.managed.entry(m.clone()).or_default();
-            self.changes.machines.insert(m);
-        }
-        // Where they are is known from the views of the earlier holder, or
-        // from a peer that had received them.
-        for v in self.machines.views.values().filter(|v| !v.address.is_empty()) {
-            if let Ok(address) = v.address.parse() {
-                self.machines
-                    .address_hints
-                    .entry(v.machine.clone())
-                    .or_insert((v.incarnation, address));
-            }
-        }
-        let ours: Vec<String> = self
-            .machines
-            .address_hints
-            .keys()
-            .filter(|m| self.shard_of_machine(m) == s)
-            .cloned()
-            .collect();
-        self.machines.pending_probes.extend(ours);
+        let shards = self.leadership.shards.len();
+        let is_in_shard = |machine: &str| shard::shard_of_machine(machine, shards) == s;
+        self.changes.machines.extend(self.machines.manage_shard(is_in_shard));
     }
 
     pub(crate) fn leadership_reply(&mut self, op: LeadershipCall, reply: KvResponse) {
@@ -388,7 +360,7 @@
                     l.stale.append(&mut l.in_flight);
                 }
                 let busy = self.jobs.by_id.iter().filter(|(_, j)| j.busy);
-                self.note_unknown(busy.map(|(id, _)| id.clone()).collect());
+                self.machines.cancellations.add_unknown(busy.map(|(id, _)| id.clone()).collect());
                 let ids: Vec<String> = self.jobs.by_id.keys().cloned().collect();
                 for id in ids {
                     self.read_back(&id);
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -131,7 +131,7 @@
         }
         let mut known = vec![0_usize; self.leadership.shards.len()];
         let mut all = 0;
-        for (m, _) in self.machines.managed.iter().filter(|(_, p)| p.incarnation > p.over_through) {
+        for (m, _) in self.machines.managed.iter().filter(|(_, p)| p.has_live_incarnation()) {
             known[crate::controller::leadership::shard::shard_of_machine(
                 m,
                 self.leadership.shards.len(),
--- a/src/controller/leadership/shard.rs
+++ b/src/controller/leadership/shard.rs
@@ -5,6 +5,7 @@
 //! `hold/S` identifies a term, and everything a holder writes is conditional
 //! on that version: a late transaction of an earlier holder fails.
 
+use crate::controller::decision_log::LeadershipEvidence;
 use crate::time::Micros;
 use crate::wire::{Condition, KeyValue, Txn, Write};
 use serde::{Deserialize, Serialize};
@@ -76,6 +77,13 @@
     pub handing_over: bool,
 }
 
+impl ShardLeadership {
+    /// What the log lines say of its beginning or end at `at`.
+    pub(crate) fn evidence(&self, shard: usize, at: Micros) -> LeadershipEvidence {
+        LeadershipEvidence { shard, term: self.term, revision: self.revision, at }
+    }
+}
+
 /// A shard as this process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct Shard {
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -1,16 +1,17 @@
-//! Cancellations, as the holder of a machine's shard carries them out by itself.
+//! Cancellations, as the leader of a machine's shard carries them out by itself.
 //!
-//! A job's owner stops its tasks by what it wants on machines. Its word may not
-//! get through: the controllers are out of each other's reach, or the owner is
-//! gone and nobody can take its shard while the key-value store is away. Whoever
-//! answers a machine's reports keeps its tasks alive, so that one acts on what it
-//! knows itself, and answers only while it is sure to learn of cancellations.
+//! A job's owner stops its tasks by its desired state. That may not get through: the
+//! controllers cannot reach each other, or the owner is gone and nobody can acquire its shard
+//! while the key-value store is away. Whoever answers a machine's heartbeats keeps its tasks
+//! alive, so that one acts on what it knows itself, and answers only while it is sure to learn
+//! of cancellations.
 
 use crate::config::{Settings, Workers};
 use crate::controller::calls::MachinesCall;
-use crate::controller::jobs::job;
-use crate::controller::jobs::job::StoredStage;
-use crate::controller::machines::machine::{self, Key};
+use crate::controller::jobs::job::{self, StoredStage};
+use crate::controller::leadership::shard::DRIFT;
+use crate::controller::machines::attempt::AttemptId;
+use crate::controller::machines::{Machines, timeouts};
 use crate::controller::{CachedStage, Controller, Watch};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
@@ -18,59 +19,126 @@
 
 /// Left of the time that a cancellation has for what is not counted: the way of
 /// the last answer, and clocks that are read in steps.
-const MARGIN: Micros = Micros::secs(3);
-/// The shortest state lease that still rides out a slow renewal.
-const SHORTEST_LEASE: Micros = Micros::secs(2);
-/// Between reads of jobs of which this process knows nothing, and reads at once.
-const READ_EVERY: Micros = Micros::millis(100);
-const READS: usize = 2;
-/// Unknown jobs remembered at most; others are found again by their next report.
-const MOST_UNKNOWN: usize = 1_000;
+const CANCELLATION_MARGIN: Micros = Micros::secs(3);
+/// The shortest controller lease that still outlasts a slow renewal.
+const MIN_CONTROLLER_LEASE: Micros = Micros::secs(2);
+/// Between reads of jobs of which this process knows nothing.
+const UNKNOWN_READ_INTERVAL: Micros = Micros::millis(100);
+/// Such reads in flight at most.
+const MAX_UNKNOWN_READS: usize = 2;
+/// Unknown jobs remembered at most; others are found again by the next heartbeat.
+const MAX_UNKNOWN_JOBS: usize = 1_000;
 /// Cancellations repeated to peers in one frame, at most.
-const MOST_REPEATED: usize = 200;
+const MAX_REPEATED_PER_FRAME: usize = 200;
 
-/// How long after a confirmed cancellation a worker's report may still be answered
+/// How long after a confirmed cancellation a worker's heartbeat may still be answered
 /// by a controller that does not know of it: what a cancellation has, less the
 /// worker's own lease, which the last such answer begins anew.
 pub fn unanswered_limit(workers: &Workers) -> Micros {
-    let lease = Micros::from_secs_f64(workers.lease_s)
-        .stretched(crate::controller::leadership::shard::DRIFT);
-    Micros::from_secs_f64(workers.cancel_s).since(lease + MARGIN)
+    let lease = timeouts::worker_lease(workers).stretched(DRIFT);
+    Micros::from_secs_f64(workers.cancel_s).since(lease + CANCELLATION_MARGIN)
 }
 
-/// The state lease to use where `wished` is too long: a holder that the state
-/// service refuses goes on for as long, and cannot learn of cancellations. The
-/// second value is false where no usable lease is short enough.
-pub fn fitting_lease(wished: Micros, workers: &Workers) -> (Micros, bool) {
-    let most = unanswered_limit(workers);
-    (wished.min(most.max(SHORTEST_LEASE)), most >= SHORTEST_LEASE)
+/// A duration of the controller's lease, and whether it is safe.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FittedLease {
+    /// The duration to use.
+    pub duration: Micros,
+    /// False where no usable lease is short enough: cancelled tasks may outlast their limit.
+    pub is_short_enough: bool,
 }
 
-/// The lease to ask the key-value store for where `wished` may be too long; what was
+/// The controller's lease to use where `desired` is too long: a leader that the key-value
+/// store refuses goes on for as long, and cannot learn of cancellations.
+pub fn fitting_lease(desired: Micros, workers: &Workers) -> FittedLease {
+    let limit = unanswered_limit(workers);
+    FittedLease {
+        duration: desired.min(limit.max(MIN_CONTROLLER_LEASE)),
+        is_short_enough: limit >= MIN_CONTROLLER_LEASE,
+    }
+}
+
+/// The lease to request of the key-value store where `desired` may be too long; what was
 /// changed is logged.
-pub(crate) fn usable_lease(wished: Micros, settings: &Settings) -> Micros {
-    let (lease, fits) = fitting_lease(wished, &settings.workers);
-    if !fits {
+pub(crate) fn usable_lease(desired: Micros, settings: &Settings) -> Micros {
+    let FittedLease { duration, is_short_enough } = fitting_lease(desired, &settings.workers);
+    if !is_short_enough {
         log::warn!(
             "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
              when the key-value store is away"
         );
-    } else if lease < wished {
-        log::info!("the controller's lease is shortened to {} ms", lease.as_millis());
+    } else if duration < desired {
+        log::info!("the controller's lease is shortened to {} ms", duration.as_millis());
     }
-    lease
+    duration
+}
+
+/// A cancellation that some peer may not know of.
+#[derive(Debug, Clone, Copy)]
+struct RepeatedCancellation {
+    /// Revision of the key-value store that confirmed it.
+    revision: u64,
+    /// Until when it is repeated.
+    until: Micros,
 }
 
 /// What this process does about cancellations beside its own jobs.
 #[derive(Debug, Default)]
-pub(crate) struct Cancels {
+pub(crate) struct Cancellations {
     /// Jobs with tasks on own machines of which nothing is known from the store.
-    unknown: BTreeSet<String>,
-    reading: usize,
-    read_at: Micros,
-    /// Cancellations confirmed here that some peer does not know for certain, with
-    /// the revision of each and until when they are repeated.
-    repeated: BTreeMap<String, (u64, Micros)>,
+    unknown_jobs: BTreeSet<String>,
+    reads_in_flight: usize,
+    next_read_at: Micros,
+    /// Cancellations confirmed here that some peer does not know for certain, by job.
+    repeated: BTreeMap<String, RepeatedCancellation>,
+}
+
+impl Cancellations {
+    /// Machines have tasks of jobs of which nothing is known here: they may have been
+    /// cancelled before this process began to follow the store's changes.
+    pub(crate) fn add_unknown(&mut self, jobs: Vec<String>) {
+        for id in jobs {
+            if self.unknown_jobs.len() < MAX_UNKNOWN_JOBS {
+                self.unknown_jobs.insert(id);
+            }
+        }
+    }
+
+    /// The next unknown job to be read, if one may be read now. What is known by now, as
+    /// `is_known` says, is left out.
+    fn begin_read(&mut self, now: Micros, is_known: impl Fn(&String) -> bool) -> Option<String> {
+        if self.reads_in_flight >= MAX_UNKNOWN_READS || now < self.next_read_at {
+            return None;
+        }
+        while let Some(id) = self.unknown_jobs.pop_first() {
+            if !is_known(&id) {
+                self.reads_in_flight += 1;
+                self.next_read_at = now + UNKNOWN_READ_INTERVAL;
+                return Some(id);
+            }
+        }
+        None
+    }
+
+    fn read_ended(&mut self) {
+        self.reads_in_flight = self.reads_in_flight.saturating_sub(1);
+    }
+
+    /// Cancellations to be repeated to peers, the least advanced of which has followed the
+    /// store's changes up to a revision.
+    pub(crate) fn due_for_repetition(&mut self, now: Micros, followed_by_all: u64) -> Vec<String> {
+        self.repeated.retain(|_, c| c.revision > followed_by_all && now < c.until);
+        self.repeated.keys().take(MAX_REPEATED_PER_FRAME).cloned().collect()
+    }
+}
+
+impl Machines {
+    /// Managed machines that have tasks of a job, or may come to have them.
+    fn with_tasks_of(&self, job: &str) -> Vec<String> {
+        let first = AttemptId::lowest_of(job);
+        let machines = self.managed.iter().filter(|(_, managed)| managed.has_tasks_of(&first));
+        machines.map(|(name, _)| name.clone()).collect()
+    }
 }
 
 impl Controller {
@@ -78,89 +146,59 @@
     /// A watch that says nothing while renewals go through (it hangs, or this
     /// process lags behind) would otherwise keep cancelled tasks alive.
     pub(crate) fn cancellations_up_to_date(&self) -> bool {
-        let most = unanswered_limit(&self.context.settings.workers)
-            .max(self.context.options.controller_lease);
-        let most = most.min(Micros(2 * self.context.options.controller_lease.0));
-        let watched =
-            self.leadership.watches.get(&Watch::Jobs).map_or(Micros::ZERO, |f| f.caught_up_at());
-        self.context.now.since(watched) <= most
+        let lease = self.context.options.controller_lease;
+        let limit = unanswered_limit(&self.context.settings.workers).max(lease);
+        let limit = limit.min(Micros(2 * lease.0));
+        let jobs_watch = self.leadership.watches.get(&Watch::Jobs);
+        let caught_up_at = jobs_watch.map_or(Micros::ZERO, |watch| watch.caught_up_at());
+        self.context.now.since(caught_up_at) <= limit
     }
 
     /// A job was found to be cancelled: its tasks on own machines are stopped at
     /// once, whoever runs it.
     pub(crate) fn stop_on_machines(&mut self, id: &str) {
-        let first = Key { job: id.to_string(), index: 0, attempt: 0 };
-        let has = |keys: Option<&Key>| keys.is_some_and(|k| k.job == id);
-        let there = |p: &machine::ManagedMachine| {
-            has(p.tasks.range(&first..).next().map(|(k, _)| k))
-                || has(p.sent.range(&first..).next().map(|(k, _)| k))
-                || has(p.waiting.range(&first..).next())
-        };
-        let machines =
-            self.machines.managed.iter().filter(|(_, p)| there(p)).map(|(m, _)| m.clone());
-        let machines: Vec<String> = machines.collect();
-        self.changes.machines.extend(machines);
-    }
-
-    /// A machine has a task of a job of which nothing is known here: it may have
-    /// been cancelled before this process began to listen.
-    pub(crate) fn note_unknown(&mut self, jobs: Vec<String>) {
-        for id in jobs {
-            if self.machines.cancellations.unknown.len() < MOST_UNKNOWN {
-                self.machines.cancellations.unknown.insert(id);
-            }
-        }
+        self.changes.machines.extend(self.machines.with_tasks_of(id));
     }
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
     pub(crate) fn invalidate_unfinished(&mut self) {
-        self.jobs.cached_stages.retain(|_, k| k.stage != StoredStage::Accepted);
+        self.jobs.cached_stages.retain(|_, known| known.stage != StoredStage::Accepted);
     }
 
     /// Reads unknown jobs, a few at a time.
     pub(crate) fn read_unknown_jobs(&mut self) {
-        if !self.holds_lease()
-            || self.machines.cancellations.reading >= READS
-            || self.context.now < self.machines.cancellations.read_at
-        {
+        if !self.holds_lease() {
             return;
         }
-        while let Some(id) = self.machines.cancellations.unknown.pop_first() {
-            if self.jobs.cached_stages.contains_key(&id) {
-                continue;
-            }
-            self.machines.cancellations.reading += 1;
-            self.machines.cancellations.read_at = self.context.now + READ_EVERY;
+        let stages = &self.jobs.cached_stages;
+        let is_known = |id: &String| stages.contains_key(id);
+        if let Some(id) = self.machines.cancellations.begin_read(self.context.now, is_known) {
             let key = job::job_key(&id);
-            return self
-                .context
-                .call_store(MachinesCall::ReadUnknown { job: id }, KvRequest::Get(key));
+            self.context.call_store(MachinesCall::ReadUnknownJob { job: id }, KvRequest::Get(key));
         }
     }
 
+    /// Takes in the record of an unknown job.
     pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
-        self.machines.cancellations.reading = self.machines.cancellations.reading.saturating_sub(1);
+        self.machines.cancellations.read_ended();
         self.read_record(id, reply);
     }
 
-    /// A cancellation was confirmed here: peers are told now, and again until each
+    /// A cancellation was confirmed here: peers are notified now, and again until each
     /// is known to have received it.
     pub(crate) fn announce_cancelled(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
         let until =
             self.context.now + Micros::from_secs_f64(self.context.settings.workers.cancel_s);
-        self.machines.cancellations.repeated.insert(id.to_string(), (revision, until));
+        let cancellation = RepeatedCancellation { revision, until };
+        self.machines.cancellations.repeated.insert(id.to_string(), cancellation);
     }
 
-    /// Cancellations to be told once more.
+    /// Cancellations to be repeated to peers.
     pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
-        let now = self.context.now;
-        let watched = self.peers.by_member.values().map(|p| p.watched).min().unwrap_or(u64::MAX);
-        self.machines
-            .cancellations
-            .repeated
-            .retain(|_, (revision, until)| *revision > watched && now < *until);
-        self.machines.cancellations.repeated.keys().take(MOST_REPEATED).cloned().collect()
+        let watched = self.peers.by_member.values().map(|peer| peer.watched).min();
+        let followed_by_all = watched.unwrap_or(u64::MAX);
+        self.machines.cancellations.due_for_repetition(self.context.now, followed_by_all)
     }
 
     /// A peer says that it has confirmed a cancellation.
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,15 +1,16 @@
-//! Commands for the machines of own shards, sent in answers to reports or directly.
+//! Commands for the machines of own shards: who may command, what is commanded, and what must
+//! not be executed any more.
 
 use crate::controller::Controller;
-use crate::controller::decision_log::Violation;
+use crate::controller::decision_log::{self, DecisionCounts};
 use crate::controller::jobs::job::StoredStage;
-use crate::controller::machines::reconciler::{ReconcileOutcome, Reconciler};
-use crate::controller::machines::start_gate::{CommandAuthority, CommandRoute};
+use crate::controller::machines::reconciler::{ReconcileInputs, Reconciler};
+use crate::controller::machines::start_gate::{CommandAuthority, CommandRoute, CommandViolation};
 use crate::wire::Command;
 
 impl Controller {
     /// What this process may act on towards a machine at present; `None` if it does not
-    /// command it, or has no further token for it.
+    /// lead the machine's shard, or has no further fencing token for the machine.
     pub(crate) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
         let shard = self.shard_of_machine(machine);
         let term = self.leading_term(shard)?;
@@ -25,81 +26,94 @@
         })
     }
 
-    /// Works out the commands for a machine, and books what they start.
+    /// Works out the commands for a machine, and reserves the capacity for what they start.
     pub(crate) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
         };
-        let Some(kept) = self.machines.managed.get_mut(machine) else {
+        let Some(managed) = self.machines.managed.get_mut(machine) else {
             return Vec::new();
         };
-        let mut managed = std::mem::take(kept);
-        let work = Reconciler::collect(self, machine, &managed, authority);
-        let unknown = work.unknown_jobs(&managed);
-        let ReconcileOutcome { commands, violations } = work.reconcile(&mut managed, route);
-        if let Some(kept) = self.machines.managed.get_mut(machine) {
-            *kept = managed;
-        }
-        for violation in violations {
-            self.record_violation(machine, authority, Violation::Start(violation));
+        let inputs = ReconcileInputs {
+            desired: &self.machines.desired,
+            shards: &self.leadership.shards,
+            stages: &self.jobs.cached_stages,
+            machine_types: &self.autoscaler.machine_types,
+        };
+        let reconciler = Reconciler::collect(inputs, machine, managed, authority);
+        let unknown_jobs = reconciler.unknown_jobs(managed);
+        let outcome = reconciler.reconcile(managed, route);
+        let counts = &mut self.counts.decisions;
+        for violation in outcome.violations {
+            authority.record_violation(counts, machine, violation.into());
         }
-        self.note_unknown(unknown);
-        self.count_commands(&commands, route);
-        commands
+        count_commands(counts, &outcome.commands, route);
+        self.machines.cancellations.add_unknown(unknown_jobs);
+        outcome.commands
     }
 
     /// Looks for starts that may still arrive by direct commands and must not be executed.
-    /// The worker is shown a higher token, with which it refuses them, however long they
-    /// are on their way; if it does not hear of it, its lease ends and with it the session
-    /// that they are meant for.
+    /// The worker is shown a higher fencing token, with which it refuses them, however long
+    /// they are on their way; if it does not hear of it, its lease expires and with it the
+    /// incarnation that they are meant for.
     pub(crate) fn revoke_starts(&mut self, machine: &str) {
         let Some(authority) = self.command_authority(machine) else {
             return;
         };
-        let Some(managed) = self.machines.managed.get(machine) else {
+        let Some(managed) = self.machines.managed.get_mut(machine) else {
             return;
         };
-        if !managed.has_direct_starts() {
+        if !managed.starts.has_open_direct() {
             return;
         }
-        let work = Reconciler::collect(self, machine, managed, authority);
-        let Some(revocation) =
-            managed.to_be_revoked(authority.fencing_token, |key| work.refusal(key))
-        else {
+        let inputs = ReconcileInputs {
+            desired: &self.machines.desired,
+            shards: &self.leadership.shards,
+            stages: &self.jobs.cached_stages,
+            machine_types: &self.autoscaler.machine_types,
+        };
+        let reconciler = Reconciler::collect(inputs, machine, managed, authority);
+        let reason = |attempt: &_| reconciler.revocation_reason(attempt);
+        let Some(revocation) = managed.starts.to_be_revoked(authority.fencing_token, reason) else {
             return;
         };
-        self.note_raised_fencing_token(machine, authority, &revocation);
-        if let Some(managed) = self.machines.managed.get_mut(machine) {
-            managed.raise_fencing_token();
-        }
+        let tasks_beside = managed.present_tasks().count();
+        self.counts.decisions.raised_fencing_tokens += 1;
+        self.counts.decisions.tasks_beside_raises += tasks_beside as u64;
+        decision_log::raise_fencing_token(
+            authority.evidence(machine),
+            &revocation.attempt,
+            revocation.revoked_fencing_token,
+            tasks_beside,
+            revocation.reason,
+        );
+        managed.raise_fencing_token();
     }
 
-    /// An answered report renews the machine's lease. A start of a job that is over must
-    /// not be able to arrive in it any more.
+    /// Records a violation if a start of a job that is over may still arrive at a machine
+    /// whose heartbeat is about to be answered: the answer renews the worker's lease.
     pub(crate) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
         let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
-        let over = |job: &str| {
-            self.jobs
-                .cached_stages
-                .get(job)
-                .is_some_and(|known| known.stage != StoredStage::Accepted)
-        };
-        if managed.direct_starts(authority.fencing_token).any(|start| over(&start.job)) {
-            self.record_violation(machine, authority, Violation::OpenStartOfEndedJob);
+        let stages = &self.jobs.cached_stages;
+        let is_over =
+            |job: &str| stages.get(job).is_some_and(|known| known.stage != StoredStage::Accepted);
+        let mut open = managed.starts.open_direct(authority.fencing_token);
+        if open.any(|(attempt, _)| is_over(&attempt.job)) {
+            let violation = CommandViolation::OpenStartOfEndedJob;
+            authority.record_violation(&mut self.counts.decisions, machine, violation);
         }
     }
+}
 
-    fn count_commands(&mut self, commands: &[Command], route: CommandRoute) {
-        let counts = &mut self.counts.decisions;
-        for command in commands {
-            match (command, route) {
-                (Command::Start { .. }, CommandRoute::Direct) => counts.direct_starts += 1,
-                (Command::Start { .. }, CommandRoute::Answer) => counts.answered_starts += 1,
-                (Command::Stop { .. }, _) => counts.stops += 1,
-                (Command::Forget { .. }, _) => counts.forgets += 1,
-            }
+fn count_commands(counts: &mut DecisionCounts, commands: &[Command], route: CommandRoute) {
+    for command in commands {
+        match (command, route) {
+            (Command::Start { .. }, CommandRoute::Direct) => counts.direct_starts += 1,
+            (Command::Start { .. }, CommandRoute::HeartbeatResponse) => counts.answered_starts += 1,
+            (Command::Stop { .. }, _) => counts.stops += 1,
+            (Command::Forget { .. }, _) => counts.forgets += 1,
         }
     }
 }
--- /dev/null
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -0,0 +1,212 @@
+//! What own shards desire on machines, worked out of their jobs and sent to the leaders of
+//! the machines' shards.
+
+use crate::controller::Controller;
+use crate::controller::jobs::Jobs;
+use crate::controller::jobs::job::{Job, Placement};
+use crate::controller::scheduler::estimate::Estimates;
+use crate::peer::{DesiredTask, DesiredUpdate, Frame, Phase, Shape};
+use crate::time::Micros;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// How often the desired state is repeated for tasks of which no machine has reported for as
+/// long.
+const UNOBSERVED_REPEAT_INTERVAL: Micros = Micros::secs(8);
+
+/// Seconds that a job's tasks are expected to run: what its completed ones
+/// took, or its owner's estimate, corrected.
+pub(crate) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
+    match job.usual_run() {
+        Some(run) => run.as_secs_f64(),
+        None => job.spec.estimate_s * estimates.correction(&job.spec.class),
+    }
+}
+
+/// The machines whose desired tasks one shard sends.
+#[derive(Default)]
+struct ChangedMachines {
+    /// They are all on which the shard desires anything.
+    complete: bool,
+    machines: Vec<Rc<str>>,
+}
+
+impl Controller {
+    /// Repeats what is desired of tasks that no machine has reported for long. Messages
+    /// between controllers need no answers, and one that was lost unnoticed would
+    /// leave its task, and what it uses of the team's limit, waiting for ever.
+    pub(crate) fn repeat_unobserved(&mut self) {
+        if !self.holds_lease() || self.context.now < self.timers.reminder {
+            return;
+        }
+        self.timers.reminder = self.context.now + UNOBSERVED_REPEAT_INTERVAL;
+        let wall = self.context.wall();
+        let is_unobserved = |placement: &Placement| {
+            placement.observed.is_none() && wall.since(placement.at) > UNOBSERVED_REPEAT_INTERVAL
+        };
+        for job in self.jobs.by_id.values() {
+            let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
+            let unobserved = placed.filter(|placement| is_unobserved(placement));
+            self.changes.desired.extend(unobserved.map(|p| (job.shard, p.machine.clone())));
+        }
+    }
+
+    /// Marks the desired state of every machine that has tasks of the job.
+    pub(crate) fn refresh_desired_state(&mut self, id: &str) {
+        let Some(shard) = self.jobs.by_id.get(id).map(|job| job.shard) else {
+            return;
+        };
+        let with_tasks_of_job = self
+            .jobs
+            .tasks_by_machine
+            .iter()
+            .filter(|((s, _), tasks)| *s == shard && tasks.iter().any(|(job, _)| job == id));
+        self.changes.desired.extend(with_tasks_of_job.map(|(key, _)| key.clone()));
+    }
+
+    /// Sends what has changed in the desired state of own shards, and takes it in here first.
+    pub(crate) fn send_desired_state(&mut self, frame: &mut Frame) {
+        for (shard, changed) in self.take_changed_machines() {
+            let (Some(term), true) = (self.leading_term(shard), self.has_recovered(shard)) else {
+                continue;
+            };
+            self.peers.desired_state_seq += 1;
+            let seq = self.peers.desired_state_seq;
+            let mut tasks_on = |machine: &Rc<str>| {
+                desired_on(&mut self.jobs, &self.scheduler.estimates, shard, machine, seq)
+            };
+            let machines =
+                changed.machines.iter().map(|m| (m.to_string(), 0, tasks_on(m))).collect();
+            let terms: Vec<u64> = self.leadership.shards.iter().map(|s| s.term).collect();
+            let known_terms = terms.clone();
+            let complete = changed.complete;
+            let update = DesiredUpdate { shard, term, seq, complete, machines, terms, known_terms };
+            frame.desired.push(update.to_message());
+            self.apply_desired_state(update);
+        }
+    }
+
+    /// The machines whose desired state is to be sent, by shard. A shard without any sends
+    /// which terms it knows.
+    fn take_changed_machines(&mut self) -> BTreeMap<usize, ChangedMachines> {
+        let mut changed: BTreeMap<usize, ChangedMachines> = BTreeMap::new();
+        for shard in std::mem::take(&mut self.changes.complete_desired) {
+            let all = self.jobs.tasks_by_machine.keys().filter(|(s, _)| *s == shard);
+            let machines = all.map(|(_, machine)| Rc::clone(machine)).collect();
+            changed.insert(shard, ChangedMachines { complete: true, machines });
+        }
+        for (shard, machine) in std::mem::take(&mut self.changes.desired) {
+            let changed = changed.entry(shard).or_default();
+            if !changed.complete {
+                changed.machines.push(machine);
+            }
+        }
+        if std::mem::take(&mut self.changes.announce_terms) {
+            for shard in 0..self.leadership.shards.len() {
+                changed.entry(shard).or_default();
+            }
+        }
+        changed
+    }
+
+    /// Whether this process knows a shard's jobs, be it that it is about to hand it over.
+    fn has_recovered(&self, shard: usize) -> bool {
+        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        leadership.is_some_and(|leadership| leadership.recovered)
+    }
+}
+
+/// What a shard desires on a machine, by what is stored. Stops that are new get the number
+/// of the message, `seq`.
+fn desired_on(
+    jobs: &mut Jobs,
+    estimates: &Estimates,
+    shard: usize,
+    machine: &Rc<str>,
+    seq: u64,
+) -> Vec<DesiredTask> {
+    let Some(tasks) = jobs.tasks_by_machine.get(&(shard, Rc::clone(machine))) else {
+        return Vec::new();
+    };
+    let mut list = Vec::new();
+    for (id, index) in tasks {
+        if let Some(job) = jobs.by_id.get_mut(id) {
+            let expected_s = expected_s(job, estimates);
+            job.push_desired(&mut list, *index, machine, expected_s, seq);
+        }
+    }
+    list
+}
+
+impl Job {
+    /// Adds what is desired of a task on a machine: its placement there, and attempts whose
+    /// end there is not stored yet.
+    fn push_desired(
+        &mut self,
+        list: &mut Vec<DesiredTask>,
+        index: u32,
+        machine: &Rc<str>,
+        expected_s: f64,
+        seq: u64,
+    ) {
+        let shape = self.shape(expected_s);
+        let Some(chunk) = self.chunk_of(index) else {
+            return;
+        };
+        let stored = chunk.stored;
+        let desired = |placement: &Placement, phase: Phase| DesiredTask {
+            shape: Rc::clone(&shape),
+            index,
+            attempt: placement.attempt,
+            incarnation: placement.incarnation,
+            stop_ms: placement.stop.map(Micros::as_millis),
+            placed_s: placement.at.0 / 1_000_000,
+            phase: phase as i32,
+        };
+        // Nothing is started before its placement is stored: a start that is not
+        // stored could run beside the next one. Its capacity is reserved from the
+        // decision on.
+        if let Some(placement) = chunk.placed.get_mut(&index)
+            && placement.machine == *machine
+        {
+            if placement.stop.is_some() {
+                placement.stop_seq.get_or_insert(seq);
+            }
+            let is_stored = placement.version <= stored;
+            let phase = if is_stored { Phase::DesiredHere } else { Phase::Ahead };
+            list.push(desired(placement, phase));
+        }
+        for ended in &chunk.unstored_ends {
+            let placement = &ended.placement;
+            if ended.index == index && placement.machine == *machine && placement.version <= stored
+            {
+                list.push(desired(placement, Phase::Over));
+            }
+        }
+    }
+
+    /// What its tasks have in common; the same as long as nothing of it changes.
+    fn shape(&mut self, expected_s: f64) -> Rc<Shape> {
+        let rank = self.rank();
+        match &self.shape {
+            Some(shape) if shape.rank == rank && shape.expected_s == expected_s => Rc::clone(shape),
+            _ => {
+                let spec = &self.spec;
+                let shape = Rc::new(Shape {
+                    job: spec.id.clone(),
+                    cpus: spec.cpus,
+                    gpus: spec.gpus,
+                    memory_gb: spec.memory_gb,
+                    image: spec.image.clone(),
+                    image_gb: spec.image_gb,
+                    rank,
+                    team: spec.team.clone(),
+                    checkpoint_s: spec.checkpoint_s,
+                    expected_s,
+                });
+                self.shape = Some(Rc::clone(&shape));
+                shape
+            }
+        }
+    }
+}
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,33 +1,40 @@
 //! The machines of the shards that this process leads: heartbeats, the desired and the
 //! observed state of their tasks, and the commands that close the difference.
 //!
-//! Owns what every shard wants on machines, what machines last reported, and where they
-//! are. It starts nothing that is not stored, and nothing without a fencing token.
+//! Owns what every shard desires on machines, what machines last reported, and where they
+//! are. It starts nothing whose placement is not stored, commands nothing without a fencing
+//! token, and answers no heartbeat while it may have missed cancellations. It does not decide
+//! where tasks go.
 
+pub mod attempt;
 pub mod cancellation;
 pub mod machine;
 pub mod start_gate;
 
 pub(crate) mod commands;
 pub(crate) mod desired_state;
-pub(crate) mod desired_tracking;
 pub(crate) mod direct_commands;
 pub(crate) mod heartbeats;
 pub(crate) mod probes;
-pub(crate) mod reconciler;
+pub(crate) mod quarantine;
 pub(crate) mod views;
 
+mod free_capacity;
+mod reconciler;
+mod timeouts;
+
 use crate::peer::MachineView;
-use cancellation::Cancels;
-use desired_tracking::DesiredState;
+use cancellation::Cancellations;
+use desired_state::received::DesiredState;
 use machine::ManagedMachine;
+use probes::LastKnownWorker;
+use quarantine::FailingJobs;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddrV4;
 
 /// Desired and observed state of the machines.
 #[derive(Debug)]
 pub(crate) struct Machines {
-    /// What each shard wants on machines, by shard.
+    /// What each shard desires on machines, by shard.
     pub(crate) desired: Vec<DesiredState>,
     /// All machines as their shards' leaders last described them.
     pub(crate) views: BTreeMap<String, MachineView>,
@@ -35,27 +42,45 @@
     pub(crate) managed: BTreeMap<String, ManagedMachine>,
     /// Machines that the cloud has no more.
     pub(crate) terminated: BTreeSet<String>,
-    /// Managed machines on which a job failed, a few of each job.
-    pub(crate) failed_on_machines: BTreeMap<String, BTreeSet<String>>,
-    /// Incarnation and address of machines that have not reported here.
-    pub(crate) address_hints: BTreeMap<String, (u64, SocketAddrV4)>,
+    /// Jobs that failed on managed machines.
+    failing_jobs: FailingJobs,
+    /// Where machines were that have sent no heartbeat here.
+    address_hints: BTreeMap<String, LastKnownWorker>,
     /// Managed machines to be probed.
-    pub(crate) pending_probes: BTreeSet<String>,
-    pub(crate) cancellations: Cancels,
+    pending_probes: BTreeSet<String>,
+    /// Unknown jobs on managed machines, and cancellations that peers may not know.
+    pub(crate) cancellations: Cancellations,
 }
 
 impl Machines {
-    /// Nothing is known of any machine, nor of what `shards` shards want.
+    /// Nothing is known of any machine, nor of what `shards` shards desire.
     pub(crate) fn new(shards: usize) -> Machines {
         Machines {
             desired: vec![DesiredState::default(); shards],
             views: BTreeMap::new(),
             managed: BTreeMap::new(),
             terminated: BTreeSet::new(),
-            failed_on_machines: BTreeMap::new(),
+            failing_jobs: FailingJobs::default(),
             address_hints: BTreeMap::new(),
             pending_probes: BTreeSet::new(),
-            cancellations: Cancels::default(),
+            cancellations: Cancellations::default(),
+        }
+    }
+
+    /// Manages the machines of a shard that this process has just acquired and on which some
+    /// shard desires tasks: each is unknown until it sends a heartbeat under the new term, or
+    /// has been silent for a whole lease. Returns their names.
+    pub(crate) fn manage_shard(&mut self, is_in_shard: impl Fn(&str) -> bool) -> BTreeSet<String> {
+        let desired = self.desired.iter().flat_map(|shard| shard.machines.iter());
+        let machines: BTreeSet<String> = desired
+            .filter(|(_, on_machine)| !on_machine.tasks.is_empty())
+            .map(|(machine, _)| machine.clone())
+            .filter(|machine| is_in_shard(machine))
+            .collect();
+        for machine in &machines {
+            self.managed.entry(machine.clone()).or_default();
         }
+        self.plan_probes(is_in_shard);
+        machines
     }
 }
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -1,198 +1,235 @@
-//! What is to be done on one machine: the difference between what all shards want there
-//! and what its newest report says.
+//! What is to be done on one machine: the difference between what all shards desire there
+//! and what its newest heartbeat says.
 
-use crate::controller::Controller;
 use crate::controller::decision_log;
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::jobs::stage_cache::CachedStage;
-use crate::controller::machines::desired_tracking::DesiredState;
-use crate::controller::machines::machine::{self, Key, ManagedMachine, Sent};
+use crate::controller::leadership::shard::Shard;
+use crate::controller::machines::attempt::AttemptId;
+use crate::controller::machines::desired_state::received::DesiredState;
+use crate::controller::machines::free_capacity::{Amounts, FreeCapacity};
+use crate::controller::machines::machine::ManagedMachine;
+use crate::controller::machines::machine::starts::StartInFlight;
 use crate::controller::machines::start_gate::{
-    CommandAuthority, CommandRoute, JobEvidence, StartPermit, StartRefusal, StartViolation,
+    CommandAuthority, CommandRoute, JobEvidence, RevocationReason, StartPermit, StartRefusal,
+    StartViolation,
 };
-use crate::controller::quota::team_quota::EPS;
 use crate::peer::{DesiredTask, ObservedState};
 use crate::time::Micros;
-use crate::wire::Command;
+use crate::wire::{Command, MachineType};
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// CPUs, GPUs and memory.
-type Amounts = [f64; 3];
+/// What reconciliation rests on beside the machine itself.
+#[derive(Clone, Copy)]
+pub(crate) struct ReconcileInputs<'a> {
+    /// What each shard desires on machines, by shard.
+    pub(crate) desired: &'a [DesiredState],
+    /// All shards, by number, with their terms.
+    pub(crate) shards: &'a [Shard],
+    /// What is known of jobs' stages, by job.
+    pub(crate) stages: &'a BTreeMap<String, CachedStage>,
+    /// Machine types by name.
+    pub(crate) machine_types: &'a BTreeMap<String, MachineType>,
+}
+
+impl ReconcileInputs<'_> {
+    /// Whether everything that the job's shard desires on machines of a shard has been
+    /// received: only then does a task's absence from the desired state mean that it is not
+    /// desired. What was received before the machine's shard changed its leader is no longer
+    /// all: the task's owner may have had more begun there through the earlier leader.
+    fn knows_all_desired(&self, job: &str, machine_shard: usize) -> bool {
+        let term = self.shards[machine_shard].term;
+        let is_complete = |shard: usize| {
+            self.desired[shard].is_complete_for(self.shards[shard].term, machine_shard, term)
+        };
+        match self.stages.get(job) {
+            Some(known) if known.shard < self.desired.len() => is_complete(known.shard),
+            _ => (0..self.desired.len()).all(is_complete),
+        }
+    }
+}
 
-/// A task that some shard wants on the machine, and whether it may be started now.
-struct DesiredHere<'a> {
+/// A task that some shard desires on the machine, and whether it may be started now.
+struct DesiredStart<'a> {
     task: &'a DesiredTask,
     permit: Result<StartPermit<'a>, StartRefusal>,
 }
 
-/// Commands, and starts that were not formed since they would have broken a rule.
+/// What reconciliation has concluded.
 #[derive(Default)]
 pub(crate) struct ReconcileOutcome {
+    /// Commands that close the difference.
     pub(crate) commands: Vec<Command>,
+    /// Starts that were not formed since they would have broken a rule.
     pub(crate) violations: Vec<StartViolation>,
 }
 
-/// What is wanted on one machine and known of the jobs there.
+/// What is desired on one machine and known of the jobs there.
 pub(crate) struct Reconciler<'a> {
     machine: &'a str,
     authority: CommandAuthority,
-    wanted: Vec<DesiredHere<'a>>,
-    /// Attempts of which it is certain that no shard wants them here.
-    undesired: BTreeSet<Key>,
+    desired: Vec<DesiredStart<'a>>,
+    /// Attempts of which it is certain that no shard desires them here.
+    undesired: BTreeSet<AttemptId>,
     /// What the machine has, if its type is known.
     size: Option<Amounts>,
     stages: &'a BTreeMap<String, CachedStage>,
 }
 
-/// What is free on the machine for tasks that are not there yet.
-struct FreeCapacity {
-    free: Amounts,
-    /// Tasks that are to be stopped will free more.
-    freeing: bool,
-    /// It is not known how much is free.
-    unknown: bool,
-}
-
 /// Why an attempt on the machine is stopped.
 #[derive(Debug, Clone, Copy)]
 enum StopReason {
-    /// Its owner wants it stopped.
-    OwnerAsked,
-    /// No shard wants it here.
-    Unwanted,
+    /// Its owner desires that it stops.
+    OwnerRequested,
+    /// No shard desires it here.
+    DesiredByNoShard,
     /// Its job is cancelled.
     Cancelled,
 }
 
 impl<'a> Reconciler<'a> {
-    /// Gathers what is wanted on a machine. It has few tasks, and this is worked out at
-    /// every report.
+    /// Gathers what is desired on a machine. It has few tasks, and this is worked out at
+    /// every heartbeat.
     pub(crate) fn collect(
-        controller: &'a Controller,
+        inputs: ReconcileInputs<'a>,
         machine: &'a str,
         managed: &ManagedMachine,
         authority: CommandAuthority,
     ) -> Reconciler<'a> {
-        let stages = &controller.jobs.cached_stages;
-        let desired = || controller.machines.desired.iter().filter_map(|w| w.machines.get(machine));
-        let is_desired = |k: &Key| desired().any(|m| m.tasks.iter().any(|t| k.names(t)));
+        let on_machine = || inputs.desired.iter().filter_map(|shard| shard.machines.get(machine));
+        let is_desired =
+            |a: &AttemptId| on_machine().any(|m| m.tasks.iter().any(|t| a.identifies(t)));
         let undesired = managed
             .attempts()
-            .filter(|k| !is_desired(k) && controller.knows_all_desired(&k.job, authority.shard))
+            .filter(|a| !is_desired(a) && inputs.knows_all_desired(&a.job, authority.shard))
             .cloned()
             .collect();
-        let machine_type = controller.autoscaler.machine_types.get(&managed.machine_type);
+        let machine_type = inputs.machine_types.get(&managed.description.machine_type);
         Reconciler {
             machine,
             authority,
-            wanted: desired_here(&controller.machines.desired, stages, machine, authority),
+            desired: desired_starts(inputs, machine, authority),
             undesired,
             size: machine_type.map(|t| [t.cpus, t.gpus, t.memory_gb]),
-            stages,
+            stages: inputs.stages,
         }
     }
 
-    fn find(&self, key: &Key) -> Option<&DesiredHere<'a>> {
-        self.wanted.iter().find(|w| key.names(w.task))
+    fn find(&self, attempt: &AttemptId) -> Option<&DesiredStart<'a>> {
+        self.desired.iter().find(|desired| attempt.identifies(desired.task))
     }
 
-    fn cancelled(&self, job: &str) -> bool {
+    fn is_cancelled(&self, job: &str) -> bool {
         self.stages.get(job).is_some_and(|known| known.stage == StoredStage::Cancelled)
     }
 
-    /// Whether a start must not be executed any more, and if so why: `None` inside if no
-    /// shard wants it.
-    pub(crate) fn refusal(&self, key: &Key) -> Option<Option<StartRefusal>> {
-        let over = self.stages.get(&key.job).is_some_and(|k| k.stage != StoredStage::Accepted);
-        if over {
-            return Some(Some(StartRefusal::JobOver));
+    /// Why a start that may still arrive must not be executed any more; `None` if it may be.
+    pub(crate) fn revocation_reason(&self, attempt: &AttemptId) -> Option<RevocationReason> {
+        let stage = self.stages.get(&attempt.job).map(|known| known.stage);
+        if stage.is_some_and(|stage| stage != StoredStage::Accepted) {
+            return Some(RevocationReason::Refused(StartRefusal::JobOver));
         }
-        match self.find(key) {
-            Some(wanted) => wanted.permit.err().filter(|r| r.revokes()).map(Some),
-            None => self.undesired.contains(key).then_some(None),
+        match self.find(attempt) {
+            Some(desired) => {
+                let refusal = desired.permit.err().filter(|refusal| refusal.revokes());
+                refusal.map(RevocationReason::Refused)
+            }
+            None => self.undesired.contains(attempt).then_some(RevocationReason::DesiredByNoShard),
         }
     }
 
     /// Jobs with tasks on the machine of which nothing is known from the store.
     pub(crate) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
-        let here = managed.tasks.iter().filter(|(_, observed)| !observed.over());
-        let unknown = here.map(|(k, _)| &k.job).filter(|job| !self.stages.contains_key(*job));
-        unknown.cloned().collect()
+        let jobs = managed.present_tasks().map(|attempt| &attempt.job);
+        jobs.filter(|job| !self.stages.contains_key(*job)).cloned().collect()
     }
 
-    /// The commands that make the difference; what they start is booked.
+    /// The commands that close the difference. The capacity for what they start is reserved,
+    /// and the starts are in flight from now on.
     pub(crate) fn reconcile(
         &self,
         managed: &mut ManagedMachine,
         route: CommandRoute,
     ) -> ReconcileOutcome {
-        let mut orders =
+        let mut outcome =
             ReconcileOutcome { commands: self.stops(managed, route), violations: Vec::new() };
-        self.drop_settled(managed);
-        self.starts(managed, route, &mut orders);
-        orders
+        self.drop_obsolete_starts(managed);
+        self.starts(managed, route, &mut outcome);
+        outcome
     }
 
     /// Stops, and removals of what has ended.
     fn stops(&self, managed: &mut ManagedMachine, route: CommandRoute) -> Vec<Command> {
+        let in_response = route == CommandRoute::HeartbeatResponse;
         let mut commands = Vec::new();
-        for (key, observed) in &managed.tasks {
+        for (attempt, observed) in &managed.tasks {
             if observed.over() {
-                // A start of it that may still arrive would run it anew.
-                let forget = route == CommandRoute::Answer
-                    && self.undesired.contains(key)
-                    && !managed.late.contains_key(key);
+                // If it were forgotten, a start of it that may still arrive would run it anew.
+                let forget = in_response
+                    && self.undesired.contains(attempt)
+                    && !managed.starts.may_start_again.contains_key(attempt);
                 if forget {
-                    self.log_forget(key);
-                    commands.push(machine::forget(key));
+                    decision_log::forget(self.authority.evidence(self.machine), attempt);
+                    commands.push(Command::Forget {
+                        task: attempt.task_name(),
+                        attempt: attempt.attempt,
+                    });
                 }
                 continue;
             }
-            let Some((grace, reason)) = self.stop_of(key, *observed, route) else {
+            let Some((grace, reason)) = self.stop_reason(attempt, *observed, route) else {
                 continue;
             };
-            // Direct commands say it once; what is not wanted waits for the report.
-            if route == CommandRoute::Answer || managed.stops_sent.insert(key.clone()) {
-                self.log_stop(key, reason);
-                commands.push(machine::stop(key, grace));
+            // Direct commands say it once; responses to heartbeats repeat it.
+            if in_response || managed.stops_sent.insert(attempt.clone()) {
+                self.log_stop(attempt, reason);
+                commands.push(Command::Stop {
+                    task: attempt.task_name(),
+                    attempt: attempt.attempt,
+                    grace_s: grace.as_secs_f64(),
+                });
             }
         }
         commands
     }
 
     /// Whether an attempt that is on the machine is to be stopped, with how much time to
-    /// save and why.
-    fn stop_of(
+    /// save a checkpoint and why.
+    fn stop_reason(
         &self,
-        key: &Key,
+        attempt: &AttemptId,
         observed: ObservedState,
         route: CommandRoute,
     ) -> Option<(Micros, StopReason)> {
-        if let Some(wanted) = self.find(key) {
-            // Its owner may be disconnected, or not know yet.
-            let (stop_ms, reason) = match self.cancelled(&key.job) {
+        if let Some(desired) = self.find(attempt) {
+            // Its owner may be disconnected, or not know of the cancellation yet.
+            let (stop_ms, reason) = match self.is_cancelled(&attempt.job) {
                 true => (Some(0), StopReason::Cancelled),
-                false => (wanted.task.stop_ms, StopReason::OwnerAsked),
+                false => (desired.task.stop_ms, StopReason::OwnerRequested),
             };
-            let again = observed != ObservedState::Saving || stop_ms == Some(0);
-            return stop_ms.filter(|_| again).map(|ms| (Micros::millis(ms), reason));
+            let repeat = observed != ObservedState::Saving || stop_ms == Some(0);
+            return stop_ms.filter(|_| repeat).map(|ms| (Micros::millis(ms), reason));
         }
-        if self.undesired.contains(key) {
-            return (route == CommandRoute::Answer).then_some((Micros::ZERO, StopReason::Unwanted));
+        if self.undesired.contains(attempt) {
+            // Not urgent: it waits for the response to a heartbeat.
+            return (route == CommandRoute::HeartbeatResponse)
+                .then_some((Micros::ZERO, StopReason::DesiredByNoShard));
         }
-        self.cancelled(&key.job).then_some((Micros::ZERO, StopReason::Cancelled))
+        self.is_cancelled(&attempt.job).then_some((Micros::ZERO, StopReason::Cancelled))
     }
 
-    /// What is not wanted any more, or is to be stopped before it began, is forgotten
-    /// once no start of it can arrive.
-    fn drop_settled(&self, managed: &mut ManagedMachine) {
-        let dropped = |key: &Key| {
-            self.undesired.contains(key) || self.find(key).is_some_and(|w| w.permit.is_err())
+    /// Forgets starts that are not desired any more, or are to be stopped before they began,
+    /// once no command with them can arrive.
+    fn drop_obsolete_starts(&self, managed: &mut ManagedMachine) {
+        let is_obsolete = |attempt: &AttemptId| {
+            self.undesired.contains(attempt)
+                || self.find(attempt).is_some_and(|desired| desired.permit.is_err())
         };
-        managed.sent.retain(|key, sent| sent.open() || !dropped(key));
-        managed.refused.retain(|key| !self.undesired.contains(key));
-        managed.waiting.retain(|key| !dropped(key));
+        let starts = &mut managed.starts;
+        starts.in_flight.retain(|attempt, start| start.is_open() || !is_obsolete(attempt));
+        starts.refused.retain(|attempt| !self.undesired.contains(attempt));
+        starts.waiting.retain(|attempt| !is_obsolete(attempt));
     }
 
     /// Starts of what may be started and is not there, the most urgent first.
@@ -200,145 +237,121 @@
         &self,
         managed: &mut ManagedMachine,
         route: CommandRoute,
-        orders: &mut ReconcileOutcome,
+        outcome: &mut ReconcileOutcome,
     ) {
-        let mut room = self.room(managed);
-        let mut starts: Vec<(Key, &StartPermit<'a>, &DesiredTask)> = self
-            .wanted
-            .iter()
-            .filter_map(|w| w.permit.as_ref().ok().map(|permit| (Key::of(w.task), permit, w.task)))
-            .filter(|(k, ..)| !managed.tasks.contains_key(k) && !managed.refused.contains(k))
-            .collect();
-        starts.sort_by(|a, b| a.2.rank.cmp(&b.2.rank).then_with(|| a.0.cmp(&b.0)));
-        for (key, permit, task) in &starts {
-            if !managed.sent.contains_key(key) && !self.reserve(managed, &mut room, key, task) {
+        let mut capacity = self.free_capacity(managed);
+        for (attempt, permit, task) in &self.permitted_starts(managed) {
+            let in_flight = &managed.starts.in_flight;
+            if !in_flight.contains_key(attempt)
+                && !self.reserve(managed, &mut capacity, attempt, task)
+            {
                 continue;
             }
-            let Some(sent) = managed.sent.get_mut(key) else {
+            let Some(start) = managed.starts.in_flight.get_mut(attempt) else {
                 continue;
             };
-            if route == CommandRoute::Direct && sent.open() {
+            if route == CommandRoute::Direct && start.is_open() {
                 continue;
             }
-            match permit.command(self.machine, key, route) {
-                Ok(command) => orders.commands.push(command),
+            match permit.command(self.machine, attempt, route) {
+                Ok(command) => outcome.commands.push(command),
                 Err(violation) => {
-                    orders.violations.push(violation);
+                    outcome.violations.push(violation);
                     continue;
                 }
             }
             match route {
-                CommandRoute::Answer => sent.answered = true,
+                CommandRoute::HeartbeatResponse => start.in_response = true,
                 CommandRoute::Direct => {
-                    sent.direct += 1;
-                    sent.fencing_token = self.authority.fencing_token;
+                    start.direct_commands += 1;
+                    start.fencing_token = self.authority.fencing_token;
                 }
             }
         }
     }
 
-    /// Books the room for a start; false if it has to wait or is refused.
+    /// What may be started, is not there and was not refused, the most urgent first.
+    fn permitted_starts(
+        &self,
+        managed: &ManagedMachine,
+    ) -> Vec<(AttemptId, &StartPermit<'a>, &DesiredTask)> {
+        let mut starts: Vec<(AttemptId, &StartPermit<'a>, &DesiredTask)> = self
+            .desired
+            .iter()
+            .filter_map(|desired| {
+                let permit = desired.permit.as_ref().ok()?;
+                Some((AttemptId::of(desired.task), permit, desired.task))
+            })
+            .filter(|(attempt, ..)| {
+                !managed.tasks.contains_key(attempt) && !managed.starts.refused.contains(attempt)
+            })
+            .collect();
+        starts.sort_by(|a, b| a.2.rank.cmp(&b.2.rank).then_with(|| a.0.cmp(&b.0)));
+        starts
+    }
+
+    /// Reserves the capacity for a start; false if it has to wait or is refused.
     fn reserve(
         &self,
         managed: &mut ManagedMachine,
-        room: &mut FreeCapacity,
-        key: &Key,
+        capacity: &mut FreeCapacity,
+        attempt: &AttemptId,
         task: &DesiredTask,
     ) -> bool {
-        let fits = room.fits(task);
-        if room.unknown || (!fits && room.freeing) {
-            managed.waiting.insert(key.clone());
+        let fits = capacity.fits(task);
+        if capacity.unknown || (!fits && capacity.more_to_come) {
+            managed.starts.waiting.insert(attempt.clone());
             return false;
         }
-        managed.waiting.remove(key);
+        managed.starts.waiting.remove(attempt);
         if !fits {
-            debug!("machine {}: no room for {}", self.machine, key.task());
-            managed.refused.insert(key.clone());
+            debug!("machine {}: no capacity for {}", self.machine, attempt.task_name());
+            managed.starts.refused.insert(attempt.clone());
             return false;
         }
-        room.take(task);
-        managed.sent.insert(key.clone(), Sent::default());
+        capacity.subtract(task);
+        managed.starts.in_flight.insert(attempt.clone(), StartInFlight::default());
         true
     }
 
     /// What is free beside what is there and what was sent.
-    fn room(&self, managed: &ManagedMachine) -> FreeCapacity {
-        let free = self.size.unwrap_or_default();
-        let mut room = FreeCapacity { free, freeing: false, unknown: self.size.is_none() };
-        let present = managed.tasks.iter().filter(|(_, observed)| !observed.over());
-        for key in present.map(|(k, _)| k).chain(managed.sent.keys()) {
-            match self.find(key) {
-                Some(wanted) => {
-                    room.freeing |= wanted.task.stop_ms.is_some();
-                    room.take(wanted.task);
+    fn free_capacity(&self, managed: &ManagedMachine) -> FreeCapacity {
+        let mut capacity = FreeCapacity::of_empty_machine(self.size);
+        for attempt in managed.present_tasks().chain(managed.starts.in_flight.keys()) {
+            match self.find(attempt) {
+                Some(desired) => {
+                    capacity.more_to_come |= desired.task.stop_ms.is_some();
+                    capacity.subtract(desired.task);
                 }
                 // How much it takes is not known: nothing is added until it has ended.
-                None => room.unknown = true,
+                None => capacity.unknown = true,
             }
         }
-        room
+        capacity
     }
 
-    fn log_stop(&self, key: &Key, reason: StopReason) {
-        if matches!(reason, StopReason::Unwanted) {
-            info!("machine {}: {} is not wanted there", self.machine, key.task());
+    fn log_stop(&self, attempt: &AttemptId, reason: StopReason) {
+        if matches!(reason, StopReason::DesiredByNoShard) {
+            info!("machine {}: no shard desires {} there", self.machine, attempt.task_name());
         }
-        let authority = &self.authority;
-        debug!(
-            target: decision_log::TARGET,
-            job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, incarnation = authority.incarnation,
-            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
-            reason:? = reason;
-            "stop"
-        );
-    }
-
-    fn log_forget(&self, key: &Key) {
-        let authority = &self.authority;
-        debug!(
-            target: decision_log::TARGET,
-            job = key.job.as_str(), task = key.index, attempt = key.attempt,
-            machine = self.machine, incarnation = authority.incarnation,
-            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token;
-            "forget"
-        );
+        decision_log::stop(self.authority.evidence(self.machine), attempt, reason);
     }
 }
 
-/// The tasks that are wanted on a machine, each with whether it may be started.
-fn desired_here<'a>(
-    desired: &'a [DesiredState],
-    stages: &BTreeMap<String, CachedStage>,
+/// The tasks that are desired on a machine, each with whether it may be started.
+fn desired_starts<'a>(
+    inputs: ReconcileInputs<'a>,
     machine: &str,
     authority: CommandAuthority,
-) -> Vec<DesiredHere<'a>> {
+) -> Vec<DesiredStart<'a>> {
     let mut list = Vec::new();
-    for here in desired.iter().filter_map(|w| w.machines.get(machine)) {
-        list.extend(here.tasks.iter().map(|task| {
-            let known = stages.get(&task.job);
+    for desired in inputs.desired.iter().filter_map(|shard| shard.machines.get(machine)) {
+        list.extend(desired.tasks.iter().map(|task| {
+            let known = inputs.stages.get(&task.job);
             let job = known.map(|k| JobEvidence { stage: k.stage, revision: k.revision });
-            DesiredHere { task, permit: authority.examine(task, here.known, job) }
+            let permit = authority.permit_start(task, desired.known_machine_term, job);
+            DesiredStart { task, permit }
         }));
     }
     list
 }
-
-impl FreeCapacity {
-    fn amounts(task: &DesiredTask) -> Amounts {
-        [task.cpus, task.gpus, task.memory_gb]
-    }
-
-    fn fits(&self, task: &DesiredTask) -> bool {
-        self.free
-            .iter()
-            .zip(FreeCapacity::amounts(task))
-            .all(|(free, amount)| *free + EPS >= amount)
-    }
-
-    fn take(&mut self, task: &DesiredTask) {
-        for (free, amount) in self.free.iter_mut().zip(FreeCapacity::amounts(task)) {
-            *free -= amount;
-        }
-    }
-}
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -1,149 +1,191 @@
-//! Views of the machines of own shards: how each stands, told to the managers of
-//! the jobs that have tasks there; and the end of sessions that went silent.
+//! Views of the machines of own shards: how each stands, for the leaders of the shards whose
+//! jobs have tasks there; and the end of incarnations that went silent.
 
+use crate::config::Workers;
 use crate::controller::Controller;
-use crate::controller::machines::heartbeats::FAILING_FOR;
-use crate::peer::{AppliedUpdate, Frame, MachineView};
+use crate::controller::leadership::shard;
+use crate::controller::machines::probes::ProbeTarget;
+use crate::controller::machines::{Machines, timeouts};
+use crate::peer::{Frame, MachineView};
 use crate::time::Micros;
 use log::{info, warn};
 
+/// How long a machine must be in quarantine before it is scaled in: a job with a mistake
+/// shows as such once it has failed elsewhere, too.
+const MIN_QUARANTINE_BEFORE_SCALE_IN: Micros = Micros::secs(5);
+
+/// What has come of time alone.
+#[derive(Default)]
+struct TimeEffects {
+    /// Machines whose view or commands may have changed.
+    changed: Vec<String>,
+    /// Machines that must show whether they receive commands.
+    to_probe: Vec<ProbeTarget>,
+}
+
 impl Controller {
-    /// Looks for machines that have been silent for longer than a lease.
+    /// Ends the incarnations of machines that have been silent for longer than a lease, and
+    /// probes those that do not seem to receive commands.
     pub(crate) fn expire_machine_incarnations(&mut self) {
         if !self.holds_lease() {
             return;
         }
-        let (now, lease) = (self.context.now, self.worker_lease());
-        let taken: Vec<Option<Micros>> = self
+        let acquired_at: Vec<Option<Micros>> = self
             .leadership
             .shards
             .iter()
-            .map(|s| s.leadership.as_ref().map(|m| m.acquired_at))
+            .map(|shard| shard.leadership.as_ref().map(|leadership| leadership.acquired_at))
             .collect();
-        let (mut changed, mut unresponsive) = (Vec::new(), Vec::new());
-        let silent = self.silent();
-        let shards = self.leadership.shards.len();
-        for (name, managed) in &mut self.machines.managed {
-            let Some(Some(taken)) =
-                taken.get(crate::controller::leadership::shard::shard_of_machine(name, shards))
-            else {
-                continue;
-            };
-            let base = managed.answered.unwrap_or(*taken).max(*taken);
-            if managed.expire_incarnation(now, base, lease) {
-                info!("machine {name} has been silent for a whole lease");
-                changed.push(name.clone());
-            } else {
-                // Health depends on time, and starts may wait for their next try.
-                let fresh = managed.in_time(now, base, silent);
-                let unsent =
-                    managed.sent.values().any(|s| !s.open()) && now >= managed.direct_after;
-                if fresh != managed.fresh || unsent {
-                    changed.push(name.clone());
-                }
-                if managed.unresponsive
-                    && fresh
-                    && now >= managed.direct_after
-                    && let Some(address) = managed.address
-                {
-                    unresponsive.push((name.clone(), managed.incarnation, address));
-                }
-            }
-        }
-        self.changes.machines.extend(changed);
-        for (machine, incarnation, address) in unresponsive {
-            self.send_probe(&machine, incarnation, address);
+        let workers = &self.context.settings.workers;
+        let effects = self.machines.expire_incarnations(self.context.now, workers, &acquired_at);
+        self.changes.machines.extend(effects.changed);
+        for target in effects.to_probe {
+            self.send_probe(&target.machine, target.last_known);
         }
     }
 
-    /// Sends the views that have changed, to the own job manager first.
+    /// Sends the views that have changed, and takes them in here first.
     pub(crate) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
-            let s = self.shard_of_machine(&machine);
-            let Some(term) = self.leading_term(s) else {
+            let shard = self.shard_of_machine(&machine);
+            let Some(term) = self.leading_term(shard) else {
                 continue;
             };
-            if self.machines.managed.get(&machine).is_some_and(|p| p.known && !p.direct_busy) {
+            let managed = self.machines.managed.get(&machine);
+            if managed.is_some_and(|m| m.heartbeat_under_term && !m.direct_in_flight) {
                 self.send_direct_commands(&machine);
             }
-            let mut view = self.view_of(&machine, term);
-            let Some(managed) = self.machines.managed.get_mut(&machine) else {
+            let leadership = self.leadership.shards[shard].leadership.as_ref();
+            let at = ViewedAt {
+                now: self.context.now,
+                term,
+                shard_acquired_at: leadership.map_or(Micros::ZERO, |l| l.acquired_at),
+                heartbeat_timeout: timeouts::heartbeat_timeout(&self.context.settings.workers),
+            };
+            let progress = &self.jobs.progress;
+            let completes = |job: &str| progress.get(job).is_some_and(|(done, _)| *done > 0);
+            if let Some(view) = self.machines.changed_view(&machine, at, completes) {
+                frame.views.push(view.clone());
+                self.apply_view(view);
+            }
+        }
+    }
+}
+
+/// What a view depends on beside the machine.
+#[derive(Clone, Copy)]
+struct ViewedAt {
+    now: Micros,
+    /// Term of the machine's shard.
+    term: u64,
+    /// When this process acquired the shard.
+    shard_acquired_at: Micros,
+    heartbeat_timeout: Micros,
+}
+
+impl Machines {
+    /// Takes in that time has passed. `acquired_at` says when this process acquired each
+    /// shard, if it leads it.
+    fn expire_incarnations(
+        &mut self,
+        now: Micros,
+        workers: &Workers,
+        acquired_at: &[Option<Micros>],
+    ) -> TimeEffects {
+        let worker_lease = timeouts::longest_worker_lease(workers);
+        let heartbeat_timeout = timeouts::heartbeat_timeout(workers);
+        let mut effects = TimeEffects::default();
+        for (name, managed) in &mut self.managed {
+            let shard = shard::shard_of_machine(name, acquired_at.len());
+            let Some(Some(shard_acquired_at)) = acquired_at.get(shard) else {
                 continue;
             };
-            if let Some(old) = self.machines.views.get(&machine) {
-                let old_notice = old.notice_ms;
-                view.seq = old.seq;
-                // A notice runs down by itself; only its coming is news.
-                let notice = view.notice_ms;
-                if notice.is_some() && old_notice.is_some() {
-                    view.notice_ms = old_notice;
-                }
-                if view == *old {
-                    continue;
-                }
-                view.notice_ms = notice;
+            let last_answered_at = managed.last_answered_at(*shard_acquired_at);
+            if managed.expire_incarnation(now, last_answered_at, worker_lease) {
+                info!("machine {name} has been silent for a whole lease");
+                effects.changed.push(name.clone());
+                continue;
+            }
+            // Health depends on time, and starts may wait for their next try.
+            let in_time = managed.reports_in_time(now, last_answered_at, heartbeat_timeout);
+            let may_send = now >= managed.direct_not_before;
+            if in_time != managed.in_time_in_view || (managed.starts.any_unsent() && may_send) {
+                effects.changed.push(name.clone());
+            }
+            if managed.unresponsive
+                && in_time
+                && may_send
+                && let Some(target) = managed.probe_target(name)
+            {
+                effects.to_probe.push(target);
             }
-            managed.view_seq += 1;
-            view.seq = managed.view_seq;
-            frame.views.push(view.clone());
-            self.apply_view(view);
         }
+        effects
     }
 
-    /// A machine silent for longer is not counted on.
-    pub(crate) fn silent(&self) -> Micros {
-        Micros::from_secs_f64(self.context.settings.workers.heartbeat_interval_s * 2.0 + 1.0)
+    /// The view of a machine, numbered, if it differs from the one before. `completes` tells
+    /// whether any task of a job has completed.
+    fn changed_view(
+        &mut self,
+        machine: &str,
+        at: ViewedAt,
+        completes: impl Fn(&str) -> bool,
+    ) -> Option<MachineView> {
+        let mut view = self.view_of(machine, at, completes)?;
+        if let Some(old) = self.views.get(machine) {
+            view.seq = old.seq;
+            // A notice runs down by itself; only its coming is news.
+            let notice_ms = view.notice_ms;
+            if notice_ms.is_some() && old.notice_ms.is_some() {
+                view.notice_ms = old.notice_ms;
+            }
+            if view == *old {
+                return None;
+            }
+            view.notice_ms = notice_ms;
+        }
+        let managed = self.managed.get_mut(machine)?;
+        managed.view_seq += 1;
+        view.seq = managed.view_seq;
+        Some(view)
     }
 
-    fn view_of(&mut self, machine: &str, term: u64) -> MachineView {
-        let silent = self.silent();
-        let now = self.context.now;
-        let failing_tasks = self.machines.managed.get(machine).is_some_and(|p| self.is_faulty(p));
-        let at = self.shard_of_machine(machine);
-        let taken =
-            self.leadership.shards[at].leadership.as_ref().map_or(Micros::ZERO, |m| m.acquired_at);
-        let Some(managed) = self.machines.managed.get_mut(machine) else {
-            return MachineView::default();
-        };
-        let base = managed.answered.unwrap_or(taken).max(taken);
-        let fresh = managed.in_time(now, base, silent);
-        managed.fresh = fresh;
-        if !failing_tasks {
-            managed.failing_since = None;
-        } else if managed.failing_since.is_none() {
-            managed.failing_since = Some(now);
-            warn!("machine {machine} fails what it starts; set aside");
+    /// The view of a machine, without its number.
+    fn view_of(
+        &mut self,
+        machine: &str,
+        at: ViewedAt,
+        completes: impl Fn(&str) -> bool,
+    ) -> Option<MachineView> {
+        let managed = self.managed.get_mut(machine)?;
+        let last_answered_at = managed.last_answered_at(at.shard_acquired_at);
+        let in_time = managed.reports_in_time(at.now, last_answered_at, at.heartbeat_timeout);
+        managed.in_time_in_view = in_time;
+        let in_quarantine = self.failing_jobs.demand_quarantine(&managed.failures, completes);
+        if managed.failures.set_quarantine(at.now, in_quarantine) {
+            warn!("machine {machine} fails what it starts: in quarantine");
         }
-        let faulty = managed.failing_since.is_some_and(|at| now.since(at) > FAILING_FOR);
-        let applied = self
-            .machines
-            .desired
-            .iter()
-            .enumerate()
-            .filter(|(_, w)| w.complete > 0)
-            .map(|(n, w)| AppliedUpdate {
-                shard: n as u32,
-                term: w.term,
-                seq: w.machines.get(machine).map_or(0, |m| m.seq).max(w.complete),
-            })
-            .collect();
-        MachineView {
+        let shards = self.desired.iter().enumerate();
+        let description = &managed.description;
+        Some(MachineView {
             machine: machine.to_string(),
-            term,
+            term: at.term,
             seq: 0,
-            known: managed.known,
+            known: managed.heartbeat_under_term,
             incarnation: managed.incarnation,
-            over_through: managed.over_through,
-            vanished: managed.vanished,
-            machine_type: managed.machine_type.clone(),
-            zone: managed.zone.clone(),
-            spot: managed.spot,
-            address: managed.address.map(|a| a.to_string()).unwrap_or_default(),
-            notice_ms: managed.reclaimed_at.map(|at| at.since(self.context.now).as_millis()),
-            healthy: fresh && !failing_tasks && !managed.unresponsive,
+            over_through: managed.last_ended_incarnation,
+            vanished: managed.expired_without_heartbeat,
+            machine_type: description.machine_type.clone(),
+            zone: description.zone.clone(),
+            spot: description.spot,
+            address: description.address.map(|address| address.to_string()).unwrap_or_default(),
+            notice_ms: description.reclaimed_at.map(|moment| moment.since(at.now).as_millis()),
+            healthy: in_time && !in_quarantine && !managed.unresponsive,
             tasks: managed.observed_tasks(),
-            applied,
-            faulty,
-        }
+            applied: shards.filter_map(|(shard, state)| state.applied(shard, machine)).collect(),
+            faulty: managed
+                .failures
+                .quarantined_longer_than(at.now, MIN_QUARANTINE_BEFORE_SCALE_IN),
+        })
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -124,7 +124,10 @@
             (PendingCall::Api(call), Reply::KvStore(reply)) => self.api_reply(call, reply),
             (PendingCall::Jobs(call), Reply::KvStore(reply)) => self.jobs_reply(call, reply),
             (PendingCall::Quota(call), Reply::KvStore(reply)) => self.quota_reply(call, reply),
-            (PendingCall::Machines(MachinesCall::ReadUnknown { job }), Reply::KvStore(reply)) => {
+            (
+                PendingCall::Machines(MachinesCall::ReadUnknownJob { job }),
+                Reply::KvStore(reply),
+            ) => {
                 self.unknown_read(&job, &reply);
             }
             (PendingCall::Machines(call), Reply::Direct(reply)) => {
--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -59,7 +59,7 @@
             // does not name.
             for s in 0..self.leadership.shards.len() {
                 if self.shard_leader(s) == Some(from) {
-                    self.machines.desired[s].complete = 0;
+                    self.machines.desired[s].mark_incomplete();
                 }
             }
         }
@@ -138,7 +138,7 @@
             self.preempt_task(&t);
         }
         for h in frame.address_hints {
-            self.apply_hint(h);
+            self.machines.apply_address_hint(h);
         }
         if frame.missed.contains(&(self.context.me as u32)) {
             self.changes.peers_to_sync.insert(from);
@@ -243,7 +243,7 @@
             let desired = &self.machines.desired[shard];
             if !self.serves_shard(shard)
                 || self.leading_term(shard) != Some(desired.term)
-                || desired.complete == 0
+                || !desired.is_complete()
             {
                 continue;
             }
@@ -256,7 +256,7 @@
                 // Terms machine by machine: one that nothing has been wanted on
                 // since its shard moved would hold up all others of the shard.
                 machines: wanted
-                    .map(|(name, m)| (name.clone(), m.known, m.tasks.clone()))
+                    .map(|(name, m)| (name.clone(), m.known_machine_term, m.tasks.clone()))
                     .collect(),
                 terms: Vec::new(),
                 known_terms: desired.known_terms.clone(),
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -1,7 +1,7 @@
 //! Keeping the slots up to date: machines as placements see them.
 
 use crate::controller::Controller;
-use crate::controller::machines::desired_state::expected_s;
+use crate::controller::machines::desired_state::own_shards::expected_s;
 use crate::controller::quota::team_quota::EPS;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
 use crate::peer::Phase;
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) mod task_placement;
 
 use crate::config::Options;
-use crate::controller::machines::machine::Key;
+use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
 use capacity::ClusterCapacity;
 use estimate::Estimates;
@@ -47,7 +47,7 @@
     /// CPUs that a team may still claim by preemption within its guarantee.
     pub(crate) claimable_cpus: BTreeMap<String, f64>,
     /// Tasks of other shards whose preemption was requested, with when and their machine.
-    pub(crate) requested_preemptions: BTreeMap<Key, (Micros, Rc<str>)>,
+    pub(crate) requested_preemptions: BTreeMap<AttemptId, (Micros, Rc<str>)>,
     pub(crate) estimates: Estimates,
     pub(crate) images: ImageIndex,
 }
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::autoscaler::planning::fits;
 use crate::controller::jobs::job::Job;
-use crate::controller::machines::machine::Key;
+use crate::controller::machines::attempt::AttemptId;
 use crate::controller::quota::team_quota::EPS;
 use crate::controller::scheduler::capacity::{MachineCapacity, ReservedTask};
 use crate::controller::scheduler::scheduling_pass::LOWEST_URGENT_RANK;
@@ -140,7 +140,7 @@
         if self.jobs.by_id.contains_key(&p.job) {
             self.preempt_task(&p);
         } else {
-            let key = Key { job: p.job.clone(), index: p.index, attempt: p.attempt };
+            let key = AttemptId { job: p.job.clone(), index: p.index, attempt: p.attempt };
             self.scheduler
                 .requested_preemptions
                 .insert(key, (self.context.now, Rc::clone(machine)));
@@ -186,7 +186,7 @@
     /// Whether another shard's task was asked to make room a moment ago. Asked
     /// again, it would be counted on twice; and its shard may be out of reach.
     pub(crate) fn preemption_requested(&self, job: &str, index: u32, attempt: u64) -> bool {
-        let key = Key { job: job.to_string(), index, attempt };
+        let key = AttemptId { job: job.to_string(), index, attempt };
         self.scheduler
             .requested_preemptions
             .get(&key)
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::controller::autoscaler::planning::fits;
 use crate::controller::jobs::job::Job;
-use crate::controller::machines::desired_state::expected_s;
+use crate::controller::machines::desired_state::own_shards::expected_s;
 use crate::controller::quota::team_quota::{Amount, EPS};
 use crate::controller::scheduler::capacity::{MachineCapacity, ReservedTask};
 use crate::controller::scheduler::image_locality;
--- a/tests/tables/machines.rs
+++ b/tests/tables/machines.rs
@@ -2,17 +2,20 @@
 
 use millethold::controller::jobs::job::StoredStage;
 use millethold::controller::leadership::shard::{TERM_STRIDE, next_term};
-use millethold::controller::machines::machine::{Key, ManagedMachine, Sent};
+use millethold::controller::machines::attempt::AttemptId;
+use millethold::controller::machines::machine::ManagedMachine;
+use millethold::controller::machines::machine::heartbeat_intake::HeartbeatSource;
+use millethold::controller::machines::machine::starts::{CommandOutcome, StartInFlight};
 use millethold::controller::machines::start_gate::{
-    CommandAuthority, CommandRoute, JobEvidence, StartRefusal, StartViolation,
+    CommandAuthority, CommandRoute, JobEvidence, RevocationReason, StartRefusal, StartViolation,
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
 use millethold::wire::{Cause, Heartbeat, ReportedTask, TaskState};
 use std::rc::Rc;
 
-fn key(attempt: u64) -> Key {
-    Key { job: "j-1".into(), index: 0, attempt }
+fn key(attempt: u64) -> AttemptId {
+    AttemptId { job: "j-1".into(), index: 0, attempt }
 }
 
 fn heartbeat(
@@ -45,96 +48,113 @@
 
 #[test]
 fn reports_and_what_they_prove() {
+    use HeartbeatSource::{DirectResponse, Request};
     let now = Micros::secs(50);
     let mut post = ManagedMachine::default();
     // A report that has not seen the term proves nothing; the next one does.
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 3, &[]), 4, true).is_some());
-    assert!(!post.known);
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, true).is_some());
-    assert!(post.known);
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 3, &[]), 4, Request).is_some());
+    assert!(!post.heartbeat_under_term);
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_some());
+    assert!(post.heartbeat_under_term);
     // Older and repeated messages are dropped.
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, true).is_none());
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_none());
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request).is_none());
 
     // A start in an answer is open until the next report, which alone shows
     // that the answer was executed or dropped; a direct answer does not.
-    post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
-    post.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, false);
-    assert!(post.sent[&key(1)].open());
-    post.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, true);
-    assert!(!post.sent[&key(1)].open());
+    post.starts
+        .in_flight
+        .insert(key(1), StartInFlight { in_response: true, ..StartInFlight::default() });
+    post.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, DirectResponse);
+    assert!(post.starts.in_flight[&key(1)].is_open());
+    post.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, Request);
+    assert!(!post.starts.in_flight[&key(1)].is_open());
 
     // A direct start without an answer stays open, and once it is reported
     // the attempt must not be cleared: the late command would start it anew.
-    post.sent.insert(key(2), Sent { direct: 1, fencing_token: 4, ..Sent::default() });
-    post.direct_ended(&[key(2)], None);
-    post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, true);
-    assert!(post.sent[&key(2)].open());
+    post.starts.in_flight.insert(
+        key(2),
+        StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() },
+    );
+    post.direct_ended(&[key(2)], CommandOutcome::Unknown);
+    post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
+    assert!(post.starts.in_flight[&key(2)].is_open());
     let ended = [(2, TaskState::Exited, Some(Cause::Done))];
-    post.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, true);
-    assert!(post.late.contains_key(&key(2)));
+    post.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, Request);
+    assert!(post.starts.may_start_again.contains_key(&key(2)));
     // An answered one closes it.
-    post.sent.insert(key(3), Sent { direct: 1, fencing_token: 4, ..Sent::default() });
+    post.starts.in_flight.insert(
+        key(3),
+        StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() },
+    );
     let running = [(3, TaskState::Running, None)];
-    post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, true);
-    post.direct_ended(&[key(3)], Some(true));
-    assert!(!post.late.contains_key(&key(3)));
+    post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, Request);
+    post.direct_ended(&[key(3)], CommandOutcome::Executed);
+    assert!(!post.starts.may_start_again.contains_key(&key(3)));
 
     // A new session ends everything before it and fences what is late.
-    post.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, true);
-    assert_eq!((post.over_through, post.tasks.len(), post.late.len()), (1, 0, 0));
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, true).is_none());
+    post.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, Request);
+    assert_eq!(
+        (post.last_ended_incarnation, post.tasks.len(), post.starts.may_start_again.len()),
+        (1, 0, 0)
+    );
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, Request).is_none());
 
     // Silence for a lease, and not less, ends the session; its reports, come
     // late, are not answered any more.
     let lease = Micros::secs(12);
     assert!(!post.expire_incarnation(now + lease, now, lease));
     assert!(post.expire_incarnation(now + lease + Micros(1), now, lease));
-    assert_eq!((post.over_through, post.known), (2, false));
-    assert!(post.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, true).is_none());
+    assert_eq!((post.last_ended_incarnation, post.heartbeat_under_term), (2, false));
+    assert!(post.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, Request).is_none());
     // A session that only a direct command's answer told of has a lease of its own,
     // though no report was answered for long: what it was given still runs.
     let mut mute = ManagedMachine::default();
-    mute.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true);
+    mute.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
     let heard = now + lease + Micros::secs(3);
-    assert!(mute.apply_heartbeat(heard, &heartbeat(2, 1, 4, &[]), 4, false).is_some());
+    assert!(mute.apply_heartbeat(heard, &heartbeat(2, 1, 4, &[]), 4, DirectResponse).is_some());
     assert!(!mute.expire_incarnation(heard + lease, now, lease), "its lease may still run");
     assert!(mute.expire_incarnation(heard + lease + Micros(1), now, lease));
     // Nothing new is put where reports are not answered, however well it hears.
     let silent = Micros::secs(5);
     for (base, want) in [(heard, true), (now, false)] {
-        assert_eq!(mute.in_time(heard + Micros::secs(1), base, silent), want, "{base:?}");
+        assert_eq!(mute.reports_in_time(heard + Micros::secs(1), base, silent), want, "{base:?}");
     }
     let mut never = ManagedMachine::default();
-    assert!(!never.expire_incarnation(now + lease, now, lease) && !never.vanished);
-    assert!(never.expire_incarnation(now + lease + Micros(1), now, lease) && never.vanished);
+    assert!(!never.expire_incarnation(now + lease, now, lease) && !never.expired_without_heartbeat);
+    assert!(
+        never.expire_incarnation(now + lease + Micros(1), now, lease)
+            && never.expired_without_heartbeat
+    );
 
     // Sessions that end although reports are answered: it hears nothing. An
     // answered direct command, a start that it has, or a session that lasts
     // for twice its lease shows that it hears again.
     let mut post = ManagedMachine::default();
-    post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, true);
+    post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
     post.update_responsiveness(now, 0, lease);
     assert!(!post.unresponsive, "the first session says nothing");
-    post.answered = Some(now);
-    post.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, true);
+    post.answered_at = Some(now);
+    post.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, Request);
     post.update_responsiveness(now + lease, 1, lease);
     assert!(!post.unresponsive, "nothing was answered for long: it was away");
-    post.answered = Some(now + lease);
-    post.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, true);
+    post.answered_at = Some(now + lease);
+    post.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, Request);
     post.update_responsiveness(now + lease + Micros(9), 2, lease);
     assert!(post.unresponsive);
     let later = now + lease + lease;
-    post.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, true);
+    post.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, Request);
     post.update_responsiveness(later, 3, lease);
     assert!(post.unresponsive, "a session that has not lasted yet");
     let lasted = later + lease + lease;
-    post.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, true);
+    post.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, Request);
     post.update_responsiveness(lasted, 3, lease);
     assert!(!post.unresponsive);
     post.unresponsive = true;
-    post.sent.insert(key(1), Sent { answered: true, ..Sent::default() });
-    post.apply_heartbeat(lasted, &heartbeat(3, 4, 4, &[(1, TaskState::Running, None)]), 4, true);
+    post.starts
+        .in_flight
+        .insert(key(1), StartInFlight { in_response: true, ..StartInFlight::default() });
+    post.apply_heartbeat(lasted, &heartbeat(3, 4, 4, &[(1, TaskState::Running, None)]), 4, Request);
     assert!(!post.unresponsive, "it has what it was told to start");
 
     let table = [
@@ -150,7 +170,7 @@
     ];
     for (state, cause, want) in table {
         let mut post = ManagedMachine::default();
-        post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[(1, state, cause)]), 4, true);
+        post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[(1, state, cause)]), 4, Request);
         assert_eq!(post.tasks[&key(1)], want, "{state:?} {cause:?}");
     }
 }
@@ -190,11 +210,11 @@
     let table = [
         (wanted(Phase::DesiredHere, None, 1), 4, waits, None),
         (wanted(Phase::DesiredHere, None, 1), 5, None, None),
-        (wanted(Phase::DesiredHere, None, 1), 3, waits, Some(OwnerUnaware)),
-        (wanted(Phase::DesiredHere, None, 1), 0, waits, Some(OwnerUnaware)),
-        (wanted(Phase::DesiredHere, Some(0), 1), 4, waits, Some(ToBeStopped)),
-        (wanted(Phase::Ahead, None, 1), 4, waits, Some(NotWanted)),
-        (wanted(Phase::Over, None, 1), 4, waits, Some(NotWanted)),
+        (wanted(Phase::DesiredHere, None, 1), 3, waits, Some(OwnerUnawareOfTerm)),
+        (wanted(Phase::DesiredHere, None, 1), 0, waits, Some(OwnerUnawareOfTerm)),
+        (wanted(Phase::DesiredHere, Some(0), 1), 4, waits, Some(StopRequested)),
+        (wanted(Phase::Ahead, None, 1), 4, waits, Some(NotDesired)),
+        (wanted(Phase::Over, None, 1), 4, waits, Some(NotDesired)),
         (wanted(Phase::DesiredHere, None, 2), 4, waits, Some(OtherIncarnation)),
         (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
         (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
@@ -203,16 +223,16 @@
             DesiredTask { phase: 77, ..wanted(Phase::DesiredHere, None, 1) },
             4,
             waits,
-            Some(NotWanted),
+            Some(NotDesired),
         ),
     ];
     for (task, known, job, want) in table {
-        let got = manager(4).examine(&task, known, job);
+        let got = manager(4).permit_start(&task, known, job);
         assert_eq!(got.err(), want, "{task:?} {known} {job:?}");
     }
     let blind = CommandAuthority { cancellations_known: false, ..manager(4) };
     let task = wanted(Phase::DesiredHere, None, 1);
-    assert_eq!(blind.examine(&task, 4, waits).err(), Some(CancellationsUnknown));
+    assert_eq!(blind.permit_start(&task, 4, waits).err(), Some(CancellationsUnknown));
 }
 
 /// What a right is used for must be what it was given for, by one who still may act.
@@ -223,13 +243,13 @@
     let low = CommandAuthority { fencing_token: 3, ..manager(4) };
     let table = [
         ("as it should be", manager(4), key(2), None),
-        ("past the lease", over, key(2), Some(LeaseOver)),
+        ("past the lease", over, key(2), Some(LeaseExpired)),
         ("a token that fences nothing", low, key(2), Some(FencingTokenBelowTerm)),
-        ("another attempt", manager(4), key(3), Some(OtherTask)),
+        ("another attempt", manager(4), key(3), Some(OtherAttempt)),
     ];
     let task = wanted(Phase::DesiredHere, None, 1);
     for (name, manager, used_for, want) in table {
-        let right = manager.examine(&task, 4, None).expect("nothing is known against it");
+        let right = manager.permit_start(&task, 4, None).expect("nothing is known against it");
         assert_eq!(right.command("vm-1", &used_for, CommandRoute::Direct).err(), want, "{name}");
     }
 }
@@ -237,28 +257,31 @@
 /// Which starts are made harmless by a higher token, and that they then are.
 #[test]
 fn revoked_starts() {
+    use HeartbeatSource::Request;
+    use RevocationReason::*;
     use StartRefusal::*;
-    let direct = Sent { direct: 1, fencing_token: 4, ..Sent::default() };
-    let late = Sent { late: true, fencing_token: 4, ..Sent::default() };
-    let answered = Sent { answered: true, ..Sent::default() };
+    let direct = StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() };
+    let late =
+        StartInFlight { may_arrive_late: true, fencing_token: 4, ..StartInFlight::default() };
+    let answered = StartInFlight { in_response: true, ..StartInFlight::default() };
     // How it was sent, why it must not be executed, whether the token is raised.
     let table = [
-        (direct, Some(Some(JobOver)), true),
-        (late, Some(Some(JobOver)), true),
+        (direct, Some(Refused(JobOver)), true),
+        (late, Some(Refused(JobOver)), true),
         // It mostly is answered within milliseconds.
-        (direct, Some(Some(ToBeStopped)), false),
-        (late, Some(Some(ToBeStopped)), true),
-        (late, Some(None), true),
+        (direct, Some(Refused(StopRequested)), false),
+        (late, Some(Refused(StopRequested)), true),
+        (late, Some(DesiredByNoShard), true),
         (late, None, false),
         // The worker drops late answers.
-        (answered, Some(Some(JobOver)), false),
+        (answered, Some(Refused(JobOver)), false),
         // Commands with this token are refused already.
-        (Sent { fencing_token: 3, ..late }, Some(Some(JobOver)), false),
+        (StartInFlight { fencing_token: 3, ..late }, Some(Refused(JobOver)), false),
     ];
     for (sent, refusal, want) in table {
         let mut post = ManagedMachine::default();
-        post.sent.insert(key(1), sent);
-        let revoked = post.to_be_revoked(4, |_| refusal);
+        post.starts.in_flight.insert(key(1), sent);
+        let revoked = post.starts.to_be_revoked(4, |_| refusal);
         assert_eq!(revoked.is_some(), want, "{sent:?} {refusal:?}");
     }
 
@@ -266,28 +289,34 @@
     let now = Micros::secs(50);
     let term = next_term(4);
     let mut post = ManagedMachine::default();
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, true).is_some());
-    post.sent.insert(key(1), Sent { late: true, fencing_token: term, ..Sent::default() });
+    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, Request).is_some());
+    post.starts.in_flight.insert(
+        key(1),
+        StartInFlight { may_arrive_late: true, fencing_token: term, ..StartInFlight::default() },
+    );
     post.raise_fencing_token();
     let raised = post.fencing_token(term).expect("the first of many");
     assert!(raised > term && raised < next_term(term));
-    post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, true);
-    assert!(post.sent[&key(1)].open(), "the answer may have been lost");
-    post.apply_heartbeat(now, &heartbeat(1, 3, raised, &[]), term, true);
-    assert!(!post.sent[&key(1)].open());
+    post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, Request);
+    assert!(post.starts.in_flight[&key(1)].is_open(), "the answer may have been lost");
+    post.apply_heartbeat(now, &heartbeat(1, 3, raised, &[]), term, Request);
+    assert!(!post.starts.in_flight[&key(1)].is_open());
     // A command of before that is given up now cannot be late any more, another can.
     for (number, fencing_token, want) in [(2, term, false), (3, raised, true)] {
-        post.sent.insert(key(number), Sent { direct: 1, fencing_token, ..Sent::default() });
-        post.direct_ended(&[key(number)], None);
-        assert_eq!(post.sent[&key(number)].open(), want, "token {fencing_token}");
+        post.starts.in_flight.insert(
+            key(number),
+            StartInFlight { direct_commands: 1, fencing_token, ..StartInFlight::default() },
+        );
+        post.direct_ended(&[key(number)], CommandOutcome::Unknown);
+        assert_eq!(post.starts.in_flight[&key(number)].is_open(), want, "token {fencing_token}");
     }
     // An attempt that is listed may be cleared once its late start is harmless.
     let ended = [(3, TaskState::Exited, Some(Cause::Done))];
-    post.apply_heartbeat(now, &heartbeat(1, 4, raised, &ended), term, true);
-    assert!(post.late.contains_key(&key(3)));
+    post.apply_heartbeat(now, &heartbeat(1, 4, raised, &ended), term, Request);
+    assert!(post.starts.may_start_again.contains_key(&key(3)));
     post.raise_fencing_token();
-    post.apply_heartbeat(now, &heartbeat(1, 5, raised + 1, &ended), term, true);
-    assert!(!post.late.contains_key(&key(3)));
+    post.apply_heartbeat(now, &heartbeat(1, 5, raised + 1, &ended), term, Request);
+    assert!(!post.starts.may_start_again.contains_key(&key(3)));
     // A term has no tokens without end, and none is another term's.
     for _ in 0..TERM_STRIDE {
         post.raise_fencing_token();
--- a/tests/tables/shards.rs
+++ b/tests/tables/shards.rs
@@ -113,7 +113,8 @@
             unheard_s,
             "{workers:?}"
         );
-        let (lease, fits) = cancellation::fitting_lease(Micros::millis(wished), &workers);
-        assert_eq!((lease.as_millis(), fits), (used, safe), "{workers:?}, {wished} ms wished");
+        let fitted = cancellation::fitting_lease(Micros::millis(wished), &workers);
+        let got = (fitted.duration.as_millis(), fitted.is_short_enough);
+        assert_eq!(got, (used, safe), "{workers:?}, {wished} ms wished");
     }
 }
