--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -3,374 +3,208 @@
 //! Where more come than this node's share of changes can take one by one, those
 //! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
 //! all their descriptions. What is written of them later: see [`crate::controller::jobs::batch`].
-
-use crate::controller::calls::ApiCall;
-use crate::controller::calls::JobsCall;
-use crate::controller::jobs::dependencies::DependencyOutcome;
-use crate::controller::jobs::job::{self, Job, StoredStage};
-use crate::controller::leadership::shard;
-use crate::controller::{CachedStage, Controller, Ticket};
-use crate::kv_store::{KvRequest, KvResponse};
+//!
+//! Owns the submissions that wait and the batches that are still needed. Nothing here
+//! tells a user that a job is accepted before the store has applied its transaction.
+
+pub(crate) mod batches;
+pub(crate) mod outcome;
+pub(crate) mod transaction;
+
+use crate::controller::api::Api;
+use crate::controller::api::counts::Counts;
+use crate::controller::api::pending::Submission;
+use crate::controller::context::Context;
+use crate::controller::leadership::shard::ShardLeadership;
+use crate::controller::{Controller, Ticket};
 use crate::time::Micros;
-use crate::wire::{Condition, JobSpec, Refusal, Txn, Write};
-use log::info;
-use serde_json::{Value, json};
-use std::collections::{BTreeMap, BTreeSet};
+use crate::wire::JobSpec;
+use batches::Batch;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// How long after a submission others are expected.
-const ADMITTING: Micros = Micros::millis(500);
-/// Changes that an admission of one job makes.
-pub(crate) const ADMISSION_PUTS: usize = 2;
-/// A submission that has waited for longer is answered, to be sent again.
-const GIVEN_UP: Micros = Micros::millis(2_500);
-/// Bytes of a value that is full: some are left for what surrounds the list.
-const FULL: f64 = 0.95;
+const EXPECT_MORE_FOR: Micros = Micros::millis(500);
+/// Changes that an admission of one job makes: its record and its tasks.
+pub(crate) const ADMISSION_WRITES: usize = 2;
+/// A submission that has waited for longer is refused, to be sent again.
+const MAX_SUBMISSION_WAIT: Micros = Micros::millis(2_500);
+/// Part of a value that descriptions may take: some is left for what surrounds the list.
+const BATCH_FILL_SHARE: f64 = 0.95;
 /// Bytes that a job takes in a batch beside its description, at most.
 const BATCHED_JOB_OVERHEAD_BYTES: f64 = 100.0;
 
-/// A submission on its way to the key-value store.
-#[derive(Debug, Clone)]
-pub(crate) struct Submission {
-    pub ticket: Ticket,
-    pub spec: Rc<JobSpec>,
-    /// Time of day at which it came.
-    pub accepted: Micros,
-    came: Micros,
-    /// Bytes of its description.
-    size: usize,
-}
-
-/// Descriptions of jobs accepted together.
-#[derive(Debug, Clone)]
-pub(crate) struct Batch {
-    pub shard: usize,
-    pub revision: u64,
-    /// Jobs whose description stands nowhere else.
-    pub jobs: BTreeSet<String>,
-    /// It is being written, read or removed.
-    pub busy: bool,
-}
-
 /// Submissions that wait, and the batches that are still needed.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
+    /// Submissions that have not been sent to the store, in order of arrival.
     waiting: Vec<Submission>,
-    pub batches: BTreeMap<String, Batch>,
-    /// Where a job's description is, if in a batch.
-    pub batched: BTreeMap<String, String>,
-    count: u64,
+    /// Submissions that were neither accepted nor refused yet, those that were sent
+    /// to the store among them.
+    undecided: usize,
+    /// Until when further submissions are expected, and writes leave them a share.
+    expect_more_until: Micros,
+    /// By key.
+    pub(crate) batches: BTreeMap<String, Batch>,
+    /// Key of the batch in which a job's description is, for jobs with none elsewhere.
+    pub(crate) batched: BTreeMap<String, String>,
+    /// Batches that this process has begun, which numbers them.
+    batch_count: u64,
 }
 
 impl Admission {
-    /// Submissions that wait for their turn.
-    pub fn len(&self) -> usize {
-        self.waiting.len()
+    /// Whether submissions wait for their share of changes.
+    pub(crate) fn is_waiting(&self) -> bool {
+        !self.waiting.is_empty()
     }
 
     /// Whether a submission of the job waits.
-    pub fn holds(&self, id: &str) -> bool {
-        self.waiting.iter().any(|a| a.spec.id == id)
-    }
-
-    /// A job's description stands on its own, or the job is over.
-    pub fn unbatch(&mut self, id: &str) {
-        if let Some(key) = self.batched.remove(id)
-            && let Some(b) = self.batches.get_mut(&key)
-        {
-            b.jobs.remove(id);
-        }
+    pub(crate) fn has_waiting(&self, id: &str) -> bool {
+        self.waiting.iter().any(|submission| submission.spec.id == id)
     }
 
-    /// Takes in a batch that was read or written.
-    pub fn batch(&mut self, key: &str, shard: usize, revision: u64, jobs: BTreeSet<String>) {
-        for id in &jobs {
-            self.batched.insert(id.clone(), key.to_string());
-        }
-        self.batches.entry(key.to_string()).or_insert(Batch { shard, revision, jobs, busy: false });
+    /// Submissions that were neither accepted nor refused yet.
+    pub(crate) fn undecided(&self) -> usize {
+        self.undecided
     }
 
-    /// Forgets what belonged to a shard that is lost.
-    fn forget_shard(&mut self, s: usize) {
-        self.batches.retain(|_, b| b.shard != s);
-        let kept = &self.batches;
-        self.batched.retain(|_, key| kept.contains_key(key));
-    }
-}
-
-impl Controller {
-    /// Puts a submission that can be accepted among those that wait.
-    pub(crate) fn queue_submission(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
-        self.api.admitting_until = self.context.now + ADMITTING;
-        let arrival = Submission {
+    /// Adds a submission that can be accepted; `spec_bytes` is the size of its encoded
+    /// description.
+    fn enqueue(&mut self, context: &Context, ticket: Ticket, spec: Rc<JobSpec>, spec_bytes: usize) {
+        self.expect_more_until = context.now + EXPECT_MORE_FOR;
+        self.undecided += 1;
+        self.waiting.push(Submission {
             ticket,
             spec,
-            accepted: self.context.wall(),
-            came: self.context.now,
-            size,
-        };
-        self.api.admission.waiting.push(arrival);
+            submitted_at: context.wall(),
+            arrived_at: context.now,
+            spec_bytes,
+        });
     }
 
-    /// True while submissions wait for their share of changes.
-    pub fn accepting(&self) -> bool {
-        self.api.admission.len() > 0
+    /// So many submissions were accepted or refused.
+    fn note_decided(&mut self, count: usize) {
+        self.undecided = self.undecided.saturating_sub(count);
     }
 
-    /// Changes that others leave to admissions: while submissions come, their
-    /// users wait for them.
-    pub(crate) fn admission_reserve(&self) -> f64 {
-        if self.context.now < self.api.admitting_until {
-            self.context.write_budget.burst() / 2.0
-        } else {
-            0.0
-        }
+    /// A submission that was refused with others, and for them, waits again.
+    fn requeue(&mut self, submission: Submission) {
+        self.undecided += 1;
+        self.waiting.push(submission);
     }
 
-    /// Sends waiting submissions to the key-value store: one by one while there is
-    /// plenty of this node's share, together where there is not.
-    pub(crate) fn admit_waiting(&mut self) {
-        while self.api.admission.len() > 0 {
-            let shard = self.admitting_shard();
-            let leadership =
-                shard.and_then(|s| Some((s, self.leadership.shards[s].leadership.clone()?)));
-            let Some((s, leadership)) = leadership else {
-                return self.refuse_waiting("no seat is held");
-            };
-            let waiting = self.api.admission.len();
-            let level = self.context.write_budget.level(self.context.now);
-            let plenty = level
-                >= (waiting * ADMISSION_PUTS) as f64 + self.context.write_budget.burst() / 2.0;
-            let count = if plenty { 1 } else { self.batch_size() };
-            let puts = if count == 1 { ADMISSION_PUTS } else { count + 1 };
-            // No more than what writes of tasks leave: waiting for more, it would
-            // wait for ever behind them.
-            if level < (puts as f64).min(1.0 + self.admission_reserve()) {
-                return;
-            }
-            let list: Vec<Submission> = self.api.admission.waiting.drain(..count).collect();
-            self.admit(s, &leadership, list);
+    /// Changes per second that other writes leave to admissions: while submissions come,
+    /// their users wait for them.
+    pub(crate) fn reserved_writes(&self, context: &Context) -> f64 {
+        if context.now < self.expect_more_until { context.write_budget.burst() / 2.0 } else { 0.0 }
+    }
+
+    /// Takes out the submissions that are to be sent next: one while there is plenty of
+    /// this node's share of changes, else as many as fit together; none while the share
+    /// is used up.
+    fn next_group(&mut self, context: &mut Context) -> Option<Vec<Submission>> {
+        let level = context.write_budget.level(context.now);
+        let burst = context.write_budget.burst();
+        let is_plenty = level >= (self.waiting.len() * ADMISSION_WRITES) as f64 + burst / 2.0;
+        let count = if is_plenty { 1 } else { self.group_size(context) };
+        let writes = if count == 1 { ADMISSION_WRITES } else { count + 1 };
+        // No more than what writes of tasks leave: waiting for more, it would
+        // wait for ever behind them.
+        if level < (writes as f64).min(1.0 + self.reserved_writes(context)) {
+            return None;
         }
+        Some(self.waiting.drain(..count).collect())
     }
 
     /// How many of those that wait fit in one transaction and one value.
-    fn batch_size(&self) -> usize {
-        let state = &self.context.settings.state;
-        let mut left = state.value_kb * 1024.0 * FULL;
-        let share = (self.context.write_budget.burst() / 2.0) as usize;
-        let most = state.txn_ops.saturating_sub(1).min(share).clamp(1, self.api.admission.len());
-        let fits = |a: &&Submission| {
-            left -= a.size as f64 + BATCHED_JOB_OVERHEAD_BYTES;
-            left > 0.0
+    fn group_size(&self, context: &Context) -> usize {
+        let limits = &context.settings.state;
+        let mut left_bytes = limits.value_kb * 1024.0 * BATCH_FILL_SHARE;
+        let share = (context.write_budget.burst() / 2.0) as usize;
+        let max = limits.txn_ops.saturating_sub(1).min(share).clamp(1, self.waiting.len());
+        let fits = |submission: &&Submission| {
+            left_bytes -= submission.spec_bytes as f64 + BATCHED_JOB_OVERHEAD_BYTES;
+            left_bytes > 0.0
         };
-        self.api.admission.waiting[..most].iter().take_while(fits).count().max(1)
+        self.waiting[..max].iter().take_while(fits).count().max(1)
     }
 
-    fn admit(&mut self, s: usize, leadership: &shard::ShardLeadership, list: Vec<Submission>) {
-        let mut txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(s), revision: leadership.revision }],
-            writes: Vec::new(),
-        };
-        let mut values: Vec<Value> = Vec::new();
-        for a in &list {
-            let record = self.record_of(s, &a.spec);
-            let key = job::job_key(&a.spec.id);
-            txn.conditions.push(Condition { key: key.clone(), revision: 0 });
-            txn.writes.push(Write::Put { key, value: json!(record), lease: None });
-            let mut job = Job::new(Rc::clone(&a.spec), s, 0, a.accepted, self.jobs.chunk_layout);
-            job.chunks[0].version = 1;
-            values.push(job.encode_chunk(0));
-        }
-        let batch = (list.len() > 1).then(|| {
-            self.api.admission.count += 1;
-            job::batch_key(s, leadership.term, self.api.admission.count)
-        });
-        let (key, value) = match (&batch, values.pop()) {
-            (None, Some(one)) => (job::chunk_key(s, &list[0].spec.id, 0), one),
-            (Some(key), Some(last)) => {
-                values.push(last);
-                (key.clone(), job::encode_batch(values))
-            }
-            (_, None) => return,
-        };
-        txn.conditions.push(Condition { key: key.clone(), revision: 0 });
-        txn.writes.push(Write::Put { key, value, lease: None });
-        self.context.call_store(
-            ApiCall::Admit { list, shard: s, term: leadership.term, batch },
-            KvRequest::Txn(txn),
-        );
+    /// Takes out the submissions that have waited for too long.
+    fn take_expired(&mut self, now: Micros) -> Vec<Submission> {
+        let is_late = |s: &mut Submission| now.since(s.arrived_at) > MAX_SUBMISSION_WAIT;
+        let expired: Vec<Submission> = self.waiting.extract_if(.., is_late).collect();
+        self.note_decided(expired.len());
+        expired
     }
 
-    pub(crate) fn admission_reply(
-        &mut self,
-        list: Vec<Submission>,
-        s: usize,
-        term: u64,
-        batch: Option<String>,
-        reply: KvResponse,
-    ) {
-        self.api.undecided_submissions = self.api.undecided_submissions.saturating_sub(list.len());
-        match reply {
-            KvResponse::Applied(revision) => {
-                // The shard may have been lost meanwhile; whoever has it reads the jobs.
-                let held =
-                    self.leadership.shards[s].leadership.as_ref().is_some_and(|m| m.term == term);
-                if let Some(key) = batch.as_ref().filter(|_| held) {
-                    let jobs = list.iter().map(|a| a.spec.id.clone()).collect();
-                    self.api.admission.batch(key, s, revision, jobs);
-                }
-                for a in list {
-                    self.accepted(a, s, revision, held, batch.is_some());
-                }
-            }
-            KvResponse::Conflict(failed) => {
-                let lost = failed.contains(&shard::lease_key(s));
-                if lost {
-                    self.lease_revision_changed(s, term);
-                }
-                for a in list {
-                    let known = failed.contains(&job::job_key(&a.spec.id));
-                    if !lost && !known && batch.is_some() && self.holds_lease() {
-                        // Another of them was known already; this one is not.
-                        self.api.undecided_submissions += 1;
-                        self.api.admission.waiting.push(a);
-                        continue;
-                    }
-                    let otherwise = Refusal::new("undecided");
-                    self.read_or(a.ticket, &a.spec.id, 503, Some(1), &otherwise);
-                }
-            }
-            // They may still be applied; the watch then shows the jobs, or has done
-            // so already, when it could not be told from the acceptance under way.
-            _ => {
-                for a in list {
-                    let known = self.jobs.cached_stages.get(&a.spec.id).copied();
-                    if let Some(k) = known.filter(|k| k.stage == StoredStage::Accepted) {
-                        self.adopt(&a.spec.id, k.shard);
-                    }
-                    self.respond_retry_later(a.ticket, 503, "state service away");
-                }
-            }
-        }
+    /// Takes out all submissions that wait.
+    fn take_waiting(&mut self) -> Vec<Submission> {
+        let waiting = std::mem::take(&mut self.waiting);
+        self.note_decided(waiting.len());
+        waiting
     }
+}
 
-    fn accepted(&mut self, a: Submission, s: usize, revision: u64, held: bool, batched: bool) {
-        let spec = a.spec;
-        info!(
-            "job {} accepted: {} tasks of {}, team {}",
-            spec.id, spec.tasks, spec.class, spec.team
-        );
-        let took = self.context.now.since(a.came).as_millis();
-        log::debug!("job {} was written {took} ms after it had come", spec.id);
-        self.counts.accepted += 1;
-        self.jobs.dependency_graph.set_dependencies(&spec.id, &spec.dependencies);
-        let known =
-            CachedStage { stage: StoredStage::Accepted, shard: s, tasks: spec.tasks, revision };
-        self.cache_stage(&spec.id, known);
-        let cancelled = self
-            .jobs
-            .cached_stages
-            .get(&spec.id)
-            .is_some_and(|k| k.stage == StoredStage::Cancelled);
-        if held && !self.jobs.by_id.contains_key(&spec.id) {
-            let mut job =
-                Job::new(Rc::clone(&spec), s, revision, a.accepted, self.jobs.chunk_layout);
-            let chunk = &mut job.chunks[0];
-            // In a batch it has no key of its own yet.
-            (chunk.version, chunk.stored) = (1, 1);
-            chunk.revision = if batched { 0 } else { revision };
-            job.cancelled = cancelled;
-            if job.waiting {
-                self.jobs.dependency_graph.wait(&spec.id);
-            }
-            self.changes.jobs.insert(spec.id.clone());
-            self.jobs.by_id.insert(spec.id.clone(), job);
-            self.scheduler.placement_due = true;
+impl Api {
+    /// Refuses submissions that have waited for too long, or all of them where nothing
+    /// can be accepted: their users are told when to come back.
+    pub(crate) fn expire_submissions(
+        &mut self,
+        context: &mut Context,
+        counts: &mut Counts,
+        holds_lease: bool,
+    ) {
+        if !holds_lease {
+            return self.refuse_waiting(context, counts, "state service away");
         }
-        // Others may have said more of it while the answer was on its way here.
-        let known = self.jobs.cached_stages.get(&spec.id).copied().unwrap_or(known);
-        if known.stage == StoredStage::Accepted
-            && self.dependency_outcome_of(&spec.id) == DependencyOutcome::Pending
-        {
-            // Nobody can have been told more of it: it was accepted just now.
-            let answer = self.job_answer(&spec.id, known);
-            return self.context.respond(a.ticket, 201, None, &answer);
+        for submission in self.admission.take_expired(context.now) {
+            let reason = "too many submissions wait";
+            self.respond_retry_later(context, counts, submission.ticket, 429, reason);
         }
-        self.answer_with_stage(a.ticket, 201, &spec.id, known);
     }
 
-    /// Answers submissions that have waited for too long, or that nothing can
-    /// be done for: their users are told when to come back.
-    pub(crate) fn expire_submissions(&mut self) {
-        if !self.holds_lease() {
-            return self.refuse_waiting("state service away");
-        }
-        let now = self.context.now;
-        let over = |a: &Submission| now.since(a.came) > GIVEN_UP;
-        let (late, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.api.admission.waiting).into_iter().partition(over);
-        self.api.admission.waiting = rest;
-        for a in late {
-            self.api.undecided_submissions = self.api.undecided_submissions.saturating_sub(1);
-            self.respond_retry_later(a.ticket, 429, "too many submissions wait");
+    fn refuse_waiting(&mut self, context: &mut Context, counts: &mut Counts, reason: &str) {
+        for submission in self.admission.take_waiting() {
+            self.respond_retry_later(context, counts, submission.ticket, 503, reason);
         }
     }
+}
 
-    fn refuse_waiting(&mut self, why: &str) {
-        for a in std::mem::take(&mut self.api.admission.waiting) {
-            self.api.undecided_submissions = self.api.undecided_submissions.saturating_sub(1);
-            self.respond_retry_later(a.ticket, 503, why);
-        }
+impl Controller {
+    /// Puts a submission that can be accepted among those that wait; `spec_bytes` is the
+    /// size of its encoded description.
+    pub(crate) fn queue_submission(
+        &mut self,
+        ticket: Ticket,
+        spec: Rc<JobSpec>,
+        spec_bytes: usize,
+    ) {
+        self.api.admission.enqueue(&self.context, ticket, spec, spec_bytes);
     }
 
-    /// A shard is lost, and what it had accepted is another's to remember.
-    pub(crate) fn forget_batches(&mut self, s: usize) {
-        self.api.admission.forget_shard(s);
+    /// True while submissions wait for their share of changes.
+    pub fn accepting(&self) -> bool {
+        self.api.admission.is_waiting()
     }
 
-    /// Removes a batch that no job needs any more, when nothing urgent waits.
-    pub(crate) fn drop_batch(&mut self) {
-        let unreadable = &self.jobs.unreadable;
-        let idle = |key: &str, b: &Batch| b.jobs.is_empty() && !b.busy && !unreadable.contains(key);
-        let found = self.api.admission.batches.iter_mut().find(|(key, b)| idle(key, b));
-        let Some((key, b)) = found else {
-            return;
-        };
-        let Some(leadership) =
-            self.leadership.shards[b.shard].leadership.as_ref().filter(|m| m.recovered)
-        else {
-            return;
-        };
-        b.busy = true;
-        let txn = Txn {
-            conditions: vec![
-                Condition { key: shard::lease_key(b.shard), revision: leadership.revision },
-                Condition { key: key.clone(), revision: b.revision },
-            ],
-            writes: vec![Write::Delete { key: key.clone() }],
-        };
-        let op = JobsCall::DropBatch { key: key.clone(), term: leadership.term };
-        self.context.call_store(op, KvRequest::Txn(txn));
+    /// Sends waiting submissions to the key-value store: one by one while there is
+    /// plenty of this node's share, together where there is not.
+    pub(crate) fn admit_waiting(&mut self) {
+        while self.api.admission.is_waiting() {
+            let Some((shard, leadership)) = self.admitting_leadership() else {
+                let reason = "no seat is held";
+                return self.api.refuse_waiting(&mut self.context, &mut self.counts, reason);
+            };
+            let Some(submissions) = self.api.admission.next_group(&mut self.context) else {
+                return;
+            };
+            self.admit(shard, &leadership, submissions);
+        }
     }
 
-    pub(crate) fn batch_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
-        let Some(b) = self.api.admission.batches.get_mut(key) else {
-            return;
-        };
-        b.busy = false;
-        let s = b.shard;
-        match reply {
-            KvResponse::Applied(_) => {
-                self.api.admission.batches.remove(key);
-            }
-            KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
-                self.lease_revision_changed(s, term);
-            }
-            // An earlier try was applied after all.
-            KvResponse::Conflict(_) => {
-                self.api.admission.batches.remove(key);
-            }
-            _ => {}
-        }
+    /// The shard that accepts new jobs here, and under what it is led.
+    fn admitting_leadership(&self) -> Option<(usize, ShardLeadership)> {
+        let shard = self.admitting_shard()?;
+        Some((shard, self.leadership.shards[shard].leadership.clone()?))
     }
 }
--- /dev/null
+++ b/src/controller/api/admission/outcome.rs
@@ -0,0 +1,132 @@
+//! What follows from the reply to a transaction that accepts jobs.
+
+use crate::controller::api::pending::{AdmissionGroup, PreparedAnswer, Submission};
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::{self, Job, StoredStage};
+use crate::controller::leadership::shard;
+use crate::controller::{CachedStage, Controller};
+use crate::kv_store::KvResponse;
+use log::info;
+use std::rc::Rc;
+
+/// How jobs were accepted.
+#[derive(Debug, Clone, Copy)]
+struct Acceptance {
+    shard: usize,
+    /// Revision of the transaction.
+    revision: u64,
+    /// This process still leads the shard under the same term.
+    still_led: bool,
+    /// Their descriptions are in a batch.
+    batched: bool,
+}
+
+impl Controller {
+    /// Takes in the reply to an admission.
+    pub(crate) fn admission_reply(&mut self, group: AdmissionGroup, reply: KvResponse) {
+        self.api.admission.note_decided(group.submissions.len());
+        match reply {
+            KvResponse::Applied(revision) => self.group_accepted(group, revision),
+            KvResponse::Conflict(failed_keys) => self.group_refused(group, &failed_keys),
+            // They may still be applied; the watch then shows the jobs, or has done
+            // so already, when it could not be told from the acceptance in flight.
+            _ => {
+                for submission in group.submissions {
+                    let id = &submission.spec.id;
+                    let cached = self.jobs.cached_stages.get(id).copied();
+                    if let Some(cached) = cached.filter(|c| c.stage == StoredStage::Accepted) {
+                        self.adopt(id, cached.shard);
+                    }
+                    self.respond_retry_later(submission.ticket, 503, "state service away");
+                }
+            }
+        }
+    }
+
+    fn group_accepted(&mut self, group: AdmissionGroup, revision: u64) {
+        let AdmissionGroup { submissions, shard, term, batch_key } = group;
+        // The shard may have been lost meanwhile; whoever leads it reads the jobs.
+        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        let still_led = leadership.is_some_and(|leadership| leadership.term == term);
+        let batched = batch_key.is_some();
+        if let Some(key) = batch_key.filter(|_| still_led) {
+            let jobs = submissions.iter().map(|s| s.spec.id.clone()).collect();
+            self.api.admission.add_batch(&key, shard, revision, jobs);
+        }
+        let acceptance = Acceptance { shard, revision, still_led, batched };
+        for submission in submissions {
+            self.job_accepted(submission, acceptance);
+        }
+    }
+
+    /// A condition failed: the shard's lease has changed, or a job is known.
+    fn group_refused(&mut self, group: AdmissionGroup, failed_keys: &[String]) {
+        let lease_changed = failed_keys.contains(&shard::lease_key(group.shard));
+        if lease_changed {
+            self.lease_revision_changed(group.shard, group.term);
+        }
+        for submission in group.submissions {
+            let is_known = failed_keys.contains(&job::job_key(&submission.spec.id));
+            if !lease_changed && !is_known && group.batch_key.is_some() && self.holds_lease() {
+                // Another of them was known already; this one is not.
+                self.api.admission.requeue(submission);
+                continue;
+            }
+            let if_absent = PreparedAnswer::undecided();
+            self.read_job_or_answer(submission.ticket, &submission.spec.id, if_absent);
+        }
+    }
+
+    fn job_accepted(&mut self, submission: Submission, acceptance: Acceptance) {
+        let Acceptance { shard, revision, .. } = acceptance;
+        let spec = &submission.spec;
+        let (id, tasks) = (&spec.id, spec.tasks);
+        info!("job {id} accepted: {tasks} tasks of {}, team {}", spec.class, spec.team);
+        let took = self.context.now.since(submission.arrived_at).as_millis();
+        log::debug!("job {id} was written {took} ms after its submission");
+        self.counts.accepted += 1;
+        self.jobs.dependency_graph.set_dependencies(id, &spec.dependencies);
+        let accepted = CachedStage { stage: StoredStage::Accepted, shard, tasks, revision };
+        self.cache_stage(id, accepted);
+        // Others may have changed more of it while the answer was on its way here.
+        let cached = self.jobs.cached_stages.get(id).copied();
+        if acceptance.still_led && !self.jobs.by_id.contains_key(id) {
+            let cancelled = cached.is_some_and(|c| c.stage == StoredStage::Cancelled);
+            self.add_accepted_job(&submission, acceptance, cancelled);
+        }
+        let cached = cached.unwrap_or(accepted);
+        if cached.stage == StoredStage::Accepted
+            && self.dependency_outcome_of(id) == DependencyOutcome::Pending
+        {
+            // No user can have been told more of it: it was accepted just now.
+            let answer = self.job_answer(id, cached);
+            return self.context.respond(submission.ticket, 201, None, &answer);
+        }
+        self.answer_with_stage(submission.ticket, 201, id, cached);
+    }
+
+    /// A job of an own shard is to be run from now on.
+    fn add_accepted_job(
+        &mut self,
+        submission: &Submission,
+        acceptance: Acceptance,
+        cancelled: bool,
+    ) {
+        let Acceptance { shard, revision, batched, .. } = acceptance;
+        let id = &submission.spec.id;
+        let spec = Rc::clone(&submission.spec);
+        let layout = self.jobs.chunk_layout;
+        let mut job = Job::new(spec, shard, revision, submission.submitted_at, layout);
+        let chunk = &mut job.chunks[0];
+        (chunk.version, chunk.stored) = (1, 1);
+        // In a batch it has no key of its own yet.
+        chunk.revision = if batched { 0 } else { revision };
+        job.cancelled = cancelled;
+        if job.waiting {
+            self.jobs.dependency_graph.wait(id);
+        }
+        self.changes.jobs.insert(id.clone());
+        self.jobs.by_id.insert(id.clone(), job);
+        self.scheduler.placement_due = true;
+    }
+}
--- /dev/null
+++ b/src/controller/api/cancellation_requests.rs
@@ -0,0 +1,118 @@
+//! Users' requests to cancel a job: read its record, and replace it if nothing has come
+//! in between.
+
+use crate::controller::api::pending::CancelledJob;
+use crate::controller::api::record_reads::RecordRead;
+use crate::controller::calls::ApiCall;
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::{self, JobRecord, StoredStage};
+use crate::controller::{CachedStage, Controller, Ticket};
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::wire::{Condition, Refusal, Txn, Write};
+use log::info;
+use serde_json::json;
+
+/// Times that a cancellation is tried anew when something came in between.
+const MAX_CANCELLATION_TRIES: u32 = 4;
+
+impl Controller {
+    /// A user cancels a job.
+    pub(crate) fn cancel(&mut self, ticket: Ticket, id: &str) {
+        if let Some(cached) = self.jobs.cached_stages.get(id).copied()
+            && cached.stage != StoredStage::Accepted
+        {
+            return self.answer_with_stage(ticket, 200, id, cached);
+        }
+        self.read_to_cancel(ticket, id, MAX_CANCELLATION_TRIES);
+    }
+
+    fn read_to_cancel(&mut self, ticket: Ticket, id: &str, tries: u32) {
+        if tries == 0 {
+            return self.respond_retry_later(ticket, 503, "undecided");
+        }
+        let call = ApiCall::ReadToCancel { ticket, job: id.to_string(), tries_left: tries - 1 };
+        self.context.call_store(call, KvRequest::Get(job::job_key(id)));
+    }
+
+    /// Takes in the record of a job that a user cancels.
+    pub(crate) fn read_to_cancel_reply(
+        &mut self,
+        ticket: Ticket,
+        job: String,
+        tries_left: u32,
+        reply: &KvResponse,
+    ) {
+        match self.take_record_reply(&job, reply) {
+            // It is cancelled already with one that it depends on.
+            RecordRead::Found { cached, .. }
+                if matches!(
+                    self.dependency_outcome_of(&job),
+                    DependencyOutcome::Cancelled { .. }
+                ) =>
+            {
+                self.answer_with_stage(ticket, 200, &job, cached);
+            }
+            RecordRead::Found { cached, revision } if cached.stage == StoredStage::Accepted => {
+                let job = CancelledJob { id: job, shard: cached.shard, tasks: cached.tasks };
+                self.write_cancellation(ticket, job, revision, tries_left);
+            }
+            RecordRead::Found { cached, .. } => self.answer_with_stage(ticket, 200, &job, cached),
+            RecordRead::NoSuchJob => {
+                self.context.respond(ticket, 404, None, &Refusal::new("no such job"));
+            }
+            RecordRead::NotAnswered => {
+                self.respond_retry_later(ticket, 503, "state service away");
+            }
+        }
+    }
+
+    /// Replaces the job's record if it still has the revision that was read.
+    fn write_cancellation(
+        &mut self,
+        ticket: Ticket,
+        job: CancelledJob,
+        revision: u64,
+        tries_left: u32,
+    ) {
+        let record = JobRecord {
+            shard: job.shard,
+            stage: StoredStage::Cancelled,
+            tasks: job.tasks,
+            dependencies: Vec::new(),
+            more: 0,
+        };
+        let key = job::job_key(&job.id);
+        let txn = Txn {
+            conditions: vec![Condition { key: key.clone(), revision }],
+            writes: vec![Write::Put { key, value: json!(record), lease: None }],
+        };
+        let call = ApiCall::WriteCancellation { ticket, job, tries_left };
+        self.context.call_store(call, KvRequest::Txn(txn));
+    }
+
+    /// Takes in the outcome of a cancellation.
+    pub(crate) fn cancellation_written(
+        &mut self,
+        ticket: Ticket,
+        job: CancelledJob,
+        tries_left: u32,
+        reply: &KvResponse,
+    ) {
+        let CancelledJob { id, shard, tasks } = job;
+        match *reply {
+            KvResponse::Applied(revision) => {
+                info!("job {id} cancelled by its user");
+                let cached = CachedStage { stage: StoredStage::Cancelled, shard, tasks, revision };
+                self.cache_stage(&id, cached);
+                self.announce_cancelled(&id, revision);
+                self.job_cancelled(&id);
+                self.answer_with_stage(ticket, 200, &id, cached);
+            }
+            // Changed in between, or perhaps applied: what is stored decides.
+            KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => {
+                self.read_to_cancel(ticket, &id, tries_left);
+            }
+            _ => self.respond_retry_later(ticket, 503, "state service away"),
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/api/health.rs
@@ -0,0 +1,83 @@
+//! The load balancer's health check: whether users should be sent to this node.
+
+use crate::controller::leadership::shard;
+use crate::controller::{Controller, Ticket};
+use crate::wire::Refusal;
+use log::info;
+use serde_json::json;
+use thiserror::Error;
+
+/// Whether this node takes users' requests.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Health {
+    /// It does.
+    Healthy,
+    /// Users should not be sent here.
+    Unhealthy(UnhealthyReason),
+}
+
+/// Why users should not be sent here. The texts go to the load balancer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub(crate) enum UnhealthyReason {
+    /// Without them nothing can be said of a submission.
+    #[error("machine types are not known yet")]
+    MachineTypesUnknown,
+    /// Its lease is valid, but it serves no shard.
+    #[error("no seat is held")]
+    NoShardServed,
+    /// The key-value store answers peers, and not this node.
+    #[error("the state service is away from here alone")]
+    StoreUnreachableHereOnly,
+    /// It has never read the shards under a lease of its own.
+    #[error("no state lease was held")]
+    NeverHeldLease,
+}
+
+impl Controller {
+    /// Whether users should be sent here. In an outage of the key-value store
+    /// all nodes stay in, so that service resumes the moment that it returns;
+    /// a node that alone lost it steps back, which its peers' frames tell.
+    fn check_health(&self) -> Result<(), UnhealthyReason> {
+        if self.autoscaler.machine_types.is_empty() {
+            return Err(UnhealthyReason::MachineTypesUnknown);
+        }
+        if self.holds_lease() {
+            let serves_any = (0..self.leadership.shards.len()).any(|s| self.serves_shard(s));
+            return serves_any.then_some(()).ok_or(UnhealthyReason::NoShardServed);
+        }
+        // In an outage the nodes' leases end one after the other, by as much as
+        // they renew apart: for so long another's being well proves nothing.
+        let store_reached_by_peers =
+            self.peers.by_member.iter().any(|(n, p)| self.peer_alive(*n) && p.state_ok);
+        if store_reached_by_peers
+            && self.context.now.since(self.leadership.lease_held_at)
+                > shard::renew_every(self.context.options.controller_lease)
+        {
+            return Err(UnhealthyReason::StoreUnreachableHereOnly);
+        }
+        let has_held_lease = self.leadership.controller_lease.epoch > 0
+            && self.leadership.shards_read
+            && self.leadership.controller_lease.id.is_some();
+        has_held_lease.then_some(()).ok_or(UnhealthyReason::NeverHeldLease)
+    }
+
+    /// Answers a health check; changes are logged.
+    pub(crate) fn respond_health(&mut self, ticket: Ticket) {
+        let health = self.check_health().map_or_else(Health::Unhealthy, |()| Health::Healthy);
+        let changed = self.api.last_reported_health.replace(health) != Some(health);
+        match health {
+            Health::Healthy => {
+                if changed {
+                    info!("health: takes requests");
+                }
+                self.context.respond(ticket, 200, None, &json!({"healthy": true}));
+            }
+            Health::Unhealthy(reason) => {
+                if changed {
+                    info!("health: {reason}");
+                }
+                self.context.respond(ticket, 503, Some(1), &Refusal::new(&reason.to_string()));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/api/job_answers.rs
@@ -0,0 +1,86 @@
+//! What users are told of a job.
+
+use crate::controller::decision_log;
+use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::job::StoredStage;
+use crate::controller::{CachedStage, Controller, Ticket, Watch};
+use crate::wire::{JobAnswer, JobStage};
+
+impl Controller {
+    /// A job's stage and the counts of its tasks.
+    pub(crate) fn job_answer<'a>(&self, id: &'a str, cached: CachedStage) -> JobAnswer<'a> {
+        let (done, running) = match cached.stage {
+            StoredStage::Done => (cached.tasks, 0),
+            StoredStage::Cancelled => (self.jobs.progress.get(id).map_or(0, |p| p.0), 0),
+            StoredStage::Accepted => match self.jobs.by_id.get(id) {
+                Some(job) => (job.done(), job.running()),
+                None => self.jobs.progress.get(id).copied().unwrap_or((0, 0)),
+            },
+        };
+        let stage = match Controller::stage_word(cached.stage) {
+            JobStage::Queued if running > 0 => JobStage::Running,
+            stage => stage,
+        };
+        JobAnswer { id, stage, done, running }
+    }
+
+    /// Answers with a job's stage: at once, unless the stage is terminal and a peer
+    /// might still answer with an older one.
+    pub(crate) fn answer_with_stage(
+        &mut self,
+        ticket: Ticket,
+        status: u16,
+        id: &str,
+        cached: CachedStage,
+    ) {
+        if cached.stage != StoredStage::Accepted {
+            if !self.api.terminal_states.acknowledged(id) {
+                return self.api.terminal_states.await_acknowledgement(ticket, id);
+            }
+            return self.answer_now(ticket, status, id, cached);
+        }
+        match self.dependency_outcome_of(id) {
+            DependencyOutcome::Satisfied => self.answer_now(ticket, status, id, cached),
+            DependencyOutcome::Pending => self.answer_blocked(ticket, status, id, cached),
+            DependencyOutcome::Unknown(list) => {
+                self.read_records(list);
+                self.respond_retry_later(ticket, 503, "the jobs that it needs are being read");
+            }
+            DependencyOutcome::Cancelled { acknowledged: false } => {
+                self.api.terminal_states.await_acknowledgement(ticket, id);
+            }
+            DependencyOutcome::Cancelled { acknowledged: true } => {
+                let cancelled = CachedStage { stage: StoredStage::Cancelled, ..cached };
+                self.answer_now(ticket, status, id, cancelled);
+            }
+        }
+    }
+
+    fn answer_now(&mut self, ticket: Ticket, status: u16, id: &str, cached: CachedStage) {
+        self.note_final_answer(id, cached);
+        let answer = self.job_answer(id, cached);
+        self.context.respond(ticket, status, None, &answer);
+    }
+
+    /// A user is told that a job is done or cancelled.
+    fn note_final_answer(&mut self, job: &str, cached: CachedStage) {
+        if cached.stage == StoredStage::Accepted {
+            return;
+        }
+        self.counts.decisions.final_answers += 1;
+        let followed = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        decision_log::final_answer(job, cached.stage, cached.revision, followed);
+    }
+
+    /// Answers those who wait for terminal states that every peer knows of by now.
+    pub(crate) fn answer_acknowledged(&mut self) {
+        let followed_by_peers = self.peers.by_member.values().map(|p| p.watched).min();
+        let ready = self.api.terminal_states.take_answerable(self.context.now, followed_by_peers);
+        for answer in ready {
+            match self.jobs.cached_stages.get(&answer.job).copied() {
+                Some(cached) => self.answer_with_stage(answer.ticket, 200, &answer.job, cached),
+                None => self.respond_retry_later(answer.ticket, 503, "undecided"),
+            }
+        }
+    }
+}
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -1,7 +1,8 @@
-//! What the status page, the queue page and the log tell of the controller.
+//! The status page: this controller's leadership, peers, machines and counters, in JSON.
+//! Names of its fields are read by operators' tools and stay.
 
 use crate::controller::Controller;
-use crate::controller::decision_log::DecisionCounts;
+use crate::controller::api::counts::Counts;
 use crate::controller::leadership::shard::Shard;
 use crate::controller::peers::frames::PeerInfo;
 use crate::peer::{self, MachineView};
@@ -26,6 +27,7 @@
     tasks_waiting: u64,
     machines: Vec<MachineStatus<'a>>,
     rented: BTreeMap<&'static str, usize>,
+    /// Images known to be on machines.
     image_entries: usize,
     counts: &'a Counts,
 }
@@ -36,7 +38,7 @@
     member: &'a str,
     alive: bool,
     state_ok: bool,
-    /// 0: a version that does not tell its format; absent: no frame of it has come.
+    /// 0: a version that does not send its format; absent: no frame of it has arrived.
     format: Option<u32>,
 }
 
@@ -46,13 +48,13 @@
     rps: f64,
     write_rps: f64,
     txn_ops: usize,
-    /// For what is divided from now on.
+    /// For chunks that are divided from now on.
     value_kb: f64,
-    /// For what earlier versions divided: larger until the service refuses a value.
+    /// For chunks that earlier versions divided: larger until the store refuses a value.
     largest_value_kb: f64,
 }
 
-/// A shard, the member that holds its lease, and its term.
+/// A shard, the member that leads it, and its term.
 #[derive(Serialize)]
 struct ShardStatus<'a> {
     shard: usize,
@@ -80,7 +82,7 @@
     }
 }
 
-/// A machine as its manager last told.
+/// A machine as its shard's leader last described it.
 #[derive(Serialize)]
 struct MachineStatus<'a> {
     machine: &'a str,
@@ -107,32 +109,8 @@
     }
 }
 
-/// Counters for the status page.
-#[derive(Debug, Clone, Default, Serialize)]
-pub(crate) struct Counts {
-    pub(crate) accepted: u64,
-    pub(crate) refused: u64,
-    pub(crate) done: u64,
-    pub(crate) cancelled: u64,
-    /// Jobs let go once all that they need was done.
-    pub(crate) released: u64,
-    /// Jobs cancelled with one that they need.
-    #[serde(rename = "cancelled_with_upstream")]
-    pub(crate) cancelled_with_dependency: u64,
-    pub(crate) placed: u64,
-    pub(crate) image_hits: u64,
-    pub(crate) failed: u64,
-    pub(crate) lost: u64,
-    pub(crate) preempted: u64,
-    #[serde(rename = "reports")]
-    pub(crate) heartbeats: u64,
-    #[serde(rename = "bad_reports")]
-    pub(crate) bad_heartbeats: u64,
-    pub(crate) decisions: DecisionCounts,
-}
-
 impl Controller {
-    /// For the status page.
+    /// The status page at `now`.
     pub fn status(&self, now: Micros) -> Value {
         let page = StatusPage {
             member: &self.context.member,
@@ -142,8 +120,8 @@
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
             jobs: self.jobs.by_id.len(),
-            jobs_with_dependencies: self.jobs.by_id.values().filter(|j| j.waiting).count(),
-            tasks_waiting: self.jobs.by_id.values().map(|j| u64::from(j.pending())).sum(),
+            jobs_with_dependencies: self.jobs.by_id.values().filter(|job| job.waiting).count(),
+            tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
             rented: self.autoscaler.fleet.stages(),
             image_entries: self.scheduler.images.len(),
@@ -187,58 +165,7 @@
         self.machines.views.values().map(MachineStatus::of).collect()
     }
 
-    /// Tells the log how many tasks wait for what.
-    pub(crate) fn log_waiting(&self) {
-        if !log::log_enabled!(log::Level::Debug) {
-            return;
-        }
-        let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
-        for j in self.jobs.by_id.values().filter(|j| !j.cancelled && !j.over && j.pending() > 0) {
-            *counts.entry((&j.spec.class, &j.spec.team, j.pending_reason)).or_default() +=
-                j.pending();
-        }
-        for ((class, team, reason), tasks) in counts {
-            log::debug!("{tasks} tasks of {class}, team {team}, wait: {reason}");
-        }
-    }
-
-    /// The queue as plain text: in order of service, each with why it waits.
-    pub fn queue_page(&self, _now: Micros) -> String {
-        use std::fmt::Write;
-        let mut page = String::from("job class team priority waiting running done reason\n");
-        for (_, id) in self.queue_order() {
-            if let Some(j) = self.jobs.by_id.get(&id) {
-                // Writing into a String cannot fail.
-                let _ = writeln!(
-                    page,
-                    "{id} {} {} {:?} {} {} {} {}",
-                    j.spec.class,
-                    j.spec.team,
-                    j.spec.priority,
-                    j.pending(),
-                    j.running(),
-                    j.done(),
-                    j.pending_reason
-                );
-            }
-        }
-        for (id, j) in self.jobs.by_id.iter().filter(|(_, j)| j.waiting && !j.cancelled && !j.over)
-        {
-            let needs: Vec<&str> = j.dependencies.iter().map(String::as_str).collect();
-            let _ = writeln!(
-                page,
-                "{id} {} {} {:?} {} 0 0 needs {}",
-                j.spec.class,
-                j.spec.team,
-                j.spec.priority,
-                j.pending(),
-                needs.join(" ")
-            );
-        }
-        page
-    }
-
-    /// Number of shards owned, for tests and the log.
+    /// Number of shards that this process leads, whether or not they have been recovered.
     pub fn led_shard_count(&self) -> usize {
         self.leadership.shards.iter().filter(|s| s.leadership.is_some()).count()
     }
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,226 +1,248 @@
 //! Status queries about jobs.
 //!
 //! What is final is answered from memory. Otherwise only the key-value store knows
-//! whether some node has said more by now, so every status query is followed by a
-//! look at it. While there is plenty of this node's share of requests each reads
-//! its job's key; in a storm those that wait are put together: one transaction
-//! that changes nothing and compares the versions of all their keys.
+//! whether some node has changed more by now, so every status query leads to a call to
+//! it. While there is plenty of this node's share of requests each reads its job's
+//! key; in a storm those that wait are put together: one transaction that changes
+//! nothing and compares the revisions of all their keys.
 
+use crate::controller::api::Api;
+use crate::controller::api::counts::Counts;
+use crate::controller::api::pending::{QueriedJobs, StatusQuery, WaitingUser};
+use crate::controller::api::record_reads::RecordRead;
 use crate::controller::calls::ApiCall;
+use crate::controller::context::Context;
 use crate::controller::jobs::dependencies::DependencyOutcome;
 use crate::controller::jobs::job::{self, StoredStage};
 use crate::controller::{Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::{Condition, Refusal, Txn};
-use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Comparisons under way at once.
-const COMPARISONS: usize = 2;
-/// Conditions that a transaction may have for each change that it might make.
-const CONDITIONS: usize = 4;
-/// Bytes of a transaction that conditions may take, and those of one beside its key.
-const COMPARISON_BYTES: usize = 48 * 1024;
-const CONDITION_BYTES: usize = 40;
-/// Status queries that may wait; more are told to come back.
-const MOST_WAITING: usize = 2_000;
-/// A stage that is not final, or that a job is not there, is told only if the call
-/// that shows it was sent no longer ago.
-pub(crate) const FRESH: Micros = Micros::millis(600);
-/// A status query that has waited for longer is answered while its user listens.
-const LISTENS: Micros = Micros::millis(1_600);
-
-/// Status queries about one job.
-#[derive(Debug, Clone)]
-pub(crate) struct StatusQuery {
-    /// Version of its key that is known.
-    revision: u64,
-    /// Who asks, and since when.
-    who: Vec<(Ticket, Micros)>,
-}
-
-/// Jobs asked about together.
-pub(crate) type QueriedJobs = BTreeMap<String, StatusQuery>;
+/// Comparisons in flight at once.
+const MAX_COMPARISONS_IN_FLIGHT: usize = 2;
+/// Conditions that the store takes in a transaction for each change that it may make.
+const CONDITIONS_PER_WRITE: usize = 4;
+/// Bytes of a transaction that conditions may take.
+const MAX_COMPARISON_BYTES: usize = 48 * 1024;
+/// Bytes of a condition beside the job's id.
+const CONDITION_OVERHEAD_BYTES: usize = 40;
+/// Status queries that may wait; more are refused.
+const MAX_WAITING_QUERIES: usize = 2_000;
+/// A stage that is not terminal, or that a job is not there, is answered only if the
+/// call that shows it was sent no longer ago.
+pub(crate) const MAX_READ_AGE: Micros = Micros::millis(600);
+/// A status query that has waited for longer is refused while its user still waits.
+const MAX_QUERY_WAIT: Micros = Micros::millis(1_600);
 
 /// Status queries that wait for a comparison.
 #[derive(Debug, Default)]
 pub(crate) struct StatusQueries {
     waiting: QueriedJobs,
-    /// Status queries in `waiting`.
-    count: usize,
-    /// The job last asked about: the next ones have their turn after it.
-    last: String,
-    under_way: usize,
+    /// Users in `waiting`.
+    waiting_users: usize,
+    /// The job last compared: the next ones have their turn after it.
+    last_compared: String,
+    comparisons_in_flight: usize,
 }
 
 impl StatusQueries {
-    /// The next job that is asked about.
+    /// Adds users to those who await a comparison of a job's record with a revision.
+    fn enqueue(
+        &mut self,
+        job: String,
+        revision: u64,
+        users: impl IntoIterator<Item = WaitingUser>,
+    ) {
+        let query = self.waiting.entry(job);
+        let query = query.or_insert(StatusQuery { revision, users: Vec::new() });
+        let earlier = query.users.len();
+        query.users.extend(users);
+        self.waiting_users += query.users.len() - earlier;
+    }
+
+    /// Takes out the job whose turn it is.
     fn next(&mut self) -> Option<(String, StatusQuery)> {
-        let after = (Bound::Excluded(self.last.as_str()), Bound::Unbounded);
+        let after = (Bound::Excluded(self.last_compared.as_str()), Bound::Unbounded);
         let next = self.waiting.range::<str, _>(after).next().or(self.waiting.iter().next());
-        self.last = next?.0.clone();
-        let found = self.waiting.remove_entry(&self.last)?;
-        self.count -= found.1.who.len();
-        Some(found)
+        self.last_compared = next?.0.clone();
+        let (job, query) = self.waiting.remove_entry(&self.last_compared)?;
+        self.waiting_users -= query.users.len();
+        Some((job, query))
     }
-}
 
-impl Controller {
-    pub(crate) fn poll(&mut self, ticket: Ticket, id: &str) {
-        let now = self.context.now;
-        let known = self.jobs.cached_stages.get(id).copied();
-        if let Some(known) = known.filter(|k| k.stage != StoredStage::Accepted) {
-            return self.answer_with_stage(ticket, 200, id, known);
-        }
-        if let Some(known) = known
-            && self.dependency_outcome_of(id) != DependencyOutcome::Satisfied
+    /// Takes out as many jobs as fit in one comparison.
+    fn next_comparison(&mut self, max_jobs: usize) -> QueriedJobs {
+        let mut left_bytes = MAX_COMPARISON_BYTES;
+        let mut jobs = QueriedJobs::new();
+        while jobs.len() < max_jobs
+            && let Some((id, query)) = self.next()
         {
-            return self.answer_with_stage(ticket, 200, id, known);
-        }
-        match known.filter(|k| k.revision > 0) {
-            Some(known)
-                if !(self.api.status_queries.count == 0 && self.context.has_spare_requests()) =>
-            {
-                if self.api.status_queries.count >= MOST_WAITING {
-                    return self.respond_retry_later(ticket, 429, "too many questions wait");
-                }
-                self.api.status_queries.count += 1;
-                let query = self.api.status_queries.waiting.entry(id.to_string());
-                let query =
-                    query.or_insert(StatusQuery { revision: known.revision, who: Vec::new() });
-                query.who.push((ticket, now));
+            left_bytes = left_bytes.saturating_sub(id.len() + CONDITION_OVERHEAD_BYTES);
+            jobs.insert(id, query);
+            if left_bytes == 0 {
+                break;
             }
-            _ => self.read_job(vec![ticket], id),
         }
-    }
-
-    fn read_job(&mut self, tickets: Vec<Ticket>, id: &str) {
-        let op = ApiCall::Poll { tickets, job: id.to_string(), sent: self.context.now };
-        self.context.call_store(op, KvRequest::Get(job::job_key(id)));
+        jobs
     }
 
     /// Sends comparisons for the status queries that wait.
-    pub(crate) fn send_status_comparisons(&mut self) {
-        while self.api.status_queries.count > 0
-            && self.api.status_queries.under_way < COMPARISONS
-            && self.context.request_budget.level(self.context.now) >= 1.0
+    pub(crate) fn send_comparisons(&mut self, context: &mut Context) {
+        while self.waiting_users > 0
+            && self.comparisons_in_flight < MAX_COMPARISONS_IN_FLIGHT
+            && context.request_budget.level(context.now) >= 1.0
         {
-            let most = (self.context.settings.state.txn_ops * CONDITIONS).max(1);
-            let mut left = COMPARISON_BYTES;
-            let mut jobs = QueriedJobs::new();
-            while jobs.len() < most
-                && let Some((id, query)) = self.api.status_queries.next()
-            {
-                left = left.saturating_sub(id.len() + CONDITION_BYTES);
-                jobs.insert(id, query);
-                if left == 0 {
-                    break;
-                }
-            }
+            let max_jobs = (context.settings.state.txn_ops * CONDITIONS_PER_WRITE).max(1);
+            let jobs = self.next_comparison(max_jobs);
             let condition = |(id, query): (&String, &StatusQuery)| Condition {
                 key: job::job_key(id),
                 revision: query.revision,
             };
             let conditions = jobs.iter().map(condition).collect();
-            self.api.status_queries.under_way += 1;
-            let txn = Txn { conditions, writes: Vec::new() };
-            self.context.call_store(
-                ApiCall::CompareStages { jobs, sent: self.context.now },
-                KvRequest::Txn(txn),
-            );
+            self.comparisons_in_flight += 1;
+            let call = ApiCall::CompareStages { jobs, sent_at: context.now };
+            context.call_store(call, KvRequest::Txn(Txn { conditions, writes: Vec::new() }));
+        }
+    }
+
+    /// Takes out the users who have waited for too long.
+    fn take_expired(&mut self, now: Micros) -> Vec<WaitingUser> {
+        let mut expired = Vec::new();
+        if self.waiting_users == 0 {
+            return expired;
+        }
+        self.waiting.retain(|_, StatusQuery { users, .. }| {
+            expired.extend(users.extract_if(.., |user| now.since(user.since) > MAX_QUERY_WAIT));
+            !users.is_empty()
+        });
+        self.waiting_users -= expired.len();
+        expired
+    }
+}
+
+impl Api {
+    /// Refuses status queries that have waited for as long as their users do.
+    pub(crate) fn expire_status_queries(&mut self, context: &mut Context, counts: &mut Counts) {
+        for user in self.status_queries.take_expired(context.now) {
+            let reason = "too many questions wait";
+            self.respond_retry_later(context, counts, user.ticket, 503, reason);
+        }
+    }
+}
+
+impl Controller {
+    /// A user queries a job's status.
+    pub(crate) fn query_job(&mut self, ticket: Ticket, id: &str) {
+        let now = self.context.now;
+        let Some(cached) = self.jobs.cached_stages.get(id).copied() else {
+            return self.read_queried(vec![ticket], id);
+        };
+        if cached.stage != StoredStage::Accepted
+            || self.dependency_outcome_of(id) != DependencyOutcome::Satisfied
+        {
+            return self.answer_with_stage(ticket, 200, id, cached);
         }
+        let none_waits = self.api.status_queries.waiting_users == 0;
+        if cached.revision == 0 || (none_waits && self.context.has_spare_requests()) {
+            return self.read_queried(vec![ticket], id);
+        }
+        if self.api.status_queries.waiting_users >= MAX_WAITING_QUERIES {
+            return self.respond_retry_later(ticket, 429, "too many questions wait");
+        }
+        let user = WaitingUser { ticket, since: now };
+        self.api.status_queries.enqueue(id.to_string(), cached.revision, [user]);
+    }
+
+    fn read_queried(&mut self, tickets: Vec<Ticket>, id: &str) {
+        let job = id.to_string();
+        let call = ApiCall::ReadQueried { tickets, job, sent_at: self.context.now };
+        self.context.call_store(call, KvRequest::Get(job::job_key(id)));
     }
 
-    pub(crate) fn stages_compared(&mut self, jobs: QueriedJobs, sent: Micros, reply: KvResponse) {
-        self.api.status_queries.under_way = self.api.status_queries.under_way.saturating_sub(1);
+    /// Takes in the outcome of a comparison: what has not changed is answered, what has
+    /// is read.
+    pub(crate) fn stages_compared(
+        &mut self,
+        jobs: QueriedJobs,
+        sent_at: Micros,
+        reply: KvResponse,
+    ) {
+        let queries = &mut self.api.status_queries;
+        queries.comparisons_in_flight = queries.comparisons_in_flight.saturating_sub(1);
         let failed = match reply {
             KvResponse::Applied(_) => Vec::new(),
             KvResponse::Conflict(failed) => failed,
             _ => {
-                let tickets = jobs.into_values().flat_map(|query| query.who);
-                return tickets
-                    .for_each(|(t, _)| self.respond_retry_later(t, 503, "state service away"));
+                for user in jobs.into_values().flat_map(|query| query.users) {
+                    self.respond_retry_later(user.ticket, 503, "state service away");
+                }
+                return;
             }
         };
-        for (id, StatusQuery { revision, who: query }) in jobs {
+        for (id, StatusQuery { revision, users }) in jobs {
             // What is known by now may be newer than the comparison.
-            let known = self.jobs.cached_stages.get(&id).copied();
-            match known {
-                Some(k) if k.stage == StoredStage::Accepted && !self.fresh(sent) => {
-                    for (ticket, _) in query {
-                        self.respond_retry_later(ticket, 503, "the state service is slow");
+            let cached = self.jobs.cached_stages.get(&id).copied();
+            match cached {
+                Some(c) if c.stage == StoredStage::Accepted && !self.fresh(sent_at) => {
+                    for user in users {
+                        self.respond_retry_later(user.ticket, 503, "the state service is slow");
                     }
                 }
-                Some(k) if k.stage != StoredStage::Accepted || failed.is_empty() => {
-                    for (ticket, _) in query {
-                        self.answer_with_stage(ticket, 200, &id, k);
+                Some(c) if c.stage != StoredStage::Accepted || failed.is_empty() => {
+                    for user in users {
+                        self.answer_with_stage(user.ticket, 200, &id, c);
                     }
                 }
                 // Whether all that differ are named is not said: the others are
                 // compared once more.
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
-                    self.api.status_queries.count += query.len();
-                    let again = self.api.status_queries.waiting.entry(id);
-                    again.or_insert(StatusQuery { revision, who: Vec::new() }).who.extend(query);
+                    self.api.status_queries.enqueue(id, revision, users);
                 }
-                _ => self.read_job(query.into_iter().map(|(t, _)| t).collect(), &id),
+                _ => self.read_queried(users.iter().map(|user| user.ticket).collect(), &id),
             }
         }
     }
 
-    /// Whether what a call sent then has shown may still be told as the present
-    /// state: what took long may have been overtaken by another node's word.
-    pub(crate) fn fresh(&self, sent: Micros) -> bool {
-        self.context.now.since(sent) <= FRESH
+    /// Whether what a call sent then has shown may still be answered as the present
+    /// state: what took long may have been overtaken by another node's answer.
+    pub(crate) fn fresh(&self, sent_at: Micros) -> bool {
+        self.context.now.since(sent_at) <= MAX_READ_AGE
     }
 
-    pub(crate) fn poll_read(
+    /// Takes in the record of a job whose status is queried.
+    pub(crate) fn read_queried_reply(
         &mut self,
         tickets: Vec<Ticket>,
         job: &str,
-        sent: Micros,
+        sent_at: Micros,
         reply: &KvResponse,
     ) {
-        let slow = "the state service is slow";
-        match self.read_record(job, reply) {
-            Some(Some((known, _))) if known.stage == StoredStage::Accepted && !self.fresh(sent) => {
-                tickets.into_iter().for_each(|t| self.respond_retry_later(t, 503, slow));
-            }
-            Some(Some((known, _))) => {
-                for ticket in tickets {
-                    self.answer_with_stage(ticket, 200, job, known);
+        let read = self.take_record_reply(job, reply);
+        for ticket in tickets {
+            match read {
+                RecordRead::Found { cached, .. }
+                    if cached.stage == StoredStage::Accepted && !self.fresh(sent_at) =>
+                {
+                    self.respond_retry_later(ticket, 503, "the state service is slow");
                 }
-            }
-            // Accepted since the read.
-            Some(None) if self.jobs.cached_stages.contains_key(job) || !self.fresh(sent) => {
-                tickets.into_iter().for_each(|t| self.respond_retry_later(t, 503, slow));
-            }
-            Some(None) => {
-                for ticket in tickets {
+                RecordRead::Found { cached, .. } => {
+                    self.answer_with_stage(ticket, 200, job, cached);
+                }
+                // Accepted since the read.
+                RecordRead::NoSuchJob
+                    if self.jobs.cached_stages.contains_key(job) || !self.fresh(sent_at) =>
+                {
+                    self.respond_retry_later(ticket, 503, "the state service is slow");
+                }
+                RecordRead::NoSuchJob => {
                     self.context.respond(ticket, 404, None, &Refusal::new("no such job"));
                 }
+                RecordRead::NotAnswered => {
+                    self.respond_retry_later(ticket, 503, "state service away");
+                }
             }
-            None => tickets
-                .into_iter()
-                .for_each(|t| self.respond_retry_later(t, 503, "state service away")),
-        }
-    }
-
-    /// Answers status queries that have waited for as long as their users listen.
-    pub(crate) fn maintain_status_queries(&mut self) {
-        if self.api.status_queries.count == 0 {
-            return;
-        }
-        let now = self.context.now;
-        let mut late = Vec::new();
-        self.api.status_queries.waiting.retain(|_, StatusQuery { who, .. }| {
-            late.extend(who.extract_if(.., |(_, came)| now.since(*came) > LISTENS));
-            !who.is_empty()
-        });
-        self.api.status_queries.count -= late.len();
-        for (ticket, _) in late {
-            self.respond_retry_later(ticket, 503, "too many questions wait");
         }
     }
 }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,7 +1,6 @@
 //! What the calls under way to the key-value store, the cloud and workers are for.
 
-use crate::controller::api::admission::Submission;
-use crate::controller::api::status_queries::QueriedJobs;
+use crate::controller::api::pending::{AdmissionGroup, CancelledJob, PreparedAnswer, QueriedJobs};
 use crate::controller::event::Ticket;
 use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
@@ -34,18 +33,28 @@
     ReadRecoveredRecord { shard: usize, term: u64, job: String },
 }
 
-/// What a call that a user awaits is for.
+/// What a call that a user awaits is for. `sent_at` is when it was sent: what it shows
+/// may be older, never newer.
 #[derive(Debug, Clone)]
 pub(crate) enum ApiCall {
-    Admit { list: Vec<Submission>, shard: usize, term: u64, batch: Option<String> },
+    /// Accept jobs.
+    Admit(AdmissionGroup),
+    /// Read the record of a job that another one, being submitted, depends on.
     LookUpDependency { number: u64, job: String },
+    /// Write the dependencies that do not fit in the job's record.
     StoreDependencies { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
+    /// Compare the revisions of all unfinished jobs that a job depends on.
     CompareDependencies { ticket: Ticket, status: u16, job: String, sent: Micros },
-    SubmitRead { ticket: Ticket, job: String, sent: Micros, otherwise: (u16, Option<u64>, Vec<u8>) },
-    Poll { tickets: Vec<Ticket>, job: String, sent: Micros },
-    CompareStages { jobs: QueriedJobs, sent: Micros },
-    CancelRead { ticket: Ticket, job: String, tries: u32 },
-    CancelWrite { ticket: Ticket, job: String, shard: usize, tasks: u32, tries: u32 },
+    /// Read the record of a submitted job that may be known to the store.
+    ReadSubmitted { ticket: Ticket, job: String, sent_at: Micros, if_absent: PreparedAnswer },
+    /// Read the record of a job whose status is queried.
+    ReadQueried { tickets: Vec<Ticket>, job: String, sent_at: Micros },
+    /// Compare the revisions of jobs whose status is queried.
+    CompareStages { jobs: QueriedJobs, sent_at: Micros },
+    /// Read the record of a job that its user cancels.
+    ReadToCancel { ticket: Ticket, job: String, tries_left: u32 },
+    /// Write that a job is cancelled by its user.
+    WriteCancellation { ticket: Ticket, job: CancelledJob, tries_left: u32 },
 }
 
 /// What a call about the jobs of own shards and what is known of others is for.
--- a/src/controller/jobs/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -7,6 +7,8 @@
 //! and nothing has to be stopped. A user is told so by any node, also before it is
 //! written: from the stages of all that come before.
 
+use crate::controller::api::pending::PreparedAnswer;
+use crate::controller::api::record_reads::RecordRead;
 use crate::controller::calls::ApiCall;
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
@@ -292,7 +294,11 @@
     pub(crate) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
         let absent = Refusal { error: "a job that was never accepted", field: Some("upstream") };
         if spec.dependencies.contains(&spec.id) {
-            return self.read_or(ticket, &spec.id, 422, None, &absent);
+            return self.read_job_or_answer(
+                ticket,
+                &spec.id,
+                PreparedAnswer::refusal(422, &absent),
+            );
         }
         let known = |id: &&String| self.jobs.cached_stages.contains_key(*id);
         let mut unknown: Vec<String> =
@@ -331,16 +337,16 @@
     }
 
     pub(crate) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
-        let found = self.read_record(id, reply);
+        let read = self.take_record_reply(id, reply);
         let known = self.jobs.cached_stages.contains_key(id);
         let Some(g) = self.jobs.dependency_graph.lookups.get_mut(&number) else {
             return;
         };
         g.left = g.left.saturating_sub(1);
-        match found {
-            Some(Some(_)) => {}
-            Some(None) => g.missing |= !known,
-            None => g.failed = true,
+        match read {
+            RecordRead::Found { .. } => {}
+            RecordRead::NoSuchJob => g.missing |= !known,
+            RecordRead::NotAnswered => g.failed = true,
         }
         if g.left > 0 {
             return;
@@ -354,7 +360,11 @@
         if g.missing {
             let absent =
                 Refusal { error: "a job that was never accepted", field: Some("upstream") };
-            return self.read_or(g.ticket, &g.spec.id, 422, None, &absent);
+            return self.read_job_or_answer(
+                g.ticket,
+                &g.spec.id,
+                PreparedAnswer::refusal(422, &absent),
+            );
         }
         if !g.spec.dependencies.iter().all(|id| self.jobs.cached_stages.contains_key(id)) {
             return self.respond_retry_later(
@@ -392,7 +402,6 @@
     ) {
         let lists = self.dependency_lists(&spec.dependencies);
         if from + 1 >= lists.len() {
-            self.api.undecided_submissions += 1;
             return self.queue_submission(ticket, spec, size);
         }
         let leadership = self
@@ -431,8 +440,7 @@
         match reply {
             KvResponse::Applied(_) => self.store_dependencies(ticket, spec, size, to),
             KvResponse::Conflict(_) => {
-                let otherwise = Refusal::new("undecided");
-                self.read_or(ticket, &spec.id, 503, Some(1), &otherwise);
+                self.read_job_or_answer(ticket, &spec.id, PreparedAnswer::undecided());
             }
             _ => self.respond_retry_later(ticket, 503, "state service away"),
         }
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -73,7 +73,7 @@
         }
         let now = self.context.now;
         let level = self.context.write_budget.level(now);
-        let accepting = self.admission_reserve();
+        let accepting = self.api.admission.reserved_writes(&self.context);
         let mut order: Vec<(WriteUrgency, u32, Micros, String)> = Vec::new();
         for id in &self.changes.jobs {
             let Some(job) = self.jobs.by_id.get(id) else {
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -176,7 +176,7 @@
         self.jobs.unreadable.clear();
         self.jobs.by_id.retain(|_, j| j.shard != s);
         self.jobs.tasks_by_machine.retain(|(shard, _), _| *shard != s);
-        self.forget_batches(s);
+        self.api.admission.forget_shard(s);
         self.changes.desired.retain(|(shard, _)| *shard != s);
         self.changes.complete_desired.remove(&s);
         let shards = self.leadership.shards.len();
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -50,7 +50,7 @@
         let under_way = self
             .context.calls
             .values()
-            .any(|call| matches!(call, PendingCall::Api(ApiCall::Admit { list, .. }) if list.iter().any(|a| a.spec.id == id)));
+            .any(|call| matches!(call, PendingCall::Api(ApiCall::Admit(group)) if group.submissions.iter().any(|s| s.spec.id == id)));
         if under_way {
             return;
         }
@@ -219,7 +219,7 @@
             }
         }
         for ((key, version), jobs) in batches {
-            self.api.admission.batch(&key, s, version, jobs);
+            self.api.admission.add_batch(&key, s, version, jobs);
         }
         let mut count = 0;
         for (id, chunks) in l.chunks {
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -181,7 +181,7 @@
     /// Takes in the record of an unknown job.
     pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
         self.machines.cancellations.read_ended();
-        self.read_record(id, reply);
+        self.take_record_reply(id, reply);
     }
 
     /// A cancellation was confirmed here: peers are notified now, and again until each
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -28,7 +28,7 @@
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
 use api::Api;
-use api::status::Counts;
+use api::counts::Counts;
 use autoscaler::Autoscaler;
 use calls::{MachinesCall, PendingCall, Watch};
 use changes::PendingChanges;
@@ -152,8 +152,9 @@
         }
         self.check_connectivity();
         self.maintain_shards();
-        self.expire_submissions();
-        self.maintain_status_queries();
+        let holds_lease = self.holds_lease();
+        self.api.expire_submissions(&mut self.context, &mut self.counts, holds_lease);
+        self.api.expire_status_queries(&mut self.context, &mut self.counts);
         self.read_unknown_jobs();
         self.maintain_dependencies();
         self.send_probes();
@@ -178,7 +179,7 @@
         }
         if self.context.now >= self.timers.refusals {
             self.timers.refusals = self.context.now + timers::REFUSALS_EVERY;
-            self.log_refusals();
+            self.api.refusals.log();
             self.log_waiting();
         }
         self.maintain_autoscaler();
@@ -188,7 +189,7 @@
     /// desired state, views, and one frame for each peer.
     pub fn flush(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.context.now = now;
-        self.send_status_comparisons();
+        self.api.status_queries.send_comparisons(&mut self.context);
         if self.holds_lease() {
             self.admit_waiting();
             self.announce_terms();
@@ -219,6 +220,11 @@
         effects.append(&mut self.context.effects);
     }
 
+    /// Refuses a request for now; it says after how many seconds to repeat it.
+    fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
+        self.api.respond_retry_later(&mut self.context, &mut self.counts, ticket, status, reason);
+    }
+
     /// Whether this process may act for the shards that it leads.
     fn holds_lease(&self) -> bool {
         self.leadership.holds_lease(self.context.now)
--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -172,8 +172,7 @@
             }
         }
         let beat = self.context.now >= self.timers.peer_heartbeat;
-        let idle =
-            frame == Frame::default() && !std::mem::take(&mut self.api.terminal_states.acknowledge);
+        let idle = frame == Frame::default() && !self.api.terminal_states.take_peer_notification();
         if beat || self.context.now >= self.timers.demand {
             self.timers.demand = self.context.now + DEMAND_EVERY;
             if holds_lease {
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -91,7 +91,8 @@
         }
         let revision = self.leadership.shards[s].leadership.as_ref().map_or(0, |m| m.revision);
         let (waits, used) = (self.pending_demand(s, team), self.shard_usage(s, team));
-        let (shards, reserve) = (self.leadership.shards.len(), self.admission_reserve());
+        let (shards, reserve) =
+            (self.leadership.shards.len(), self.api.admission.reserved_writes(&self.context));
         let all: Vec<&QuotaDemand> = self
             .peers
             .by_member
