--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -127,6 +127,6 @@
         }
         self.changes.jobs.insert(id.clone());
         self.jobs.by_id.insert(id.clone(), job);
-        self.scheduler.placement_due = true;
+        self.scheduler.request_pass();
     }
 }
--- a/src/controller/api/queue_page.rs
+++ b/src/controller/api/queue_page.rs
@@ -14,8 +14,10 @@
     /// which its tasks wait.
     pub fn queue_page(&self, _now: Micros) -> String {
         let mut page = String::from(HEADER);
-        let queued = self.queue_order();
-        let queued = queued.iter().filter_map(|(_, id)| Some((id, self.jobs.by_id.get(id)?)));
+        let queued = self.scheduler.queue_order(&self.scheduling_inputs());
+        let queued = queued
+            .iter()
+            .filter_map(|queued| Some((&queued.job, self.jobs.by_id.get(&queued.job)?)));
         for (id, job) in queued {
             push_job(&mut page, id, job);
             let (running, done) = (job.running(), job.done());
@@ -39,7 +41,8 @@
         let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
         let queued = |job: &&Job| !job.cancelled && !job.over && job.pending() > 0;
         for job in self.jobs.by_id.values().filter(queued) {
-            let group = (job.spec.class.as_str(), job.spec.team.as_str(), job.pending_reason);
+            let reason = job.pending_reason.as_str();
+            let group = (job.spec.class.as_str(), job.spec.team.as_str(), reason);
             *counts.entry(group).or_default() += job.pending();
         }
         for ((class, team, reason), tasks) in counts {
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -124,7 +124,7 @@
             tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
             rented: self.autoscaler.fleet.stages(),
-            image_entries: self.scheduler.images.len(),
+            image_entries: self.scheduler.image_entries(),
             counts: &self.counts,
         };
         serde_json::json!(page)
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -155,8 +155,8 @@
 
     /// Whether a job can ever run.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), InfeasibleJob> {
-        let team = self.quota.teams.get(&spec.team).ok_or(InfeasibleJob::UnknownTeam)?;
-        if spec.cpus > team.limit[0] || spec.gpus > team.limit[1] {
+        let team = self.quota.team(&spec.team).ok_or(InfeasibleJob::UnknownTeam)?;
+        if spec.cpus > team.limit().cpus || spec.gpus > team.limit().gpus {
             return Err(InfeasibleJob::BeyondTeamLimit);
         }
         let fits = self.autoscaler.machine_types.values().any(|t| {
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -10,6 +10,7 @@
 use crate::controller::leadership::shard;
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::Demand;
+use crate::resources::Resources;
 use crate::time::Micros;
 use crate::wire::{
     Condition, ListedMachine, MachineStage, MachineType, ScaleOutRequest, Txn, Write,
@@ -94,12 +95,8 @@
 
     /// Everything that waits, here and at the peers.
     fn all_demand(&self) -> Vec<Demand> {
-        let mut all = self.demand();
-        for (n, p) in &self.peers.by_member {
-            if self.peer_alive(*n) {
-                all.extend(p.demand.iter().cloned());
-            }
-        }
+        let mut all = self.scheduler.demand(&self.scheduling_inputs());
+        all.extend(self.peers_demand().cloned());
         all
     }
 
@@ -112,7 +109,7 @@
             d.tasks = d.tasks.saturating_add(spare as u32);
         }
         self.refresh_capacity();
-        let mut rooms: Vec<FreeCapacity> = self.free_capacity();
+        let mut rooms: Vec<FreeCapacity> = self.scheduler.free_capacity();
         let mut replaced = self.autoscaler.fleet.machines.len() / REPLACED;
         for (name, m) in &self.autoscaler.fleet.machines {
             let up = self.machines.views.get(name).is_some_and(|v| v.known);
@@ -133,7 +130,7 @@
                     machine_type: Rc::from(m.machine_type.as_str()),
                     zone: Rc::from(m.zone.as_str()),
                     spot: m.spot,
-                    free: [t.cpus, t.gpus, t.memory_gb],
+                    free: Resources::from(t),
                 });
             }
         }
@@ -186,12 +183,7 @@
                 continue;
             }
             let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.observed().over()))
-                || self
-                    .scheduler
-                    .capacity
-                    .id(name)
-                    .and_then(|id| self.scheduler.capacity.get(id))
-                    .is_some_and(|s| !s.tasks.is_empty());
+                || self.scheduler.machine_capacity(name).is_some_and(|s| !s.tasks.is_empty());
             if view.is_some_and(|v| v.faulty) {
                 drain.push(name.clone());
             }
@@ -211,7 +203,7 @@
             if !self.autoscaler.fleet.draining.contains_key(&name) {
                 info!("machine {name} is to be returned");
                 self.autoscaler.fleet.draining.insert(name.clone(), now);
-                self.mark_capacity_stale(&name);
+                self.scheduler.mark_stale(&name);
                 self.autoscaler.draining.insert(name);
             }
         }
@@ -278,7 +270,7 @@
             info!("{} machine types known", types.len());
         }
         self.autoscaler.machine_types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
-        self.scheduler.placement_due = true;
+        self.scheduler.request_pass();
         self.changes.machines.extend(self.machines.managed.keys().cloned());
     }
 
--- a/src/controller/autoscaler/planning.rs
+++ b/src/controller/autoscaler/planning.rs
@@ -5,6 +5,7 @@
 //! shard's term and are never used again.
 
 use crate::peer::Demand;
+use crate::resources::Resources;
 use crate::time::Micros;
 use crate::wire::{ListedMachine, MachineStage, MachineType, ScaleOutRequest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +67,7 @@
     pub types_at: Micros,
 }
 
-/// Room for tasks: CPUs, GPUs, memory.
+/// Free capacity of a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FreeCapacity {
     /// Type.
@@ -75,12 +76,8 @@
     pub zone: Rc<str>,
     /// Spot.
     pub spot: bool,
-    /// Free amounts.
-    pub free: [f64; 3],
-}
-
-fn shape(d: &Demand) -> [f64; 3] {
-    [d.cpus, d.gpus, d.memory_gb]
+    /// What is free.
+    pub free: Resources,
 }
 
 /// Whether tasks may go to machines of a type, zone and kind.
@@ -90,17 +87,6 @@
         && (d.spot || !spot)
 }
 
-/// How many tasks of a shape fit into free amounts.
-pub fn fits(free: &[f64; 3], need: &[f64; 3]) -> u32 {
-    let mut n = f64::from(u32::MAX);
-    for (f, w) in free.iter().zip(need) {
-        if *w > 0.0 {
-            n = n.min((f + 1e-9) / w);
-        }
-    }
-    if n <= 0.0 { 0 } else { n as u32 }
-}
-
 /// Tasks that find no room in `rooms`, which is filled up on the way. Larger
 /// shapes go first, since small ones fit into what they leave.
 pub fn unmet(demand: &[Demand], rooms: &mut [FreeCapacity]) -> Vec<Demand> {
@@ -108,18 +94,16 @@
     order.sort_by(|a, b| b.cpus.total_cmp(&a.cpus).then(b.memory_gb.total_cmp(&a.memory_gb)));
     let mut rest = Vec::new();
     for d in order {
-        let need = shape(d);
+        let needed = Resources::from(d);
         let mut left = d.tasks;
         for room in rooms.iter_mut() {
             if left == 0 {
                 break;
             }
             if allows(d, &room.machine_type, &room.zone, room.spot) {
-                let n = fits(&room.free, &need).min(left);
-                left -= n;
-                for (f, w) in room.free.iter_mut().zip(need) {
-                    *f -= w * f64::from(n);
-                }
+                let tasks = room.free.tasks_that_fit(&needed).min(left);
+                left -= tasks;
+                room.free -= needed * tasks;
             }
         }
         if left > 0 {
@@ -138,10 +122,10 @@
     refused: &BTreeMap<MachineOffer, Micros>,
     now: Micros,
 ) -> Option<(MachineOffer, u32)> {
-    let need = shape(d);
+    let needed = Resources::from(d);
     let mut best: Option<(f64, u32, MachineOffer, u32)> = None;
     for t in types.values() {
-        let per = fits(&[t.cpus, t.gpus, t.memory_gb], &need);
+        let per = Resources::from(t).tasks_that_fit(&needed);
         if per == 0 {
             continue;
         }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -82,12 +82,15 @@
     Inspect,
 }
 
-/// What a call about grants is for.
+/// What a call about the grants of teams' limits is for.
 #[derive(Debug, Clone)]
 pub(crate) enum QuotaCall {
+    /// Lists the grants of all teams.
     List,
+    /// Reads a team's grants back after a compare-and-swap without a clear outcome.
     Read { team: String },
-    Write { team: String, value: Value },
+    /// Stores a team's grants by compare-and-swap; `value` is what is stored if it succeeds.
+    CompareAndSwap { team: String, value: Value },
 }
 
 /// What a call about machine types and the fleet is for.
--- a/src/controller/jobs/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -12,6 +12,7 @@
 use crate::controller::calls::ApiCall;
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
+use crate::controller::scheduler::pending_reason::PendingReason;
 use crate::controller::{CachedStage, Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::InheritedUrgency;
@@ -528,9 +529,9 @@
                     if let Some(job) = self.jobs.by_id.get_mut(&id) {
                         job.waiting = false;
                         job.ready = wall;
-                        job.pending_reason = "new";
+                        job.pending_reason = PendingReason::New;
                     }
-                    self.scheduler.placement_due = true;
+                    self.scheduler.request_pass();
                 }
                 DependencyOutcome::Cancelled { .. } => self.cancel_dependent(&id),
                 DependencyOutcome::Unknown(list) => self.read_records(list),
@@ -641,7 +642,7 @@
         let most = (r.min(rank), d.min(due));
         if job.inherited_urgency != Some(most) {
             job.inherited_urgency = Some(most);
-            self.scheduler.placement_due = true;
+            self.scheduler.request_pass();
             if self.jobs.dependency_graph.waiting.contains(id) {
                 // What it needs itself is as urgent.
                 self.jobs.dependency_graph.next_check = Micros::ZERO;
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -14,6 +14,7 @@
 pub use keys::*;
 pub use stored::{StoredPlacement, batch_is_sound, decode_batch, encode_batch, stored_placements};
 
+use crate::controller::scheduler::pending_reason::PendingReason;
 use crate::peer::{ObservedState, Shape};
 use crate::time::Micros;
 use crate::wire::{JobSpec, Priority};
@@ -78,7 +79,7 @@
     /// Machines on which its tasks failed lately.
     pub avoid: BTreeSet<Rc<str>>,
     /// Why it waits, for the queue page.
-    pub pending_reason: &'static str,
+    pub pending_reason: PendingReason,
     /// Run times of its first completed tasks, in order.
     pub run_times: Vec<Micros>,
     /// Their median, once there are a few.
@@ -133,7 +134,7 @@
             failed_on: BTreeSet::new(),
             pauses: 0,
             avoid: BTreeSet::new(),
-            pending_reason: "new",
+            pending_reason: PendingReason::New,
             run_times: Vec::new(),
             usual: None,
             shape: None,
--- a/src/controller/jobs/lifecycle.rs
+++ b/src/controller/jobs/lifecycle.rs
@@ -125,7 +125,7 @@
             return;
         };
         let spec = Rc::clone(&job.spec);
-        let correction = self.scheduler.estimates.correction(&spec.class);
+        let correction = self.scheduler.estimates().correction(&spec.class);
         let typical =
             job.usual_run().unwrap_or_else(|| Micros::from_secs_f64(spec.estimate_s * correction));
         let Some(p) = job.chunk_of(index).and_then(|chunk| chunk.placed.get_mut(&index)) else {
@@ -158,7 +158,7 @@
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
         let s = job.shard;
-        self.mark_capacity_stale(&machine);
+        self.scheduler.mark_stale(&machine);
         self.changes.desired.insert((s, machine));
     }
 
@@ -176,7 +176,7 @@
         }
         p.stop = Some(grace);
         let machine = Rc::clone(&p.machine);
-        self.mark_capacity_stale(&machine);
+        self.scheduler.mark_stale(&machine);
         self.changes.desired.insert((s, machine));
     }
 
@@ -223,7 +223,7 @@
             job.cancelled = true;
             self.counts.cancelled += 1;
             self.stop_job(id);
-            self.scheduler.placement_due = true;
+            self.scheduler.request_pass();
         }
     }
 
@@ -239,13 +239,13 @@
         }
         self.machines.managed.remove(machine);
         self.machines.views.remove(machine);
-        self.mark_capacity_stale(machine);
+        self.scheduler.mark_stale(machine);
         self.changes.machines.remove(machine);
         self.autoscaler.fleet.forget(machine);
         for s in 0..self.leadership.shards.len() {
             self.evaluate_machine(s, machine);
         }
-        self.scheduler.placement_due = true;
+        self.scheduler.request_pass();
     }
 
     pub(crate) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
@@ -266,9 +266,8 @@
                     let ran = now.since(at);
                     let estimate = job.spec.estimate_s;
                     if estimate > 0.0 {
-                        self.scheduler
-                            .estimates
-                            .learn(&job.spec.class, ran.as_secs_f64() / estimate);
+                        let ratio = ran.as_secs_f64() / estimate;
+                        self.scheduler.learn_run_time(&job.spec.class, ratio);
                     }
                     job.note_run(ran);
                 }
@@ -291,8 +290,8 @@
         self.changes.jobs.insert(id.to_string());
         self.changes.progress.insert(id.to_string());
         self.changes.desired.insert((s, Rc::clone(&machine)));
-        self.mark_capacity_stale(&machine);
-        self.scheduler.placement_due = true;
+        self.scheduler.mark_stale(&machine);
+        self.scheduler.request_pass();
     }
 
     /// Times out what waits for nothing else.
@@ -352,17 +351,17 @@
                     .find(|w| w.index == t.index && w.attempt == t.attempt && w.job == t.job)
                     .map(|w| &w.image);
                 if let Some(image) = image {
-                    self.scheduler.images.note(now, image, &view.machine, view.incarnation);
+                    self.scheduler.note_image(now, image, &view.machine, view.incarnation);
                 }
             }
         }
         let machine = view.machine.clone();
         self.machines.views.insert(machine.clone(), view);
-        self.mark_capacity_stale(&machine);
+        self.scheduler.mark_stale(&machine);
         for s in 0..self.leadership.shards.len() {
             self.evaluate_machine(s, &machine);
         }
-        self.scheduler.placement_due = true;
+        self.scheduler.request_pass();
     }
 }
 
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -439,7 +439,9 @@
             let stored = chunk.stored;
             let ended = chunk.unstored_ends.iter().filter(|ended| ended.version <= stored);
             // What they held of the limit is free only now.
-            self.scheduler.placement_due |= ended.clone().any(|ended| ended.may_still_start);
+            if ended.clone().any(|ended| ended.may_still_start) {
+                self.scheduler.request_pass();
+            }
             touched.extend(ended.map(|e| (Rc::clone(&e.placement.machine), e.index)));
             chunk.unstored_ends.retain(|ended| ended.version > stored);
         }
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -366,7 +366,7 @@
                     self.read_back(&id);
                 }
             }
-            Watch::Quotas => self.quota.is_read = false,
+            Watch::Quotas => self.quota.resynchronize(),
         }
     }
 
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -298,11 +298,11 @@
             self.stop_job(&id);
         }
         for m in machines {
-            self.mark_capacity_stale(&m);
+            self.scheduler.mark_stale(&m);
             self.evaluate_machine(s, &m);
         }
         if first {
-            self.scheduler.placement_due = true;
+            self.scheduler.request_pass();
         }
     }
 }
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -73,7 +73,7 @@
             self.peers.desired_state_seq += 1;
             let seq = self.peers.desired_state_seq;
             let mut tasks_on = |machine: &Rc<str>| {
-                desired_on(&mut self.jobs, &self.scheduler.estimates, shard, machine, seq)
+                desired_on(&mut self.jobs, self.scheduler.estimates(), shard, machine, seq)
             };
             let machines =
                 changed.machines.iter().map(|m| (m.to_string(), 0, tasks_on(m))).collect();
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::Controller;
 use crate::controller::leadership::shard;
-use crate::controller::quota::team_quota;
+use crate::controller::quota::amount::QuotaAmount;
 use crate::peer::{AppliedUpdate, DesiredTask, DesiredUpdate, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
     /// By machine.
     pub(crate) machines: BTreeMap<String, DesiredOnMachine>,
     /// What the tasks use, by team.
-    pub(crate) usage: BTreeMap<String, team_quota::Amount>,
+    pub(crate) usage: BTreeMap<String, QuotaAmount>,
 }
 
 /// What a shard desires on one machine, as received.
@@ -121,8 +121,8 @@
     fn count_usage(&mut self, tasks: &[DesiredTask], sign: f64) {
         for task in tasks.iter().filter(|task| task.phase() != Phase::Over) {
             let usage = self.usage.entry(task.team.clone()).or_default();
-            usage[0] += sign * task.cpus;
-            usage[1] += sign * task.gpus;
+            usage.cpus += sign * task.cpus;
+            usage.gpus += sign * task.gpus;
         }
     }
 }
@@ -151,7 +151,7 @@
                     old.attempt == task.attempt && old.index == task.index && old.job == task.job
                 };
                 if task.stop_ms.is_none() && !before.iter().any(is_same) {
-                    self.scheduler.images.note(now, &task.image, &machine, task.incarnation);
+                    self.scheduler.note_image(now, &task.image, &machine, task.incarnation);
                 }
             }
             let known_machine_term = match known_machine_term {
@@ -171,8 +171,8 @@
     /// What is desired on a machine may have changed: it is reconciled, and its capacity is
     /// computed anew.
     fn desired_state_changed(&mut self, machine: &str) {
-        self.scheduler.placement_due = true;
-        self.mark_capacity_stale(machine);
+        self.scheduler.request_pass();
+        self.scheduler.mark_stale(machine);
         if self.leading_term(self.shard_of_machine(machine)).is_none()
             || self.machines.terminated.contains(machine)
         {
--- a/src/controller/machines/free_capacity.rs
+++ b/src/controller/machines/free_capacity.rs
@@ -1,14 +1,11 @@
 //! What a machine has free for tasks that are to be started there.
 
-use crate::controller::quota::team_quota::EPS;
 use crate::peer::DesiredTask;
-
-/// CPUs, GPUs and memory in GB.
-pub(crate) type Amounts = [f64; 3];
+use crate::resources::{Resources, TOLERANCE};
 
 /// What is free on a machine beside the tasks that it has or was sent.
 pub(crate) struct FreeCapacity {
-    free: Amounts,
+    free: Resources,
     /// Tasks that are being stopped will free more.
     pub(crate) more_to_come: bool,
     /// It is not known how much is free.
@@ -17,7 +14,7 @@
 
 impl FreeCapacity {
     /// All of a machine of this size; `None` if its type is not known.
-    pub(crate) fn of_empty_machine(size: Option<Amounts>) -> FreeCapacity {
+    pub(crate) fn of_empty_machine(size: Option<Resources>) -> FreeCapacity {
         FreeCapacity {
             free: size.unwrap_or_default(),
             more_to_come: false,
@@ -27,17 +24,13 @@
 
     /// Whether a task fits beside all that was subtracted.
     pub(crate) fn fits(&self, task: &DesiredTask) -> bool {
-        self.free.iter().zip(amounts(task)).all(|(free, amount)| *free + EPS >= amount)
+        self.free.cpus + TOLERANCE >= task.cpus
+            && self.free.gpus + TOLERANCE >= task.gpus
+            && self.free.memory_gb + TOLERANCE >= task.memory_gb
     }
 
     /// Subtracts what a task takes.
     pub(crate) fn subtract(&mut self, task: &DesiredTask) {
-        for (free, amount) in self.free.iter_mut().zip(amounts(task)) {
-            *free -= amount;
-        }
+        self.free -= Resources::from(&*task.shape);
     }
 }
-
-fn amounts(task: &DesiredTask) -> Amounts {
-    [task.cpus, task.gpus, task.memory_gb]
-}
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -7,7 +7,7 @@
 use crate::controller::leadership::shard::Shard;
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::desired_state::received::DesiredState;
-use crate::controller::machines::free_capacity::{Amounts, FreeCapacity};
+use crate::controller::machines::free_capacity::FreeCapacity;
 use crate::controller::machines::machine::ManagedMachine;
 use crate::controller::machines::machine::starts::StartInFlight;
 use crate::controller::machines::start_gate::{
@@ -15,6 +15,7 @@
     StartViolation,
 };
 use crate::peer::{DesiredTask, ObservedState};
+use crate::resources::Resources;
 use crate::time::Micros;
 use crate::wire::{Command, MachineType};
 use log::{debug, info};
@@ -73,7 +74,7 @@
     /// Attempts of which it is certain that no shard desires them here.
     undesired: BTreeSet<AttemptId>,
     /// What the machine has, if its type is known.
-    size: Option<Amounts>,
+    size: Option<Resources>,
     stages: &'a BTreeMap<String, CachedStage>,
 }
 
@@ -111,7 +112,7 @@
             authority,
             desired: desired_starts(inputs, machine, authority),
             undesired,
-            size: machine_type.map(|t| [t.cpus, t.gpus, t.memory_gb]),
+            size: machine_type.map(Resources::from),
             stages: inputs.stages,
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -77,7 +77,7 @@
             peers: Peers::new(members, context.me),
             jobs: Jobs::new(&settings.state),
             api: Api::default(),
-            scheduler: Scheduler::new(members, &context.options),
+            scheduler: Scheduler::new(&context.options),
             machines: Machines::new(members),
             quota: Quotas::new(&settings.teams),
             autoscaler: Autoscaler::default(),
@@ -166,12 +166,12 @@
             self.expire_preemption_requests();
             if self.context.now >= self.timers.guarantees {
                 self.timers.guarantees = self.context.now + timers::GUARANTEES_EVERY;
-                self.refresh_guarantees();
-                self.raise_starved();
-                self.reserve_for_large();
+                self.refresh_guarantee_budget();
+                self.raise_starved_jobs();
+                self.hold_machines_for_large_tasks();
             }
-            self.count_unobserved();
-            self.scheduler.placement_due = true;
+            self.count_unobserved_placements();
+            self.scheduler.request_pass();
         }
         if self.context.now >= self.timers.quotas {
             self.timers.quotas = self.context.now + timers::QUOTAS_EVERY;
--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -177,7 +177,7 @@
             self.timers.demand = self.context.now + DEMAND_EVERY;
             if holds_lease {
                 frame.has_demand = true;
-                frame.demand = self.demand();
+                frame.demand = self.scheduler.demand(&self.scheduling_inputs());
                 frame.quota_demand = self.quota_demand();
                 frame.misdirected = self.misdirected();
             }
@@ -229,9 +229,9 @@
 
     pub(crate) fn set_draining(&mut self, draining: BTreeSet<String>) {
         let old = std::mem::replace(&mut self.autoscaler.draining, draining);
-        let changed: Vec<String> =
-            old.symmetric_difference(&self.autoscaler.draining).cloned().collect();
-        self.scheduler.stale_machines.extend(changed);
+        for machine in old.symmetric_difference(&self.autoscaler.draining) {
+            self.scheduler.mark_stale(machine);
+        }
     }
 
     /// Everything that a peer must know which has received nothing so far.
--- /dev/null
+++ b/src/controller/quota/job_demand.rs
@@ -0,0 +1,37 @@
+//! What a shard's jobs use and need of their teams' quotas.
+
+use crate::controller::jobs::Jobs;
+use crate::controller::quota::amount::QuotaAmount;
+use crate::controller::quota::target_grant::RankedDemand;
+use crate::time::Micros;
+
+/// What a shard's tasks of a team use: from write-ahead until known to be gone.
+pub(crate) fn shard_usage(jobs: &Jobs, shard: usize, team: &str) -> QuotaAmount {
+    let mut used = QuotaAmount::default();
+    for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
+        used += QuotaAmount::of_tasks(&job.spec, job.limited_tasks());
+    }
+    used
+}
+
+/// What a shard's waiting tasks of a team need, by rank.
+pub(crate) fn pending_demand(
+    jobs: &Jobs,
+    now: Micros,
+    shard: usize,
+    team: &str,
+) -> Vec<RankedDemand> {
+    let mut list: Vec<RankedDemand> = Vec::new();
+    for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
+        let tasks = job.open();
+        if job.cancelled || job.over || tasks == 0 || now < job.not_before {
+            continue;
+        }
+        let amount = QuotaAmount::of_tasks(&job.spec, tasks);
+        match list.iter_mut().find(|demand| demand.rank == job.rank()) {
+            Some(demand) => demand.amount += amount,
+            None => list.push(RankedDemand { rank: job.rank(), amount }),
+        }
+    }
+    list
+}
--- a/src/controller/quota/team_quota.rs
+++ b/src/controller/quota/team_quota.rs
@@ -1,70 +1,94 @@
-//! Teams' limits, shared out among the shards.
+//! A team's limit, shared out among the shards.
 //!
 //! `quota/TEAM` holds each shard's grant; the sum never passes the limit, since
-//! it changes only by compare-and-set. A shard spends only its own grant, so no
+//! it changes only by compare-and-swap. A shard spends only its own grant, so no
 //! two shards together can pass the limit, whatever they know of each other.
 
 use crate::config::Team;
+use crate::controller::quota::amount::{QuotaAmount, QuotaResource};
+use crate::controller::quota::target_grant::{RankedDemand, ResourceGrant};
+use crate::resources::TOLERANCE;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// CPUs and GPUs.
-pub type Amount = [f64; 2];
-
-/// Amounts are sums of decimal numbers; differences below this are none.
-pub const EPS: f64 = 1e-6;
+/// What precedes the team in the keys of grants.
+pub const KEY_PREFIX: &str = "quota/";
 
 /// Key of a team's grants.
 pub fn key(team: &str) -> String {
-    format!("quota/{team}")
+    format!("{KEY_PREFIX}{team}")
 }
 
-/// A team's limit and grants.
+/// A team's limit, guarantee and grants, and the compare-and-swap of the grants in flight.
 #[derive(Debug, Clone)]
 pub struct TeamQuota {
-    /// Most at any moment; infinite where there is no limit.
-    pub limit: Amount,
-    /// Guaranteed.
-    pub guarantee: Amount,
+    /// Most that the team may use at any moment; infinite where there is no limit.
+    limit: QuotaAmount,
+    guarantee: QuotaAmount,
     /// Grants by shard, as stored.
-    pub grants: BTreeMap<usize, Amount>,
-    /// Version of the key, 0 for none.
-    pub revision: u64,
-    /// A change is under way.
-    pub busy: bool,
-    /// Grants of own shards that changes under way may already have lowered.
-    pub lowered: BTreeMap<usize, Amount>,
-    /// What became of a change is not known: it may be carried out at any time, as
-    /// long as the key stays as it is.
-    pub unsure: bool,
+    grants: BTreeMap<usize, QuotaAmount>,
+    /// Revision of the key, 0 if it is absent.
+    revision: u64,
+    /// A compare-and-swap, or the read that follows one, is in flight.
+    change_in_flight: bool,
+    /// The lowest grants of own shards that changes in flight may already have stored.
+    possible_grants: BTreeMap<usize, QuotaAmount>,
+    /// The outcome of a compare-and-swap is not known: it may be applied at any time, as
+    /// long as the key keeps its revision.
+    outcome_unknown: bool,
 }
 
 impl TeamQuota {
     /// A team with nothing granted.
     pub fn new(team: &Team) -> TeamQuota {
-        let limit = |x: f64| if x > 0.0 { x } else { f64::INFINITY };
+        let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
         TeamQuota {
-            limit: [limit(team.cpus_max), limit(team.gpus_max)],
-            guarantee: [team.cpus, team.gpus],
+            limit: QuotaAmount::new(limit(team.cpus_max), limit(team.gpus_max)),
+            guarantee: QuotaAmount::new(team.cpus, team.gpus),
             grants: BTreeMap::new(),
             revision: 0,
-            busy: false,
-            lowered: BTreeMap::new(),
-            unsure: false,
+            change_in_flight: false,
+            possible_grants: BTreeMap::new(),
+            outcome_unknown: false,
         }
     }
 
+    /// Most that the team may use at any moment; infinite where there is no limit.
+    pub fn limit(&self) -> QuotaAmount {
+        self.limit
+    }
+
+    /// What the team is guaranteed.
+    pub fn guarantee(&self) -> QuotaAmount {
+        self.guarantee
+    }
+
     /// True if the team has any limit, and so a key.
-    pub fn limited(&self) -> bool {
-        self.limit.iter().any(|l| l.is_finite())
+    pub fn is_limited(&self) -> bool {
+        self.limit.cpus.is_finite() || self.limit.gpus.is_finite()
+    }
+
+    /// Revision of the stored grants, 0 if there are none.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Whether a compare-and-swap, or the read that follows one, is in flight.
+    pub fn change_in_flight(&self) -> bool {
+        self.change_in_flight
+    }
+
+    /// Whether the outcome of a compare-and-swap is not known.
+    pub fn outcome_unknown(&self) -> bool {
+        self.outcome_unknown
     }
 
     /// Takes in the stored grants.
     pub fn observe(&mut self, value: &Value, revision: u64) {
         self.revision = revision;
-        // Whatever was under way is conditional on the older version and dead.
-        self.lowered.clear();
-        self.unsure = false;
+        // Whatever was in flight is conditional on the older revision and dead.
+        self.possible_grants.clear();
+        self.outcome_unknown = false;
         self.grants.clear();
         let Value::Object(map) = value else {
             return;
@@ -74,58 +98,79 @@
                 continue;
             };
             let at = |i: usize| list.get(i).and_then(Value::as_f64).unwrap_or(0.0).max(0.0);
-            self.grants.insert(shard, [at(0), at(1)]);
+            self.grants.insert(shard, QuotaAmount::new(at(0), at(1)));
         }
     }
 
-    /// A change of a shard's grant is sent. One without an answer that was sent on
-    /// the same version may be carried out instead, so the lowest counts.
-    pub fn sends(&mut self, shard: usize, grant: Amount) {
-        let lowest = self.lowered.entry(shard).or_insert(grant);
-        *lowest = [0, 1].map(|r| lowest[r].min(grant[r]));
-        self.busy = true;
+    /// A compare-and-swap that changes a shard's grant is sent. One without an answer that was
+    /// sent on the same revision may be applied instead, so the lowest grant counts.
+    pub fn change_sent(&mut self, shard: usize, grant: QuotaAmount) {
+        let lowest = self.possible_grants.entry(shard).or_insert(grant);
+        *lowest = QuotaAmount::each(|resource| lowest.of(resource).min(grant.of(resource)));
+        self.change_in_flight = true;
     }
 
-    /// The last change was surely not carried out.
-    pub fn refused(&mut self) {
-        self.busy = false;
-        if !self.unsure {
-            self.lowered.clear();
+    /// The last compare-and-swap was surely not applied.
+    pub fn change_not_executed(&mut self) {
+        self.change_in_flight = false;
+        if !self.outcome_unknown {
+            self.possible_grants.clear();
         }
     }
 
-    /// What a shard may use now. While a lowering is under way it may already
+    /// The last compare-and-swap may have been applied, or may still be: until a newer
+    /// revision is read, the lowest possible grant holds.
+    pub fn change_outcome_unknown(&mut self) {
+        self.outcome_unknown = true;
+    }
+
+    /// The stored grants have been read after the last compare-and-swap.
+    pub fn change_finished(&mut self) {
+        self.change_in_flight = false;
+    }
+
+    /// A shard's grant as stored.
+    pub fn stored_grant(&self, shard: usize) -> QuotaAmount {
+        self.grants.get(&shard).copied().unwrap_or_default()
+    }
+
+    /// What a shard may use now. While a lowering is in flight it may already
     /// have been applied and the rest given to another shard.
-    pub fn grant(&self, shard: usize) -> Amount {
-        let stored = self.grants.get(&shard).copied().unwrap_or_default();
-        let lowered = self.lowered.get(&shard).copied().unwrap_or(stored);
-        [0, 1].map(|r| {
-            if self.limit[r].is_finite() { stored[r].min(lowered[r]) } else { f64::INFINITY }
+    pub fn grant(&self, shard: usize) -> QuotaAmount {
+        let stored = self.stored_grant(shard);
+        let possible = self.possible_grants.get(&shard).copied().unwrap_or(stored);
+        QuotaAmount::each(|resource| {
+            if self.limit.of(resource).is_finite() {
+                stored.of(resource).min(possible.of(resource))
+            } else {
+                f64::INFINITY
+            }
         })
     }
 
     /// What no shard has been granted.
-    pub fn free(&self) -> Amount {
-        [0, 1].map(|r| {
-            let sum: f64 = self.grants.values().map(|g| g[r]).sum();
-            (self.limit[r] - sum).max(0.0)
+    pub fn ungranted(&self) -> QuotaAmount {
+        QuotaAmount::each(|resource| {
+            let sum: f64 = self.grants.values().map(|grant| grant.of(resource)).sum();
+            (self.limit.of(resource) - sum).max(0.0)
         })
     }
 
     /// The stored form with one shard's grant replaced, or `None` if the sum
     /// would pass the limit.
-    pub fn with_grant(&self, shard: usize, grant: Amount) -> Option<Value> {
+    pub fn with_grant(&self, shard: usize, grant: QuotaAmount) -> Option<Value> {
         let mut grants = self.grants.clone();
         grants.insert(shard, grant);
-        for r in [0, 1] {
-            let sum: f64 = grants.values().map(|g| g[r]).sum();
-            if self.limit[r].is_finite() && sum > self.limit[r] + EPS {
+        for resource in QuotaResource::ALL {
+            let sum: f64 = grants.values().map(|grant| grant.of(resource)).sum();
+            let limit = self.limit.of(resource);
+            if limit.is_finite() && sum > limit + TOLERANCE {
                 return None;
             }
         }
         let mut map = Map::new();
-        for (s, g) in &grants {
-            map.insert(s.to_string(), json!(g));
+        for (shard, grant) in &grants {
+            map.insert(shard.to_string(), json!([grant.cpus, grant.gpus]));
         }
         Some(Value::Object(map))
     }
@@ -133,82 +178,34 @@
     /// The grant that a shard should have, given what it uses, what waits there
     /// and what other shards lack, both by rank.
     ///
-    /// The more urgent goes first, equals share what is free. What is neither
+    /// The more urgent goes first, equals share what is not granted. What is neither
     /// used nor needed for work as urgent as the others' goes back. A shard that
-    /// asks at all asks for one of `shards` equal parts, as far as that is free: a
+    /// asks at all asks for one of `shards` equal shares, as far as that is free: a
     /// change for every job that comes would take writes from their admissions.
-    pub fn wanted(
+    pub fn target_grant(
         &self,
         shard: usize,
         shards: usize,
-        used: Amount,
-        waits: &[RankedDemand],
-        others: &[RankedDemand],
-    ) -> Amount {
-        let now = self.grants.get(&shard).copied().unwrap_or_default();
-        let free = self.free();
-        [0, 1].map(|r| {
-            if !self.limit[r].is_finite() {
-                return now[r];
+        used: QuotaAmount,
+        pending: &[RankedDemand],
+        unmet_elsewhere: &[RankedDemand],
+    ) -> QuotaAmount {
+        let stored = self.stored_grant(shard);
+        let ungranted = self.ungranted();
+        QuotaAmount::each(|resource| {
+            let limit = self.limit.of(resource);
+            if !limit.is_finite() {
+                return stored.of(resource);
             }
-            let unmet_demand = |n: &&RankedDemand| n.amount[r] > EPS;
-            let lack: f64 = others.iter().filter(unmet_demand).map(|n| n.amount[r]).sum();
-            // What is free does for all: nothing need be kept or given back.
-            let plenty = free[r] - lack > EPS;
-            let theirs =
-                others.iter().filter(unmet_demand).map(|n| n.rank).min().filter(|_| !plenty);
-            let counts =
-                |n: &&RankedDemand| n.amount[r] > EPS && theirs.is_none_or(|t| n.rank <= t);
-            let ours = waits.iter().filter(counts).map(|n| n.rank).min();
-            let wish = used[r] + waits.iter().filter(counts).map(|n| n.amount[r]).sum::<f64>();
-            let equals =
-                others.iter().filter(unmet_demand).filter(|n| Some(n.rank) == ours).count();
-            let share = 1.0 / (equals + 1) as f64;
-            if wish > now[r] + EPS && plenty {
-                let ask = wish.max(self.limit[r] / shards.max(1) as f64) - now[r];
-                now[r] + ask.min(free[r] - lack)
-            } else if wish > now[r] + EPS {
-                let equal = self.limit[r] * share;
-                if equals > 0 && free[r] < EPS && now[r] > equal.max(used[r]) + EPS {
-                    return equal.max(used[r]);
-                }
-                let part = free[r] * share;
-                // A part too small for one task would help nobody.
-                let part = if part < 1.0 { free[r] } else { part };
-                now[r] + (wish - now[r]).min(part).max(0.0)
-            } else if theirs.is_some() {
-                wish.max(used[r]).min(now[r])
-            } else {
-                now[r]
+            let demand_of = |list: &[RankedDemand]| ResourceGrant::demand_of(list, resource);
+            ResourceGrant {
+                limit,
+                equal_share: limit / shards.max(1) as f64,
+                stored: stored.of(resource),
+                used: used.of(resource),
+                ungranted: ungranted.of(resource),
             }
+            .target(&demand_of(pending), &demand_of(unmet_elsewhere))
         })
     }
 }
-
-/// What tasks of one rank need.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RankedDemand {
-    /// Rank: lower is more urgent.
-    pub rank: u32,
-    /// CPUs and GPUs.
-    pub amount: Amount,
-}
-
-/// What of some needs is left once `room` has gone to the most urgent.
-pub fn unmet_demand(room: Amount, waits: &[RankedDemand]) -> Vec<RankedDemand> {
-    let mut room = room;
-    let mut waits = waits.to_vec();
-    waits.sort_by_key(|n| n.rank);
-    let mut list = Vec::new();
-    for n in waits {
-        let amount = [0, 1].map(|r| {
-            let got = n.amount[r].min(room[r].max(0.0));
-            room[r] -= got;
-            n.amount[r] - got
-        });
-        if amount.iter().any(|a| *a > EPS) {
-            list.push(RankedDemand { rank: n.rank, amount });
-        }
-    }
-    list
-}
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -1,164 +1,241 @@
-//! Keeping the slots up to date: machines as placements see them.
+//! Keeping the capacity index up to date with machines' views, the shards' desired state and
+//! own jobs.
 
 use crate::controller::Controller;
 use crate::controller::machines::desired_state::own_shards::expected_s;
-use crate::controller::quota::team_quota::EPS;
+use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
-use crate::peer::Phase;
+use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::peer::{DesiredTask, MachineView, Phase};
+use crate::resources::{Resources, TOLERANCE};
 use crate::time::Micros;
 use std::rc::Rc;
 
-/// How long room that comes up on a machine is left to its own shard.
+/// How long capacity that comes up on a machine is left to its own shard.
 const PEER_CAPACITY_YIELD: Micros = Micros::millis(250);
 
+/// What the capacity of a shard's machines is computed from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct ShardSource {
+    /// Some live controller leads the shard, and so commands its machines.
+    has_live_leader: bool,
+    /// The shard's jobs are known here; else the desired state received from it counts.
+    jobs_known: bool,
+    /// The term under which this process leads the shard, if it does.
+    leading_term: Option<u64>,
+    /// The shard's newest term.
+    term: u64,
+}
+
+impl SchedulingInputs<'_> {
+    fn leading_term(&self, shard: usize) -> Option<u64> {
+        self.leadership.leading_term(shard, self.context.now)
+    }
+
+    /// Whether a shard's jobs are known here; else the desired state received from it counts.
+    fn jobs_known(&self, shard: usize) -> bool {
+        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        leadership.is_some_and(|leadership| leadership.recovered)
+    }
+}
+
 impl Controller {
-    /// A machine as placements see it; `None` if nothing may be placed on it.
-    fn capacity_of(&self, name: &str) -> Option<(PoolKey, MachineCapacity)> {
-        let v = self.machines.views.get(name)?;
-        let h = self.shard_of_machine(name);
-        if !v.known
-            || !v.healthy
-            || !self.scheduler.commanded[h]
-            || v.notice_ms.is_some()
-            || v.term != self.leadership.shards[h].term
-            || self.autoscaler.draining.contains(name)
-            || self.machines.terminated.contains(name)
-        {
+    /// Brings the capacity index up to date: only what has changed is computed anew.
+    pub(crate) fn refresh_capacity(&mut self) {
+        for shard in 0..self.leadership.shards.len() {
+            let source = self.shard_source(shard);
+            let previous = self.scheduler.shard_sources.insert(shard, source);
+            // The shard has changed its leader, or its leader has fallen silent.
+            if previous != Some(source) {
+                self.mark_shard_stale(shard);
+            }
+        }
+        for machine in std::mem::take(&mut self.scheduler.stale_machines) {
+            let inputs = self.scheduling_inputs();
+            let capacity = self.scheduler.compute_capacity(&inputs, &machine);
+            self.scheduler.set_capacity(&machine, capacity, self.context.now);
+        }
+    }
+
+    fn shard_source(&self, shard: usize) -> ShardSource {
+        let inputs = self.scheduling_inputs();
+        let leading_term = inputs.leading_term(shard);
+        let live_peer = |member| member != self.context.me && self.peer_alive(member);
+        ShardSource {
+            has_live_leader: leading_term.is_some()
+                || self.shard_leader(shard).is_some_and(live_peer),
+            jobs_known: inputs.jobs_known(shard),
+            leading_term,
+            term: self.leadership.shards[shard].term,
+        }
+    }
+
+    /// Marks as stale a shard's machines, and those that its tasks are desired on: these are
+    /// read from another source from now on.
+    fn mark_shard_stale(&mut self, shard: usize) {
+        for machine in self.machines.views.keys() {
+            if self.leadership.shard_of_machine(machine) == shard {
+                self.scheduler.mark_stale(machine);
+            }
+        }
+        for machine in self.machines.desired[shard].machines.keys() {
+            self.scheduler.mark_stale(machine);
+        }
+    }
+}
+
+impl Scheduler {
+    /// Takes in a machine's capacity as computed anew. What has come up on a peer's machine is
+    /// left to that peer for a moment.
+    fn set_capacity(
+        &mut self,
+        machine: &str,
+        mut capacity: Option<(PoolKey, MachineCapacity)>,
+        now: Micros,
+    ) {
+        if let Some((_, new)) = capacity.as_mut().filter(|(_, new)| new.led_by_peer) {
+            let old = self.capacity.by_name(machine);
+            let grown = old.is_none_or(|old| new.free.cpus > old.free.cpus + TOLERANCE);
+            new.yielded_until = match old {
+                Some(old) if !grown => old.yielded_until,
+                _ => now + PEER_CAPACITY_YIELD,
+            };
+        }
+        self.capacity.set(machine, capacity);
+    }
+
+    /// A machine's pool and capacity; `None` if nothing may be placed on it.
+    fn compute_capacity(
+        &self,
+        inputs: &SchedulingInputs<'_>,
+        name: &str,
+    ) -> Option<(PoolKey, MachineCapacity)> {
+        let view = inputs.machines.views.get(name)?;
+        let shard = inputs.leadership.shard_of_machine(name);
+        if !self.accepts_tasks(inputs, view, shard) {
             return None;
         }
-        let t = self.autoscaler.machine_types.get(&v.machine_type)?;
-        let size = [t.cpus, t.gpus, t.memory_gb];
-        let led_by_peer = self.leading_term(h).is_none();
-        let mut machine_capacity =
-            MachineCapacity::new(Rc::from(name), v.incarnation, led_by_peer, size);
-        let over = |job: &str, index: u32, attempt: u64| {
-            v.tasks.iter().any(|t| {
-                t.attempt == attempt && t.index == index && t.job == job && t.observed().over()
-            })
+        let machine_type = inputs.autoscaler.machine_types.get(&view.machine_type)?;
+        let mut capacity = MachineCapacity::new(
+            Rc::from(name),
+            view.incarnation,
+            inputs.leading_term(shard).is_none(),
+            Resources::from(machine_type),
+        );
+        self.reserve_desired_tasks(inputs, view, &mut capacity);
+        self.reserve_own_tasks(inputs, &mut capacity);
+        // Tasks that no shard is known to desire take an unknown amount of resources.
+        if lists_unknown_task(view, &capacity) {
+            return None;
+        }
+        let pool = PoolKey {
+            machine_type: Rc::from(view.machine_type.as_str()),
+            zone: Rc::from(view.zone.as_str()),
+            spot: view.spot,
         };
-        for (s, w) in self.machines.desired.iter().enumerate() {
-            if self.has_jobs_of(s) {
+        Some((pool, capacity))
+    }
+
+    /// Whether tasks may be placed on a machine of a shard at all.
+    fn accepts_tasks(
+        &self,
+        inputs: &SchedulingInputs<'_>,
+        view: &MachineView,
+        shard: usize,
+    ) -> bool {
+        view.known
+            && view.healthy
+            && self.shard_sources.get(&shard).is_some_and(|source| source.has_live_leader)
+            && view.notice_ms.is_none()
+            && view.term == inputs.leadership.shards[shard].term
+            && !inputs.autoscaler.draining.contains(&view.machine)
+            && !inputs.machines.terminated.contains(&view.machine)
+    }
+
+    /// Reserves what shards desire on a machine whose jobs are not known here.
+    fn reserve_desired_tasks(
+        &self,
+        inputs: &SchedulingInputs<'_>,
+        view: &MachineView,
+        capacity: &mut MachineCapacity,
+    ) {
+        for (shard, desired) in inputs.machines.desired.iter().enumerate() {
+            if inputs.jobs_known(shard) {
                 continue;
             }
-            let tasks = w.machines.get(name).map_or(&[][..], |m| &m.tasks[..]);
-            for t in tasks {
-                // Of another session: gone, and its shard will learn of it.
-                if t.incarnation != v.incarnation
-                    || t.phase() == Phase::Over
-                    || over(&t.job, t.index, t.attempt)
-                {
-                    continue;
-                }
-                machine_capacity.reserve(ReservedTask {
-                    rank: t.rank,
-                    team: t.team.clone(),
-                    amount: [t.cpus, t.gpus, t.memory_gb],
-                    job: t.job.clone(),
-                    index: t.index,
-                    attempt: t.attempt,
-                    stopping: t.stop_ms.is_some()
-                        || self.preemption_requested(&t.job, t.index, t.attempt),
-                    placed: Micros::secs(t.placed_s),
-                    checkpoint_s: t.checkpoint_s,
-                    expected_s: t.expected_s,
+            let tasks = desired.machines.get(&*capacity.machine).map_or(&[][..], |m| &m.tasks[..]);
+            // One of another incarnation is gone, and its shard will learn of it.
+            let present = |task: &&DesiredTask| {
+                task.incarnation == view.incarnation
+                    && task.phase() != Phase::Over
+                    && !is_over(view, &task.job, task.index, task.attempt)
+            };
+            for task in tasks.iter().filter(present) {
+                let (job, index, attempt) = (&task.job, task.index, task.attempt);
+                let now = inputs.context.now;
+                capacity.reserve(ReservedTask {
+                    rank: task.rank,
+                    team: task.team.clone(),
+                    resources: Resources::from(&*task.shape),
+                    job: job.clone(),
+                    index,
+                    attempt,
+                    stopping: task.stop_ms.is_some()
+                        || self.preemption_requests.stands(job, index, attempt, now),
+                    placed: Micros::secs(task.placed_s),
+                    checkpoint_s: task.checkpoint_s,
+                    expected_s: task.expected_s,
                 });
             }
         }
-        for s in (0..self.leadership.shards.len()).filter(|s| self.has_jobs_of(*s)) {
-            let Some(tasks) =
-                self.jobs.tasks_by_machine.get(&(s, Rc::clone(&machine_capacity.machine)))
-            else {
-                continue;
-            };
-            for (id, index) in tasks {
-                let Some(j) = self.jobs.by_id.get(id) else {
+    }
+
+    /// Reserves what own jobs have placed on a machine.
+    fn reserve_own_tasks(&self, inputs: &SchedulingInputs<'_>, capacity: &mut MachineCapacity) {
+        let jobs = inputs.jobs;
+        let shards = 0..inputs.leadership.shards.len();
+        for shard in shards.filter(|shard| inputs.jobs_known(*shard)) {
+            let key = (shard, Rc::clone(&capacity.machine));
+            for (id, index) in jobs.tasks_by_machine.get(&key).into_iter().flatten() {
+                let Some(job) = jobs.by_id.get(id) else {
                     continue;
                 };
-                let chunk = &j.chunks[(*index / j.chunk_size) as usize];
-                let Some(p) = chunk.placed.get(index).filter(|p| *p.machine == *name) else {
+                let chunk = &job.chunks[(*index / job.chunk_size) as usize];
+                let here = chunk.placed.get(index).filter(|p| p.machine == capacity.machine);
+                let Some(placement) = here else {
                     continue;
                 };
-                machine_capacity.reserve(ReservedTask {
-                    rank: j.rank(),
-                    team: j.spec.team.clone(),
-                    amount: [j.spec.cpus, j.spec.gpus, j.spec.memory_gb],
+                capacity.reserve(ReservedTask {
+                    rank: job.rank(),
+                    team: job.spec.team.clone(),
+                    resources: Resources::from(&*job.spec),
                     job: id.clone(),
                     index: *index,
-                    attempt: p.attempt,
-                    stopping: p.stop.is_some(),
-                    placed: p.at,
-                    checkpoint_s: j.spec.checkpoint_s,
-                    expected_s: expected_s(j, &self.scheduler.estimates),
+                    attempt: placement.attempt,
+                    stopping: placement.stop.is_some(),
+                    placed: placement.at,
+                    checkpoint_s: job.spec.checkpoint_s,
+                    expected_s: expected_s(job, &self.estimates),
                 });
             }
         }
-        // Tasks that nobody is known to want take room of unknown size.
-        let strange = v.tasks.iter().any(|t| {
-            !t.observed().over()
-                && !machine_capacity
-                    .tasks
-                    .iter()
-                    .any(|b| b.attempt == t.attempt && b.index == t.index && b.job == t.job)
-        });
-        let key = PoolKey {
-            machine_type: Rc::from(v.machine_type.as_str()),
-            zone: Rc::from(v.zone.as_str()),
-            spot: v.spot,
-        };
-        (!strange).then_some((key, machine_capacity))
-    }
-
-    /// Whether a shard's jobs are known here; else the desired state received from it counts.
-    fn has_jobs_of(&self, s: usize) -> bool {
-        self.leadership.shards[s].leadership.as_ref().is_some_and(|m| m.recovered)
     }
+}
 
-    /// Notes that a machine has to be looked at before the next placement.
-    pub(crate) fn mark_capacity_stale(&mut self, machine: &str) {
-        if !self.scheduler.stale_machines.contains(machine) {
-            self.scheduler.stale_machines.insert(machine.to_string());
-        }
-    }
+/// Whether a machine lists an attempt as over.
+fn is_over(view: &MachineView, job: &str, index: u32, attempt: u64) -> bool {
+    view.tasks.iter().any(|task| {
+        task.attempt == attempt && task.index == index && task.job == job && task.observed().over()
+    })
+}
 
-    /// Brings the slots up to date: only what has changed is looked at.
-    pub(crate) fn refresh_capacity(&mut self) {
-        for h in 0..self.leadership.shards.len() {
-            let commanded = self.leading_term(h).is_some()
-                || self.shard_leader(h).is_some_and(|m| m != self.context.me && self.peer_alive(m));
-            let was = std::mem::replace(&mut self.scheduler.commanded[h], commanded);
-            let state = (self.has_jobs_of(h), self.leading_term(h), self.leadership.shards[h].term);
-            if was != commanded || self.scheduler.capacity_sources.get(&h) != Some(&state) {
-                // The shard has changed hands or its holder has fallen silent.
-                self.scheduler.capacity_sources.insert(h, state);
-                let theirs: Vec<String> = self
-                    .machines
-                    .views
-                    .keys()
-                    .filter(|m| self.shard_of_machine(m) == h)
-                    .cloned()
-                    .collect();
-                self.scheduler.stale_machines.extend(theirs);
-                // What it wants is read from another place from now on.
-                let wanted: Vec<String> =
-                    self.machines.desired[h].machines.keys().cloned().collect();
-                self.scheduler.stale_machines.extend(wanted);
-            }
-        }
-        for machine in std::mem::take(&mut self.scheduler.stale_machines) {
-            let mut machine_capacity = self.capacity_of(&machine);
-            if let Some((_, new)) = machine_capacity.as_mut().filter(|(_, s)| s.led_by_peer) {
-                let old = self
-                    .scheduler
-                    .capacity
-                    .id(&machine)
-                    .and_then(|id| self.scheduler.capacity.get(id));
-                let more = old.is_none_or(|old| new.free[0] > old.free[0] + EPS);
-                new.yielded_until = match old {
-                    Some(old) if !more => old.yielded_until,
-                    _ => self.context.now + PEER_CAPACITY_YIELD,
-                };
-            }
-            self.scheduler.capacity.set(&machine, machine_capacity);
-        }
-    }
+/// Whether a machine lists an attempt for which nothing is reserved.
+fn lists_unknown_task(view: &MachineView, capacity: &MachineCapacity) -> bool {
+    view.tasks.iter().filter(|task| !task.observed().over()).any(|task| {
+        !capacity.tasks.iter().any(|reserved| {
+            reserved.attempt == task.attempt
+                && reserved.index == task.index
+                && reserved.job == task.job
+        })
+    })
 }
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -1,74 +1,88 @@
-//! What waits in own shards, for peers and for renting, and the room that is free.
+//! What waits on own shards, for peers and for the autoscaler, and the capacity that is free.
 
-use crate::controller::Controller;
-use crate::controller::autoscaler::planning::fits;
-use crate::controller::quota::team_quota::{Amount, EPS};
+use crate::controller::autoscaler::planning::FreeCapacity;
+use crate::controller::jobs::job::Job;
+use crate::controller::quota::amount::QuotaAmount;
+use crate::controller::scheduler::Scheduler;
+use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::queue::QueueClass;
 use crate::peer::Demand;
+use crate::resources::{Resources, TOLERANCE};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-impl Controller {
+/// Shapes of waiting tasks in one list: it goes to all peers once a second or so.
+const MAX_SHAPES: usize = 200;
+
+impl Scheduler {
     /// Waiting tasks by shape, as far as their teams' limits let them run.
-    pub(crate) fn demand(&self) -> Vec<Demand> {
-        let usage = self.scheduler.capacity.usage();
-        let mut room: BTreeMap<&str, Amount> = BTreeMap::new();
+    pub(crate) fn demand(&self, inputs: &SchedulingInputs<'_>) -> Vec<Demand> {
+        let usage = self.capacity.usage();
+        let mut left_by_team: BTreeMap<&str, QuotaAmount> = BTreeMap::new();
         let mut list: Vec<Demand> = Vec::new();
-        for ((beyond, rank), id) in self.queue_order() {
-            let Some(j) = self.jobs.by_id.get(&id).filter(|j| self.context.now >= j.not_before)
-            else {
+        for queued in self.queue_order(inputs) {
+            let ready = |job: &&Job| inputs.context.now >= job.not_before;
+            let Some(job) = inputs.jobs.by_id.get(&queued.job).filter(ready) else {
                 continue;
             };
-            let spec = &j.spec;
-            let Some(quota) = self.quota.teams.get(&spec.team) else {
+            let spec = &job.spec;
+            let Some(quota) = inputs.quotas.team(&spec.team) else {
                 continue;
             };
-            let left = room.entry(&spec.team).or_insert_with(|| {
+            let left = left_by_team.entry(&spec.team).or_insert_with(|| {
                 let used = usage.get(&spec.team).copied().unwrap_or_default();
-                [0, 1].map(|r| (quota.limit[r] - used[r]).max(0.0))
+                QuotaAmount::each(|r| (quota.limit().of(r) - used.of(r)).max(0.0))
             });
-            let can = fits(&[left[0], left[1], f64::INFINITY], &[spec.cpus, spec.gpus, 0.0]);
-            let tasks = j.open().min(can);
+            let within_limit = Resources::new(left.cpus, left.gpus, f64::INFINITY)
+                .tasks_that_fit(&Resources::new(spec.cpus, spec.gpus, 0.0));
+            let tasks = job.open().min(within_limit);
             if tasks == 0 {
                 continue;
             }
-            left[0] -= f64::from(tasks) * spec.cpus;
-            left[1] -= f64::from(tasks) * spec.gpus;
-            let one = Demand {
-                tasks,
-                cpus: spec.cpus,
-                gpus: spec.gpus,
-                memory_gb: spec.memory_gb,
-                types: spec.types.clone().unwrap_or_default(),
-                zone: spec.zone.clone(),
-                spot: spec.spot,
-                rank,
-                beyond,
-            };
-            match list.iter_mut().find(|d| Demand { tasks, ..(*d).clone() } == one) {
-                Some(same) => same.tasks += tasks,
-                None => list.push(one),
-            }
-            if list.len() >= 200 {
+            *left -= QuotaAmount::of_tasks(spec, tasks);
+            add_demand(&mut list, demand_of(job, tasks, queued.class));
+            if list.len() >= MAX_SHAPES {
                 break;
             }
         }
         list
     }
 
-    /// Room that is free on known machines, for the renting shard.
-    pub(crate) fn free_capacity(
-        &self,
-    ) -> Vec<crate::controller::autoscaler::planning::FreeCapacity> {
-        self.scheduler
-            .capacity
+    /// Capacity that is free on known machines, for the autoscaler.
+    pub(crate) fn free_capacity(&self) -> Vec<FreeCapacity> {
+        self.capacity
             .iter()
-            .filter(|(_, _, s)| s.free[0] > EPS)
-            .map(|(_, key, s)| crate::controller::autoscaler::planning::FreeCapacity {
-                machine_type: Rc::clone(&key.machine_type),
-                zone: Rc::clone(&key.zone),
-                spot: key.spot,
-                free: s.free,
+            .filter(|(_, _, capacity)| capacity.free.cpus > TOLERANCE)
+            .map(|(_, pool, capacity)| FreeCapacity {
+                machine_type: Rc::clone(&pool.machine_type),
+                zone: Rc::clone(&pool.zone),
+                spot: pool.spot,
+                free: capacity.free,
             })
             .collect()
     }
 }
+
+fn demand_of(job: &Job, tasks: u32, class: QueueClass) -> Demand {
+    let spec = &job.spec;
+    Demand {
+        tasks,
+        cpus: spec.cpus,
+        gpus: spec.gpus,
+        memory_gb: spec.memory_gb,
+        types: spec.types.clone().unwrap_or_default(),
+        zone: spec.zone.clone(),
+        spot: spec.spot,
+        rank: class.rank,
+        beyond: class.beyond_guarantee,
+    }
+}
+
+/// Adds tasks to those of the same shape and class.
+fn add_demand(list: &mut Vec<Demand>, added: Demand) {
+    let tasks = added.tasks;
+    match list.iter_mut().find(|demand| Demand { tasks, ..(*demand).clone() } == added) {
+        Some(same) => same.tasks += tasks,
+        None => list.push(added),
+    }
+}
--- /dev/null
+++ b/src/controller/scheduler/placement_limits.rs
@@ -0,0 +1,68 @@
+//! How many placements may be on their way: to the store, and to the machines.
+
+use crate::controller::Controller;
+use crate::controller::jobs::job::Job;
+use crate::controller::scheduler::Scheduler;
+use crate::controller::scheduler::inputs::SchedulingInputs;
+
+/// Placements that their machines have not reported, at most: so many, or
+/// two for each machine, since whole waves of machines come up at once.
+const MAX_UNOBSERVED: usize = 1_500;
+/// The same for low tasks, or one for every two machines: an array of thousands of
+/// tiny ones would take the processor from submissions and heartbeats.
+const MAX_UNOBSERVED_LOW_PRIORITY: usize = 750;
+/// Chunks with placements that wait for their writes: at least so many may.
+const MIN_CHUNK_BACKLOG: usize = 4;
+
+impl Scheduler {
+    /// Whether the placements of a rank that no machine has reported are as many as may be.
+    pub(super) fn unobserved_at_limit(&self, inputs: &SchedulingInputs<'_>, rank: u32) -> bool {
+        self.unobserved_placements >= unobserved_limit(rank, inputs.machines.views.len())
+    }
+
+    /// Whether further tasks of a rank must wait until placements are stored or reported.
+    pub(super) fn placements_at_limit(
+        &self,
+        inputs: &SchedulingInputs<'_>,
+        unstored_urgent_chunks: impl FnOnce() -> usize,
+        rank: u32,
+    ) -> bool {
+        self.unobserved_at_limit(inputs, rank) || unstored_urgent_chunks() >= chunk_backlog(inputs)
+    }
+}
+
+/// The more urgent, the more: an array of low tasks that fills its share of the
+/// buffer must not keep urgent ones out.
+fn unobserved_limit(rank: u32, machines: usize) -> usize {
+    match rank {
+        0..=2 => MAX_UNOBSERVED.max(2 * machines) * (4 - rank as usize),
+        _ => MAX_UNOBSERVED_LOW_PRIORITY.max(machines / 2),
+    }
+}
+
+/// Placements wait for writes in a small buffer, about a second's worth: a
+/// later decision knows more.
+fn chunk_backlog(inputs: &SchedulingInputs<'_>) -> usize {
+    let shards = inputs.leadership.shards.len().max(1);
+    let writes_per_s = inputs.context.settings.state.write_rps / shards as f64;
+    (writes_per_s as usize).max(MIN_CHUNK_BACKLOG)
+}
+
+impl Controller {
+    /// Chunks with placements that are not stored yet, of jobs that are as urgent: the
+    /// others are written after them and hold nothing up.
+    pub(super) fn unstored_urgent_chunks(&self, rank: u32) -> usize {
+        let changed = self.changes.jobs.iter().filter_map(|id| self.jobs.by_id.get(id));
+        changed.filter(|job| job.rank() <= rank).map(Job::unstored_chunks).sum()
+    }
+
+    /// Counts the placements that their machines have not reported yet.
+    /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
+    /// once, took nearly all of the memory at every node.
+    pub(crate) fn count_unobserved_placements(&mut self) {
+        let chunks = self.jobs.by_id.values().flat_map(|job| &job.chunks);
+        let placed = chunks.flat_map(|chunk| chunk.placed.values());
+        self.scheduler.unobserved_placements =
+            placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
+    }
+}
--- /dev/null
+++ b/src/controller/scheduler/reservation.rs
@@ -0,0 +1,108 @@
+//! Carrying out a choice: preempting the victims and reserving the task's resources.
+
+use crate::controller::Controller;
+use crate::controller::scheduler::capacity::{MachineId, ReservedTask};
+use crate::controller::scheduler::machine_choice::MachineChoice;
+use crate::controller::scheduler::pending_reason::PendingReason;
+use crate::controller::scheduler::scheduling_pass::Pass;
+use crate::controller::scheduler::task_placement::JobPlacement;
+use std::rc::Rc;
+
+impl Controller {
+    /// Preempts the victims of a choice, and counts their resources as free.
+    pub(super) fn preempt_victims(
+        &mut self,
+        choice: &MachineChoice,
+        placement: &JobPlacement,
+        pass: &mut Pass,
+    ) {
+        if choice.victims.is_empty() {
+            return;
+        }
+        let mut stopped = Vec::new();
+        self.scheduler.capacity.change(choice.machine, |capacity| {
+            for position in &choice.victims {
+                let victim = &mut capacity.tasks[*position];
+                victim.stopping = true;
+                capacity.free += victim.resources;
+                stopped.push((Rc::clone(&capacity.machine), victim.clone()));
+            }
+        });
+        if choice.claims_guarantee {
+            let team = &placement.spec.team;
+            self.scheduler.guarantee_budget.note_claim(team, placement.spec.cpus);
+        }
+        for (machine, victim) in stopped {
+            self.scheduler.guarantee_budget.note_preemption(&victim.team, victim.resources.cpus);
+            *pass.usage.entry(victim.team.clone()).or_default() -= victim.resources.into();
+            self.request_preemption(&victim, placement.time_for_checkpoints, &machine);
+        }
+        // Capacity of any shape may have come up beside it.
+        pass.failures.capacity_freed();
+    }
+
+    /// Puts a task on a machine: in memory, to be written ahead before it is started.
+    pub(super) fn reserve_task(
+        &mut self,
+        index: u32,
+        machine_id: MachineId,
+        placement: &mut JobPlacement,
+        pass: &mut Pass,
+    ) -> Result<(), PendingReason> {
+        let (now, wall) = (self.context.now, self.context.wall());
+        let capacity = &self.scheduler.capacity;
+        let chosen = capacity.get(machine_id).ok_or(PendingReason::NoCapacity)?;
+        let (machine, incarnation) = (Rc::clone(&chosen.machine), chosen.incarnation);
+        let pool = capacity.pool_of(machine_id);
+        let zone = pool.map(|pool| Rc::clone(&pool.zone)).unwrap_or_default();
+        let spec = &placement.spec;
+        let job = self.jobs.by_id.get_mut(&placement.id).ok_or(PendingReason::NoCapacity)?;
+        let attempt =
+            job.put(wall, index, &machine, incarnation, &zone).ok_or(PendingReason::NoCapacity)?;
+        let reserved = ReservedTask {
+            rank: job.rank(),
+            team: spec.team.clone(),
+            resources: placement.needed,
+            job: placement.id.clone(),
+            index,
+            attempt,
+            stopping: false,
+            placed: wall,
+            checkpoint_s: spec.checkpoint_s,
+            expected_s: placement.expected_s,
+        };
+        log::debug!("task {}/{index} attempt {attempt} is placed on {machine}", placement.id);
+        self.scheduler.capacity.change(machine_id, |capacity| capacity.reserve(reserved));
+        self.scheduler.unobserved_placements += 1;
+        let has_image = self.scheduler.images.holds(now, &spec.image, &machine, incarnation);
+        self.counts.placed += 1;
+        self.counts.image_hits += u64::from(has_image);
+        self.scheduler.images.note(now, &spec.image, &machine, incarnation);
+        count_placement(placement, pass, machine_id, zone, has_image);
+        self.changes.desired.insert((placement.shard, Rc::clone(&machine)));
+        let tasks = self.jobs.tasks_by_machine.entry((placement.shard, machine)).or_default();
+        tasks.insert((placement.id.clone(), index));
+        self.changes.jobs.insert(placement.id.clone());
+        Ok(())
+    }
+}
+
+/// Counts a task that was put on a machine in what the pass and the job's placement know.
+fn count_placement(
+    placement: &mut JobPlacement,
+    pass: &mut Pass,
+    machine: MachineId,
+    zone: Rc<str>,
+    had_image: bool,
+) {
+    pass.placements_left -= 1;
+    let needed = placement.needed.into();
+    *pass.usage.entry(placement.spec.team.clone()).or_default() += needed;
+    placement.used += needed;
+    if placement.zones_restricted() {
+        *placement.tasks_by_zone.entry(zone).or_insert(0) += 1;
+    }
+    if let Some(cached_machines) = placement.cached_machines.as_mut().filter(|_| !had_image) {
+        cached_machines.push(machine);
+    }
+}
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -1,238 +1,116 @@
-//! The queue of this process's shards, and where its tasks go.
+//! A pass over the queue of own jobs.
 
 use crate::controller::Controller;
-use crate::controller::jobs::job::Job;
-use crate::controller::quota::team_quota::{Amount, EPS};
+use crate::controller::quota::amount::QuotaAmount;
+use crate::controller::scheduler::queue::QueueClass;
+use crate::controller::scheduler::search_failures::SearchFailures;
 use crate::peer::Demand;
 use crate::time::Micros;
-use crate::wire::JobSpec;
 use std::collections::BTreeMap;
-use std::rc::Rc;
 
-/// Why a job waits for which no machine has room.
-pub(crate) const NO_CAPACITY: &str = "no machine with room";
 /// Least time between two passes: what happens meanwhile is dealt with together.
 const PASS_INTERVAL: Micros = Micros::millis(40);
 /// Placements in one pass.
 const MAX_PLACEMENTS_PER_PASS: usize = 64;
-/// Placements that their machines have not reported, at most: so many, or
-/// two for each machine, since whole waves of machines come up at once.
-const MAX_UNOBSERVED: usize = 1_500;
-/// The same for low tasks, or one for every two machines: an array of thousands of
-/// tiny ones would take the processor from submissions and reports.
-const MAX_UNOBSERVED_LOW_PRIORITY: usize = 750;
-/// Searches in one pass for tasks that make room; each walks the fleet.
+/// Searches for victims in one pass; each walks all machines.
 const MAX_PREEMPTION_SEARCHES_PER_PASS: usize = 8;
 
 /// Up to this rank work goes before large tasks that wait.
-pub(crate) const LOWEST_URGENT_RANK: u32 = 1;
+pub(super) const LOWEST_URGENT_RANK: u32 = 1;
 
-impl Controller {
-    /// Own jobs in order of service: teams within their guarantee first, then
-    /// priority, deadline and age.
-    pub(crate) fn queue_order(&self) -> Vec<((bool, u32), String)> {
-        let used = self.scheduler.capacity.usage();
-        let mut order: Vec<_> = self
-            .jobs
-            .by_id
-            .iter()
-            .filter(|(_, j)| !j.cancelled && !j.over && !j.waiting && j.pending() > 0)
-            .map(|(id, j)| {
-                let beyond = !self.within_guarantee(used, &j.spec.team, [j.spec.cpus, j.spec.gpus]);
-                (beyond, j.rank(), j.due(), j.ready, id.clone())
-            })
-            .collect();
-        order.sort();
-        order.into_iter().map(|(beyond, rank, .., id)| ((beyond, rank), id)).collect()
-    }
-
-    pub(crate) fn within_guarantee(
-        &self,
-        used: &BTreeMap<String, Amount>,
-        team: &str,
-        more: Amount,
-    ) -> bool {
-        let Some(quota) = self.quota.teams.get(team) else {
-            return false;
-        };
-        let used = used.get(team).copied().unwrap_or_default();
-        [0, 1].iter().all(|r| more[*r] < EPS || used[*r] + more[*r] <= quota.guarantee[*r] + EPS)
-    }
+/// A team's tasks on one shard.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ShardTeam {
+    pub(super) shard: usize,
+    pub(super) team: String,
+}
 
-    /// What a shard's tasks of a team use: from write-ahead until known gone.
-    pub(crate) fn shard_usage(&self, s: usize, team: &str) -> Amount {
-        let mut used = [0.0, 0.0];
-        for j in self.jobs.by_id.values().filter(|j| j.shard == s && j.spec.team == team) {
-            let n = f64::from(j.limited_tasks());
-            used[0] += n * j.spec.cpus;
-            used[1] += n * j.spec.gpus;
-        }
-        used
-    }
+/// What a pass over the queue has found out so far.
+#[derive(Debug)]
+pub(super) struct Pass {
+    /// What teams use, with what this pass has placed and preempted.
+    pub(super) usage: BTreeMap<String, QuotaAmount>,
+    /// What own shards use of teams' limits, with what this pass has placed.
+    pub(super) shard_usage: BTreeMap<ShardTeam, QuotaAmount>,
+    /// Waiting tasks that no machine has capacity for, though for smaller ones there may be.
+    pub(super) blocked: Vec<Demand>,
+    pub(super) failures: SearchFailures,
+    /// Placements that may still be made.
+    pub(super) placements_left: usize,
+    /// Searches for victims that may still be made.
+    pub(super) preemption_searches_left: usize,
+}
 
-    /// One pass over the queue. What is left when its bounds are reached goes
-    /// on in the next turn, so that reports and renewals are never starved.
+impl Controller {
+    /// One pass over the queue, if it is due. What is left when its bounds are reached goes
+    /// on in the next turn, so that heartbeats and lease renewals are never starved.
     pub(crate) fn run_scheduling_pass(&mut self) {
-        if !self.scheduler.placement_due
+        if !self.scheduler.pass_requested
             || self.context.now < self.scheduler.last_pass_at + PASS_INTERVAL
             || self.autoscaler.machine_types.is_empty()
         {
             return;
         }
-        self.scheduler.placement_due = false;
+        self.scheduler.pass_requested = false;
         self.scheduler.last_pass_at = self.context.now;
         self.refresh_capacity();
-        let order = self.queue_order();
+        let order = self.scheduler.queue_order(&self.scheduling_inputs());
         if order.is_empty() {
             return;
         }
-        let mut theirs: Vec<Demand> = self
-            .peers
-            .by_member
-            .iter()
-            .filter(|(n, _)| self.peer_alive(**n))
-            .flat_map(|(_, p)| p.demand.iter().cloned())
-            .collect();
-        // Tasks that no machine has room for, though smaller ones might.
-        let ours = self.demand();
-        let blocked: Vec<Demand> = theirs
-            .iter()
-            .chain(&ours)
-            .filter(|d| !self.scheduler.capacity.takes(d))
-            .cloned()
-            .collect();
-        let mut pass = Pass {
-            usage: self.scheduler.capacity.usage().clone(),
-            shards: BTreeMap::new(),
-            blocked,
-            failed: Vec::new(),
-            left: MAX_PLACEMENTS_PER_PASS,
-            searches: MAX_PREEMPTION_SEARCHES_PER_PASS,
-        };
-        theirs.sort_by_key(Demand::turn);
-        for (turn, id) in order {
-            let (_, rank) = turn;
-            let full = self.scheduler.unobserved >= self.unobserved_limit(rank)
-                || self.unstored_urgent_chunks(rank) >= self.chunk_backlog();
-            if full {
+        let mut peers_demand: Vec<Demand> = self.peers_demand().cloned().collect();
+        let mut pass = self.begin_pass(&peers_demand);
+        peers_demand.sort_by_key(QueueClass::of_demand);
+        for queued in order {
+            let rank = queued.class.rank;
+            if self.placements_at_limit(rank) {
                 // Those behind it may be more urgent, if beyond their guarantee.
-                self.scheduler.placement_due = true;
+                self.scheduler.request_pass();
                 continue;
             }
-            if pass.left == 0 {
-                self.scheduler.placement_due = true;
+            if pass.placements_left == 0 {
+                self.scheduler.request_pass();
                 break;
             }
-            // What waits at the peers and is more urgent gets its room first:
+            // What waits at the peers and is more urgent gets its capacity first:
             // taken by this job, it would only be taken back by preemption.
             // Equals hold nothing for each other, or nobody would move.
-            let first = theirs.partition_point(|d| d.turn() < turn);
-            for d in theirs.drain(..first) {
-                self.scheduler.capacity.hold(&d);
+            let before = |demand: &Demand| QueueClass::of_demand(demand) < queued.class;
+            let first = peers_demand.partition_point(before);
+            for demand in peers_demand.drain(..first) {
+                self.scheduler.capacity.hold(&demand);
             }
-            self.place_job(&id, &mut pass);
+            self.place_job(&queued.job, &mut pass);
         }
         self.scheduler.capacity.release_holds();
     }
 
-    /// Parts with placements that are not stored yet, of jobs that are as urgent: the
-    /// others are written after them and hold nothing up.
-    fn unstored_urgent_chunks(&self, rank: u32) -> usize {
-        let dirty = self.changes.jobs.iter().filter_map(|id| self.jobs.by_id.get(id));
-        dirty.filter(|j| j.rank() <= rank).map(Job::unstored_chunks).sum()
+    fn placements_at_limit(&self, rank: u32) -> bool {
+        let inputs = self.scheduling_inputs();
+        let unstored = || self.unstored_urgent_chunks(rank);
+        self.scheduler.placements_at_limit(&inputs, unstored, rank)
     }
 
-    /// Counts the placements that their machines have not reported yet.
-    /// They wait in a small buffer, too: 25,000 tiny tasks of one user, all placed at
-    /// once, took nearly all of the memory at every node.
-    pub(crate) fn count_unobserved(&mut self) {
-        let placed =
-            self.jobs.by_id.values().flat_map(|j| &j.chunks).flat_map(|p| p.placed.values());
-        self.scheduler.unobserved =
-            placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
+    /// What waits on live peers' shards.
+    pub(crate) fn peers_demand(&self) -> impl Iterator<Item = &Demand> {
+        self.peers
+            .by_member
+            .iter()
+            .filter(|(member, _)| self.peer_alive(**member))
+            .flat_map(|(_, peer)| &peer.demand)
     }
 
-    /// The more urgent, the more: an array of low tasks that fills its part of the
-    /// buffer must not keep urgent ones out.
-    pub(crate) fn unobserved_limit(&self, rank: u32) -> usize {
-        let machines = self.machines.views.len();
-        match rank {
-            0..=2 => MAX_UNOBSERVED.max(2 * machines) * (4 - rank as usize),
-            _ => MAX_UNOBSERVED_LOW_PRIORITY.max(machines / 2),
+    fn begin_pass(&self, peers_demand: &[Demand]) -> Pass {
+        let capacity = &self.scheduler.capacity;
+        let own_demand = self.scheduler.demand(&self.scheduling_inputs());
+        let all_demand = peers_demand.iter().chain(&own_demand);
+        Pass {
+            usage: capacity.usage().clone(),
+            shard_usage: BTreeMap::new(),
+            blocked: all_demand.filter(|demand| !capacity.takes(demand)).cloned().collect(),
+            failures: SearchFailures::default(),
+            placements_left: MAX_PLACEMENTS_PER_PASS,
+            preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
         }
     }
-
-    /// Placements wait for writes in a small buffer, about a second's worth: a
-    /// later decision knows more.
-    fn chunk_backlog(&self) -> usize {
-        let share =
-            self.context.settings.state.write_rps / self.leadership.shards.len().max(1) as f64;
-        (share as usize).max(4)
-    }
-}
-
-/// What a pass over the queue has found out so far.
-pub(crate) struct Pass {
-    /// What teams use, with what this pass has placed.
-    pub(crate) usage: BTreeMap<String, Amount>,
-    /// What own shards use of teams' limits, likewise.
-    pub(crate) shards: BTreeMap<(usize, String), Amount>,
-    /// Waiting tasks that no machine has room for.
-    pub(crate) blocked: Vec<Demand>,
-    /// Shapes that found no room.
-    pub(crate) failed: Vec<Failed>,
-    /// Placements that may still be made.
-    pub(crate) left: usize,
-    /// Searches for tasks that make room that may still be made.
-    pub(crate) searches: usize,
-}
-
-impl Pass {
-    /// Whether a job of this shape found no free room.
-    pub(crate) fn known_full(&self, spec: &JobSpec) -> bool {
-        self.failed.iter().any(|f| f.search.is_none() && f.covers(spec))
-    }
-
-    /// Whether the same search for tasks that make room failed for this shape.
-    pub(crate) fn search_failed(&self, search: &PreemptionSearch, spec: &JobSpec) -> bool {
-        self.failed.iter().any(|f| f.search.as_ref() == Some(search) && f.covers(spec))
-    }
-}
-
-/// For whom tasks were looked for that make room.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct PreemptionSearch {
-    /// Rank of the job.
-    pub(crate) rank: u32,
-    /// Its team, if within its guarantee.
-    pub(crate) guaranteed: Option<String>,
-    /// Only holders of the image were looked at.
-    pub(crate) for_image: bool,
-}
-
-/// A shape that found no room, so that others like it need not look again.
-pub(crate) struct Failed {
-    spec: Rc<JobSpec>,
-    /// The search for tasks that make room; `None` for free room.
-    pub(crate) search: Option<PreemptionSearch>,
-}
-
-impl Failed {
-    pub(crate) fn new(spec: &Rc<JobSpec>, search: Option<PreemptionSearch>) -> Failed {
-        Failed { spec: Rc::clone(spec), search }
-    }
-
-    /// Whether a job that needs at least as much, of the same machines, must
-    /// fail too.
-    fn covers(&self, spec: &JobSpec) -> bool {
-        let failed = &self.spec;
-        let same_image_needed = self.search.as_ref().is_some_and(|search| search.for_image);
-        failed.cpus <= spec.cpus
-            && failed.gpus <= spec.gpus
-            && failed.memory_gb <= spec.memory_gb
-            && failed.types == spec.types
-            && failed.zone == spec.zone
-            && failed.spot == spec.spot
-            && (!same_image_needed || failed.image == spec.image)
-    }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod kv_store;
 pub mod logging;
 pub mod peer;
+pub mod resources;
 pub mod runtime;
 pub mod time;
 pub mod wire;
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -48,13 +48,6 @@
     pub beyond: bool,
 }
 
-impl Demand {
-    /// Order of service, as in a shard's queue.
-    pub fn turn(&self) -> (bool, u32) {
-        (self.beyond, self.rank)
-    }
-}
-
 /// What a shard lacks of a team's limit.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaDemand {
--- a/tests/tables/autoscaler.rs
+++ b/tests/tables/autoscaler.rs
@@ -3,6 +3,7 @@
 use millethold::controller::autoscaler::planning::{self, Fleet, FreeCapacity};
 use millethold::controller::scheduler::estimate::Estimates;
 use millethold::peer::Demand;
+use millethold::resources::Resources;
 use millethold::time::Micros;
 use millethold::wire::{ListedMachine, MachineStage, MachineType};
 use std::collections::BTreeMap;
@@ -79,7 +80,7 @@
         machine_type: "small".into(),
         zone: "a".into(),
         spot,
-        free: [cpus, 0.0, 16.0],
+        free: Resources::new(cpus, 0.0, 16.0),
     };
     // What waits, what is free, tasks left without room.
     let table = [
--- a/tests/tables/placement.rs
+++ b/tests/tables/placement.rs
@@ -1,13 +1,13 @@
 //! Where a task is placed: the choice, the machines with room, the images.
 
 use millethold::config::Options;
-use millethold::controller::autoscaler::planning;
 use millethold::controller::scheduler::capacity::{
-    ClusterCapacity, MachineCapacity, PoolKey, ReservedTask,
+    ClusterCapacity, MachineCapacity, MachineId, PoolKey, ReservedTask,
 };
-use millethold::controller::scheduler::image::ImageIndex;
+use millethold::controller::scheduler::image_cache::{CachedOn, ImageCacheIndex};
 use millethold::controller::scheduler::image_locality;
 use millethold::peer::Demand;
+use millethold::resources::Resources;
 use millethold::time::Micros;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -41,7 +41,7 @@
     let reserved_tasks = |rank, cpus: f64, stopping| ReservedTask {
         rank,
         team: "t".into(),
-        amount: [cpus, 0.0, cpus * 2.0],
+        resources: Resources::new(cpus, 0.0, cpus * 2.0),
         job: "j-1".into(),
         index: 0,
         attempt: 1,
@@ -65,7 +65,7 @@
                 name.as_str().into(),
                 1,
                 name.ends_with('5'),
-                [4.0, 0.0, 16.0],
+                Resources::new(4.0, 0.0, 16.0),
             );
             for _ in 0..rng.random_range(0..4) {
                 machine_capacity.reserve(reserved_tasks(
@@ -78,52 +78,53 @@
             plain.insert(name, (key, machine_capacity));
         } else if let (Some(id), Some((_, machine_capacity))) =
             (capacity.id(&name), plain.get_mut(&name))
-            && machine_capacity.free[0] >= 1.0
+            && machine_capacity.free.cpus >= 1.0
         {
             capacity.change(id, |s| s.reserve(reserved_tasks(1, 1.0, false)));
             machine_capacity.reserve(reserved_tasks(1, 1.0, false));
         }
         let spot = step % 2 == 0;
         let pools = capacity.pools(|k| spot || !k.spot);
-        let need = [[1.0, 0.0, 1.0], [4.0, 0.0, 12.0]][step % 2];
+        let need = [Resources::new(1.0, 0.0, 1.0), Resources::new(4.0, 0.0, 12.0)][step % 2];
         let open: Vec<&MachineCapacity> = plain
             .values()
-            .filter(|(k, s)| (spot || !k.spot) && planning::fits(&s.free, &need) > 0)
+            .filter(|(k, s)| (spot || !k.spot) && s.free.tasks_that_fit(&need) > 0)
             .map(|(_, s)| s)
             .collect();
-        let load = |s: &MachineCapacity| (s.tasks.len(), s.led_by_peer, -(s.free[0] as i64));
-        let best = |id: Option<usize>| id.and_then(|id| capacity.get(id));
+        let load = |s: &MachineCapacity| (s.tasks.len(), s.led_by_peer, -(s.free.cpus as i64));
+        let best = |id: Option<MachineId>| id.and_then(|id| capacity.get(id));
         let least_loaded = best(capacity.least_loaded(&pools, &need, |_, _| true)).map(load);
         assert_eq!(least_loaded, open.iter().map(|s| load(s)).min(), "step {step}");
-        let ids: Vec<usize> = plain.keys().filter_map(|n| capacity.id(n)).collect();
+        let ids: Vec<MachineId> = plain.keys().filter_map(|n| capacity.id(n)).collect();
         let least =
             best(capacity.least_loaded_among(ids.iter(), &pools, &need, |_, _| true)).map(load);
         assert_eq!(least, least_loaded, "step {step}");
-        let best_fit = best(capacity.best_fit(&pools, &need, |_, _| true)).map(|s| s.free[0]);
-        assert_eq!(best_fit, open.iter().map(|s| s.free[0]).reduce(f64::min), "step {step}");
+        let best_fit = best(capacity.best_fit(&pools, &need, |_, _| true)).map(|s| s.free.cpus);
+        assert_eq!(best_fit, open.iter().map(|s| s.free.cpus).reduce(f64::min), "step {step}");
         let best_fit_among = best(capacity.best_fit_among(ids.iter(), &pools, &need, |_, _| true));
-        assert_eq!(best_fit_among.map(|s| s.free[0]), best_fit, "step {step}");
+        assert_eq!(best_fit_among.map(|s| s.free.cpus), best_fit, "step {step}");
         let tasks = || plain.values().flat_map(|(_, s)| &s.tasks).filter(|b| !b.stopping);
-        assert_eq!(capacity.below(1) as usize, tasks().filter(|b| b.rank > 1).count());
+        assert_eq!(capacity.tasks_below(1) as usize, tasks().filter(|b| b.rank > 1).count());
         assert_eq!((capacity.len(), capacity.is_empty()), (plain.len(), plain.is_empty()));
     }
     // A machine has room for a large task once enough of its tasks have ended.
-    let mut machine_capacity = MachineCapacity::new("vm-x".into(), 1, false, [4.0, 0.0, 16.0]);
+    let mut machine_capacity =
+        MachineCapacity::new("vm-x".into(), 1, false, Resources::new(4.0, 0.0, 16.0));
     for (cpus, expected_s) in [(1.0, 50.0), (1.0, 20.0), (1.0, 90.0)] {
         machine_capacity.reserve(ReservedTask { expected_s, ..reserved_tasks(2, cpus, false) });
     }
     let at = Micros::secs(10);
     for (cpus, want) in [(1.0, 0.0), (2.0, 10.0), (3.0, 40.0), (4.0, 80.0)] {
         assert_eq!(
-            machine_capacity.time_until_available(at, &[cpus, 0.0, 1.0]),
+            machine_capacity.time_until_available(at, &Resources::new(cpus, 0.0, 1.0)),
             Some(want),
             "{cpus} CPUs"
         );
     }
-    assert_eq!(machine_capacity.time_until_available(at, &[5.0, 0.0, 1.0]), None);
+    assert_eq!(machine_capacity.time_until_available(at, &Resources::new(5.0, 0.0, 1.0)), None);
     // Overdue by five seconds: for half as long again as was expected.
     assert_eq!(
-        machine_capacity.time_until_available(Micros::secs(25), &[2.0, 0.0, 1.0]),
+        machine_capacity.time_until_available(Micros::secs(25), &Resources::new(2.0, 0.0, 1.0)),
         Some(10.0)
     );
 
@@ -139,7 +140,7 @@
 #[test]
 fn image_index() {
     let age = Micros::secs(5_400);
-    let mut index = ImageIndex::new(3, age);
+    let mut index = ImageCacheIndex::new(3, age);
     let t = Micros::secs(10);
     index.note(t, "img", "m1", 1);
     assert!(index.holds(t, "img", "m1", 1));
@@ -159,6 +160,6 @@
     assert_eq!(held, ["m1", "m3", "m4"]);
     let mut listed: Vec<_> = index.machines_with(now, "img").collect();
     listed.sort();
-    assert_eq!(listed, [("m1", 1), ("m3", 1), ("m4", 1)]);
+    assert_eq!(listed, ["m1", "m3", "m4"].map(|machine| CachedOn { machine, incarnation: 1 }));
     assert_eq!(index.machines_with(now + age, "img").count(), 1, "too old");
 }
--- a/tests/tables/quotas.rs
+++ b/tests/tables/quotas.rs
@@ -1,9 +1,15 @@
 //! Grants of teams' limits.
 
 use millethold::config::Team;
-use millethold::controller::quota::team_quota::{self, RankedDemand, TeamQuota};
+use millethold::controller::quota::amount::QuotaAmount;
+use millethold::controller::quota::target_grant::{RankedDemand, unmet_demand};
+use millethold::controller::quota::team_quota::TeamQuota;
 use serde_json::{Value, json};
 
+fn cpus_only(cpus: f64) -> QuotaAmount {
+    QuotaAmount::new(cpus, 0.0)
+}
+
 fn quota(limit: f64, grants: &[(usize, f64)]) -> TeamQuota {
     let team = Team { name: "t".into(), cpus: 4.0, cpus_max: limit, gpus: 0.0, gpus_max: 0.0 };
     let mut q = TeamQuota::new(&team);
@@ -15,7 +21,7 @@
 
 #[test]
 fn grants() {
-    let need = |rank, cpus| RankedDemand { rank, amount: [cpus, 0.0] };
+    let need = |rank, cpus| RankedDemand { rank, amount: cpus_only(cpus) };
     // Limit, grants, used, own waits, others' lacks, wanted grant of shard 0.
     let table = [
         (30.0, vec![], 0.0, vec![need(2, 50.0)], vec![], 30.0),
@@ -36,33 +42,33 @@
     ];
     for (limit, grants, used, waits, others, want) in table {
         let q = quota(limit, &grants);
-        let got = q.wanted(0, 3, [used, 0.0], &waits, &others)[0];
+        let got = q.target_grant(0, 3, cpus_only(used), &waits, &others).cpus;
         assert!((got - want).abs() < 1e-9, "{grants:?} {used} {waits:?} {others:?}: {got}");
-        let granted = q.with_grant(0, [got, 0.0]).expect("within the limit");
+        let granted = q.with_grant(0, cpus_only(got)).expect("within the limit");
         let sum: f64 =
             granted.as_object().expect("a map").values().filter_map(|v| v[0].as_f64()).sum();
         assert!(sum <= limit + 1e-6, "{sum} of {limit}");
     }
     let mut q = quota(30.0, &[(0, 12.0), (1, 18.0)]);
-    assert!(q.with_grant(0, [12.1, 0.0]).is_none(), "past the limit");
+    assert!(q.with_grant(0, cpus_only(12.1)).is_none(), "past the limit");
     // A lowering under way counts at once, and until the key has changed.
-    q.lowered.insert(0, [5.0, 0.0]);
-    assert_eq!(q.grant(0)[0], 5.0);
+    q.change_sent(0, cpus_only(5.0));
+    assert_eq!(q.grant(0).cpus, 5.0);
     q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 2);
-    assert_eq!(q.grant(0)[0], 12.0);
+    assert_eq!(q.grant(0).cpus, 12.0);
     // Two changes on one version, the first without an answer: either may be the one
     // that is carried out. A third that is refused changes nothing of that.
-    q.sends(0, [4.0, 0.0]);
-    q.unsure = true;
-    q.sends(0, [8.0, 0.0]);
-    assert_eq!(q.grant(0)[0], 4.0);
-    q.refused();
-    assert_eq!((q.grant(0)[0], q.busy), (4.0, false));
+    q.change_sent(0, cpus_only(4.0));
+    q.change_outcome_unknown();
+    q.change_sent(0, cpus_only(8.0));
+    assert_eq!(q.grant(0).cpus, 4.0);
+    q.change_not_executed();
+    assert_eq!((q.grant(0).cpus, q.change_in_flight()), (4.0, false));
     q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 3);
-    q.sends(0, [8.0, 0.0]);
-    q.refused();
-    assert_eq!(q.grant(0)[0], 12.0, "surely not carried out");
-    assert!(quota(0.0, &[]).grant(0)[0].is_infinite(), "0 means no limit");
-    let rest = team_quota::unmet_demand([6.0, 0.0], &[need(3, 9.0), need(1, 4.0)]);
+    q.change_sent(0, cpus_only(8.0));
+    q.change_not_executed();
+    assert_eq!(q.grant(0).cpus, 12.0, "surely not carried out");
+    assert!(quota(0.0, &[]).grant(0).cpus.is_infinite(), "0 means no limit");
+    let rest = unmet_demand(cpus_only(6.0), &[need(3, 9.0), need(1, 4.0)]);
     assert_eq!(rest, [need(3, 7.0)], "the more urgent is served first");
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -120,7 +120,7 @@
     let team = toml::from_str("name = \"red\"\ncpus_max = 14.0").expect("a team");
     let mut quota = TeamQuota::new(&team);
     quota.observe(value, 5);
-    let grant = quota.grants[&0];
+    let grant = quota.stored_grant(0);
     quota.with_grant(0, grant).expect("within the limit")
 }
 
