--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -112,7 +112,11 @@
     ///
     /// If the address cannot be had.
     pub fn listen(&mut self, address: SocketAddrV4, role: ListenerRole) -> io::Result<()> {
-        let source = Generic::new(socket::listen(address)?, Interest::READ, Mode::Level);
+        let source = Generic::new(
+            socket::listen(address).map_err(io::Error::other)?,
+            Interest::READ,
+            Mode::Level,
+        );
         self.handle
             .insert_source(source, move |_, listener, world: &mut World| {
                 accept(world, listener, role);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,32 +1,23 @@
-//! Settings: the platform's TOML file and the operators' own INI options.
+//! Settings: the platform's TOML file and the operators' own INI options, read and
+//! checked once at the start. What cannot be used ends the program with one line.
 
+mod error;
 mod options;
 mod platform;
 
+pub use error::{ConfigError, OptionProblem, SettingProblem};
 pub use options::Options;
 pub use platform::{
     CloudLimits, Config, Endpoints, MachineLimits, NextLimits, Peer, ServiceLevelObjective,
     Settings, StateLimits, Team, Workers,
 };
 
-use std::fmt;
 use std::path::Path;
 
-/// A setting that cannot be used, in one line.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ConfigError(pub String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
 /// Reads a file with `parse`; errors name the file.
 fn load<T>(path: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, ConfigError> {
-    let named = |reason: String| ConfigError(format!("{}: {reason}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    parse(&text).map_err(|e| named(e.0))
+    let file = || path.to_path_buf();
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ConfigError::Unreadable { file: file(), source })?;
+    parse(&text).map_err(|source| ConfigError::InFile { file: file(), source: Box::new(source) })
 }
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -1,6 +1,6 @@
 //! The operators' own options, in INI.
 
-use super::{ConfigError, load};
+use super::{ConfigError, OptionProblem, load};
 use crate::time::Micros;
 use ini::Ini;
 use std::path::Path;
@@ -10,27 +10,29 @@
 pub struct Options {
     /// `[placement] slack_gb`: image sizes from which each slack step holds.
     pub slack_gb: [f64; 3],
-    /// `[placement] slack_tasks`: tasks that a holder may be ahead from there.
+    /// `[placement] slack_tasks`: by how many tasks a machine that has the image may
+    /// then be ahead of the least loaded one.
     pub slack_tasks: [u32; 3],
-    /// `[placement] index_entries`: most image entries kept.
+    /// `[placement] index_entries`: entries that the image index keeps at most.
     pub index_entries: usize,
     /// `[placement] index_age_min`: entries older than this are ignored.
     pub index_age: Micros,
-    /// `[seats] lease_ms`: state lease under which shards are held.
+    /// `[seats] lease_ms`: lease at the key-value store under which shards are led.
     pub controller_lease: Micros,
-    /// `[seats] hand_back_s`: how long a shard's home must be well first.
+    /// `[seats] hand_back_s`: how long a shard's home member must be well before it fails
+    /// back to it.
     pub failback_delay: Micros,
-    /// `[jobs] queued_tasks`: accepted tasks a node holds before it refuses.
+    /// `[jobs] queued_tasks`: accepted tasks of a controller above which it refuses jobs.
     pub queued_tasks: usize,
-    /// `[jobs] waiting_submissions`: undecided submissions before it refuses.
+    /// `[jobs] waiting_submissions`: undecided submissions above which it refuses more.
     pub waiting_submissions: usize,
-    /// `[jobs] retry_after_s`: when a refused sender should come back.
+    /// `[jobs] retry_after_s`: seconds after which a refused sender should come back.
     pub retry_after_s: u64,
-    /// `[autoscaler] idle_s`: a rented machine without work is returned after this.
+    /// `[fleet] idle_s`: a machine without tasks is scaled in after this.
     pub idle: Micros,
-    /// `[autoscaler] spare_share`: room rented beyond what runs and waits.
+    /// `[fleet] spare_share`: capacity beyond what runs and waits, as a share of it.
     pub spare_share: f64,
-    /// `[autoscaler] refused_s`: how long a refusal of the cloud is remembered.
+    /// `[fleet] refused_s`: how long a refusal of the cloud is remembered.
     pub refused: Micros,
 }
 
@@ -62,23 +64,28 @@
     /// Reads INI text over the defaults. Unknown keys are errors, so that a
     /// misspelt option does not silently keep its default.
     pub fn parse(text: &str) -> Result<Options, ConfigError> {
-        let ini = Ini::load_from_str(text).map_err(|e| ConfigError(e.to_string()))?;
+        let ini = Ini::load_from_str(text)?;
         let mut options = Options::default();
         for (section, properties) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, value) in properties.iter() {
-                options
-                    .set(section, key, value)
-                    .map_err(|why| ConfigError(format!("[{section}] {key} = {value}: {why}")))?;
+                options.set(section, key, value).map_err(|problem| ConfigError::Option {
+                    section: section.to_string(),
+                    key: key.to_string(),
+                    value: value.to_string(),
+                    problem,
+                })?;
             }
         }
         Ok(options)
     }
 
-    fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), &'static str> {
+    fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), OptionProblem> {
         match (section, key) {
-            ("placement", "slack_gb") => self.slack_gb = three(value, 1e6)?,
-            ("placement", "slack_tasks") => self.slack_tasks = three(value, 1e6)?.map(|x| x as u32),
+            ("placement", "slack_gb") => self.slack_gb = three_rising(value, 1e6)?,
+            ("placement", "slack_tasks") => {
+                self.slack_tasks = three_rising(value, 1e6)?.map(|x| x as u32)
+            }
             ("placement", "index_entries") => {
                 self.index_entries = number(value, 1.0, 1e7)? as usize
             }
@@ -101,25 +108,25 @@
             ("fleet", "refused_s") => {
                 self.refused = Micros::from_secs_f64(number(value, 1.0, 1e5)?)
             }
-            _ => return Err("unknown option"),
+            _ => return Err(OptionProblem::Unknown),
         }
         Ok(())
     }
 }
 
-/// A number from `low` to `high`.
-fn number(value: &str, low: f64, high: f64) -> Result<f64, &'static str> {
+/// A number from `min` to `max`.
+fn number(value: &str, min: f64, max: f64) -> Result<f64, OptionProblem> {
     match value.trim().parse::<f64>() {
-        Ok(x) if x.is_finite() && (low..=high).contains(&x) => Ok(x),
-        _ => Err("not a number in the allowed range"),
+        Ok(number) if number.is_finite() && (min..=max).contains(&number) => Ok(number),
+        _ => Err(OptionProblem::OutOfRange),
     }
 }
 
-/// Three numbers from 0 to `high`, none smaller than the one before.
-fn three(value: &str, high: f64) -> Result<[f64; 3], &'static str> {
-    let parts: Result<Vec<f64>, _> = value.split(',').map(|p| number(p, 0.0, high)).collect();
+/// Three numbers from 0 to `max`, none smaller than the one before.
+fn three_rising(value: &str, max: f64) -> Result<[f64; 3], OptionProblem> {
+    let parts: Result<Vec<f64>, _> = value.split(',').map(|p| number(p, 0.0, max)).collect();
     match <[f64; 3]>::try_from(parts?) {
-        Ok(a) if a[0] <= a[1] && a[1] <= a[2] => Ok(a),
-        _ => Err("must be three rising numbers"),
+        Ok(steps) if steps.is_sorted() => Ok(steps),
+        _ => Err(OptionProblem::NotRising),
     }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,39 +1,40 @@
 //! The platform's settings file, in TOML.
 
-use super::{ConfigError, load};
+use super::{ConfigError, SettingProblem, load};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
+use std::ops::Range;
 use std::path::Path;
 
 /// Characters of a line at fault that an error shows.
 const MAX_SHOWN_CHARS: usize = 80;
-/// Fewest changes that a transaction must take: a seat's key and its term.
+/// Changes that a transaction must take at least: a shard's lease and its term.
 const MIN_TXN_OPS: usize = 2;
-/// Fewest sockets with which a node can work.
+/// Sockets with which a controller can work at least.
 const MIN_SOCKETS: usize = 32;
 
-fn fail(key: &str, reason: &str) -> Result<(), ConfigError> {
-    Err(ConfigError(format!("{key}: {reason}")))
+fn fail(key: &'static str, problem: SettingProblem) -> Result<(), ConfigError> {
+    Err(ConfigError::Setting { key, problem })
 }
 
-fn check_positive(key: &str, value: f64) -> Result<(), ConfigError> {
+fn check_positive(key: &'static str, value: f64) -> Result<(), ConfigError> {
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    fail(key, "must be a positive number")
+    fail(key, SettingProblem::NotPositive)
 }
 
-fn check_least(key: &str, value: usize, least: usize) -> Result<(), ConfigError> {
-    if value >= least {
+fn check_min(key: &'static str, value: usize, min: usize) -> Result<(), ConfigError> {
+    if value >= min {
         return Ok(());
     }
-    fail(key, &format!("must be at least {least}"))
+    fail(key, SettingProblem::TooSmall { min })
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Its name among the members.
     pub member: String,
     /// Its zone.
     #[serde(default)]
@@ -59,13 +60,13 @@
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs at any moment.
+    /// Limit of CPUs at any moment.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs at any moment.
+    /// Limit of GPUs at any moment.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -74,13 +75,13 @@
     fn check(&self) -> Result<(), ConfigError> {
         let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
         if self.name.is_empty() || amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
-            return fail("settings.teams", "a team needs a name and amounts from 0 up");
+            return fail("settings.teams", SettingProblem::InvalidTeam);
         }
         Ok(())
     }
 }
 
-/// What is expected of a class of jobs.
+/// A service-level objective of a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
     /// `finished`, `deadline`, `wait` or a kind that a later version knows.
@@ -88,10 +89,10 @@
     /// The class, where the kind has one.
     #[serde(default)]
     pub class: String,
-    /// Time allowed.
+    /// Time allowed, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of jobs that must meet it.
+    /// Share of the jobs that must meet it, from 0 to 1.
     #[serde(default)]
     pub share: f64,
 }
@@ -99,30 +100,30 @@
 /// How workers behave.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Between reports.
+    /// Seconds between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Until an unanswered worker kills its tasks.
+    /// Seconds after which a worker whose heartbeats are not answered kills its tasks.
     pub lease_s: f64,
-    /// Until a cancelled job's tasks must be gone.
+    /// Seconds after which the tasks of a cancelled job must be gone.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second of all nodes.
+    /// Requests per second, of all members together.
     pub rps: f64,
-    /// Changes per second of all nodes.
+    /// Changes per second, of all members together.
     pub write_rps: f64,
-    /// Largest value.
+    /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Changes that a transaction may make.
     pub txn_ops: usize,
-    /// What it will take from some moment on, without notice; what is absent stays.
+    /// Limits that will hold from some moment on, without notice; what is absent stays.
     #[serde(default)]
     pub next: Option<NextLimits>,
-    /// Largest value until then.
+    /// Largest value until then, in KiB.
     #[serde(skip)]
     pub value_kb_now: f64,
 }
@@ -130,13 +131,13 @@
 /// Limits that the key-value store will have later.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
-    /// Requests per second of all nodes.
+    /// Requests per second, of all members together.
     pub rps: Option<f64>,
-    /// Changes per second of all nodes.
+    /// Changes per second, of all members together.
     pub write_rps: Option<f64>,
-    /// Largest value.
+    /// Largest value, in KiB.
     pub value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Changes that a transaction may make.
     pub txn_ops: Option<usize>,
 }
 
@@ -151,7 +152,7 @@
             value.map_or(Ok(()), |value| check_positive(key, value))?;
         }
         let operations = self.txn_ops.unwrap_or(MIN_TXN_OPS);
-        check_least("settings.state.next.txn_ops", operations, MIN_TXN_OPS)
+        check_min("settings.state.next.txn_ops", operations, MIN_TXN_OPS)
     }
 }
 
@@ -175,24 +176,24 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second of all nodes.
+    /// Requests per second, of all members together.
     pub rps: f64,
-    /// How far the list lags.
+    /// Seconds by which its list of machines may be out of date.
     pub list_lag_s: f64,
 }
 
-/// What a node may use.
+/// What a controller may use of its host.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of a core.
+    /// Cores, and shares of one.
     pub cores: f64,
-    /// Memory.
+    /// Memory, in MiB.
     pub mem_mb: f64,
-    /// Sockets.
+    /// Open sockets.
     pub fd_limit: usize,
 }
 
-/// Everything of the deployment that all nodes share.
+/// Everything of the deployment that all members share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Zones with machines.
@@ -200,16 +201,16 @@
     pub zones: Vec<String>,
     /// Teams.
     pub teams: Vec<Team>,
-    /// Aims.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// Workers.
+    /// Intervals and time limits of workers.
     pub workers: Workers,
-    /// Key-value store.
+    /// Limits of the key-value store.
     pub state: StateLimits,
-    /// Cloud.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// This node.
+    /// Limits of a controller's process.
     pub machine_limits: MachineLimits,
 }
 
@@ -228,15 +229,15 @@
             next.check()?;
         }
         if !(self.cloud.list_lag_s.is_finite() && self.cloud.list_lag_s >= 0.0) {
-            return fail("settings.cloud.list_lag_s", "must not be negative");
+            return fail("settings.cloud.list_lag_s", SettingProblem::Negative);
         }
-        check_least("settings.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
+        check_min("settings.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
         let sockets = self.machine_limits.fd_limit;
-        check_least("settings.machine_limits.fd_limit", sockets, MIN_SOCKETS)?;
+        check_min("settings.machine_limits.fd_limit", sockets, MIN_SOCKETS)?;
         for (number, team) in self.teams.iter().enumerate() {
             team.check()?;
             if self.teams[..number].iter().any(|other| other.name == team.name) {
-                return fail("settings.teams", "two teams have the same name");
+                return fail("settings.teams", SettingProblem::DuplicateTeam);
             }
         }
         Ok(())
@@ -246,21 +247,21 @@
 /// The platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// This node's name.
+    /// This controller's name among the members.
     pub member: String,
     /// Its zone.
     #[serde(default)]
     pub location: String,
-    /// For users, workers and probes.
+    /// Where it listens for users, workers and the load balancer.
     pub bind: SocketAddrV4,
-    /// For other controllers.
+    /// Where it listens for other controllers.
     pub peer_bind: SocketAddrV4,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
     /// Outside systems.
     pub endpoints: Endpoints,
-    /// The deployment.
+    /// What all members share.
     pub settings: Settings,
 }
 
@@ -273,10 +274,14 @@
     /// Reads and checks the platform's settings.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let mut config: Config = toml::from_str(text).map_err(|e| {
-            let at = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count());
-            let line = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
-            let line: String = line.chars().take(MAX_SHOWN_CHARS).collect();
-            ConfigError(format!("line {at}, {line}: {}", e.message().replace('\n', " ")))
+            let before = |span: Range<usize>| text[..span.start.min(text.len())].lines().count();
+            let at = e.span().map_or(0, before);
+            let shown = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
+            ConfigError::Toml {
+                line: at,
+                text: shown.chars().take(MAX_SHOWN_CHARS).collect(),
+                message: e.message().replace('\n', " "),
+            }
         })?;
         config.check()?;
         config.settings.state = config.settings.state.kept();
@@ -285,11 +290,11 @@
 
     fn check(&self) -> Result<(), ConfigError> {
         if self.member.is_empty() {
-            return fail("member", "is empty");
+            return fail("member", SettingProblem::Empty);
         }
         let names = self.members();
         if names.windows(2).any(|pair| pair[0] == pair[1]) {
-            return fail("peers", "two members have the same name");
+            return fail("peers", SettingProblem::DuplicateMember);
         }
         self.settings.check()
     }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -4,7 +4,7 @@
 use crate::controller::api::pending::PreparedAnswer;
 use crate::controller::jobs::job::{self, StoredStage};
 use crate::controller::{CachedStage, Controller, Ticket};
-use crate::wire::{self, BadJob, JobSpec, Refusal};
+use crate::wire::{self, InvalidJob, JobSpec, Refusal};
 use std::rc::Rc;
 use thiserror::Error;
 
@@ -85,11 +85,11 @@
         }
     }
 
-    fn refuse_malformed(&mut self, ticket: Ticket, malformed: BadJob) {
-        let BadJob { field, reason, id } = malformed;
-        self.api.note_refusal(&mut self.counts, 400, &format!("{field} {reason}"));
-        let refusal = Refusal { error: reason, field: Some(field) };
-        match id {
+    fn refuse_malformed(&mut self, ticket: Ticket, malformed: InvalidJob) {
+        self.api.note_refusal(&mut self.counts, 400, &malformed.to_string());
+        let problem = malformed.problem.to_string();
+        let refusal = Refusal { error: &problem, field: Some(malformed.field) };
+        match malformed.id {
             None => self.context.respond(ticket, 400, None, &refusal),
             // A known job's repeat is answered 200 before any other check.
             Some(id) => {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,39 +1,32 @@
-//! HTTP/1.1 messages over `httparse`: bounded, no pipelining, no chunks.
+//! HTTP/1.1 messages over `httparse`: bounded, no pipelining, no chunked bodies.
+//!
+//! Reads and writes bytes only; it knows no path and no connection.
 
 use serde::Serialize;
-use std::fmt;
 use std::net::SocketAddrV4;
+use thiserror::Error;
 
-/// Largest body that a sender may hand in.
+/// Largest body of a request, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Largest head of a message.
+/// Largest head of a message, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Most headers of a message.
+/// Headers that a message may have.
 const MAX_HEADERS: usize = 64;
-/// Largest answer taken from an outside system; watches have no limit of
-/// their own, so memory is what bounds them here.
+/// Largest body of an answer of an outside system, in bytes. Answers to watches have
+/// no limit in the protocol: this one guards the memory.
 pub const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
-/// Why a message cannot be read. Each ends its connection.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a message cannot be read. Each ends its connection; the texts go to the sender.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// Not HTTP, or a part of it that this service does not speak.
+    #[error("malformed HTTP")]
     Malformed,
     /// The body is larger than allowed.
+    #[error("body too large")]
     TooLarge,
 }
 
-impl fmt::Display for HttpError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            HttpError::Malformed => "malformed HTTP",
-            HttpError::TooLarge => "body too large",
-        })
-    }
-}
-
-impl std::error::Error for HttpError {}
-
 /// A request that has arrived in full.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
@@ -74,9 +67,9 @@
 pub struct OutgoingAnswer<'a> {
     /// Status.
     pub status: u16,
-    /// Seconds after which the sender should ask again.
+    /// Seconds after which the sender should repeat its request.
     pub retry_after: Option<u64>,
-    /// What the body is.
+    /// Media type of the body.
     pub content_type: &'a str,
     /// Body.
     pub body: &'a [u8],
@@ -86,6 +79,7 @@
 
 /// What a message's headers say of its body and its connection.
 struct Framing {
+    /// Bytes of the body.
     length: usize,
     close: bool,
     chunked: bool,
@@ -126,12 +120,12 @@
     buffer: &'a [u8],
     head: usize,
     framing: &Framing,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Option<&'a [u8]>, HttpError> {
     if framing.chunked {
         return Err(HttpError::Malformed);
     }
-    if framing.length > most {
+    if framing.length > max_bytes {
         return Err(HttpError::TooLarge);
     }
     Ok(buffer.get(head..head + framing.length))
@@ -191,7 +185,7 @@
 }
 
 impl OutgoingAnswer<'_> {
-    /// Appends its bytes.
+    /// Appends its bytes to `out`.
     pub fn write_to(&self, out: &mut Vec<u8>) {
         let reason = reason(self.status);
         let mut head = format!(
@@ -213,23 +207,23 @@
 }
 
 impl OutgoingRequest {
-    /// Reads something.
+    /// A request to read.
     pub fn get(path: String) -> OutgoingRequest {
         OutgoingRequest { method: "GET", path, body: None }
     }
 
-    /// Hands something in, as JSON.
+    /// A request with a body, encoded as JSON.
     pub fn post<T: Serialize>(path: String, body: &T) -> OutgoingRequest {
         let body = serde_json::to_vec(body).unwrap_or_default();
         OutgoingRequest { method: "POST", path, body: Some(body) }
     }
 
-    /// Ends something.
+    /// A request to remove.
     pub fn delete(path: String) -> OutgoingRequest {
         OutgoingRequest { method: "DELETE", path, body: None }
     }
 
-    /// Its bytes, for this host.
+    /// Its bytes, as sent to `host`.
     pub fn to_bytes(&self, host: SocketAddrV4) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.path);
         if let Some(body) = &self.body {
@@ -243,7 +237,7 @@
     }
 }
 
-/// Whether a body holds this text.
+/// Whether a body contains a text.
 pub fn contains(body: &[u8], text: &[u8]) -> bool {
     body.windows(text.len()).any(|window| window == text)
 }
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -2,6 +2,7 @@
 
 use super::Runtime;
 use super::connection::{ConnectionId, Role, take_front};
+use super::error::RuntimeError;
 use super::limits::{
     CLOUD_CONNECTIONS, COMMAND_TIMEOUT, INSPECT_TIMEOUT, LEASE_CONNECTIONS, STATE_CONNECTIONS,
     STATE_QUEUE, WATCH_CONNECTIONS, WORKER_CONNECTIONS, command_fits,
@@ -217,7 +218,9 @@
             Destination::Worker(address) => address,
         };
         let role = Role::Outgoing { destination, call: None };
-        let opened = begin_connect(address).and_then(|s| self.add_connection(s, role, false));
+        let opened = begin_connect(address)
+            .map_err(RuntimeError::from)
+            .and_then(|stream| self.add_connection(stream, role, false));
         match opened {
             Ok(connection) => Some(connection),
             Err(e) => {
--- a/src/runtime/connection.rs
+++ b/src/runtime/connection.rs
@@ -2,6 +2,7 @@
 
 use super::Runtime;
 use super::calls::Destination;
+use super::error::RuntimeError;
 use super::limits::{ACCEPTED_PER_TURN, PEER_BUFFER, PEER_RETRY, QUIET_BUFFER, sender_fits};
 use crate::controller::{CallId, Event};
 use crate::http;
@@ -9,7 +10,7 @@
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use log::debug;
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
@@ -92,7 +93,7 @@
         stream: TcpStream,
         role: Role,
         connected: bool,
-    ) -> io::Result<ConnectionId> {
+    ) -> Result<ConnectionId, RuntimeError> {
         let id = self.next_connection;
         self.next_connection += 1;
         let stream = Rc::new(stream);
@@ -103,7 +104,7 @@
                 runtime.socket_ready(id, ready.readable, ready.writable);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| io::Error::other(e.to_string()))?;
+            .map_err(|e| RuntimeError::Register(e.error))?;
         match role {
             Role::Sender { .. } => self.senders += 1,
             Role::Outgoing { destination: Destination::Worker(_), .. } => self.commanding += 1,
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -12,6 +12,7 @@
 
 mod calls;
 mod connection;
+mod error;
 mod limits;
 mod peers;
 mod requests;
@@ -20,6 +21,7 @@
 mod timers;
 
 pub use connection::drop_written;
+pub use error::RuntimeError;
 pub use limits::{command_fits, peer_backlog, sender_fits};
 
 use crate::config::{Config, Options};
@@ -38,7 +40,6 @@
 use requests::JSON;
 use status::{Page, Stats};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -86,9 +87,12 @@
 }
 
 /// Runs the controller until the process is killed.
-pub fn run(config: Config, options: Options, seed: u64) -> io::Result<()> {
-    let mut event_loop: EventLoop<'static, Runtime> =
-        EventLoop::try_new().map_err(io::Error::other)?;
+///
+/// # Errors
+///
+/// If it cannot listen, or if the event loop fails.
+pub fn run(config: Config, options: Options, seed: u64) -> Result<(), RuntimeError> {
+    let mut event_loop: EventLoop<'static, Runtime> = EventLoop::try_new()?;
     let handle = event_loop.handle();
     let senders = socket::listen(config.bind)?;
     let peers = socket::listen(config.peer_bind)?;
@@ -97,32 +101,33 @@
     add_timer(&handle)?;
     let mut runtime = Runtime::new(handle, config, options, seed);
     info!("{} listens on {}", runtime.config.member, runtime.config.bind);
-    event_loop.run(None, &mut runtime, |runtime| runtime.finish_turn()).map_err(io::Error::other)
+    event_loop.run(None, &mut runtime, |runtime| runtime.finish_turn())?;
+    Ok(())
 }
 
 fn add_listener(
     handle: &LoopHandle<'static, Runtime>,
     listener: TcpListener,
     for_peers: bool,
-) -> io::Result<()> {
+) -> Result<(), RuntimeError> {
     let source = Generic::new(listener, Interest::READ, Mode::Level);
     handle
         .insert_source(source, move |_, listener, runtime: &mut Runtime| {
             runtime.accept(listener, for_peers);
             Ok(PostAction::Continue)
         })
-        .map_err(|e| io::Error::other(e.to_string()))?;
+        .map_err(|e| RuntimeError::Register(e.error))?;
     Ok(())
 }
 
-fn add_timer(handle: &LoopHandle<'static, Runtime>) -> io::Result<()> {
+fn add_timer(handle: &LoopHandle<'static, Runtime>) -> Result<(), RuntimeError> {
     let timer = Timer::from_duration(BUSY_TICK.duration());
     handle
         .insert_source(timer, |_, _, runtime: &mut Runtime| {
             let wait = runtime.tick();
             TimeoutAction::ToDuration(wait.duration())
         })
-        .map_err(|e| io::Error::other(e.to_string()))?;
+        .map_err(|e| RuntimeError::Register(e.error))?;
     Ok(())
 }
 
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -2,6 +2,7 @@
 
 use super::Runtime;
 use super::connection::{Connection, ConnectionId, Role};
+use super::error::RuntimeError;
 use super::limits::{CONNECT_TIMEOUT, PEER_RETRY};
 use super::socket::begin_connect;
 use crate::controller::Event;
@@ -164,6 +165,7 @@
             }
             None if now >= link.retry => {
                 let opened = begin_connect(link.address)
+                    .map_err(RuntimeError::from)
                     .and_then(|s| self.add_connection(s, Role::PeerOut { member }, false));
                 if let Some(link) = self.peers.get_mut(&member) {
                     link.connection = opened.ok();
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -1,26 +1,27 @@
 //! Sockets that listen and sockets that connect, all without blocking.
 
+use super::error::RuntimeError;
 use super::limits::LISTEN_BACKLOG;
 use socket2::{Domain, Socket, Type};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 
-/// Linux says EINPROGRESS for a connection that is under way.
+/// Linux's EINPROGRESS: the connection is being made.
 const IN_PROGRESS: i32 = 115;
 
 /// Listens with an address that a quick restart may use again at once.
 ///
 /// # Errors
 ///
-/// Those of the system, with the address named.
-pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
+/// Those of the system, with the address named where it is at fault.
+pub fn listen(address: SocketAddrV4) -> Result<TcpListener, RuntimeError> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket
         .bind(&SocketAddr::V4(address).into())
         .and_then(|()| socket.listen(LISTEN_BACKLOG))
-        .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))?;
+        .map_err(|source| RuntimeError::Listen { address, source })?;
     Ok(socket.into())
 }
 
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -247,13 +247,14 @@
     for key in keys {
         for value in nonsense {
             let text = settings(0, 3, &format!("next = {{ {key} = {value} }}"));
-            let error = Config::parse(&text).expect_err(value).0;
+            let error = Config::parse(&text).expect_err(value).to_string();
             assert!(!error.contains('\n'), "{key} = {value}: {error}");
             assert!(error.contains(key), "{key} = {value}: {error}");
         }
     }
     for next in ["4", "\"x\"", "[]", "true"] {
-        let error = Config::parse(&settings(0, 3, &format!("next = {next}"))).expect_err(next).0;
+        let error =
+            Config::parse(&settings(0, 3, &format!("next = {next}"))).expect_err(next).to_string();
         assert!(!error.contains('\n') && error.contains("next"), "{next}: {error}");
     }
     let limits = |state: &str| {
--- a/tests/tables/settings.rs
+++ b/tests/tables/settings.rs
@@ -75,7 +75,7 @@
     }
     for (from, to, named) in table {
         assert!(SETTINGS.contains(from), "{from}");
-        let error = Config::parse(&SETTINGS.replace(from, to)).expect_err(to).0;
+        let error = Config::parse(&SETTINGS.replace(from, to)).expect_err(to).to_string();
         assert!(error.contains(named) && !error.contains('\n'), "{from} -> {to}: {error}");
     }
 }
@@ -98,7 +98,7 @@
         ("[fleet]\nidle_s = NaN\n", "idle_s"),
     ];
     for (text, named) in table {
-        let error = Options::parse(text).expect_err(text).0;
+        let error = Options::parse(text).expect_err(text).to_string();
         assert!(error.contains(named), "{text}: {error}");
     }
     // The example in the repository shows the defaults.
