--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -38,7 +38,7 @@
     /// Machines that the cloud was to remove.
     #[serde(rename = "returned_machines")]
     pub(crate) machines_scaled_in: u64,
-    /// Users told that their job is cancelled or done.
+    /// Answers that say that their job is cancelled or done.
     pub(crate) final_answers: u64,
     /// Decisions that were not carried out since they would have broken a rule. Any
     /// other value than 0 is a fault of this program.
@@ -103,7 +103,7 @@
     );
 }
 
-/// A user is told that a job is done or cancelled. `followed_revision` is the revision up to
+/// A user is answered that a job is done or cancelled. `followed_revision` is the revision up to
 /// which changes of jobs have been followed here.
 pub(crate) fn final_answer(job: &str, stage: StoredStage, revision: u64, followed_revision: u64) {
     log::debug!(
@@ -114,7 +114,7 @@
     );
 }
 
-/// The cloud is asked for machines.
+/// Machines are requested of the cloud.
 pub(crate) fn scale_out(request: &str, shard: usize, term: u64, lease_left: Micros) {
     log::debug!(
         target: TARGET,
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Takes in the record of an unknown job.
+    /// Applies the record of an unknown job.
     pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
         self.machines.cancellations.read_ended();
         self.take_record_reply(id, reply);
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -26,7 +26,7 @@
         })
     }
 
-    /// Works out the commands for a machine, and reserves the capacity for what they start.
+    /// Computes the commands for a machine, and reserves the capacity for what they start.
     pub(crate) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -1,4 +1,4 @@
-//! What own shards desire on machines, worked out of their jobs and sent to the leaders of
+//! What own shards desire on machines, computed from their jobs and sent to the leaders of
 //! the machines' shards.
 
 use crate::controller::Controller;
@@ -64,7 +64,7 @@
         self.changes.desired.extend(with_tasks_of_job.map(|(key, _)| key.clone()));
     }
 
-    /// Sends what has changed in the desired state of own shards, and takes it in here first.
+    /// Sends what has changed in the desired state of own shards, and applies it here first.
     pub(crate) fn send_desired_state(&mut self, frame: &mut Frame) {
         for (shard, changed) in self.take_changed_machines() {
             let (Some(term), true) = (self.leading_term(shard), self.has_recovered(shard)) else {
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -42,7 +42,7 @@
         self.last_complete_seq > 0
     }
 
-    /// Takes in that a message may have been lost: what is absent may be desired.
+    /// Records that a message may have been lost: what is absent may be desired.
     pub(crate) fn mark_incomplete(&mut self) {
         self.last_complete_seq = 0;
     }
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Takes in the head of a message. Returns whether its machines are to be taken in, too.
+    /// Applies the head of a message. Returns whether its machines are to be applied, too.
     fn accept(&mut self, update: &DesiredUpdate) -> bool {
         // After a gap the whole is repeated, under its old number if nothing of it has
         // changed: dropped as old, all later changes of it would be, too.
@@ -88,7 +88,7 @@
         }
         if !update.complete && !self.is_complete() {
             // Changes to a whole that was not received; their number is not
-            // taken over, or the whole would seem to be known already.
+            // adopted, or the whole would seem to be known already.
             return false;
         }
         self.seq = update.seq;
@@ -128,7 +128,7 @@
 }
 
 impl Controller {
-    /// Takes in a message of a shard's desired state.
+    /// Applies a message of a shard's desired state.
     pub(crate) fn apply_desired_state(&mut self, update: DesiredUpdate) {
         let shards = self.leadership.shards.len();
         let Some(state) = self.machines.desired.get_mut(update.shard) else {
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Direct commands that are to be sent, and what their reply needs to be taken in.
+/// Direct commands that are to be sent, and what their reply needs to be applied.
 pub(super) struct DirectRequest<'a> {
     pub(super) machine: &'a str,
     pub(super) address: SocketAddrV4,
@@ -82,7 +82,7 @@
         self.description.address.filter(|_| may_send)
     }
 
-    /// Takes in what became of direct commands.
+    /// Records the outcome of direct commands.
     fn apply_direct_outcome(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
         request.send(&mut self.context);
     }
 
-    /// Takes in a worker's reply.
+    /// Applies a worker's reply.
     pub(crate) fn machines_reply(&mut self, call: MachinesCall, reply: DirectReply) {
         match call {
             MachinesCall::Direct { machine, starts, term } => {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the machines of own shards: they are checked, taken in and answered.
+//! Heartbeats of the machines of own shards: they are checked, applied and answered.
 
 use crate::controller::machines::Machines;
 use crate::controller::machines::machine::heartbeat_intake::{HeartbeatSource, TaskOutcome};
@@ -112,7 +112,7 @@
             || self.terminated.contains(&heartbeat.machine)
     }
 
-    /// Takes in a heartbeat that is about to be answered; `None` if it is outdated.
+    /// Applies a heartbeat that is about to be answered; `None` if it is outdated.
     fn apply_heartbeat(
         &mut self,
         now: Micros,
--- a/src/controller/machines/machine/health.rs
+++ b/src/controller/machines/machine/health.rs
@@ -42,7 +42,7 @@
 }
 
 impl ManagedMachine {
-    /// Works out, after a heartbeat was taken in, whether the machine receives commands;
+    /// Judges, after a heartbeat was applied, whether the machine receives commands;
     /// `incarnation_before` is the one known until then.
     ///
     /// An answered heartbeat is no proof that the answer was received. An incarnation that
--- a/src/controller/machines/machine/heartbeat_intake.rs
+++ b/src/controller/machines/machine/heartbeat_intake.rs
@@ -31,7 +31,7 @@
 }
 
 impl ManagedMachine {
-    /// Takes in a heartbeat, under the term of the machine's shard. Returns the tasks that
+    /// Applies a heartbeat, under the term of the machine's shard. Returns the tasks that
     /// it shows to have ended, or `None` if the heartbeat is older than what is known, or of
     /// an incarnation that is over.
     pub fn apply_heartbeat(
@@ -68,7 +68,7 @@
             || (heartbeat.incarnation == self.incarnation && heartbeat.seq <= self.message_seq)
     }
 
-    /// Takes in the tasks of a heartbeat under the present term.
+    /// Applies the tasks of a heartbeat under the present term.
     fn apply_tasks(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource) -> Vec<TaskOutcome> {
         let mut outcomes = Vec::new();
         let mut tasks = BTreeMap::new();
@@ -100,7 +100,7 @@
 }
 
 /// What the state of a task says of the machine's health, if anything: a worker that does
-/// not know why a task ended tells nothing.
+/// not know why a task ended says nothing.
 fn outcome(
     observed: ObservedState,
     task: &ReportedTask,
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -103,7 +103,7 @@
         self.fencing_token_raises += 1;
     }
 
-    /// Takes in what became of a direct command with these starts.
+    /// Records the outcome of a direct command with these starts.
     pub fn direct_ended(&mut self, starts: &[AttemptId], outcome: CommandOutcome) {
         self.direct_in_flight = false;
         self.starts.direct_ended(starts, outcome, self.highest_reported_fencing_token);
--- a/src/controller/machines/machine/starts.rs
+++ b/src/controller/machines/machine/starts.rs
@@ -76,7 +76,7 @@
         self.waiting.clear();
     }
 
-    /// Takes in that a heartbeat lists an attempt. Returns whether a start of it was in
+    /// Records that a heartbeat lists an attempt. Returns whether a start of it was in
     /// flight, so that the worker must have received a command.
     pub(super) fn reported(&mut self, attempt: &AttemptId) -> bool {
         let start = self.in_flight.remove(attempt);
@@ -90,7 +90,7 @@
         start.is_some()
     }
 
-    /// Takes in that a worker has made a list of its tasks after it had seen this fencing
+    /// Records that a worker has made a list of its tasks after it had seen this fencing
     /// token: what the list lacks was not begun before, and commands with a lower token are
     /// not executed any more.
     pub(super) fn fenced(&mut self, fencing_token: u64, is_listed: impl Fn(&AttemptId) -> bool) {
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Takes in that the response to the heartbeat before was either executed or dropped.
+    /// Records that the response to the heartbeat before was either executed or dropped.
     pub(super) fn response_settled(&mut self) {
         for start in self.in_flight.values_mut() {
             start.in_response = false;
         }
     }
 
-    /// Takes in what became of a direct command with these starts. The worker has reported
+    /// Records the outcome of a direct command with these starts. The worker has reported
     /// `highest_fencing_token`, below which it executes nothing.
     pub(super) fn direct_ended(
         &mut self,
--- a/src/controller/machines/probes.rs
+++ b/src/controller/machines/probes.rs
@@ -50,7 +50,7 @@
 }
 
 impl Machines {
-    /// Takes in where a peer last knew a machine to be.
+    /// Records where a peer last knew a machine to be.
     pub(crate) fn apply_address_hint(&mut self, hint: AddressHint) {
         let managed = self.managed.get(&hint.machine);
         if managed.is_some_and(|managed| managed.last_heartbeat_at.is_some())
@@ -108,7 +108,7 @@
                 // Kept among the hints until the shard is acquired.
                 continue;
             }
-            // The incarnation is not taken over: what it is now, the answer says.
+            // The incarnation is not adopted: what it is now, the answer says.
             if let Some(last_known) = self.machines.take_probe(&machine) {
                 self.send_probe(&machine, last_known);
                 sent += 1;
--- a/src/controller/machines/quarantine.rs
+++ b/src/controller/machines/quarantine.rs
@@ -46,7 +46,7 @@
 
     /// Whether a machine's failures since its last success are its own: of jobs
     /// that complete elsewhere, or of several that fail nowhere else. A job with a
-    /// mistake fails everywhere and says nothing of its machines. `completes` tells whether
+    /// mistake fails everywhere and says nothing of its machines. `completes` says whether
     /// any task of a job has completed.
     pub(crate) fn demand_quarantine(
         &self,
@@ -90,7 +90,7 @@
 }
 
 impl Controller {
-    /// Takes in which tasks of a machine have ended.
+    /// Records which tasks of a machine have ended.
     pub(crate) fn record_outcomes(&mut self, machine: &str, outcomes: Vec<TaskOutcome>) {
         self.machines.record_outcomes(machine, outcomes, &self.jobs.cached_stages);
     }
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -90,7 +90,7 @@
 }
 
 impl<'a> Reconciler<'a> {
-    /// Gathers what is desired on a machine. It has few tasks, and this is worked out at
+    /// Gathers what is desired on a machine. It has few tasks, and this is computed at
     /// every heartbeat.
     pub(crate) fn collect(
         inputs: ReconcileInputs<'a>,
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sends the views that have changed, and takes them in here first.
+    /// Sends the views that have changed, and applies them here first.
     pub(crate) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let shard = self.shard_of_machine(&machine);
@@ -84,7 +84,7 @@
 }
 
 impl Machines {
-    /// Takes in that time has passed. `acquired_at` says when this process acquired each
+    /// Applies that time has passed. `acquired_at` says when this process acquired each
     /// shard, if it leads it.
     fn expire_incarnations(
         &mut self,
