--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: its calls and its answers.
+//! Calls to the cloud, which creates and removes machines, and its replies.
 
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
@@ -7,25 +7,25 @@
     path,
 };
 
-/// Machines asked for at once.
-const PAGE: usize = 500;
-/// How long an answer may take.
+/// Machines requested on one page of the list.
+const MACHINES_PER_PAGE: usize = 500;
+/// How long a reply may take.
 const CALL_TIMEOUT: Micros = Micros::secs(5);
-/// What the cloud says where there are no machines to rent.
-const CAPACITY: &[u8] = b"capacity";
+/// What the body of a refusal contains where the cloud has no such machines left.
+const NO_CAPACITY_WORD: &[u8] = b"capacity";
 
 /// A call to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
-    /// Machine types and prices.
-    Types,
-    /// Rent machines.
+    /// Lists the machine types and their prices.
+    ListMachineTypes,
+    /// Creates machines. The same request under the same name creates them once.
     ScaleOut(ScaleOutRequest),
-    /// Return machines.
+    /// Removes the machines of these names, with everything on them.
     ScaleIn(Vec<String>),
-    /// A page of the list.
-    List {
-        /// Begin after this name.
+    /// Lists the machines, one page a call.
+    ListMachines {
+        /// The page begins after this name; at the beginning without one.
         after: Option<String>,
     },
 }
@@ -33,68 +33,70 @@
 /// What became of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    /// The types.
-    Types(Vec<MachineType>),
-    /// The machines that were rented.
+    /// All machine types.
+    MachineTypes(Vec<MachineType>),
+    /// The names of the machines that were created; they may be fewer than requested.
     ScaledOut(Vec<String>),
-    /// None available.
+    /// None of the requested machines are available.
     NoCapacity,
     /// The machines are gone.
     ScaledIn,
-    /// A page of the list.
-    Page {
-        /// The machines.
+    /// A page of the machines.
+    Machines {
+        /// The machines, by name.
         machines: Vec<ListedMachine>,
         /// Another page follows.
         more: bool,
     },
     /// Surely not executed: refused, an outage, or never sent.
-    Refused,
+    NotExecuted,
     /// May have been executed, or may still be.
     Unknown,
 }
 
 impl CloudCall {
-    /// How long an answer may take.
+    /// How long its reply may take.
     pub fn timeout(&self) -> Micros {
         CALL_TIMEOUT
     }
 
-    /// The request that it is sent as.
+    /// The HTTP request that it is sent as.
     pub fn encode(&self) -> OutgoingRequest {
         match self {
-            CloudCall::Types => OutgoingRequest::get(path::TYPES.into()),
+            CloudCall::ListMachineTypes => OutgoingRequest::get(path::TYPES.into()),
             CloudCall::ScaleOut(request) => OutgoingRequest::post(path::MACHINES.into(), request),
             CloudCall::ScaleIn(names) => {
                 let names = MachineNames { machines: names.clone() };
                 OutgoingRequest::post(path::RETURN.into(), &names)
             }
-            CloudCall::List { after } => {
+            CloudCall::ListMachines { after } => {
                 let after = after.as_ref().map_or(String::new(), |name| format!("&after={name}"));
-                OutgoingRequest::get(format!("{}?limit={PAGE}{after}", path::MACHINES))
+                OutgoingRequest::get(format!("{}?limit={MACHINES_PER_PAGE}{after}", path::MACHINES))
             }
         }
     }
 
-    /// Reads the answer. What cannot be read counts as unknown.
+    /// Reads the reply. What cannot be read counts as unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudReply {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
             wire::read_answer("cloud", body)
         }
         match (status, self) {
-            (200, CloudCall::Types) => read::<MachineTypes>(body)
-                .map_or(CloudReply::Unknown, |t| CloudReply::Types(t.types)),
+            (200, CloudCall::ListMachineTypes) => read::<MachineTypes>(body)
+                .map_or(CloudReply::Unknown, |list| CloudReply::MachineTypes(list.types)),
             (200, CloudCall::ScaleOut(_)) => read::<MachineNames>(body)
-                .map_or(CloudReply::Unknown, |m| CloudReply::ScaledOut(m.machines)),
-            (503, CloudCall::ScaleOut(_)) if contains(body, CAPACITY) => CloudReply::NoCapacity,
+                .map_or(CloudReply::Unknown, |created| CloudReply::ScaledOut(created.machines)),
+            (503, CloudCall::ScaleOut(_)) if contains(body, NO_CAPACITY_WORD) => {
+                CloudReply::NoCapacity
+            }
             (200, CloudCall::ScaleIn(_)) => CloudReply::ScaledIn,
-            (200, CloudCall::List { .. }) => {
-                read::<MachineList>(body).map_or(CloudReply::Unknown, |l| CloudReply::Page {
-                    machines: l.machines,
-                    more: l.more,
+            (200, CloudCall::ListMachines { .. }) => {
+                read::<MachineList>(body).map_or(CloudReply::Unknown, |page| {
+                    let MachineList { machines, more } = page;
+                    CloudReply::Machines { machines, more }
                 })
             }
-            (400..=499 | 503, _) => CloudReply::Refused,
+            (400..=499 | 503, _) => CloudReply::NotExecuted,
             _ => CloudReply::Unknown,
         }
     }
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -123,7 +123,7 @@
             jobs_with_dependencies: self.jobs.by_id.values().filter(|job| job.waiting).count(),
             tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
-            rented: self.autoscaler.fleet.stages(),
+            rented: self.autoscaler.fleet.count_by_stage(),
             image_entries: self.scheduler.image_entries(),
             counts: &self.counts,
         };
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -1,95 +1,88 @@
-//! Talking to the cloud: types, lists, rents and returns.
+//! When the cloud is called, and for what.
 
-use crate::cloud::{CloudCall, CloudReply};
-use crate::controller::Controller;
-use crate::controller::autoscaler::planning::{
-    self, AUTOSCALER_SHARD, FreeCapacity, RentedMachine,
-};
+use super::scale_in::{MachineActivity, ScaleInConditions};
+use super::scale_out::{self, Offers};
+use super::{AUTOSCALER_SHARD, Autoscaler};
+use crate::cloud::CloudCall;
 use crate::controller::calls::AutoscalerCall;
-use crate::controller::decision_log;
-use crate::controller::leadership::shard;
-use crate::kv_store::{KvRequest, KvResponse};
+use crate::controller::{Controller, decision_log};
+use crate::kv_store::KvRequest;
 use crate::peer::Demand;
-use crate::resources::Resources;
 use crate::time::Micros;
-use crate::wire::{
-    Condition, ListedMachine, MachineStage, MachineType, ScaleOutRequest, Txn, Write,
-};
-use log::{info, warn};
-use std::collections::BTreeMap;
-use std::rc::Rc;
+use log::info;
 
-/// Between lists of the machines.
-const LIST_EVERY: Micros = Micros::millis(2_000);
+/// Between lists of the machines that fit on one page.
+const LIST_INTERVAL: Micros = Micros::millis(2_000);
+/// Machines on a page of the cloud's list.
+const MACHINES_PER_PAGE: u64 = 500;
 /// Between plans.
-const PLAN_EVERY: Micros = Micros::millis(1_000);
-/// Part of the cloud's rate that requests for machines may take.
-const SCALE_OUT_RATE_SHARE: f64 = 0.6;
-/// Between looks at the types and their prices.
-const TYPES_EVERY: Micros = Micros::secs(300);
-/// Where the types are written down.
-const TYPES_KEY: &str = "types";
-/// A machine must have been spared by the placers for this long before it is
-/// returned: a decision made before the news of it may still be on its way.
-const DRAIN: Micros = Micros::secs(4);
-/// A boot that takes longer than this many times its time is late: from then on the
-/// machine is no longer counted on, and another is rented.
-const LATE_BOOT: f64 = 2.0;
-/// After this many times it is taken never to come up, and is returned: it takes a
-/// place of the cloud's.
-const LOST_BOOT: f64 = 3.3;
-/// Part of the machines that may be replaced so at once: where all boots are late,
-/// renting the fleet a second time would help nobody.
-const REPLACED: usize = 4;
+const PLAN_INTERVAL: Micros = Micros::millis(1_000);
+
+impl Autoscaler {
+    /// Whether a list of the machines is to be requested now. If so, it is begun.
+    fn take_due_listing(&mut self, now: Micros) -> bool {
+        if now < self.next_list_at || self.fleet.is_listing() {
+            return false;
+        }
+        // More pages leave less of the cloud's rate for scaling out.
+        let further_pages = self.fleet.machines.len() as u64 / MACHINES_PER_PAGE;
+        self.next_list_at = now + Micros(LIST_INTERVAL.0 * (further_pages + 2) / 2);
+        self.fleet.begin_listing();
+        true
+    }
+
+    /// Whether it is time to plan, and enough is known for it. If so, the next time is set.
+    fn take_due_plan(&mut self, now: Micros) -> bool {
+        let is_due =
+            self.fleet.is_listed() && !self.machine_types.is_empty() && now >= self.next_plan_at;
+        if is_due {
+            self.next_plan_at = now + PLAN_INTERVAL;
+        }
+        is_due
+    }
+}
 
 impl Controller {
+    /// Calls the cloud for what is due: machine types on every node; lists, requests and
+    /// removals of machines where the autoscaler's shard is led.
     pub(crate) fn maintain_autoscaler(&mut self) {
         let now = self.context.now;
-        // Every node needs the types, the renting one also their prices.
-        let wait = if self.autoscaler.machine_types.is_empty() {
-            Micros::millis(700)
-        } else {
-            TYPES_EVERY
-        };
-        if now >= self.autoscaler.fleet.types_at {
-            self.autoscaler.fleet.types_at = now + wait;
-            self.context.call_cloud(AutoscalerCall::Types, CloudCall::Types);
+        if self.autoscaler.machine_types.take_due_request(now) {
+            self.context.call_cloud(AutoscalerCall::ListMachineTypes, CloudCall::ListMachineTypes);
         }
         let Some(term) = self.leading_term(AUTOSCALER_SHARD) else {
             return;
         };
-        if now >= self.autoscaler.fleet.list_at && self.autoscaler.fleet.listing.is_none() {
-            // A page holds 500: more pages leave less of the rate for renting.
-            let pages = self.autoscaler.fleet.machines.len() as u64 / 500 + 1;
-            self.autoscaler.fleet.list_at = now + Micros(LIST_EVERY.0 * (pages + 1) / 2);
-            self.autoscaler.fleet.listing = Some((now, Vec::new()));
-            let op = AutoscalerCall::ListMachines { requested_at: now, term };
-            self.context.call_cloud(op, CloudCall::List { after: None });
+        if self.autoscaler.take_due_listing(now) {
+            let purpose = AutoscalerCall::ListMachines { requested_at: now, term };
+            self.context.call_cloud(purpose, CloudCall::ListMachines { after: None });
         }
-        if self.autoscaler.fleet.request.is_some()
-            && !self.autoscaler.fleet.busy
-            && now >= self.autoscaler.fleet.request_at
-        {
+        let pending = self.autoscaler.scale_out.as_ref();
+        if pending.is_some_and(|pending| !pending.in_flight && now >= pending.repeat_at) {
             self.send_scale_out(term);
         }
-        if self.autoscaler.fleet.listed
-            && !self.autoscaler.machine_types.is_empty()
-            && now >= self.autoscaler.fleet.plan_at
-        {
-            self.autoscaler.fleet.plan_at = now + PLAN_EVERY;
-            self.store_types();
-            self.plan_scale_in();
-            if self.autoscaler.fleet.request.is_none() {
-                self.plan_scale_out(term);
+        if self.autoscaler.take_due_plan(now) {
+            self.store_machine_types();
+            self.scale_in();
+            if self.autoscaler.scale_out.is_none() {
+                self.scale_out(term);
             }
         }
     }
 
-    fn send_scale_out(&mut self, term: u64) {
-        if let Some(request) = self.autoscaler.fleet.request.clone() {
-            self.autoscaler.fleet.busy = true;
-            self.context
-                .call_cloud(AutoscalerCall::ScaleOut { term }, CloudCall::ScaleOut(request));
+    /// Stores the machine types, if they are not stored under this term.
+    fn store_machine_types(&mut self) {
+        if !self.holds_lease() {
+            return;
+        }
+        let Some(leadership) = &self.leadership.shards[AUTOSCALER_SHARD].leadership else {
+            return;
+        };
+        let (term, revision) = (leadership.term, leadership.revision);
+        let max_value_bytes = self.context.settings.state.value_kb * 1024.0;
+        let types = &mut self.autoscaler.machine_types;
+        if let Some(txn) = types.storing_txn(AUTOSCALER_SHARD, term, revision, max_value_bytes) {
+            self.context.call_store(AutoscalerCall::StoreMachineTypes, KvRequest::Txn(txn));
         }
     }
 
@@ -100,316 +93,103 @@
         all
     }
 
-    fn plan_scale_out(&mut self, term: u64) {
+    /// Requests machines for what waits, if any are needed.
+    fn scale_out(&mut self, term: u64) {
         let now = self.context.now;
         let mut demand = self.all_demand();
-        for d in &mut demand {
-            // Spare room, so that what comes next finds a machine that is up.
-            let spare = (f64::from(d.tasks) * self.context.options.spare_share).ceil();
-            d.tasks = d.tasks.saturating_add(spare as u32);
+        for demand in &mut demand {
+            // Spare capacity, so that what comes next finds a machine that is up.
+            let spare = (f64::from(demand.tasks) * self.context.options.spare_share).ceil();
+            demand.tasks = demand.tasks.saturating_add(spare as u32);
         }
         self.refresh_capacity();
-        let mut rooms: Vec<FreeCapacity> = self.scheduler.free_capacity();
-        let mut replaced = self.autoscaler.fleet.machines.len() / REPLACED;
-        for (name, m) in &self.autoscaler.fleet.machines {
-            let up = self.machines.views.get(name).is_some_and(|v| v.known);
-            if up
-                || m.stage == MachineStage::Failed
-                || self.autoscaler.fleet.draining.contains_key(name)
-            {
-                continue;
-            }
-            let late = m.stage != MachineStage::Running
-                && now.since(m.since) > self.boot_limit(&m.machine_type, LATE_BOOT);
-            if late && replaced > 0 {
-                replaced -= 1;
-                continue;
-            }
-            if let Some(t) = self.autoscaler.machine_types.get(&m.machine_type) {
-                rooms.push(FreeCapacity {
-                    machine_type: Rc::from(m.machine_type.as_str()),
-                    zone: Rc::from(m.zone.as_str()),
-                    spot: m.spot,
-                    free: Resources::from(t),
-                });
-            }
-        }
-        let rest = planning::unmet(&demand, &mut rooms);
-        let next = planning::next_request(
-            &rest,
-            &self.autoscaler.machine_types,
-            &self.autoscaler.fleet.machines,
-            &self.autoscaler.fleet.refused,
+        let mut free = self.scheduler.free_capacity();
+        let views = &self.machines.views;
+        let is_up = |machine: &str| views.get(machine).is_some_and(|view| view.known);
+        let fleet = &self.autoscaler.fleet;
+        let machine_types = &self.autoscaler.machine_types;
+        free.extend(fleet.expected_capacity(now, machine_types, is_up));
+        let unmet = scale_out::unmet(&demand, &mut free);
+        let offers = Offers {
+            machine_types: machine_types.by_name(),
+            exhausted_until: fleet.exhausted_until(),
             now,
-        );
-        let Some(((machine_type, zone, spot), count)) = next else {
+        };
+        let Some(plan) = scale_out::plan_scale_out(&unmet, offers, &fleet.machines) else {
             return;
         };
-        self.autoscaler.fleet.count += 1;
-        // The term is this ownership's alone, so the name is, too.
-        let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.autoscaler.fleet.count);
+        let request = self.autoscaler.begin_scale_out(term, plan);
         self.counts.decisions.scale_out_requests += 1;
         let lease_left = self.leadership.controller_lease.valid_until.since(now);
-        decision_log::scale_out(&request, AUTOSCALER_SHARD, term, lease_left);
-        info!("renting {count} {machine_type} in {zone}, spot {spot}");
-        self.autoscaler.fleet.request =
-            Some(ScaleOutRequest { request, machine_type, zone, spot, count });
+        decision_log::scale_out(&request.request, AUTOSCALER_SHARD, term, lease_left);
+        info!(
+            "scaling out: {} {} in {}, spot {}",
+            request.count, request.machine_type, request.zone, request.spot
+        );
         self.send_scale_out(term);
     }
 
-    /// So many times a machine type's boot time.
-    fn boot_limit(&self, machine_type: &str, times: f64) -> Micros {
-        let nominal = self.autoscaler.machine_types.get(machine_type).map_or(60.0, |t| t.boot_s);
-        Micros::from_secs_f64(nominal * times)
-    }
-
-    fn plan_scale_in(&mut self) {
-        let now = self.context.now;
-        self.refresh_capacity();
-        let idle = self.context.options.idle;
-        let waiting = !self.all_demand().is_empty();
-        let mut drain: Vec<String> = Vec::new();
-        let mut give: Vec<String> = Vec::new();
-        let limit = |t: &String| (t.clone(), self.boot_limit(t, LOST_BOOT));
-        let limits: BTreeMap<String, Micros> =
-            self.autoscaler.machine_types.keys().map(limit).collect();
-        for (name, m) in &mut self.autoscaler.fleet.machines {
-            let view = self.machines.views.get(name);
-            let never_up = view.is_none()
-                && m.stage != MachineStage::Running
-                && now.since(m.since) > limits.get(&m.machine_type).copied().unwrap_or(Micros::FAR);
-            if m.stage == MachineStage::Failed || never_up {
-                give.push(name.clone());
-                continue;
-            }
-            let busy = view.is_some_and(|v| v.tasks.iter().any(|t| !t.observed().over()))
-                || self.scheduler.machine_capacity(name).is_some_and(|s| !s.tasks.is_empty());
-            if view.is_some_and(|v| v.faulty) {
-                drain.push(name.clone());
-            }
-            let known = view.is_some_and(|v| v.known && v.healthy);
-            if busy || waiting || !known {
-                m.idle_since = None;
-            } else if now.since(*m.idle_since.get_or_insert(now)) > idle {
-                drain.push(name.clone());
-            }
-            if self.autoscaler.fleet.draining.get(name).is_some_and(|at| now.since(*at) > DRAIN)
-                && !busy
-            {
-                give.push(name.clone());
-            }
-        }
-        for name in drain {
-            if !self.autoscaler.fleet.draining.contains_key(&name) {
-                info!("machine {name} is to be returned");
-                self.autoscaler.fleet.draining.insert(name.clone(), now);
-                self.scheduler.mark_stale(&name);
-                self.autoscaler.draining.insert(name);
-            }
-        }
-        give.retain(|n| !self.autoscaler.fleet.returning.contains(n));
-        give.truncate(20);
-        if !give.is_empty() {
-            self.autoscaler.fleet.returning.extend(give.iter().cloned());
-            self.counts.decisions.machines_scaled_in += give.len() as u64;
-            let term = self.leading_term(AUTOSCALER_SHARD);
-            for name in &give {
-                let tasks = self.machines.views.get(name).map_or(0, |view| view.tasks.len());
-                decision_log::scale_in(name, AUTOSCALER_SHARD, term, tasks);
-            }
-            self.context.call_cloud(
-                AutoscalerCall::ScaleIn { names: give.clone() },
-                CloudCall::ScaleIn(give),
-            );
-        }
-    }
-
-    pub(crate) fn cloud_reply(&mut self, op: AutoscalerCall, reply: CloudReply) {
-        let now = self.context.now;
-        match (op, reply) {
-            (AutoscalerCall::Types, CloudReply::Types(types)) => {
-                self.take_types(types);
-            }
-            (AutoscalerCall::Types, _) => {
-                self.autoscaler.fleet.types_at = now + Micros::secs(1);
-                if self.autoscaler.machine_types.is_empty() && !self.autoscaler.types_reading {
-                    self.autoscaler.types_reading = true;
-                    self.context
-                        .call_store(AutoscalerCall::StoredTypes, KvRequest::Get(TYPES_KEY.into()));
-                }
-            }
-            (AutoscalerCall::ScaleOut { term }, reply) => {
-                if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
-                    self.scale_out_reply(reply);
-                }
-            }
-            (AutoscalerCall::ScaleIn { names }, CloudReply::ScaledIn) => {
-                // By now the machines and everything on them are gone.
-                for name in names {
-                    self.changes.terminated.push(name.clone());
-                    self.machine_terminated(&name);
-                    self.autoscaler.fleet.forget(&name);
-                }
-            }
-            (AutoscalerCall::ScaleIn { names }, _) => {
-                for name in names {
-                    self.autoscaler.fleet.returning.remove(&name);
-                }
-            }
-            (AutoscalerCall::ListMachines { requested_at, term }, reply) => {
-                if self.leading_term(AUTOSCALER_SHARD) == Some(term) {
-                    self.list_reply(requested_at, term, reply);
-                }
-            }
-            (op, _) => warn!("unexpected reply to {op:?}"),
-        }
-    }
-
-    fn take_types(&mut self, types: Vec<MachineType>) {
-        if self.autoscaler.machine_types.is_empty() {
-            info!("{} machine types known", types.len());
-        }
-        self.autoscaler.machine_types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
-        self.scheduler.request_pass();
-        self.changes.machines.extend(self.machines.managed.keys().cloned());
-    }
-
-    /// Writes the types down, once a term of the renting shard: a process that
-    /// starts while the cloud is away could otherwise accept and place nothing.
-    fn store_types(&mut self) {
-        let Some(leadership) = self.leadership.shards[AUTOSCALER_SHARD]
-            .leadership
-            .as_ref()
-            .filter(|_| self.holds_lease())
-        else {
-            return;
-        };
-        let (revision, term) = (leadership.revision, leadership.term);
-        let list: Vec<&MachineType> = self.autoscaler.machine_types.values().collect();
-        let value = serde_json::json!(list);
-        let most = self.context.settings.state.value_kb * 1024.0;
-        if self.autoscaler.types_stored == term || value.to_string().len() as f64 > most {
-            return;
-        }
-        self.autoscaler.types_stored = term;
-        let txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(AUTOSCALER_SHARD), revision }],
-            writes: vec![Write::Put { key: TYPES_KEY.into(), value, lease: None }],
-        };
-        self.context.call_store(AutoscalerCall::StoreTypes, KvRequest::Txn(txn));
-    }
-
-    pub(crate) fn types_reply(&mut self, op: AutoscalerCall, reply: KvResponse) {
-        match (op, reply) {
-            (AutoscalerCall::StoredTypes, KvResponse::Value(Some(item))) => {
-                self.autoscaler.types_reading = false;
-                // What the cloud itself said meanwhile is newer.
-                if self.autoscaler.machine_types.is_empty()
-                    && let Ok(types) = serde_json::from_value(item.value)
-                {
-                    self.take_types(types);
-                }
-            }
-            (AutoscalerCall::StoredTypes, _) => self.autoscaler.types_reading = false,
-            (AutoscalerCall::StoreTypes, KvResponse::Applied(_)) => {}
-            // Tried again with the next plan.
-            _ => self.autoscaler.types_stored = 0,
+    /// Sends the pending scale-out request.
+    fn send_scale_out(&mut self, term: u64) {
+        if let Some(pending) = &mut self.autoscaler.scale_out {
+            pending.in_flight = true;
+            let call = CloudCall::ScaleOut(pending.request.clone());
+            self.context.call_cloud(AutoscalerCall::ScaleOut { term }, call);
         }
     }
 
-    /// Between requests for machines: lists and returns keep a good part of the
-    /// cloud's rate.
-    fn scale_out_pause(&self) -> Micros {
-        Micros::from_secs_f64(1.0 / (self.context.settings.cloud.rps * SCALE_OUT_RATE_SHARE))
-    }
-
-    fn scale_out_reply(&mut self, reply: CloudReply) {
+    /// Drains what is idle or faulty, and removes what is drained or never came up.
+    fn scale_in(&mut self) {
         let now = self.context.now;
-        self.autoscaler.fleet.busy = false;
-        let Some(request) = self.autoscaler.fleet.request.clone() else {
-            return;
+        self.refresh_capacity();
+        let conditions = ScaleInConditions {
+            now,
+            min_idle: self.context.options.idle,
+            tasks_wait: !self.all_demand().is_empty(),
+            catalogue: &self.autoscaler.machine_types,
         };
-        let offer = (request.machine_type.clone(), request.zone.clone(), request.spot);
-        match reply {
-            CloudReply::ScaledOut(names) => {
-                info!("rented {} of {}: {}", names.len(), request.count, names.join(" "));
-                if names.len() < request.count as usize {
-                    self.autoscaler.fleet.refused.insert(offer, now + self.context.options.refused);
-                }
-                for name in names {
-                    self.autoscaler.fleet.machines.entry(name).or_insert_with(|| RentedMachine {
-                        machine_type: request.machine_type.clone(),
-                        zone: request.zone.clone(),
-                        spot: request.spot,
-                        stage: MachineStage::Booting,
-                        since: now,
-                        listed: None,
-                        idle_since: None,
-                    });
-                }
-                self.autoscaler.fleet.request = None;
-                self.autoscaler.fleet.plan_at = now + self.scale_out_pause();
-            }
-            CloudReply::NoCapacity => {
-                self.autoscaler.fleet.refused.insert(offer, now + self.context.options.refused);
-                self.autoscaler.fleet.request = None;
-                self.autoscaler.fleet.plan_at = now + self.scale_out_pause();
+        let (views, scheduler) = (&self.machines.views, &self.scheduler);
+        let activity = |machine: &str| {
+            let capacity = scheduler.machine_capacity(machine);
+            let has_placed_tasks = capacity.is_some_and(|capacity| !capacity.tasks.is_empty());
+            let Some(view) = views.get(machine) else {
+                return MachineActivity { has_tasks: has_placed_tasks, ..Default::default() };
+            };
+            MachineActivity {
+                has_view: true,
+                is_healthy: view.known && view.healthy,
+                is_faulty: view.faulty,
+                has_tasks: view.tasks.iter().any(|task| !task.observed().over())
+                    || has_placed_tasks,
             }
-            // Repeated under its name until it is known what became of it:
-            // under another name it could rent twice.
-            _ => self.autoscaler.fleet.request_at = now + Micros::millis(1_500),
-        }
-    }
-
-    fn list_reply(&mut self, requested_at: Micros, term: u64, reply: CloudReply) {
-        let now = self.context.now;
-        let Some((_, mut list)) = self.autoscaler.fleet.listing.take() else {
-            return;
-        };
-        let CloudReply::Page { machines, more } = reply else {
-            return;
         };
-        let last = machines.last().map(|m| m.name.clone());
-        list.extend(machines);
-        if let (true, Some(after)) = (more, last) {
-            self.autoscaler.fleet.listing = Some((requested_at, list));
-            let op = AutoscalerCall::ListMachines { requested_at, term };
-            return self.context.call_cloud(op, CloudCall::List { after: Some(after) });
+        let plan = self.autoscaler.fleet.plan_scale_in(conditions, activity);
+        for machine in plan.to_drain {
+            self.drain_machine(machine);
         }
-        // Failed machines stay listed until they are deleted.
-        list.retain(|m| {
-            m.stage == MachineStage::Failed || !self.machines.terminated.contains(&m.name)
-        });
-        let lag = Micros::from_secs_f64(self.context.settings.cloud.list_lag_s);
-        let mut terminated = self.autoscaler.fleet.take_list(now, requested_at, &list, lag);
-        terminated.extend(failed(&list));
-        for name in terminated {
-            if !self.machines.terminated.contains(&name) {
-                self.changes.terminated.push(name.clone());
-                self.machine_terminated(&name);
-            }
+        if !plan.to_remove.is_empty() {
+            self.remove_machines(plan.to_remove);
         }
     }
-}
 
-fn failed(list: &[ListedMachine]) -> impl Iterator<Item = String> {
-    list.iter().filter(|m| m.stage == MachineStage::Failed).map(|m| m.name.clone())
-}
+    /// Nothing is placed on a machine from now on.
+    fn drain_machine(&mut self, machine: String) {
+        info!("machine {machine} is drained: it is to be removed");
+        self.autoscaler.fleet.draining_since.insert(machine.clone(), self.context.now);
+        self.scheduler.mark_stale(&machine);
+        self.autoscaler.draining.insert(machine);
+    }
 
-/// What a status page tells of the fleet.
-impl planning::Fleet {
-    /// Machines by stage.
-    pub fn stages(&self) -> BTreeMap<&'static str, usize> {
-        let mut counts = BTreeMap::new();
-        for m in self.machines.values() {
-            let word = match m.stage {
-                MachineStage::Booting => "booting",
-                MachineStage::Running => "running",
-                MachineStage::Failed => "failed",
-                MachineStage::Other => "other",
-            };
-            *counts.entry(word).or_insert(0) += 1;
-        }
-        counts
+    /// Requests that the cloud removes machines.
+    fn remove_machines(&mut self, machines: Vec<String>) {
+        self.autoscaler.fleet.begin_removal(&machines);
+        self.counts.decisions.machines_scaled_in += machines.len() as u64;
+        let term = self.leading_term(AUTOSCALER_SHARD);
+        for machine in &machines {
+            let tasks = self.machines.views.get(machine).map_or(0, |view| view.tasks.len());
+            decision_log::scale_in(machine, AUTOSCALER_SHARD, term, tasks);
+        }
+        let purpose = AutoscalerCall::ScaleIn { machines: machines.clone() };
+        self.context.call_cloud(purpose, CloudCall::ScaleIn(machines));
     }
 }
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -1,25 +1,86 @@
-//! Scaling the fleet out and in.
+//! How many machines there are: scale out for what waits, scale in of what is idle.
 //!
-//! Owns the machine types, the fleet as the cloud lists it and the request in flight. Only
-//! the leader of one shard scales; nothing of it is stored, since the cloud's list tells it.
+//! Owns the catalogue of machine types, the fleet as the cloud lists it and the request in
+//! flight. Only the leader of one shard scales. Nothing of the fleet is stored, since the
+//! cloud's list shows it; the names of requests carry the shard's term and are never used
+//! again. It must not repeat a request under another name before its outcome is known, nor
+//! remove a machine on which anything may still be placed.
 
-pub mod planning;
+pub mod fleet;
+pub mod offer;
+pub mod scale_out;
 
-pub(crate) mod cloud_calls;
+pub(crate) mod machine_types;
 
-use crate::wire::MachineType;
-use planning::Fleet;
-use std::collections::{BTreeMap, BTreeSet};
+mod cloud_calls;
+mod replies;
+mod scale_in;
+
+use crate::time::Micros;
+use crate::wire::ScaleOutRequest;
+use fleet::Fleet;
+use machine_types::MachineTypeCatalogue;
+use scale_out::ScaleOutPlan;
+use std::collections::BTreeSet;
+
+/// The shard whose leader scales.
+pub const AUTOSCALER_SHARD: usize = 0;
 
 /// What scaling is decided from.
 #[derive(Debug, Default)]
 pub(crate) struct Autoscaler {
+    /// The machines of the cloud; empty where another process scales.
     pub(crate) fleet: Fleet,
-    pub(crate) machine_types: BTreeMap<String, MachineType>,
-    /// The types are being read from the key-value store, since the cloud is away.
-    pub(crate) types_reading: bool,
-    /// Term of the autoscaler's shard under which the types were stored.
-    pub(crate) types_stored: u64,
-    /// Machines about to be returned, on which nothing is placed any more.
+    /// Machine types and prices, which every process needs.
+    pub(crate) machine_types: MachineTypeCatalogue,
+    /// Machines about to be removed, by the word of whoever scales: nothing is placed on them
+    /// any more.
     pub(crate) draining: BTreeSet<String>,
+    /// The scale-out request whose outcome is not known.
+    scale_out: Option<PendingScaleOut>,
+    /// Scale-out requests of this term so far.
+    requests_of_term: u64,
+    /// When to list the machines next.
+    next_list_at: Micros,
+    /// When to plan next.
+    next_plan_at: Micros,
+}
+
+/// A scale-out request, repeated under its name until its outcome is known: under another
+/// name it could create machines twice.
+#[derive(Debug)]
+struct PendingScaleOut {
+    request: ScaleOutRequest,
+    in_flight: bool,
+    /// Unless it is in flight it is sent again from then on.
+    repeat_at: Micros,
+}
+
+impl Autoscaler {
+    /// Another process may scale from now on: what is known of the fleet is forgotten.
+    pub(crate) fn leadership_lost(&mut self) {
+        self.fleet = Fleet::default();
+        self.scale_out = None;
+        self.requests_of_term = 0;
+        self.next_list_at = Micros::ZERO;
+        self.next_plan_at = Micros::ZERO;
+        self.machine_types.request_soon();
+    }
+
+    /// Names a request for the planned machines under a term; it is pending from now on.
+    fn begin_scale_out(&mut self, term: u64, plan: ScaleOutPlan) -> &ScaleOutRequest {
+        self.requests_of_term += 1;
+        // The term is this leadership's alone, so the name is, too.
+        let request = format!("r-{AUTOSCALER_SHARD}-{term}-{}", self.requests_of_term);
+        let ScaleOutPlan { offer, count } = plan;
+        let request = ScaleOutRequest {
+            request,
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
+            count,
+        };
+        let pending = PendingScaleOut { request, in_flight: false, repeat_at: Micros::ZERO };
+        &self.scale_out.insert(pending).request
+    }
 }
--- /dev/null
+++ b/src/controller/autoscaler/replies.rs
@@ -0,0 +1,162 @@
+//! What follows from the replies of the cloud, and of the key-value store about machine types.
+
+use super::machine_types::MACHINE_TYPES_KEY;
+use super::offer::MachineOffer;
+use super::{AUTOSCALER_SHARD, Autoscaler};
+use crate::cloud::{CloudCall, CloudReply};
+use crate::controller::Controller;
+use crate::controller::calls::AutoscalerCall;
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::time::Micros;
+use crate::wire::{ListedMachine, MachineStage, MachineType};
+use log::{info, warn};
+
+/// Part of the cloud's rate that scale-out requests may take: lists and removals keep a
+/// good part of it.
+const SCALE_OUT_RATE_SHARE: f64 = 0.6;
+/// Between a scale-out request of unknown outcome and its repetition.
+const SCALE_OUT_RETRY_INTERVAL: Micros = Micros::millis(1_500);
+
+/// What the outcome of a scale-out request sets.
+struct ScaleOutTimes {
+    now: Micros,
+    /// The next plan is not made before.
+    next_plan_at: Micros,
+    /// Until when an offer that the cloud had not enough of is not requested again.
+    exhausted_until: Micros,
+}
+
+impl Autoscaler {
+    /// Takes in the reply to the pending scale-out request.
+    fn scale_out_reply(&mut self, reply: CloudReply, times: ScaleOutTimes) {
+        let Some(pending) = &mut self.scale_out else {
+            return;
+        };
+        pending.in_flight = false;
+        let request = &pending.request;
+        let offer = MachineOffer::of_request(request);
+        match reply {
+            CloudReply::ScaledOut(machines) => {
+                let names = machines.join(" ");
+                info!("scaled out by {} of {}: {names}", machines.len(), request.count);
+                if machines.len() < request.count as usize {
+                    self.fleet.set_exhausted(offer, times.exhausted_until);
+                }
+                self.fleet.add_requested(times.now, request, machines);
+            }
+            CloudReply::NoCapacity => self.fleet.set_exhausted(offer, times.exhausted_until),
+            _ => {
+                pending.repeat_at = times.now + SCALE_OUT_RETRY_INTERVAL;
+                return;
+            }
+        }
+        self.scale_out = None;
+        self.next_plan_at = times.next_plan_at;
+    }
+}
+
+impl Controller {
+    /// Takes in a reply of the cloud.
+    pub(crate) fn cloud_reply(&mut self, call: AutoscalerCall, reply: CloudReply) {
+        let leads_under = |term: u64| self.leading_term(AUTOSCALER_SHARD) == Some(term);
+        match (call, reply) {
+            (AutoscalerCall::ListMachineTypes, CloudReply::MachineTypes(types)) => {
+                self.apply_machine_types(types);
+            }
+            (AutoscalerCall::ListMachineTypes, _) => {
+                if self.autoscaler.machine_types.request_failed(self.context.now) {
+                    let call = KvRequest::Get(MACHINE_TYPES_KEY.into());
+                    self.context.call_store(AutoscalerCall::ReadStoredMachineTypes, call);
+                }
+            }
+            (AutoscalerCall::ScaleOut { term }, reply) => {
+                if leads_under(term) {
+                    self.scale_out_reply(reply);
+                }
+            }
+            (AutoscalerCall::ScaleIn { machines }, CloudReply::ScaledIn) => {
+                // By now the machines and everything on them are gone.
+                for machine in machines {
+                    self.changes.terminated.push(machine.clone());
+                    self.machine_terminated(&machine);
+                    self.autoscaler.fleet.forget(&machine);
+                }
+            }
+            (AutoscalerCall::ScaleIn { machines }, _) => {
+                self.autoscaler.fleet.removal_failed(&machines);
+            }
+            (AutoscalerCall::ListMachines { requested_at, term }, reply) => {
+                if leads_under(term) {
+                    self.list_reply(requested_at, term, reply);
+                }
+            }
+            (call, _) => warn!("unexpected reply to {call:?}"),
+        }
+    }
+
+    /// Takes in a reply of the key-value store about machine types.
+    pub(crate) fn stored_machine_types_reply(&mut self, call: AutoscalerCall, reply: KvResponse) {
+        let machine_types = &mut self.autoscaler.machine_types;
+        match (call, reply) {
+            (AutoscalerCall::ReadStoredMachineTypes, reply) => {
+                let item = if let KvResponse::Value(item) = reply { item } else { None };
+                if let Some(types) = machine_types.stored_read(item) {
+                    self.apply_machine_types(types);
+                }
+            }
+            (AutoscalerCall::StoreMachineTypes, KvResponse::Applied(_)) => {}
+            // Tried again with the next plan.
+            _ => machine_types.storing_failed(),
+        }
+    }
+
+    /// Machine types or their prices are new: capacities and commands depend on them.
+    fn apply_machine_types(&mut self, types: Vec<MachineType>) {
+        self.autoscaler.machine_types.replace(types);
+        self.scheduler.request_pass();
+        self.changes.machines.extend(self.machines.managed.keys().cloned());
+    }
+
+    fn scale_out_reply(&mut self, reply: CloudReply) {
+        let now = self.context.now;
+        let scale_out_rate = self.context.settings.cloud.rps * SCALE_OUT_RATE_SHARE;
+        let times = ScaleOutTimes {
+            now,
+            next_plan_at: now + Micros::from_secs_f64(1.0 / scale_out_rate),
+            exhausted_until: now + self.context.options.refused,
+        };
+        self.autoscaler.scale_out_reply(reply, times);
+    }
+
+    fn list_reply(&mut self, requested_at: Micros, term: u64, reply: CloudReply) {
+        let CloudReply::Machines { machines, more } = reply else {
+            return self.autoscaler.fleet.abort_listing();
+        };
+        let after = machines.last().filter(|_| more).map(|machine| machine.name.clone());
+        let list = self.autoscaler.fleet.apply_page(machines, after.is_none());
+        if let Some(list) = list {
+            self.apply_machine_list(requested_at, list);
+        } else if after.is_some() && self.autoscaler.fleet.is_listing() {
+            let purpose = AutoscalerCall::ListMachines { requested_at, term };
+            self.context.call_cloud(purpose, CloudCall::ListMachines { after });
+        }
+    }
+
+    /// Takes in a complete list of the machines.
+    fn apply_machine_list(&mut self, requested_at: Micros, mut list: Vec<ListedMachine>) {
+        let known_terminated = &self.machines.terminated;
+        let has_failed = |machine: &ListedMachine| machine.stage == MachineStage::Failed;
+        // Failed machines stay listed until they are removed.
+        list.retain(|machine| has_failed(machine) || !known_terminated.contains(&machine.name));
+        let lag = Micros::from_secs_f64(self.context.settings.cloud.list_lag_s);
+        let now = self.context.now;
+        let mut terminated = self.autoscaler.fleet.apply_list(now, requested_at, &list, lag);
+        terminated.extend(list.iter().filter(|m| has_failed(m)).map(|m| m.name.clone()));
+        for name in terminated {
+            if !self.machines.terminated.contains(&name) {
+                self.changes.terminated.push(name.clone());
+                self.machine_terminated(&name);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/autoscaler/scale_in.rs
@@ -0,0 +1,92 @@
+//! Which machines to drain and to remove.
+
+use super::fleet::{Fleet, FleetMachine};
+use super::machine_types::MachineTypeCatalogue;
+use crate::time::Micros;
+use crate::wire::MachineStage;
+
+/// Nothing must have been placed on a machine for this long before it is removed: a
+/// placement that was decided before its drain was known may still be on its way.
+const DRAIN_DURATION: Micros = Micros::secs(4);
+/// Machines removed by one request at most.
+const MAX_MACHINES_PER_REQUEST: usize = 20;
+
+/// How a machine stands, by its view and the tasks placed on it.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct MachineActivity {
+    /// It has been heard of.
+    pub(super) has_view: bool,
+    /// It reports in time and completes what it starts.
+    pub(super) is_healthy: bool,
+    /// It has been in quarantine for long enough.
+    pub(super) is_faulty: bool,
+    /// Tasks are on it or placed there.
+    pub(super) has_tasks: bool,
+}
+
+/// What scaling in depends on beside the machines.
+#[derive(Clone, Copy)]
+pub(super) struct ScaleInConditions<'a> {
+    pub(super) now: Micros,
+    /// How long a machine must be idle.
+    pub(super) min_idle: Micros,
+    /// Some task waits for capacity.
+    pub(super) tasks_wait: bool,
+    pub(super) catalogue: &'a MachineTypeCatalogue,
+}
+
+/// Machines to be drained, and those to be removed.
+#[derive(Debug, Default)]
+pub(super) struct ScaleInPlan {
+    pub(super) to_drain: Vec<String>,
+    pub(super) to_remove: Vec<String>,
+}
+
+impl FleetMachine {
+    /// Takes in whether it is idle. Returns whether it has been for long enough.
+    fn update_idle(
+        &mut self,
+        activity: MachineActivity,
+        conditions: ScaleInConditions<'_>,
+    ) -> bool {
+        let now = conditions.now;
+        if activity.has_tasks || conditions.tasks_wait || !activity.is_healthy {
+            self.idle_since = None;
+            return false;
+        }
+        now.since(*self.idle_since.get_or_insert(now)) > conditions.min_idle
+    }
+}
+
+impl Fleet {
+    /// Works out which machines to drain and to remove; which are idle is remembered.
+    pub(super) fn plan_scale_in(
+        &mut self,
+        conditions: ScaleInConditions<'_>,
+        activity: impl Fn(&str) -> MachineActivity,
+    ) -> ScaleInPlan {
+        let now = conditions.now;
+        let mut plan = ScaleInPlan::default();
+        for (name, machine) in &mut self.machines {
+            let activity = activity(name);
+            let boot_failed =
+                !activity.has_view && machine.boot_has_failed(now, conditions.catalogue);
+            if machine.stage == MachineStage::Failed || boot_failed {
+                plan.to_remove.push(name.clone());
+                continue;
+            }
+            let is_idle = machine.update_idle(activity, conditions);
+            if activity.is_faulty || is_idle {
+                plan.to_drain.push(name.clone());
+            }
+            let drained_at = self.draining_since.get(name);
+            if !activity.has_tasks && drained_at.is_some_and(|at| now.since(*at) > DRAIN_DURATION) {
+                plan.to_remove.push(name.clone());
+            }
+        }
+        plan.to_drain.retain(|name| !self.draining_since.contains_key(name));
+        plan.to_remove.retain(|name| !self.is_being_removed(name));
+        plan.to_remove.truncate(MAX_MACHINES_PER_REQUEST);
+        plan
+    }
+}
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -96,11 +96,18 @@
 /// What a call about machine types and the fleet is for.
 #[derive(Debug, Clone)]
 pub(crate) enum AutoscalerCall {
-    Types,
-    StoreTypes,
-    StoredTypes,
+    /// Lists the cloud's machine types.
+    ListMachineTypes,
+    /// Stores them in the key-value store.
+    StoreMachineTypes,
+    /// Reads them from there.
+    ReadStoredMachineTypes,
+    /// Requests machines, under a term of the autoscaler's shard.
     ScaleOut { term: u64 },
-    ScaleIn { names: Vec<String> },
+    /// Requests the removal of machines.
+    ScaleIn { machines: Vec<String> },
+    /// Lists the machines, under a term of the autoscaler's shard; the first page was
+    /// requested at `requested_at`.
     ListMachines { requested_at: Micros, term: u64 },
 }
 
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -182,8 +182,8 @@
         let shards = self.leadership.shards.len();
         self.machines.managed.retain(|m, _| shard::shard_of_machine(m, shards) != s);
         self.changes.machines.retain(|m| shard::shard_of_machine(m, shards) != s);
-        if s == crate::controller::autoscaler::planning::AUTOSCALER_SHARD {
-            self.autoscaler.fleet = crate::controller::autoscaler::planning::Fleet::default();
+        if s == crate::controller::autoscaler::AUTOSCALER_SHARD {
+            self.autoscaler.leadership_lost();
         }
     }
 
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -1,6 +1,7 @@
 //! What is to be done on one machine: the difference between what all shards desire there
 //! and what its newest heartbeat says.
 
+use crate::controller::autoscaler::machine_types::MachineTypeCatalogue;
 use crate::controller::decision_log;
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::jobs::stage_cache::CachedStage;
@@ -17,7 +18,7 @@
 use crate::peer::{DesiredTask, ObservedState};
 use crate::resources::Resources;
 use crate::time::Micros;
-use crate::wire::{Command, MachineType};
+use crate::wire::Command;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,8 +31,8 @@
     pub(crate) shards: &'a [Shard],
     /// What is known of jobs' stages, by job.
     pub(crate) stages: &'a BTreeMap<String, CachedStage>,
-    /// Machine types by name.
-    pub(crate) machine_types: &'a BTreeMap<String, MachineType>,
+    /// All machine types.
+    pub(crate) machine_types: &'a MachineTypeCatalogue,
 }
 
 impl ReconcileInputs<'_> {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -134,7 +134,7 @@
                 self.machines_reply(call, reply);
             }
             (PendingCall::Autoscaler(call), Reply::KvStore(reply)) => {
-                self.types_reply(call, reply);
+                self.stored_machine_types_reply(call, reply);
             }
             (PendingCall::Autoscaler(call), Reply::Cloud(reply)) => self.cloud_reply(call, reply),
             (call, reply) => log::warn!("unexpected reply {reply:?} to {call:?}"),
--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -1,7 +1,7 @@
 //! Frames from and to the other controllers: what they say is taken in, and what
 //! has changed here is told to them.
 
-use crate::controller::autoscaler::planning;
+use crate::controller::autoscaler::AUTOSCALER_SHARD;
 use crate::controller::timers::{
     DEMAND_EVERY, MISSED_EVERY, PEER_HEARTBEAT_INTERVAL, PROGRESS_EVERY,
 };
@@ -204,9 +204,9 @@
                     frame.shard_claims.push(peer::ShardClaim { shard: n as u32, term: m.term });
                 }
             }
-            if self.leading_term(planning::AUTOSCALER_SHARD).is_some() {
+            if self.leading_term(AUTOSCALER_SHARD).is_some() {
                 frame.is_autoscaler = true;
-                frame.draining = self.autoscaler.fleet.draining.keys().cloned().collect();
+                frame.draining = self.autoscaler.fleet.draining_since.keys().cloned().collect();
                 self.set_draining(frame.draining.iter().cloned().collect());
             }
         }
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -1,6 +1,6 @@
 //! What waits on own shards, for peers and for the autoscaler, and the capacity that is free.
 
-use crate::controller::autoscaler::planning::FreeCapacity;
+use crate::controller::autoscaler::offer::FreeCapacity;
 use crate::controller::jobs::job::Job;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::scheduler::Scheduler;
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -335,7 +335,7 @@
             (CallKind::Cloud(cloud_call), Some(answer)) => {
                 Reply::Cloud(cloud_call.decode(answer.status, &answer.body))
             }
-            (CallKind::Cloud(_), None) if unsent => Reply::Cloud(CloudReply::Refused),
+            (CallKind::Cloud(_), None) if unsent => Reply::Cloud(CloudReply::NotExecuted),
             (CallKind::Cloud(_), None) => Reply::Cloud(CloudReply::Unknown),
             (CallKind::Direct, Some(answer)) => {
                 Reply::Direct(DirectReply::Answered { status: answer.status, body: answer.body })
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -1,6 +1,8 @@
 //! Machines that are rented and returned, and how long tasks run.
 
-use millethold::controller::autoscaler::planning::{self, Fleet, FreeCapacity};
+use millethold::controller::autoscaler::fleet::Fleet;
+use millethold::controller::autoscaler::offer::{FreeCapacity, MachineOffer};
+use millethold::controller::autoscaler::scale_out::{self, Offers, ScaleOutPlan};
 use millethold::controller::scheduler::estimate::Estimates;
 use millethold::peer::Demand;
 use millethold::resources::Resources;
@@ -34,16 +36,16 @@
     ];
     for (asked, again, want) in table {
         let mut autoscaler = Fleet::default();
-        autoscaler.take_list(s(100), s(99), &[listed("vm-1", 50.0)], lag);
+        autoscaler.apply_list(s(100), s(99), &[listed("vm-1", 50.0)], lag);
         let list = if again { vec![listed("vm-1", 70.0)] } else { Vec::new() };
-        let gone = autoscaler.take_list(asked, asked, &list, lag);
+        let gone = autoscaler.apply_list(asked, asked, &list, lag);
         assert_eq!(!gone.is_empty(), want, "asked at {asked:?}, listed {again}");
     }
     // Rented and never listed: a lagging list says nothing of it.
     let mut autoscaler = Fleet::default();
-    autoscaler.take_list(s(100), s(99), &[listed("vm-1", 5.0)], lag);
-    autoscaler.machines.get_mut("vm-1").expect("just listed").listed = None;
-    assert!(autoscaler.take_list(s(400), s(400), &[], lag).is_empty());
+    autoscaler.apply_list(s(100), s(99), &[listed("vm-1", 5.0)], lag);
+    autoscaler.machines.get_mut("vm-1").expect("just listed").first_listed_at = None;
+    assert!(autoscaler.apply_list(s(400), s(400), &[], lag).is_empty());
 }
 
 #[test]
@@ -91,26 +93,33 @@
         (vec![wait(2, 1.0, true, None), wait(1, 4.0, true, None)], vec![room(4.0, true)], 2),
     ];
     for (demand, mut rooms, want) in table {
-        let left: u32 = planning::unmet(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
+        let left: u32 = scale_out::unmet(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
         assert_eq!(left, want, "{demand:?}");
     }
     let mut refused = BTreeMap::new();
     let now = Micros::secs(9);
-    let ask = |d: Demand, refused: &BTreeMap<planning::MachineOffer, Micros>| {
-        planning::next_request(&[d], &types, &BTreeMap::new(), refused, now)
+    let request = |demand: &[Demand], refused: &BTreeMap<MachineOffer, Micros>| {
+        let offers = Offers { machine_types: &types, exhausted_until: refused, now };
+        scale_out::plan_scale_out(demand, offers, &BTreeMap::new())
     };
-    let offer = |t: &str, z: &str, spot| (t.to_string(), z.to_string(), spot);
-    assert_eq!(ask(wait(9, 1.0, true, None), &refused), Some((offer("small", "a", true), 3)));
-    assert_eq!(ask(wait(1, 8.0, false, Some("b")), &refused), Some((offer("big", "b", false), 1)));
+    let ask = |d: Demand, refused: &BTreeMap<MachineOffer, Micros>| request(&[d], refused);
+    let offer =
+        |t: &str, z: &str, spot| MachineOffer { machine_type: t.into(), zone: z.into(), spot };
+    let plan = |offer, count| ScaleOutPlan { offer, count };
+    assert_eq!(ask(wait(9, 1.0, true, None), &refused), Some(plan(offer("small", "a", true), 3)));
+    assert_eq!(
+        ask(wait(1, 8.0, false, Some("b")), &refused),
+        Some(plan(offer("big", "b", false), 1))
+    );
     assert_eq!(ask(wait(1, 9.0, true, None), &refused), None);
     // Shapes that the same kind serves best are rented for together: 15 and 20.
     let both = [wait(60, 1.0, true, None), wait(20, 4.0, true, None)];
-    let got = planning::next_request(&both, &types, &BTreeMap::new(), &refused, now);
-    assert_eq!(got, Some((offer("small", "a", true), 12)), "a third of 35");
+    let got = request(&both, &refused);
+    assert_eq!(got, Some(plan(offer("small", "a", true), 12)), "a third of 35");
     refused.insert(offer("small", "a", true), now + Micros(1));
-    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some((offer("small", "b", true), 1)));
+    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some(plan(offer("small", "b", true), 1)));
     refused.insert(offer("small", "a", true), now);
-    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some((offer("small", "a", true), 1)));
+    assert_eq!(ask(wait(1, 1.0, true, None), &refused), Some(plan(offer("small", "a", true), 1)));
 }
 
 #[test]
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -112,12 +112,12 @@
     };
     let rent = r#"{"hire":"r1","bench":"t4","yard":"a","loaners":true,"howMany":2}"#;
     let names = r#"{"lathes":["vm-1"]}"#;
-    let later = CloudCall::List { after: Some("vm-1".into()) };
+    let later = CloudCall::ListMachines { after: Some("vm-1".into()) };
     let table = [
-        (CloudCall::Types, plain("GET /flavors")),
+        (CloudCall::ListMachineTypes, plain("GET /flavors")),
         (CloudCall::ScaleOut(request), with_body("POST /machines", rent)),
         (CloudCall::ScaleIn(vec!["vm-1".into()]), with_body("POST /machines/return", names)),
-        (CloudCall::List { after: None }, plain("GET /machines?limit=500")),
+        (CloudCall::ListMachines { after: None }, plain("GET /machines?limit=500")),
         (later, plain("GET /machines?limit=500&after=vm-1")),
     ];
     for (call, want) in table {
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -48,7 +48,7 @@
     /// Carries out a call.
     pub fn call(&mut self, now: Micros, call: &CloudCall) -> CloudReply {
         match call {
-            CloudCall::Types => CloudReply::Types(vec![machine_type()]),
+            CloudCall::ListMachineTypes => CloudReply::MachineTypes(vec![machine_type()]),
             CloudCall::ScaleOut(request) => self.rent(now, request),
             CloudCall::ScaleIn(names) => {
                 for name in names {
@@ -56,7 +56,9 @@
                 }
                 CloudReply::ScaledIn
             }
-            CloudCall::List { .. } => CloudReply::Page { machines: self.list(now), more: false },
+            CloudCall::ListMachines { .. } => {
+                CloudReply::Machines { machines: self.list(now), more: false }
+            }
         }
     }
 
