--- a/src/controller/peers/frames.rs
+++ b/src/controller/peers/frames.rs
@@ -178,7 +178,8 @@
             if holds_lease {
                 frame.has_demand = true;
                 frame.demand = self.scheduler.demand(&self.scheduling_inputs());
-                frame.quota_demand = self.quota_demand();
+                frame.quota_demand =
+                    self.quota.unmet_demand(&self.jobs, &self.leadership, self.context.now);
                 frame.misdirected = self.misdirected();
             }
         }
--- a/src/controller/quota/mod.rs
+++ b/src/controller/quota/mod.rs
@@ -10,6 +10,7 @@
 
 pub(crate) mod job_demand;
 pub(crate) mod limit_preemption;
+pub(crate) mod replies;
 pub(crate) mod sharing;
 
 use crate::config::Team;
@@ -47,6 +48,22 @@
         self.teams.iter()
     }
 
+    /// The teams that have any limit, and so stored grants.
+    fn limited_teams(&self) -> impl Iterator<Item = (&String, &TeamQuota)> {
+        self.teams.iter().filter(|(_, quota)| quota.is_limited())
+    }
+
+    fn change_team(&mut self, team: &str, change: impl FnOnce(&mut TeamQuota)) {
+        if let Some(quota) = self.teams.get_mut(team) {
+            change(quota);
+        }
+    }
+
+    /// Whether the stored grants are to be listed; if so, that counts as begun.
+    fn start_listing(&mut self) -> bool {
+        !std::mem::replace(&mut self.listed, true)
+    }
+
     /// Whether a team that uses `usage` stays within its guarantee with so much more.
     pub(crate) fn within_guarantee(
         &self,
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -2,15 +2,17 @@
 
 use crate::controller::Controller;
 use crate::controller::calls::QuotaCall;
-use crate::controller::leadership::shard;
+use crate::controller::jobs::Jobs;
+use crate::controller::leadership::{Leadership, shard};
 use crate::controller::quota::Quotas;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::quota::job_demand::{pending_demand, shard_usage};
 use crate::controller::quota::target_grant::{RankedDemand, unmet_demand};
 use crate::controller::quota::team_quota::{self, TeamQuota};
-use crate::kv_store::{KvRequest, KvResponse};
+use crate::kv_store::KvRequest;
 use crate::peer::QuotaDemand;
 use crate::resources::TOLERANCE;
+use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
 use serde_json::Value;
 
@@ -34,6 +36,34 @@
 }
 
 impl Quotas {
+    /// What the shards that this process serves lack of teams' limits, for the peers that may
+    /// have it unused.
+    pub(crate) fn unmet_demand(
+        &self,
+        jobs: &Jobs,
+        leadership: &Leadership,
+        now: Micros,
+    ) -> Vec<QuotaDemand> {
+        let served = |shard: &usize| leadership.serves_shard(*shard, now);
+        let mut list = Vec::new();
+        for (team, quota) in self.limited_teams() {
+            for shard in (0..leadership.shards.len()).filter(served) {
+                let mut available = quota.grant(shard);
+                available -= shard_usage(jobs, shard, team);
+                for unmet in unmet_demand(available, &pending_demand(jobs, now, shard, team)) {
+                    list.push(QuotaDemand {
+                        shard: shard as u32,
+                        team: team.clone(),
+                        cpus: unmet.amount.cpus,
+                        gpus: unmet.amount.gpus,
+                        rank: unmet.rank,
+                    });
+                }
+            }
+        }
+        list
+    }
+
     /// The change of a shard's grant that is due; `None` if there is none, or if an earlier
     /// one is in flight.
     fn next_change(
@@ -67,29 +97,6 @@
             .flat_map(|(_, peer)| &peer.quota_demand)
     }
 
-    /// What own shards lack, sent to the peers that may have it unused.
-    pub(crate) fn quota_demand(&self) -> Vec<QuotaDemand> {
-        let mut list = Vec::new();
-        for (team, quota) in self.quota.teams().filter(|(_, quota)| quota.is_limited()) {
-            for shard in (0..self.leadership.shards.len()).filter(|shard| self.serves_shard(*shard))
-            {
-                let mut available = quota.grant(shard);
-                available -= shard_usage(&self.jobs, shard, team);
-                let pending = pending_demand(&self.jobs, self.context.now, shard, team);
-                for unmet in unmet_demand(available, &pending) {
-                    list.push(QuotaDemand {
-                        shard: shard as u32,
-                        team: team.clone(),
-                        cpus: unmet.amount.cpus,
-                        gpus: unmet.amount.gpus,
-                        rank: unmet.rank,
-                    });
-                }
-            }
-        }
-        list
-    }
-
     /// The most urgent rank that lacks some of a team's limit, on any shard.
     pub(crate) fn most_urgent_unmet_rank(&self, team: &str) -> Option<u32> {
         self.quota.most_urgent_unmet_rank(team, self.peers_quota_demand())
@@ -100,16 +107,13 @@
         if !self.holds_lease() {
             return;
         }
-        if !self.quota.listed {
-            self.quota.listed = true;
+        if self.quota.start_listing() {
             let call = KvRequest::List { prefix: team_quota::KEY_PREFIX.into(), after: None };
             return self.context.call_store(QuotaCall::List, call);
         }
-        let own = self.quota_demand();
+        let own = self.quota.unmet_demand(&self.jobs, &self.leadership, self.context.now);
         self.quota.own_demand.clone_from(&own);
-        let limited = |(_, quota): &(&String, &TeamQuota)| quota.is_limited();
-        let teams: Vec<String> =
-            self.quota.teams().filter(limited).map(|(team, _)| team.clone()).collect();
+        let teams: Vec<String> = self.quota.limited_teams().map(|(team, _)| team.clone()).collect();
         for team in teams {
             for shard in 0..self.leadership.shards.len() {
                 self.maintain_grant(&team, shard, &own);
@@ -135,7 +139,7 @@
             return;
         };
         // Admissions go first: grants that move with every job that comes would
-        // take their changes.
+        // use up their changes.
         let reserve = self.api.admission.reserved_writes(&self.context);
         if self.context.write_budget.level(self.context.now) < 1.0 + reserve {
             return;
@@ -161,17 +165,15 @@
 
     /// Sends a compare-and-swap of a team's grants, conditional on this shard's lease.
     fn swap_grants(&mut self, team: &str, shard: usize, change: GrantChange) {
-        let Some(quota) = self.quota.teams.get_mut(team) else {
-            return;
-        };
+        let revision = self.quota.team(team).map_or(0, TeamQuota::revision);
         // From here on the lowering may be applied at any time.
-        quota.change_sent(shard, change.grant);
+        self.quota.change_team(team, |quota| quota.change_sent(shard, change.grant));
         let leadership = self.leadership.shards[shard].leadership.as_ref();
         let lease_revision = leadership.map_or(0, |leadership| leadership.revision);
         let (key, value) = (team_quota::key(team), change.value);
         let txn = Txn {
             conditions: vec![
-                Condition { key: key.clone(), revision: quota.revision() },
+                Condition { key: key.clone(), revision },
                 Condition { key: shard::lease_key(shard), revision: lease_revision },
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
@@ -179,59 +181,4 @@
         let call = QuotaCall::CompareAndSwap { team: team.to_string(), value };
         self.context.call_store(call, KvRequest::Txn(txn));
     }
-
-    /// Takes in a team's grants as stored at a revision.
-    pub(crate) fn observe_quota(&mut self, team: &str, value: &Value, revision: u64) {
-        if self.quota.observe(team, value, revision) {
-            self.scheduler.request_pass();
-        }
-    }
-
-    /// Takes in what the key-value store replied about grants.
-    pub(crate) fn quota_reply(&mut self, call: QuotaCall, reply: KvResponse) {
-        match (call, reply) {
-            (QuotaCall::List, KvResponse::Page { items, .. }) => {
-                for item in items {
-                    if let Some(team) = item.key.strip_prefix(team_quota::KEY_PREFIX) {
-                        self.observe_quota(team, &item.value, item.revision);
-                    }
-                }
-            }
-            (QuotaCall::List, _) => self.quota.resynchronize(),
-            (QuotaCall::CompareAndSwap { team, value }, KvResponse::Applied(revision)) => {
-                self.observe_quota(&team, &value, revision);
-                self.change_team(&team, TeamQuota::change_finished);
-            }
-            (QuotaCall::CompareAndSwap { team, .. }, KvResponse::NotExecuted) => {
-                self.change_team(&team, TeamQuota::change_not_executed);
-            }
-            (QuotaCall::CompareAndSwap { team, .. }, KvResponse::Conflict(_)) => {
-                self.read_quota(&team);
-            }
-            // Perhaps applied: until what is stored is read, the lower grant
-            // holds, and a late one fails once the key has changed again.
-            (QuotaCall::CompareAndSwap { team, .. }, _) => {
-                self.change_team(&team, TeamQuota::change_outcome_unknown);
-                self.read_quota(&team);
-            }
-            (QuotaCall::Read { team }, KvResponse::Value(item)) => {
-                if let Some(item) = item {
-                    self.observe_quota(&team, &item.value, item.revision);
-                }
-                self.change_team(&team, TeamQuota::change_finished);
-            }
-            (QuotaCall::Read { team }, _) => self.read_quota(&team),
-        }
-    }
-
-    fn change_team(&mut self, team: &str, change: impl FnOnce(&mut TeamQuota)) {
-        if let Some(quota) = self.quota.teams.get_mut(team) {
-            change(quota);
-        }
-    }
-
-    fn read_quota(&mut self, team: &str) {
-        let call = QuotaCall::Read { team: team.to_string() };
-        self.context.call_store(call, KvRequest::Get(team_quota::key(team)));
-    }
 }
--- a/src/controller/quota/team_quota.rs
+++ b/src/controller/quota/team_quota.rs
@@ -181,7 +181,7 @@
     /// The more urgent goes first, equals share what is not granted. What is neither
     /// used nor needed for work as urgent as the others' goes back. A shard that
     /// asks at all asks for one of `shards` equal shares, as far as that is free: a
-    /// change for every job that comes would take writes from their admissions.
+    /// change for every job that comes would use up writes of their admissions.
     pub fn target_grant(
         &self,
         shard: usize,
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -23,7 +23,7 @@
     pub machine_type: Rc<str>,
     /// Zone.
     pub zone: Rc<str>,
-    /// Spot instances, which the cloud may take back.
+    /// Spot instances, which the cloud may reclaim.
     pub spot: bool,
 }
 
--- a/src/controller/scheduler/capacity/mod.rs
+++ b/src/controller/scheduler/capacity/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A placement tries machines in order of reserved tasks or of free CPUs. Both orders are
 //! indexes here, so that a change costs the change and a placement does not walk all machines.
-//! It must never learn of jobs, leaders or the key-value store: what it holds is given to it.
+//! It must never read another component: all that it knows is given to it.
 
 mod cluster;
 mod index;
--- a/src/controller/scheduler/capacity/search.rs
+++ b/src/controller/scheduler/capacity/search.rs
@@ -49,9 +49,8 @@
         passes: impl Fn(MachineId, &MachineCapacity) -> bool,
     ) -> Option<MachineId> {
         self.suitable(machines, pools, needed, passes)
-            .map(|(machine, capacity)| LoadKey::of(machine, capacity))
-            .min()
-            .map(|key| key.machine)
+            .min_by_key(|(machine, capacity)| LoadKey::of(*machine, capacity))
+            .map(|(machine, _)| machine)
     }
 
     /// Of some machines the one with the least free CPUs, in the order of
@@ -64,9 +63,8 @@
         passes: impl Fn(MachineId, &MachineCapacity) -> bool,
     ) -> Option<MachineId> {
         self.suitable(machines, pools, needed, passes)
-            .map(|(machine, capacity)| FreeCpusKey::of(machine, capacity))
-            .min()
-            .map(|key| key.machine)
+            .min_by_key(|(machine, capacity)| FreeCpusKey::of(*machine, capacity))
+            .map(|(machine, _)| machine)
     }
 
     /// Whether any machine has capacity for one of some waiting tasks.
@@ -75,6 +73,7 @@
         self.best_fit(&pools, &Resources::from(demand), |_, _| true).is_some()
     }
 
+    /// Whether a machine has capacity for a task and passes a filter.
     fn suits(
         &self,
         machine: MachineId,
@@ -85,6 +84,7 @@
             .is_some_and(|capacity| capacity.available().fits(needed) && passes(machine, capacity))
     }
 
+    /// Of some machines those in some pools that have capacity for a task and pass a filter.
     fn suitable<'a, 'b>(
         &'b self,
         machines: impl Iterator<Item = &'a MachineId>,
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -124,7 +124,7 @@
         );
         self.reserve_desired_tasks(inputs, view, &mut capacity);
         self.reserve_own_tasks(inputs, &mut capacity);
-        // Tasks that no shard is known to desire take an unknown amount of resources.
+        // Tasks that no shard is known to desire use an unknown amount of resources.
         if lists_unknown_task(view, &capacity) {
             return None;
         }
--- a/src/controller/scheduler/inputs.rs
+++ b/src/controller/scheduler/inputs.rs
@@ -11,11 +11,17 @@
 /// The components that the scheduler reads, and never changes, while it decides.
 #[derive(Clone, Copy)]
 pub(crate) struct SchedulingInputs<'a> {
+    /// Time, settings and options.
     pub(crate) context: &'a Context,
+    /// Terms and leaders of the shards.
     pub(crate) leadership: &'a Leadership,
+    /// Jobs of own shards.
     pub(crate) jobs: &'a Jobs,
+    /// Views of machines, and what all shards desire there.
     pub(crate) machines: &'a Machines,
+    /// Machine types, and machines that are being drained.
     pub(crate) autoscaler: &'a Autoscaler,
+    /// Limits, guarantees and grants of teams.
     pub(crate) quotas: &'a Quotas,
 }
 
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -16,6 +16,7 @@
 
 /// The machine that was chosen for a task.
 pub(super) struct MachineChoice {
+    /// The machine.
     pub(super) machine: MachineId,
     /// Positions of the tasks to preempt among the machine's reserved tasks.
     pub(super) victims: Vec<usize>,
@@ -86,6 +87,15 @@
             && !lists_attempt(inputs, &capacity.machine, &placement.id, index)
     }
 
+    /// The filters that depend on the task and on the moment, for searches of machines.
+    fn filter<'a>(
+        &'a self,
+        inputs: &'a SchedulingInputs<'_>,
+        task: TaskToPlace<'a>,
+    ) -> impl Fn(MachineId, &MachineCapacity) -> bool + 'a {
+        move |machine, capacity| self.suits(inputs, task, machine, capacity)
+    }
+
     /// The least loaded machine that has capacity, or the best fit where a larger task waits.
     fn free_machine(
         &self,
@@ -93,9 +103,7 @@
         task: TaskToPlace<'_>,
     ) -> Option<MachineId> {
         let (pools, needed) = (&task.placement.pools, &task.placement.needed);
-        let passes = |machine: MachineId, capacity: &MachineCapacity| {
-            self.suits(inputs, task, machine, capacity)
-        };
+        let passes = self.filter(inputs, task);
         match task.placement.pack {
             true => self.capacity.best_fit(pools, needed, passes),
             false => self.capacity.least_loaded(pools, needed, passes),
@@ -108,12 +116,10 @@
         inputs: &SchedulingInputs<'_>,
         task: TaskToPlace<'_>,
     ) -> Option<MachineId> {
-        let (pools, needed) = (&task.placement.pools, &task.placement.needed);
-        let passes = |machine: MachineId, capacity: &MachineCapacity| {
-            self.suits(inputs, task, machine, capacity)
-        };
+        let JobPlacement { pools, needed, pack, .. } = task.placement;
         let cached_machines = task.placement.cached_machines().iter();
-        match task.placement.pack {
+        let passes = self.filter(inputs, task);
+        match pack {
             true => self.capacity.best_fit_among(cached_machines, pools, needed, passes),
             false => self.capacity.least_loaded_among(cached_machines, pools, needed, passes),
         }
@@ -170,9 +176,7 @@
             return None;
         }
         pass.preemption_searches_left -= 1;
-        let found = self.find_victims(inputs, &claim, |machine, capacity| {
-            self.suits(inputs, task, machine, capacity)
-        });
+        let found = self.find_victims(inputs, &claim, self.filter(inputs, task));
         if found.is_none() && placement.fails_by_shape {
             pass.failures.note_no_victims(spec, search);
         }
--- a/src/controller/scheduler/pending_reason.rs
+++ b/src/controller/scheduler/pending_reason.rs
@@ -13,7 +13,7 @@
     BackedOff,
     /// Placed now, it would be preempted at once for the team's more urgent tasks.
     UrgentTasksLackLimit,
-    /// The stored chunk of its task has no room until earlier tasks of it have ended.
+    /// The chunk in which its task is stored is full until earlier tasks of it have ended.
     EarlierTasksFirst,
     /// All of its tasks are placed.
     Starting,
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -9,7 +9,7 @@
 /// two for each machine, since whole waves of machines come up at once.
 const MAX_UNOBSERVED: usize = 1_500;
 /// The same for low tasks, or one for every two machines: an array of thousands of
-/// tiny ones would take the processor from submissions and heartbeats.
+/// tiny ones would keep the processor from submissions and heartbeats.
 const MAX_UNOBSERVED_LOW_PRIORITY: usize = 750;
 /// Chunks with placements that wait for their writes: at least so many may.
 const MIN_CHUNK_BACKLOG: usize = 4;
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -5,6 +5,10 @@
 use crate::peer::Demand;
 use crate::time::Micros;
 
+/// Up to this rank work is urgent: it goes before large tasks that wait, and preempts what is
+/// less urgent even for a team beyond its guarantee.
+pub(super) const LOWEST_URGENT_RANK: u32 = 1;
+
 /// What decides first which job is served first, also between the shards. The order of the
 /// fields is that of the comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,11 +29,13 @@
 /// A job's place in the queue. The order of the fields is that of the comparison.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedJob {
+    /// What decides first.
     pub(crate) class: QueueClass,
     /// Time of day of the deadline.
     due: Micros,
     /// Time of day from which it could be placed.
     ready: Micros,
+    /// Id of the job.
     pub(crate) job: String,
 }
 
--- a/src/controller/scheduler/reservation.rs
+++ b/src/controller/scheduler/reservation.rs
@@ -1,6 +1,7 @@
 //! Carrying out a choice: preempting the victims and reserving the task's resources.
 
 use crate::controller::Controller;
+use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineId, ReservedTask};
 use crate::controller::scheduler::machine_choice::MachineChoice;
 use crate::controller::scheduler::pending_reason::PendingReason;
@@ -8,6 +9,29 @@
 use crate::controller::scheduler::task_placement::JobPlacement;
 use std::rc::Rc;
 
+/// A task to be preempted on a machine.
+struct Victim {
+    machine: Rc<str>,
+    task: ReservedTask,
+}
+
+impl Scheduler {
+    /// Marks the victims of a choice as stopping, and their resources as free.
+    fn mark_victims_stopping(&mut self, choice: &MachineChoice) -> Vec<Victim> {
+        let mut victims = Vec::new();
+        self.capacity.change(choice.machine, |capacity| {
+            for position in &choice.victims {
+                let task = &mut capacity.tasks[*position];
+                task.stopping = true;
+                capacity.free += task.resources;
+                let machine = Rc::clone(&capacity.machine);
+                victims.push(Victim { machine, task: task.clone() });
+            }
+        });
+        victims
+    }
+}
+
 impl Controller {
     /// Preempts the victims of a choice, and counts their resources as free.
     pub(super) fn preempt_victims(
@@ -19,23 +43,15 @@
         if choice.victims.is_empty() {
             return;
         }
-        let mut stopped = Vec::new();
-        self.scheduler.capacity.change(choice.machine, |capacity| {
-            for position in &choice.victims {
-                let victim = &mut capacity.tasks[*position];
-                victim.stopping = true;
-                capacity.free += victim.resources;
-                stopped.push((Rc::clone(&capacity.machine), victim.clone()));
-            }
-        });
+        let victims = self.scheduler.mark_victims_stopping(choice);
         if choice.claims_guarantee {
             let team = &placement.spec.team;
             self.scheduler.guarantee_budget.note_claim(team, placement.spec.cpus);
         }
-        for (machine, victim) in stopped {
-            self.scheduler.guarantee_budget.note_preemption(&victim.team, victim.resources.cpus);
-            *pass.usage.entry(victim.team.clone()).or_default() -= victim.resources.into();
-            self.request_preemption(&victim, placement.time_for_checkpoints, &machine);
+        for Victim { machine, task } in victims {
+            self.scheduler.guarantee_budget.note_preemption(&task.team, task.resources.cpus);
+            *pass.usage.entry(task.team.clone()).or_default() -= task.resources.into();
+            self.request_preemption(&task, placement.time_for_checkpoints, &machine);
         }
         // Capacity of any shape may have come up beside it.
         pass.failures.capacity_freed();
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -2,6 +2,8 @@
 
 use crate::controller::Controller;
 use crate::controller::quota::amount::QuotaAmount;
+use crate::controller::scheduler::Scheduler;
+use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::queue::QueueClass;
 use crate::controller::scheduler::search_failures::SearchFailures;
 use crate::peer::Demand;
@@ -15,9 +17,6 @@
 /// Searches for victims in one pass; each walks all machines.
 const MAX_PREEMPTION_SEARCHES_PER_PASS: usize = 8;
 
-/// Up to this rank work goes before large tasks that wait.
-pub(super) const LOWEST_URGENT_RANK: u32 = 1;
-
 /// A team's tasks on one shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShardTeam {
@@ -41,25 +40,49 @@
     pub(super) preemption_searches_left: usize,
 }
 
+impl Scheduler {
+    /// Whether a requested pass is due; if so, it counts as started.
+    fn start_requested_pass(&mut self, now: Micros) -> bool {
+        let due = self.pass_requested && now >= self.last_pass_at + PASS_INTERVAL;
+        if due {
+            self.pass_requested = false;
+            self.last_pass_at = now;
+        }
+        due
+    }
+
+    /// What a pass starts from: what teams use, and which of all waiting tasks find no
+    /// machine.
+    fn begin_pass(&self, inputs: &SchedulingInputs<'_>, peers_demand: &[Demand]) -> Pass {
+        let own_demand = self.demand(inputs);
+        let all_demand = peers_demand.iter().chain(&own_demand);
+        Pass {
+            usage: self.capacity.usage().clone(),
+            shard_usage: BTreeMap::new(),
+            blocked: all_demand.filter(|demand| !self.capacity.takes(demand)).cloned().collect(),
+            failures: SearchFailures::default(),
+            placements_left: MAX_PLACEMENTS_PER_PASS,
+            preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
+        }
+    }
+}
+
 impl Controller {
     /// One pass over the queue, if it is due. What is left when its bounds are reached goes
     /// on in the next turn, so that heartbeats and lease renewals are never starved.
     pub(crate) fn run_scheduling_pass(&mut self) {
-        if !self.scheduler.pass_requested
-            || self.context.now < self.scheduler.last_pass_at + PASS_INTERVAL
-            || self.autoscaler.machine_types.is_empty()
+        if self.autoscaler.machine_types.is_empty()
+            || !self.scheduler.start_requested_pass(self.context.now)
         {
             return;
         }
-        self.scheduler.pass_requested = false;
-        self.scheduler.last_pass_at = self.context.now;
         self.refresh_capacity();
         let order = self.scheduler.queue_order(&self.scheduling_inputs());
         if order.is_empty() {
             return;
         }
         let mut peers_demand: Vec<Demand> = self.peers_demand().cloned().collect();
-        let mut pass = self.begin_pass(&peers_demand);
+        let mut pass = self.scheduler.begin_pass(&self.scheduling_inputs(), &peers_demand);
         peers_demand.sort_by_key(QueueClass::of_demand);
         for queued in order {
             let rank = queued.class.rank;
@@ -85,6 +108,7 @@
         self.scheduler.capacity.release_holds();
     }
 
+    /// Whether further tasks of a rank must wait until placements are stored or reported.
     fn placements_at_limit(&self, rank: u32) -> bool {
         let inputs = self.scheduling_inputs();
         let unstored = || self.unstored_urgent_chunks(rank);
@@ -99,18 +123,4 @@
             .filter(|(member, _)| self.peer_alive(**member))
             .flat_map(|(_, peer)| &peer.demand)
     }
-
-    fn begin_pass(&self, peers_demand: &[Demand]) -> Pass {
-        let capacity = &self.scheduler.capacity;
-        let own_demand = self.scheduler.demand(&self.scheduling_inputs());
-        let all_demand = peers_demand.iter().chain(&own_demand);
-        Pass {
-            usage: capacity.usage().clone(),
-            shard_usage: BTreeMap::new(),
-            blocked: all_demand.filter(|demand| !capacity.takes(demand)).cloned().collect(),
-            failures: SearchFailures::default(),
-            placements_left: MAX_PLACEMENTS_PER_PASS,
-            preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
-        }
-    }
 }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -10,7 +10,8 @@
 use crate::controller::scheduler::image_locality;
 use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::pending_reason::PendingReason;
-use crate::controller::scheduler::scheduling_pass::{LOWEST_URGENT_RANK, Pass, ShardTeam};
+use crate::controller::scheduler::queue::LOWEST_URGENT_RANK;
+use crate::controller::scheduler::scheduling_pass::{Pass, ShardTeam};
 use crate::peer::Demand;
 use crate::resources::{Resources, TOLERANCE};
 use crate::wire::JobSpec;
@@ -19,11 +20,15 @@
 
 /// A job whose tasks are being placed.
 pub(super) struct JobPlacement {
+    /// Id of the job.
     pub(super) id: String,
+    /// Its shard.
     pub(super) shard: usize,
+    /// Its description.
     pub(super) spec: Rc<JobSpec>,
     /// What a task needs.
     pub(super) needed: Resources,
+    /// Rank of service: lower is more urgent.
     pub(super) rank: u32,
     /// What the shard may use of the team's limit.
     grant: QuotaAmount,
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -6,7 +6,7 @@
 use crate::controller::scheduler::capacity::{MachineCapacity, MachineId, PoolId, ReservedTask};
 use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::objectives::MIN_FETCH_GB_PER_S;
-use crate::controller::scheduler::scheduling_pass::LOWEST_URGENT_RANK;
+use crate::controller::scheduler::queue::LOWEST_URGENT_RANK;
 use crate::resources::Resources;
 use crate::time::Micros;
 
@@ -21,7 +21,7 @@
 
 /// Seconds of work that stopping a task at once would lose, by the time of day at which it
 /// was placed. That is stored and known to all controllers: counted from when this process
-/// first saw it run, a task would look new after every restart.
+/// first saw it run, a task would seem new after every restart.
 pub(crate) fn lost_work_s(wall: Micros, placed: Micros, checkpoint_s: f64) -> f64 {
     let ran_s = wall.since(placed).as_secs_f64();
     if checkpoint_s > 0.0 { ran_s % checkpoint_s } else { ran_s }
@@ -29,6 +29,7 @@
 
 /// Tasks to preempt on one machine, so that another fits there.
 pub(super) struct PreemptionPlan {
+    /// The machine.
     pub(super) machine: MachineId,
     /// Positions of the victims among the machine's reserved tasks.
     pub(super) victims: Vec<usize>,
@@ -36,6 +37,7 @@
 
 /// For whom victims are searched.
 pub(super) struct PreemptionClaim<'a> {
+    /// The job that lacks capacity.
     pub(super) job: &'a Job,
     /// Pools of machines that pass the job's filters.
     pub(super) pools: &'a [PoolId],
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Whether a task may be preempted. More urgent work never is, or it would take the
+    /// Whether a task may be preempted. More urgent work never is, or it would claim the
     /// capacity back. Ranks are compared before names: this is asked of every task.
     fn is_preemptible(&self, task: &ReservedTask) -> bool {
         let borrowed = || self.teams_beyond_guarantee.iter().any(|team| *team == task.team);
