--- a/tests/cluster/delayed_commands.rs
+++ b/tests/cluster/delayed_commands.rs
@@ -36,7 +36,7 @@
 /// No task of a cancelled job begins once its time is over, however late its start
 /// arrives, and nothing waits for ever behind a start that may still arrive.
 #[test]
-fn starts_held_for_minutes() {
+fn starts_delayed_for_minutes() {
     let crashes = Faults { crashes: vec![(18, 1), (34, 2)], back_ms: 900, ..Faults::default() };
     let apart = Faults { peer_cuts: peers_of(0, 14, 40), ..Faults::default() };
     let many = |w: &World| w.long_held > 20 && w.cancelled() > 40;
--- a/tests/cluster/rolling_upgrade.rs
+++ b/tests/cluster/rolling_upgrade.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn upgrades() {
+fn rolling_upgrades() {
     let crash = |at_s, count| Faults { crashes: vec![(at_s, count)], ..Faults::default() };
     let late = |from, to| LateWrites { from, to, share: 0.2, at_once: false };
     let table = [
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn renting() {
+fn scale_out_requests() {
     let kind = |name: &str, cpus, price, spot_price| MachineType {
         name: name.into(),
         cpus,
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn requests_to_the_state_service() {
+fn requests_to_the_store() {
     let second = Micros::secs(1);
     let list = |after: Option<&str>| {
         let after = after.map(String::from);
--- a/tests/components/jobs.rs
+++ b/tests/components/jobs.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn bundles() {
+fn batches() {
     let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
     let job = |id: &str| {
         let mut body = submission();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn low_work_that_was_raised() {
+fn raised_low_priority_jobs() {
     for (urgency, raised, rank) in
         [("low", false, 3), ("low", true, 2), ("standard", true, 2), ("high", true, 1)]
     {
--- a/tests/components/kv_store.rs
+++ b/tests/components/kv_store.rs
@@ -5,7 +5,7 @@
 use millethold::wire::{Txn, Write};
 
 #[test]
-fn state_answers() {
+fn store_responses() {
     let txn = KvRequest::Txn(Txn { conditions: vec![], writes: vec![] });
     let get = KvRequest::Get("a".into());
     let watches = KvRequest::Watch { prefix: "j/".into(), after: 3, block: Micros::secs(1) };
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn rates() {
+fn rate_limits() {
     let now = Micros::secs(10);
     let put = |n: usize| {
         let write = |i| Write::Delete { key: format!("k{i}") };
--- a/tests/components/leadership.rs
+++ b/tests/components/leadership.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 #[test]
-fn seats_and_terms() {
+fn shard_leases_and_terms() {
     let item = |member: &str, run, term, version| KeyValue {
         key: "hold/0".into(),
         value: json!(ShardLease {
@@ -93,7 +93,7 @@
 /// How long cancellations may be unheard, and the state lease, by the workers' lease
 /// and the time that a cancellation has.
 #[test]
-fn leases_and_cancellations() {
+fn controller_lease_and_cancellations() {
     // lease_s, cancel_s, wished, whole seconds unheard, lease used, whether it is safe.
     let table = [
         (22.0, 52.0, 10_000, 26, 10_000, true),
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn reports_and_what_they_prove() {
+fn heartbeats_and_what_they_prove() {
     use HeartbeatSource::{DirectResponse, Request};
     let now = Micros::secs(50);
     let mut post = ManagedMachine::default();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn starts() {
+fn start_permits() {
     use StartRefusal::*;
     let stored = |stage| Some(JobEvidence { stage, revision: 7 });
     let waits = stored(StoredStage::Accepted);
@@ -237,7 +237,7 @@
 
 /// What a right is used for must be what it was given for, by one who still may act.
 #[test]
-fn violations_of_a_right() {
+fn violations_of_a_permit() {
     use StartViolation::*;
     let over = CommandAuthority { now: Micros::secs(51), ..manager(4) };
     let low = CommandAuthority { fencing_token: 3, ..manager(4) };
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -123,7 +123,7 @@
 /// A job that was divided for larger values goes on in them as long as they are taken,
 /// and then places nothing more in a part that has no room.
 #[test]
-fn parts_of_larger_values() {
+fn chunks_of_larger_values() {
     let (small, previous_chunk_layout) = (ChunkLayout::new(2.0), ChunkLayout::new(8.0));
     let spec = Rc::new(JobSpec { tasks: 232, ..spec() });
     let mut job = Job::new(Rc::clone(&spec), 2, 9, Micros::secs(77), previous_chunk_layout);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn upstream_of_submissions() {
+fn dependencies_of_submissions() {
     let with = |value: Value| {
         let mut body: Value = serde_json::from_str(SUBMITTED).expect("JSON");
         body["upstream"] = value;
--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn answers() {
+fn responses_to_dependency_lists() {
     let absent = {
         let mut body = body("j-7");
         body.as_object_mut().expect("an object").remove("upstream");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_cannot_be_known_at_the_moment() {
+fn undecidable_submissions() {
     let gets = |call: &KvRequest| matches!(call, KvRequest::Get(_));
     let all = |call: &KvRequest| !call.waits();
     // What becomes of which calls, how long the key-value store is away, the longest wait.
@@ -171,7 +171,7 @@
 /// Lists of hundreds of jobs, up to the largest body, that this controller has not heard
 /// of are accepted while their user goes on trying, and stand in as many keys as they need.
 #[test]
-fn many_upstream_jobs() {
+fn many_dependencies() {
     let lowered = "next = { value_kb = 2.0, txn_ops = 4 }";
     let table = [(64, ""), (65, ""), (300, lowered), (800, ""), (largest().len(), lowered)];
     for (count, state) in table {
@@ -238,7 +238,7 @@
 
 /// Limits of later that make no sense: an error of one line that names the key.
 #[test]
-fn limits_of_later() {
+fn limits_announced_for_later() {
     let keys = ["rps", "write_rps", "value_kb", "txn_ops"];
     let nonsense =
         ["0", "0.0", "-1", "-2.5", "nan", "inf", "-inf", "\"8\"", "true", "[]", "{}", "1.5e999"];
@@ -276,7 +276,7 @@
 /// Of hundreds some were never accepted: refused while their user goes on trying, and
 /// accepted once they are.
 #[test]
-fn many_of_which_some_were_never_accepted() {
+fn many_dependencies_some_never_accepted() {
     // Jobs named, which of them are stored.
     type Stored = fn(usize) -> bool;
     let table: [(usize, Stored); 4] =
@@ -308,7 +308,7 @@
 /// A job that waits for hundreds which are done is let go soon after a new process has
 /// taken its seat, and not before it knows of each.
 #[test]
-fn hundreds_are_read_after_a_take() {
+fn hundreds_of_dependencies_after_a_failover() {
     for missing in [None, Some(700)] {
         let list = &largest()[..800];
         let mut stored: Vec<(String, Value)> =
--- a/tests/controller/stale_views.rs
+++ b/tests/controller/stale_views.rs
@@ -50,7 +50,7 @@
 
 /// Whether the placement outlives a view of the peer's machine.
 #[test]
-fn silence_before_the_take() {
+fn silence_before_the_failover() {
     let silent = MachineView { vanished: true, ..MachineView::default() };
     let ended = MachineView { over_through: SESSION, ..MachineView::default() };
     let earlier = MachineView { over_through: SESSION - 1, ..silent.clone() };
--- a/tests/controller/status_page.rs
+++ b/tests/controller/status_page.rs
@@ -48,7 +48,7 @@
 
 /// A job cancelled with one that it needs is counted apart from those that users cancel.
 #[test]
-fn jobs_cancelled_with_upstream() {
+fn jobs_cancelled_with_a_dependency() {
     let mut harness = Harness::ready("", &[]);
     assert_eq!(harness.submit(&body("j-1")).status, 201);
     assert_eq!(harness.submit(&body_after("j-2", &["j-1"])).status, 201);
--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -157,7 +157,7 @@
 /// The next version takes the seats, the jobs and their tasks over: what was accepted is
 /// done in the end, after all that it needs; what was over stays so.
 #[test]
-fn jobs_are_taken_over() {
+fn jobs_of_earlier_versions_are_recovered() {
     let lowered = "next = { value_kb = 2.0, txn_ops = 4 }";
     let smallest = "next = { value_kb = 0.5, txn_ops = 4 }";
     let table = [
@@ -196,7 +196,7 @@
 
 /// A controller hears all that the other versions say, in any order.
 #[test]
-fn frames_are_heard() {
+fn frames_of_earlier_versions_are_handled() {
     for left in [production(), first_with_pipelines()] {
         let mut harness = Harness::new(&settings(0, 3, ""), &left.stored);
         harness.start();
