--- a/src/controller/api/admission/batches.rs
+++ b/src/controller/api/admission/batches.rs
@@ -4,7 +4,7 @@
 use crate::controller::api::admission::Admission;
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job;
-use crate::controller::leadership::shard;
+use crate::controller::leadership::shard_lease;
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeSet;
@@ -71,14 +71,14 @@
         let Some((key, batch)) = batches.iter_mut().find(|(key, batch)| unused(key, batch)) else {
             return;
         };
-        let leadership = self.leadership.shards[batch.shard].leadership.as_ref();
+        let leadership = self.leadership.led_shard(batch.shard);
         let Some(leadership) = leadership.filter(|leadership| leadership.recovered) else {
             return;
         };
         batch.busy = true;
         let txn = Txn {
             conditions: vec![
-                Condition { key: shard::lease_key(batch.shard), revision: leadership.revision },
+                shard_lease::lease_condition(batch.shard, leadership.revision),
                 Condition { key: key.clone(), revision: batch.revision },
             ],
             writes: vec![Write::Delete { key: key.clone() }],
@@ -98,7 +98,7 @@
             KvResponse::Applied(_) => {
                 self.api.admission.batches.remove(key);
             }
-            KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(shard)) => {
+            KvResponse::Conflict(failed) if failed.contains(&shard_lease::lease_key(shard)) => {
                 self.lease_revision_changed(shard, term);
             }
             // An earlier try was applied after all.
--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -205,6 +205,6 @@
     /// The shard that accepts new jobs here, and under what it is led.
     fn admitting_leadership(&self) -> Option<(usize, ShardLeadership)> {
         let shard = self.admitting_shard()?;
-        Some((shard, self.leadership.shards[shard].leadership.clone()?))
+        Some((shard, self.leadership.led_shard(shard).cloned()?))
     }
 }
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -3,7 +3,7 @@
 use crate::controller::api::pending::{AdmissionGroup, PreparedAnswer, Submission};
 use crate::controller::jobs::dependencies::DependencyOutcome;
 use crate::controller::jobs::job::{self, Job, StoredStage};
-use crate::controller::leadership::shard;
+use crate::controller::leadership::shard_lease;
 use crate::controller::{CachedStage, Controller};
 use crate::kv_store::KvResponse;
 use log::info;
@@ -46,7 +46,7 @@
     fn group_accepted(&mut self, group: AdmissionGroup, revision: u64) {
         let AdmissionGroup { submissions, shard, term, batch_key } = group;
         // The shard may have been lost meanwhile; whoever leads it reads the jobs.
-        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        let leadership = self.leadership.led_shard(shard);
         let still_led = leadership.is_some_and(|leadership| leadership.term == term);
         let batched = batch_key.is_some();
         if let Some(key) = batch_key.filter(|_| still_led) {
@@ -61,7 +61,7 @@
 
     /// A condition failed: the shard's lease has changed, or a job is known.
     fn group_refused(&mut self, group: AdmissionGroup, failed_keys: &[String]) {
-        let lease_changed = failed_keys.contains(&shard::lease_key(group.shard));
+        let lease_changed = failed_keys.contains(&shard_lease::lease_key(group.shard));
         if lease_changed {
             self.lease_revision_changed(group.shard, group.term);
         }
--- a/src/controller/api/admission/transaction.rs
+++ b/src/controller/api/admission/transaction.rs
@@ -4,7 +4,8 @@
 use crate::controller::api::pending::{AdmissionGroup, Submission};
 use crate::controller::calls::ApiCall;
 use crate::controller::jobs::job::{self, Job};
-use crate::controller::leadership::shard::{self, ShardLeadership};
+use crate::controller::leadership::shard::ShardLeadership;
+use crate::controller::leadership::shard_lease;
 use crate::kv_store::KvRequest;
 use crate::wire::{Condition, Txn, Write};
 use serde_json::{Value, json};
@@ -19,7 +20,7 @@
         leadership: &ShardLeadership,
         submissions: Vec<Submission>,
     ) {
-        let lease = Condition { key: shard::lease_key(shard), revision: leadership.revision };
+        let lease = shard_lease::lease_condition(shard, leadership.revision);
         let mut txn = Txn { conditions: vec![lease], writes: Vec::new() };
         let mut values: Vec<Value> = Vec::with_capacity(submissions.len());
         for submission in &submissions {
--- a/src/controller/api/health.rs
+++ b/src/controller/api/health.rs
@@ -1,6 +1,6 @@
 //! The load balancer's health check: whether users should be sent to this node.
 
-use crate::controller::leadership::shard;
+use crate::controller::leadership::controller_lease;
 use crate::controller::{Controller, Ticket};
 use crate::wire::Refusal;
 use log::info;
@@ -42,22 +42,19 @@
             return Err(UnhealthyReason::MachineTypesUnknown);
         }
         if self.holds_lease() {
-            let serves_any = (0..self.leadership.shards.len()).any(|s| self.serves_shard(s));
+            let serves_any = (0..self.leadership.shard_count()).any(|s| self.serves_shard(s));
             return serves_any.then_some(()).ok_or(UnhealthyReason::NoShardServed);
         }
         // In an outage the nodes' leases end one after the other, by as much as
         // they renew apart: for so long another's being well proves nothing.
-        let store_reached_by_peers =
-            self.peers.by_member.iter().any(|(n, p)| self.peer_alive(*n) && p.state_ok);
+        let store_reached_by_peers = self.peers.live(self.context.now).any(|peer| peer.holds_lease);
         if store_reached_by_peers
-            && self.context.now.since(self.leadership.lease_held_at)
-                > shard::renew_every(self.context.options.controller_lease)
+            && self.context.now.since(self.leadership.lease_held_at())
+                > controller_lease::renewal_interval(self.context.options.controller_lease)
         {
             return Err(UnhealthyReason::StoreUnreachableHereOnly);
         }
-        let has_held_lease = self.leadership.controller_lease.epoch > 0
-            && self.leadership.shards_read
-            && self.leadership.controller_lease.id.is_some();
+        let has_held_lease = self.leadership.has_started();
         has_held_lease.then_some(()).ok_or(UnhealthyReason::NeverHeldLease)
     }
 
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -3,7 +3,7 @@
 use crate::controller::decision_log;
 use crate::controller::jobs::dependencies::DependencyOutcome;
 use crate::controller::jobs::job::StoredStage;
-use crate::controller::{CachedStage, Controller, Ticket, Watch};
+use crate::controller::{CachedStage, Controller, Ticket};
 use crate::wire::{JobAnswer, JobStage};
 
 impl Controller {
@@ -68,13 +68,13 @@
             return;
         }
         self.counts.decisions.final_answers += 1;
-        let followed = self.leadership.watches.get(&Watch::Jobs).map_or(0, |f| f.revision());
+        let followed = self.leadership.followed_jobs_revision();
         decision_log::final_answer(job, cached.stage, cached.revision, followed);
     }
 
     /// Answers those who wait for terminal states that every peer knows of by now.
     pub(crate) fn answer_acknowledged(&mut self) {
-        let followed_by_peers = self.peers.by_member.values().map(|p| p.watched).min();
+        let followed_by_peers = self.peers.followed_revision();
         let ready = self.api.terminal_states.take_answerable(self.context.now, followed_by_peers);
         for answer in ready {
             match self.jobs.cached_stages.get(&answer.job).copied() {
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::controller::api::counts::Counts;
 use crate::controller::leadership::shard::Shard;
-use crate::controller::peers::frames::PeerInfo;
+use crate::controller::peers::PeerState;
 use crate::peer::{self, MachineView};
 use crate::time::Micros;
 use serde::Serialize;
@@ -73,11 +73,11 @@
     fn of(number: usize, shard: &'a Shard) -> ShardStatus<'a> {
         ShardStatus {
             shard: number,
-            leader: shard.lease.as_ref().map(|(lease, _)| lease.member.as_str()),
+            leader: shard.lease.as_ref().map(|stored| stored.lease.member.as_str()),
             term: shard.term,
             led: shard.leadership.is_some(),
             recovered: shard.leadership.as_ref().is_some_and(|leadership| leadership.recovered),
-            revision: shard.lease.as_ref().map(|(_, revision)| *revision),
+            revision: shard.lease.as_ref().map(|stored| stored.revision),
         }
     }
 }
@@ -115,7 +115,7 @@
         let page = StatusPage {
             member: &self.context.member,
             format: peer::FORMAT,
-            lease_valid: self.leadership.controller_lease.valid(now),
+            lease_valid: self.leadership.holds_lease(now),
             peers: self.peer_statuses(),
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
@@ -131,13 +131,13 @@
     }
 
     fn peer_statuses(&self) -> Vec<PeerStatus<'_>> {
-        let status = |(number, peer): (&usize, &PeerInfo)| PeerStatus {
-            member: &self.context.members[*number],
-            alive: self.peer_alive(*number),
-            state_ok: peer.state_ok,
-            format: peer.last_frame.map(|_| peer.format),
+        let status = |(number, peer): (usize, &PeerState)| PeerStatus {
+            member: &self.context.members[number],
+            alive: peer.is_alive(self.context.now),
+            state_ok: peer.holds_lease,
+            format: peer.last_frame_at.map(|_| peer.format),
         };
-        self.peers.by_member.iter().map(status).collect()
+        self.peers.all().map(status).collect()
     }
 
     fn state_limits_status(&self) -> StateLimitsStatus {
@@ -154,7 +154,7 @@
 
     fn shard_statuses(&self) -> Vec<ShardStatus<'_>> {
         self.leadership
-            .shards
+            .shards()
             .iter()
             .enumerate()
             .map(|(number, shard)| ShardStatus::of(number, shard))
@@ -167,6 +167,6 @@
 
     /// Number of shards that this process leads, whether or not they have been recovered.
     pub fn led_shard_count(&self) -> usize {
-        self.leadership.shards.iter().filter(|s| s.leadership.is_some()).count()
+        self.leadership.shards().iter().filter(|s| s.leadership.is_some()).count()
     }
 }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -56,7 +56,7 @@
         if self.serves_shard(self.context.me) {
             return Some(self.context.me);
         }
-        (0..self.leadership.shards.len()).find(|s| self.serves_shard(*s))
+        (0..self.leadership.shard_count()).find(|s| self.serves_shard(*s))
     }
 
     /// A user submits a job.
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -75,7 +75,7 @@
         if !self.holds_lease() {
             return;
         }
-        let Some(leadership) = &self.leadership.shards[AUTOSCALER_SHARD].leadership else {
+        let Some(leadership) = self.leadership.led_shard(AUTOSCALER_SHARD) else {
             return;
         };
         let (term, revision) = (leadership.term, leadership.revision);
@@ -120,7 +120,7 @@
         };
         let request = self.autoscaler.begin_scale_out(term, plan);
         self.counts.decisions.scale_out_requests += 1;
-        let lease_left = self.leadership.controller_lease.valid_until.since(now);
+        let lease_left = self.leadership.lease_valid_until().since(now);
         decision_log::scale_out(&request.request, AUTOSCALER_SHARD, term, lease_left);
         info!(
             "scaling out: {} {} in {}, spot {}",
--- a/src/controller/autoscaler/machine_types.rs
+++ b/src/controller/autoscaler/machine_types.rs
@@ -1,9 +1,9 @@
 //! The machine types of the cloud and their prices: read from the cloud, stored in the
 //! key-value store, and read back from there while the cloud is away.
 
-use crate::controller::leadership::shard;
+use crate::controller::leadership::shard_lease;
 use crate::time::Micros;
-use crate::wire::{Condition, KeyValue, MachineType, Txn, Write};
+use crate::wire::{KeyValue, MachineType, Txn, Write};
 use std::collections::BTreeMap;
 use std::collections::btree_map::Values;
 
@@ -118,9 +118,8 @@
             return None;
         }
         self.stored_under_term = term;
-        let key = shard::lease_key(autoscaler_shard);
         Some(Txn {
-            conditions: vec![Condition { key, revision: lease_revision }],
+            conditions: vec![shard_lease::lease_condition(autoscaler_shard, lease_revision)],
             writes: vec![Write::Put { key: MACHINE_TYPES_KEY.into(), value, lease: None }],
         })
     }
--- a/src/controller/jobs/batch.rs
+++ b/src/controller/jobs/batch.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job};
-use crate::controller::leadership::shard;
+use crate::controller::leadership::shard_lease;
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::wire::{Condition, Txn, Write};
 use std::collections::BTreeMap;
@@ -40,12 +40,12 @@
             return true;
         }
         let s = batch.shard;
-        let Some(leadership) = self.leadership.shards[s].leadership.as_ref() else {
+        let Some(leadership) = self.leadership.led_shard(s) else {
             return true;
         };
         let term = leadership.term;
         let mut conditions = vec![
-            Condition { key: shard::lease_key(s), revision: leadership.revision },
+            shard_lease::lease_condition(s, leadership.revision),
             Condition { key: key.clone(), revision: batch.revision },
         ];
         let (mut values, mut changed) = (Vec::new(), Vec::new());
@@ -101,7 +101,7 @@
         };
         let s = batch.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.leadership.shards[s].leadership.as_ref().is_none_or(|m| m.term != term) {
+        if !self.leadership.leads_under(s, term) {
             return;
         }
         batch.busy = false;
@@ -121,7 +121,7 @@
                 }
             }
             KvResponse::NotExecuted => {}
-            KvResponse::Conflict(failed) if failed.contains(&shard::lease_key(s)) => {
+            KvResponse::Conflict(failed) if failed.contains(&shard_lease::lease_key(s)) => {
                 self.lease_revision_changed(s, term);
             }
             KvResponse::Conflict(failed) => {
@@ -151,7 +151,7 @@
         let Some(batch) = self.api.admission.batches.get_mut(key) else {
             return;
         };
-        if self.leadership.shards[batch.shard].leadership.as_ref().is_none_or(|m| m.term != term) {
+        if !self.leadership.leads_under(batch.shard, term) {
             return;
         }
         batch.busy = false;
--- a/src/controller/jobs/dependencies.rs
+++ b/src/controller/jobs/dependencies.rs
@@ -12,6 +12,7 @@
 use crate::controller::calls::ApiCall;
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, MAX_SINGLE_READS, StoredStage};
+use crate::controller::leadership::shard_lease;
 use crate::controller::scheduler::pending_reason::PendingReason;
 use crate::controller::{CachedStage, Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -405,9 +406,8 @@
         if from + 1 >= lists.len() {
             return self.queue_submission(ticket, spec, size);
         }
-        let leadership = self
-            .admitting_shard()
-            .and_then(|s| Some((s, self.leadership.shards[s].leadership.as_ref()?.revision)));
+        let leadership =
+            self.admitting_shard().and_then(|s| Some((s, self.leadership.led_shard(s)?.revision)));
         let Some((s, revision)) = leadership else {
             return self.respond_retry_later(ticket, 503, "no seat is held");
         };
@@ -420,7 +420,7 @@
         };
         let to = (from + 1 + most).min(lists.len());
         let conditions = vec![
-            Condition { key: crate::controller::leadership::shard::lease_key(s), revision },
+            shard_lease::lease_condition(s, revision),
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..to).map(write).collect() };
--- a/src/controller/jobs/lifecycle.rs
+++ b/src/controller/jobs/lifecycle.rs
@@ -57,11 +57,7 @@
         }
         // A view of an earlier holder proves nothing any more: the present one
         // may begin what that one had refused.
-        let here = self.leadership.shards[crate::controller::leadership::shard::shard_of_machine(
-            &machine,
-            self.leadership.shards.len(),
-        )]
-        .term;
+        let here = self.leadership.term(self.leadership.shard_of_machine(&machine));
         let Some(view) = self.machines.views.get(&*machine).filter(|v| v.term == here) else {
             return;
         };
@@ -242,7 +238,7 @@
         self.scheduler.mark_stale(machine);
         self.changes.machines.remove(machine);
         self.autoscaler.fleet.forget(machine);
-        for s in 0..self.leadership.shards.len() {
+        for s in 0..self.leadership.shard_count() {
             self.evaluate_machine(s, machine);
         }
         self.scheduler.request_pass();
@@ -308,7 +304,7 @@
             .map(|(m, _)| m.clone())
             .collect();
         for m in noticed {
-            for s in 0..self.leadership.shards.len() {
+            for s in 0..self.leadership.shard_count() {
                 self.evaluate_machine(s, &m);
             }
         }
@@ -317,9 +313,7 @@
     /// Takes in a view of a machine.
     pub(crate) fn apply_view(&mut self, view: MachineView) {
         let h = self.shard_of_machine(&view.machine);
-        if self.machines.terminated.contains(&view.machine)
-            || view.term < self.leadership.shards[h].term
-        {
+        if self.machines.terminated.contains(&view.machine) || view.term < self.leadership.term(h) {
             return;
         }
         if let Some(old) = self.machines.views.get(&view.machine)
@@ -358,7 +352,7 @@
         let machine = view.machine.clone();
         self.machines.views.insert(machine.clone(), view);
         self.scheduler.mark_stale(&machine);
-        for s in 0..self.leadership.shards.len() {
+        for s in 0..self.leadership.shard_count() {
             self.evaluate_machine(s, &machine);
         }
         self.scheduler.request_pass();
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -68,4 +68,21 @@
             writes_in_flight: 0,
         }
     }
+    /// Runs a job that was read from the store.
+    pub(crate) fn insert_recovered(&mut self, id: &str, job: Job) {
+        for (index, placed) in job.chunks.iter().flat_map(|chunk| &chunk.placed) {
+            let on_machine = (job.shard, placed.machine.clone());
+            let tasks = self.tasks_by_machine.entry(on_machine).or_default();
+            tasks.insert((id.to_string(), *index));
+        }
+        self.by_id.insert(id.to_string(), job);
+    }
+
+    /// Forgets the jobs of a shard that this process does not lead any more.
+    pub(crate) fn forget_shard(&mut self, shard: usize) {
+        // What cannot be read is tried once more under the next term.
+        self.unreadable.clear();
+        self.by_id.retain(|_, job| job.shard != shard);
+        self.tasks_by_machine.retain(|(of, _), _| *of != shard);
+    }
 }
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::calls::JobsCall;
 use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage, TaskEnd};
-use crate::controller::leadership::shard;
+use crate::controller::leadership::shard_lease;
 use crate::controller::{CachedStage, Controller};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::peer::ObservedState;
@@ -47,8 +47,7 @@
         if job.busy {
             return;
         }
-        let Some(term) = self.leadership.shards[job.shard].leadership.as_ref().map(|m| m.term)
-        else {
+        let Some(term) = self.leadership.led_shard(job.shard).map(|m| m.term) else {
             return;
         };
         job.busy = true;
@@ -118,7 +117,7 @@
         let ready = |m: &&crate::controller::leadership::shard::ShardLeadership| {
             m.recovered && !m.handing_over
         };
-        let Some(leadership) = self.leadership.shards[s].leadership.as_ref().filter(ready) else {
+        let Some(leadership) = self.leadership.led_shard(s).filter(ready) else {
             return;
         };
         let (lease_revision, term) = (leadership.revision, leadership.term);
@@ -149,7 +148,7 @@
             job.over = true;
         }
         let mut txn = Txn {
-            conditions: vec![Condition { key: shard::lease_key(s), revision: lease_revision }],
+            conditions: vec![shard_lease::lease_condition(s, lease_revision)],
             writes: Vec::new(),
         };
         let record = job::job_key(id);
@@ -295,7 +294,7 @@
         };
         let s = job.shard;
         // A reply to an earlier term of the shard says nothing about this one.
-        if self.leadership.shards[s].leadership.as_ref().is_none_or(|m| m.term != *term) {
+        if !self.leadership.leads_under(s, *term) {
             return;
         }
         job.busy = false;
@@ -305,7 +304,7 @@
                 self.stored(&id, revision, &chunks, done, &drops);
             }
             (JobsCall::Store { term, .. }, KvResponse::Conflict(failed)) => {
-                if failed.contains(&shard::lease_key(s)) {
+                if failed.contains(&shard_lease::lease_key(s)) {
                     self.lease_revision_changed(s, term);
                 } else {
                     self.read_back(&id);
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -1,215 +1,244 @@
 //! Whether the workers and this node can reach each other.
 //!
-//! A node that is cut off from its workers alone keeps its state lease and so
-//! its shards; its machines would run out their leases with all that is on them.
-//! Silence observed by one that nobody reaches is no evidence against machines: if at
-//! the same time machines of its shards turn to a peer and reach it, the node
-//! gives its shards up to those who can be reached. It is given none back until a
-//! worker answers it, and later each time, since a cut may be one-way.
+//! A node that a network partition separates from its workers alone keeps its controller lease
+//! and so its shards; its machines' leases would expire with all that runs on them. Silence
+//! observed by a node that nobody reaches is no evidence against machines: if at the same time
+//! machines of its shards turn to a peer and reach it, the node hands its shards over to those
+//! who can be reached. It acquires none until a worker answers it, and later each time, since a
+//! partition may be one-way.
 
 use crate::controller::calls::MachinesCall;
-use crate::controller::{Controller, DirectReply, Effect};
+use crate::controller::context::Context;
+use crate::controller::leadership::Leadership;
+use crate::controller::leadership::shard::shard_of_machine;
+use crate::controller::machines::Machines;
+use crate::controller::peers::Peers;
+use crate::controller::{DirectReply, Effect};
 use crate::peer::MisdirectedHeartbeats;
 use crate::time::Micros;
 use log::info;
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// How long a report to the wrong node counts as a sign that its own is away.
-const MISDIRECTED_FOR: Micros = Micros::secs(6);
-/// How long the signs of a cut must last: a redirected worker reports sooner.
-const SURE: Micros = Micros::millis(1_200);
-/// The same where some workers still report: longer than late reports, which
-/// all come at once when a cut ends, count as signs.
-const SURE_OF_PART: Micros = Micros::secs(10);
-/// After a take its machines are on their way here; misdirected reports are no sign yet.
-const SETTLED: Micros = Micros::secs(8);
-/// A gap in this node's own time: it stood still, and its silence proves nothing.
-const GAP: Micros = Micros::secs(1);
-/// Between probes of workers while cut off, and how many are asked.
-const PROBE_EVERY: Micros = Micros::secs(2);
-const PROBED: usize = 4;
+/// How long a heartbeat to the wrong node counts as a sign that its own cannot be reached.
+const MISDIRECTED_MAX_AGE: Micros = Micros::secs(6);
+/// How long the signs of a partition must last: a redirected worker sends a heartbeat sooner.
+const FULL_PARTITION_MIN_DURATION: Micros = Micros::millis(1_200);
+/// The same where some workers' heartbeats still arrive: longer than late heartbeats, which
+/// all come at once when a partition ends, count as signs.
+const PARTIAL_PARTITION_MIN_DURATION: Micros = Micros::secs(10);
+/// After an acquisition the shard's machines are on their way here; misdirected heartbeats are
+/// no sign yet.
+const REDIRECTION_TIME: Micros = Micros::secs(8);
+/// A longer gap in this node's own time: it stood still, and its silence proves nothing.
+const MAX_CHECK_GAP: Micros = Micros::secs(1);
+/// Between checks.
+const CHECK_INTERVAL: Micros = Micros::millis(250);
+/// Between probes of workers during a partition.
+const PROBE_INTERVAL: Micros = Micros::secs(2);
+/// Workers probed at once.
+const PROBED_WORKERS: usize = 4;
 /// Times that the pause before shards come back is doubled at most.
-const DOUBLINGS: u32 = 3;
+const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
-/// What is known of the way between this node and the workers.
+/// What is known of the network between this node and the workers.
 #[derive(Debug, Default)]
 pub(crate) struct Connectivity {
-    /// When a worker of an own shard last reported or answered.
-    last_contact: Micros,
-    /// Machines of others' shards that reported here, and when.
+    /// When a worker of an own shard last sent a heartbeat or answered.
+    last_contact_at: Micros,
+    /// Machines of others' shards whose heartbeats came here, and when.
     misdirected: BTreeMap<String, Micros>,
-    /// Since when the signs of a cut are there.
-    suspected: Option<Micros>,
-    /// When this was last looked at.
+    /// Since when the signs of a partition are there.
+    suspected_since: Option<Micros>,
     checked_at: Micros,
-    /// Shards are being given up, or were, and are not to come back yet.
-    cut: bool,
+    /// Shards are being handed over, or were, and are not to come back yet.
+    partitioned: bool,
     /// When a worker answered again.
-    back: Option<Micros>,
-    /// Cuts so far.
-    cuts: u32,
-    probe_at: Micros,
+    contact_regained_at: Option<Micros>,
+    /// Partitions so far.
+    partitions: u32,
+    next_probe_at: Micros,
 }
 
 impl Connectivity {
-    /// Whether this node gives its shards up.
-    pub fn partitioned(&self) -> bool {
-        self.cut
+    /// Whether this node hands its shards over, since its workers cannot reach it.
+    pub(crate) fn partitioned(&self) -> bool {
+        self.partitioned
     }
 
-    /// A worker of an own shard reported or answered.
-    pub fn record_contact(&mut self, now: Micros) {
-        self.last_contact = now;
+    /// A worker of an own shard sent a heartbeat or answered.
+    pub(crate) fn record_contact(&mut self, now: Micros) {
+        self.last_contact_at = now;
     }
 
-    /// A machine of somebody else's shard reported here.
-    pub fn note_misdirected(&mut self, now: Micros, machine: &str) {
+    /// A machine of somebody else's shard sent its heartbeat here.
+    pub(crate) fn note_misdirected(&mut self, now: Micros, machine: &str) {
         self.misdirected.insert(machine.to_string(), now);
     }
+
+    /// A worker that was probed answered, or did not.
+    pub(crate) fn probe_reply(&mut self, reply: &DirectReply, now: Micros) {
+        if matches!(reply, DirectReply::Answered { status: 200, .. }) {
+            self.contact_regained_at.get_or_insert(now);
+        }
+    }
+
+    /// Records whether the signs of a partition are there, with how long they must last. Whether
+    /// this node counts as partitioned from now on.
+    fn judge_signs(&mut self, required: Option<Micros>, now: Micros) -> bool {
+        let Some(required) = required else {
+            self.suspected_since = None;
+            return false;
+        };
+        if now.since(*self.suspected_since.get_or_insert(now)) < required {
+            return false;
+        }
+        self.suspected_since = None;
+        self.partitioned = true;
+        self.contact_regained_at = None;
+        self.partitions += 1;
+        true
+    }
+
+    /// Ends the partition once workers have been reached for long enough: longer with each
+    /// partition.
+    fn end_partition_if_due(&mut self, regained_at: Micros, context: &Context) {
+        let doublings = (self.partitions.max(1) - 1).min(MAX_PAUSE_DOUBLINGS);
+        let pause = Micros(context.options.failback_delay.0 * ((1 << doublings) - 1));
+        if context.now.since(regained_at) >= pause {
+            info!("workers can be reached again; shards may come back");
+            self.partitioned = false;
+            self.last_contact_at = context.now;
+        }
+    }
+
+    /// Probes a few workers that are healthy by others' views.
+    fn probe_workers(&mut self, machines: &Machines, context: &mut Context) {
+        if context.now < self.next_probe_at {
+            return;
+        }
+        self.next_probe_at = context.now + PROBE_INTERVAL;
+        let healthy = machines.views.values().filter(|view| view.healthy);
+        let addresses = healthy.filter_map(|view| view.address.parse().ok());
+        for address in addresses.sample(&mut context.rng, PROBED_WORKERS) {
+            let id = context.register_call(MachinesCall::Inspect);
+            context.effects.push(Effect::Inspect { id, address });
+        }
+    }
 }
 
-/// Whether the signs of a cut are there, and how long they must last: of `machines`
-/// that a shard knows, so many turn to a peer, and any, or none, report here.
-pub fn signs(machines: usize, misdirected: u32, silent: bool) -> Option<Micros> {
-    let misdirected = misdirected as usize;
+/// How long the signs of a partition must last, if they are there: of `machines` that a shard
+/// knows, so many are `misdirected` to a peer; `silent` if none is heard here.
+fn required_duration(machines: usize, misdirected: usize, silent: bool) -> Option<Micros> {
     if machines == 0 {
         None
     } else if silent && misdirected >= machines.min(2) {
-        Some(SURE)
+        Some(FULL_PARTITION_MIN_DURATION)
     } else if misdirected * 2 > machines && machines > 2 {
-        Some(SURE_OF_PART)
+        Some(PARTIAL_PARTITION_MIN_DURATION)
     } else {
         None
     }
 }
 
-/// How long it takes until silence of all of so many machines means something.
-pub fn silence(machines: usize, heartbeat_interval_s: f64) -> Micros {
-    // Each reports within a quarter more than its period; of many, one does
+/// How long all of so many machines must be silent until that means something.
+fn significant_silence(machines: usize, heartbeat_interval_s: f64) -> Micros {
+    // Each sends a heartbeat within a quarter more than its interval; of many, one does
     // at nearly any moment.
-    let all = heartbeat_interval_s * 1.25 + 1.0;
-    let s = if machines < 16 { all } else { (heartbeat_interval_s / 2.0).max(2.5).min(all) };
-    Micros::from_secs_f64(s)
+    let all_s = heartbeat_interval_s * 1.25 + 1.0;
+    let any_s = (heartbeat_interval_s / 2.0).max(2.5).min(all_s);
+    Micros::from_secs_f64(if machines < 16 { all_s } else { any_s })
 }
 
-impl Controller {
-    /// Machines of others' shards that report here, for those who own their shards.
-    pub(crate) fn misdirected(&self) -> Vec<MisdirectedHeartbeats> {
+impl Leadership {
+    /// How many machines of each other shard send their heartbeats here, for those shards'
+    /// leaders.
+    pub(crate) fn misdirected_heartbeats(&self) -> Vec<MisdirectedHeartbeats> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
-        for m in self.leadership.connectivity.misdirected.keys() {
-            *counts.entry(self.shard_of_machine(m)).or_insert(0) += 1;
+        for machine in self.connectivity.misdirected.keys() {
+            *counts.entry(self.shard_of_machine(machine)).or_insert(0) += 1;
         }
         counts
             .into_iter()
-            .map(|(s, machines)| MisdirectedHeartbeats { shard: s as u32, machines })
+            .map(|(shard, machines)| MisdirectedHeartbeats { shard: shard as u32, machines })
             .collect()
     }
 
-    /// Gives shards up while their machines cannot reach this node, and looks
+    /// Hands shards over while their machines cannot reach this node, and checks
     /// whether they can again.
-    pub(crate) fn check_connectivity(&mut self) {
-        let now = self.context.now;
-        let gap = now.since(self.leadership.connectivity.checked_at);
-        if gap < Micros::millis(250) {
+    pub(crate) fn check_connectivity(
+        &mut self,
+        machines: &Machines,
+        peers: &Peers,
+        context: &mut Context,
+    ) {
+        let now = context.now;
+        let gap = now.since(self.connectivity.checked_at);
+        if gap < CHECK_INTERVAL {
             return;
         }
-        self.leadership.connectivity.checked_at = now;
-        self.leadership.connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_FOR);
-        if gap > GAP {
+        let connectivity = &mut self.connectivity;
+        connectivity.checked_at = now;
+        connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_MAX_AGE);
+        if gap > MAX_CHECK_GAP {
             // What has come meanwhile is not read yet.
-            self.leadership.connectivity.last_contact = now;
-            self.leadership.connectivity.suspected = None;
-            return;
-        }
-        if self.leadership.connectivity.cut {
-            return self.look_for_workers();
-        }
-        if !self.holds_lease() {
-            self.leadership.connectivity.suspected = None;
-            return;
-        }
-        let mut known = vec![0_usize; self.leadership.shards.len()];
-        let mut all = 0;
-        for (m, _) in self.machines.managed.iter().filter(|(_, p)| p.has_live_incarnation()) {
-            known[crate::controller::leadership::shard::shard_of_machine(
-                m,
-                self.leadership.shards.len(),
-            )] += 1;
-            all += 1;
-        }
-        let silent = now.since(self.leadership.connectivity.last_contact)
-            > silence(all, self.context.settings.workers.heartbeat_interval_s);
-        let found = (0..self.leadership.shards.len())
-            .filter(|s| {
-                let leadership = self.leadership.shards[*s].leadership.as_ref();
-                leadership.is_some_and(|m| m.recovered && now.since(m.acquired_at) > SETTLED)
-            })
-            .filter_map(|s| {
-                let alive = self
-                    .peers
-                    .by_member
-                    .iter()
-                    .filter(|(n, p)| self.peer_alive(**n) && !p.partitioned);
-                let misdirected = alive.filter_map(|(_, p)| p.misdirected.get(&s)).max().copied();
-                signs(known[s], misdirected.unwrap_or(0), silent)
-            })
-            .min();
-        let Some(lasting) = found else {
-            self.leadership.connectivity.suspected = None;
-            return;
-        };
-        if now.since(*self.leadership.connectivity.suspected.get_or_insert(now)) < lasting {
-            return;
-        }
-        info!("the workers do not reach this node; its shards are given up");
-        self.leadership.connectivity.suspected = None;
-        self.leadership.connectivity.cut = true;
-        self.leadership.connectivity.back = None;
-        self.leadership.connectivity.cuts += 1;
-        self.give_up_shards();
-    }
-
-    fn give_up_shards(&mut self) {
-        for leadership in self.leadership.shards.iter_mut().filter_map(|s| s.leadership.as_mut()) {
-            leadership.handing_over = true;
+            connectivity.last_contact_at = now;
+            connectivity.suspected_since = None;
+        } else if connectivity.partitioned {
+            self.maintain_partition(machines, peers, context);
+        } else {
+            let signs = self.partition_signs(machines, peers, context);
+            if self.connectivity.judge_signs(signs, now) {
+                info!("the workers cannot reach this node; its shards are handed over");
+                self.begin_handover_of_all();
+            }
         }
     }
 
-    /// Asks a few machines how they are; once one answers, and after a pause
-    /// that grows with every cut, shards may come back.
-    fn look_for_workers(&mut self) {
-        let now = self.context.now;
-        let well = |p: &crate::controller::PeerInfo| p.state_ok && !p.partitioned;
-        if self.peers.by_member.iter().any(|(n, p)| self.peer_alive(*n) && well(p)) {
-            // Also what was taken meanwhile because nobody else was there.
-            self.give_up_shards();
+    /// How long the signs of a partition must last, if any shard shows them.
+    fn partition_signs(
+        &self,
+        machines: &Machines,
+        peers: &Peers,
+        context: &Context,
+    ) -> Option<Micros> {
+        let now = context.now;
+        if !self.holds_lease(now) {
+            return None;
         }
-        if let Some(at) = self.leadership.connectivity.back {
-            let doublings = (self.leadership.connectivity.cuts.max(1) - 1).min(DOUBLINGS);
-            let pause = Micros(self.context.options.failback_delay.0 * ((1 << doublings) - 1));
-            if now.since(at) >= pause {
-                info!("workers answer again; shards may come back");
-                self.leadership.connectivity.cut = false;
-                self.leadership.connectivity.last_contact = now;
+        let mut known = vec![0_usize; self.shard_count()];
+        for (machine, managed) in &machines.managed {
+            if managed.has_live_incarnation() {
+                known[shard_of_machine(machine, self.shard_count())] += 1;
             }
-            return;
-        }
-        if now < self.leadership.connectivity.probe_at {
-            return;
-        }
-        self.leadership.connectivity.probe_at = now + PROBE_EVERY;
-        let there = self.machines.views.values().filter(|v| v.healthy);
-        let addresses = there.filter_map(|v| v.address.parse().ok());
-        for address in addresses.sample(&mut self.context.rng, PROBED) {
-            let id = self.context.register_call(MachinesCall::Inspect);
-            self.context.effects.push(Effect::Inspect { id, address });
         }
+        let heartbeat_interval_s = context.settings.workers.heartbeat_interval_s;
+        let silence = significant_silence(known.iter().sum(), heartbeat_interval_s);
+        let silent = now.since(self.connectivity.last_contact_at) > silence;
+        let redirected = |shard: &usize| {
+            self.led_shard(*shard).is_some_and(|leadership| {
+                leadership.recovered && now.since(leadership.acquired_at) > REDIRECTION_TIME
+            })
+        };
+        (0..self.shard_count())
+            .filter(redirected)
+            .filter_map(|shard| {
+                let misdirected = peers.misdirected_heartbeats(shard, now);
+                required_duration(known[shard], misdirected as usize, silent)
+            })
+            .min()
     }
 
-    pub(crate) fn inspected(&mut self, reply: &DirectReply) {
-        if matches!(reply, DirectReply::Answered { status: 200, .. }) {
-            self.leadership.connectivity.back.get_or_insert(self.context.now);
+    /// Probes workers; once one answers, and after a pause that grows with every partition,
+    /// shards may come back.
+    fn maintain_partition(&mut self, machines: &Machines, peers: &Peers, context: &mut Context) {
+        if peers.any_healthy(context.now) {
+            // Also what was acquired meanwhile because nobody else was there.
+            self.begin_handover_of_all();
+        }
+        match self.connectivity.contact_regained_at {
+            Some(at) => self.connectivity.end_partition_if_due(at, context),
+            None => self.connectivity.probe_workers(machines, context),
         }
     }
 }
--- /dev/null
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -0,0 +1,244 @@
+//! From what was read of a shard to jobs that run: the end of a recovery.
+
+use crate::controller::Controller;
+use crate::controller::calls::{ApiCall, PendingCall};
+use crate::controller::jobs::job::{Job, JobRecord, StoredStage};
+use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::leadership::Leadership;
+use crate::controller::leadership::recovery::{
+    ReadRecord, RecoveryPage, RecoveryProgress, ShardRecovery, StoredChunks,
+};
+use crate::kv_store::KvResponse;
+use log::{info, warn};
+
+/// What the end of a recovery means for the leadership of its shard.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ServiceState {
+    /// The shard is not led any more, or under another term.
+    NotLed,
+    /// Its jobs run from now on.
+    Begins,
+    /// They ran before; some were found in the store since.
+    Continues,
+}
+
+impl Leadership {
+    /// The recovery of a shard under a term, if it is still going on.
+    fn recovery_mut(&mut self, shard: usize, term: u64) -> Option<&mut ShardRecovery> {
+        self.recoveries.get_mut(&shard).filter(|recovery| recovery.term() == term)
+    }
+
+    /// A shard's jobs have been read: it is served from now on.
+    fn begin_serving(&mut self, shard: usize, term: u64) -> ServiceState {
+        match &mut self.shards[shard].leadership {
+            Some(leadership) if leadership.term == term => {
+                if std::mem::replace(&mut leadership.recovered, true) {
+                    ServiceState::Continues
+                } else {
+                    ServiceState::Begins
+                }
+            }
+            _ => ServiceState::NotLed,
+        }
+    }
+}
+
+impl Controller {
+    /// A job that the store holds and this process does not: its acceptance
+    /// was applied after the answer had been given up.
+    pub(crate) fn adopt(&mut self, id: &str, shard: usize) {
+        if shard >= self.leadership.shard_count()
+            || !self.serves_shard(shard)
+            || self.jobs.by_id.contains_key(id)
+        {
+            return;
+        }
+        // Read again and again it would be no more readable.
+        if self.jobs.unreadable.contains(id) {
+            return;
+        }
+        let being_admitted = |call: &PendingCall| match call {
+            PendingCall::Api(ApiCall::Admit(group)) => {
+                group.submissions.iter().any(|submission| submission.spec.id == id)
+            }
+            _ => false,
+        };
+        if self.context.calls.values().any(being_admitted) {
+            return;
+        }
+        let Some(term) = self.leading_term(shard) else {
+            return;
+        };
+        info!("job {id} found in the store");
+        let recoveries = &mut self.leadership.recoveries;
+        recoveries.entry(shard).or_insert_with(|| ShardRecovery::new(term)).list_again();
+    }
+
+    /// Goes on with all recoveries.
+    pub(crate) fn continue_recoveries(&mut self) {
+        // What changes after a record was read comes by the watch, which must stand.
+        if !self.holds_lease() || !self.leadership.watches.follows_jobs() {
+            return;
+        }
+        let shards: Vec<usize> = self.leadership.recoveries.keys().copied().collect();
+        for shard in shards {
+            self.continue_recovery(shard);
+        }
+    }
+
+    fn continue_recovery(&mut self, shard: usize) {
+        if let Some(recovery) = self.leadership.recoveries.get_mut(&shard)
+            && recovery.read_on(shard, &mut self.context) == RecoveryProgress::AllRead
+        {
+            self.finish_recovery(shard);
+        }
+    }
+
+    /// The request of a page of a shard's keys was answered.
+    pub(crate) fn recovery_page_reply(&mut self, shard: usize, term: u64, reply: KvResponse) {
+        let KvResponse::Page { items, more, .. } = reply else {
+            if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
+                recovery.page_failed(self.context.now);
+            }
+            return;
+        };
+        let last = items.last().map(|item| item.key.clone());
+        let page = RecoveryPage::decode(items, |id| self.jobs.by_id.contains_key(id));
+        for batch in &page.unreadable {
+            self.note_unreadable(batch, "some of its jobs cannot be read");
+        }
+        if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
+            recovery.add_page(page, last, more);
+            self.continue_recovery(shard);
+        }
+    }
+
+    /// The read of a job's record was answered.
+    pub(crate) fn recovery_record_reply(
+        &mut self,
+        shard: usize,
+        term: u64,
+        job: &str,
+        reply: KvResponse,
+    ) {
+        let now = self.context.now;
+        let recovery = self.leadership.recovery_mut(shard, term);
+        if recovery.is_some_and(|recovery| recovery.add_record(job, reply, now)) {
+            self.continue_recovery(shard);
+        }
+    }
+
+    /// Something stored cannot be read, which is logged once: it stays as it is.
+    pub(crate) fn note_unreadable(&mut self, name: &str, what: &str) {
+        if self.jobs.unreadable.insert(name.to_string()) {
+            warn!("{name}: {what}");
+        }
+    }
+
+    /// A job cannot be read, and its batch, if it is in one, is kept for it.
+    fn leave_unreadable(&mut self, id: &str, what: &str) {
+        self.note_unreadable(id, what);
+        if let Some(batch) = self.api.admission.batched.get(id).cloned() {
+            self.jobs.unreadable.insert(batch);
+        }
+        self.api.admission.unbatch(id);
+    }
+
+    fn finish_recovery(&mut self, shard: usize) {
+        let Some(recovery) = self.leadership.recoveries.remove(&shard) else {
+            return;
+        };
+        let mut read = recovery.finish();
+        for (batch, jobs) in read.batches {
+            self.api.admission.add_batch(&batch.key, shard, batch.revision, jobs);
+        }
+        let mut restored = 0;
+        for (id, chunks) in read.chunks {
+            if self.jobs.by_id.contains_key(&id) {
+                continue;
+            }
+            let Some(ReadRecord { record: Some(record), revision }) = read.records.remove(&id)
+            else {
+                self.leave_unreadable(&id, "no record that can be read");
+                continue;
+            };
+            if self.restore_job(shard, &id, &record, revision, &chunks) {
+                restored += 1;
+            }
+        }
+        let service = self.leadership.begin_serving(shard, read.term);
+        if service != ServiceState::NotLed {
+            info!("shard {shard} term {}: {restored} unfinished jobs recovered", read.term);
+            self.reconcile_recovered(shard);
+        }
+        if service == ServiceState::Begins {
+            self.scheduler.request_pass();
+        }
+    }
+
+    /// Runs a job from its record at a revision and its chunks. Whether they can be read.
+    fn restore_job(
+        &mut self,
+        shard: usize,
+        id: &str,
+        record: &JobRecord,
+        revision: u64,
+        chunks: &StoredChunks,
+    ) -> bool {
+        self.jobs.dependency_graph.note(id, record);
+        self.cache_stage(
+            id,
+            CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
+        );
+        let Some(mut job) = Job::restore(shard, revision, self.jobs.chunk_layout, chunks) else {
+            self.leave_unreadable(id, "stored tasks cannot be read");
+            return false;
+        };
+        job.set_layout(self.jobs.chunk_layout, self.jobs.previous_chunk_layout);
+        // What was said since its record was read came by the watch.
+        let stage = self.jobs.cached_stages.get(id).map_or(record.stage, |k| k.stage);
+        job.cancelled = stage == StoredStage::Cancelled;
+        job.over = stage == StoredStage::Done;
+        job.dependencies = record.dependencies.as_slice().into();
+        job.waiting = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
+        if job.waiting {
+            self.jobs.dependency_graph.wait(id);
+        }
+        if job.over {
+            // What its chunks still name has completed; it must not be
+            // desired, and so started, again.
+            job.chunks.iter_mut().for_each(|p| p.placed.clear());
+        }
+        self.changes.jobs.insert(id.to_string());
+        self.changes.progress.insert(id.to_string());
+        self.jobs.insert_recovered(id, job);
+        true
+    }
+
+    /// The whole of a recovered shard's desired state is sent, and its machines compared with
+    /// it: whatever it does not name is not desired.
+    fn reconcile_recovered(&mut self, shard: usize) {
+        self.changes.complete_desired.insert(shard);
+        let machines: Vec<String> = self
+            .jobs
+            .tasks_by_machine
+            .keys()
+            .filter(|(of, _)| *of == shard)
+            .map(|(_, machine)| machine.to_string())
+            .collect();
+        let cancelled: Vec<String> = self
+            .jobs
+            .by_id
+            .iter()
+            .filter(|(_, job)| job.shard == shard && job.cancelled)
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in cancelled {
+            self.stop_job(&id);
+        }
+        for machine in machines {
+            self.scheduler.mark_stale(&machine);
+            self.evaluate_machine(shard, &machine);
+        }
+    }
+}
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -1,308 +1,264 @@
-//! Reading the jobs of a shard after it was taken.
+//! Reading the jobs of a shard after it was acquired.
+//!
+//! First the chunks of all jobs that the shard has stored are listed, page by page, then the
+//! record of each job is read. What changes after a record was read comes by the watch.
 
 use crate::controller::calls::LeadershipCall;
-use crate::controller::calls::{ApiCall, PendingCall};
-use crate::controller::jobs::job::{self, Job, JobRecord, StoredStage};
-use crate::controller::{CachedStage, Controller, Watch};
+use crate::controller::context::Context;
+use crate::controller::jobs::job::{self, JobRecord};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
-use log::{info, warn};
+use crate::wire::KeyValue;
 use serde_json::Value;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reads of job records under way at once while a shard is loaded.
-const LOADS: usize = 12;
+/// Reads of job records in flight at once while a shard is recovered.
+const MAX_RECORD_READS: usize = 12;
+/// Until the next call after a page could not be read.
+const PAGE_RETRY_DELAY: Micros = Micros::millis(200);
+/// Until the next call after a record could not be read.
+const RECORD_RETRY_DELAY: Micros = Micros::millis(150);
 
-/// A shard's jobs, being read after a take.
-#[derive(Debug, Clone, Default)]
+/// Values and revisions of a job's stored chunks, by number.
+pub(crate) type StoredChunks = BTreeMap<usize, (Value, u64)>;
+
+/// A job's record as it was read.
+#[derive(Debug, Clone)]
+pub(crate) struct ReadRecord {
+    /// `None` if there is none, or none that can be read.
+    pub(crate) record: Option<JobRecord>,
+    /// Revision of its key, 0 for none.
+    pub(crate) revision: u64,
+}
+
+/// A batch in which jobs were accepted, at a revision.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct StoredBatch {
+    pub(crate) key: String,
+    pub(crate) revision: u64,
+}
+
+/// A job that was accepted in a batch, which stands for its chunk 0 until that is stored.
+#[derive(Debug, Clone)]
+struct BatchedJob {
+    batch: StoredBatch,
+    first_chunk: Value,
+}
+
+/// What a page of a shard's keys holds of jobs that this process does not run.
+#[derive(Debug, Default)]
+pub(crate) struct RecoveryPage {
+    chunks: Vec<ListedChunk>,
+    batched: Vec<(String, BatchedJob)>,
+    /// Keys of batches of which some jobs cannot be read.
+    pub(crate) unreadable: Vec<String>,
+}
+
+/// A chunk of a job, as listed.
+#[derive(Debug)]
+struct ListedChunk {
+    job: String,
+    number: usize,
+    value: Value,
+    revision: u64,
+}
+
+impl RecoveryPage {
+    /// Decodes the keys of a page, without the jobs that are known already.
+    pub(crate) fn decode(items: Vec<KeyValue>, is_known: impl Fn(&str) -> bool) -> RecoveryPage {
+        let mut page = RecoveryPage::default();
+        for KeyValue { key, value, revision } in items {
+            let Some((id, number)) = job::parse_chunk_key(&key) else {
+                continue;
+            };
+            if job::is_batch(id) {
+                if !job::batch_is_sound(&value) {
+                    page.unreadable.push(key.clone());
+                }
+                let jobs = job::decode_batch(&value).into_iter();
+                page.batched.extend(jobs.filter(|(id, _)| !is_known(id)).map(
+                    |(id, first_chunk)| {
+                        let batch = StoredBatch { key: key.clone(), revision };
+                        (id, BatchedJob { batch, first_chunk })
+                    },
+                ));
+            } else if !is_known(id) {
+                let job = id.to_string();
+                page.chunks.push(ListedChunk { job, number, value, revision });
+            }
+        }
+        page
+    }
+}
+
+/// Whether a recovery has read everything.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum RecoveryProgress {
+    /// Calls are in flight, or are to be made later.
+    Reading,
+    /// All chunks and records have been read.
+    AllRead,
+}
+
+/// Jobs of a shard that are being read, after its acquisition or since one of them was found
+/// in the store that this process does not run.
+#[derive(Debug, Clone)]
 pub(crate) struct ShardRecovery {
-    pub(crate) term: u64,
-    pub(crate) after: Option<String>,
-    pub(crate) listed: bool,
-    pub(crate) busy: bool,
-    pub(crate) retry: Micros,
-    pub(crate) chunks: BTreeMap<String, BTreeMap<usize, (Value, u64)>>,
+    /// The term under which the shard is led.
+    term: u64,
+    /// Key after which the next page begins.
+    after: Option<String>,
+    /// All pages have been read.
+    listed: bool,
+    page_in_flight: bool,
+    /// Nothing is read before.
+    retry_at: Micros,
+    /// Chunks of each job that was listed.
+    chunks: BTreeMap<String, StoredChunks>,
+    /// Jobs that were listed in a batch.
+    batched: BTreeMap<String, BatchedJob>,
     /// Jobs whose record is still to be read.
-    pub(crate) todo: BTreeSet<String>,
-    pub(crate) in_flight: BTreeSet<String>,
-    /// Asked for before changes may have been missed: read again.
-    pub(crate) stale: BTreeSet<String>,
-    pub(crate) records: BTreeMap<String, (Option<JobRecord>, u64)>,
-    /// Descriptions from batches: key and version of the batch, and part 0.
-    pub(crate) batched: BTreeMap<String, (String, u64, Value)>,
+    unread: BTreeSet<String>,
+    /// Jobs whose record is being read.
+    in_flight: BTreeSet<String>,
+    /// Jobs whose record was requested before changes may have been missed: it is read again.
+    stale: BTreeSet<String>,
+    records: BTreeMap<String, ReadRecord>,
 }
 
-impl Controller {
-    /// A job that the store holds and this process does not: its acceptance
-    /// was applied after the answer had been given up.
-    pub(crate) fn adopt(&mut self, id: &str, s: usize) {
-        if s >= self.leadership.shards.len()
-            || !self.serves_shard(s)
-            || self.jobs.by_id.contains_key(id)
-        {
-            return;
-        }
-        // Read again and again it would be no more readable.
-        if self.jobs.unreadable.contains(id) {
-            return;
-        }
-        let under_way = self
-            .context.calls
-            .values()
-            .any(|call| matches!(call, PendingCall::Api(ApiCall::Admit(group)) if group.submissions.iter().any(|s| s.spec.id == id)));
-        if under_way {
-            return;
+impl ShardRecovery {
+    /// Nothing has been read yet.
+    pub(crate) fn new(term: u64) -> ShardRecovery {
+        ShardRecovery {
+            term,
+            after: None,
+            listed: false,
+            page_in_flight: false,
+            retry_at: Micros::ZERO,
+            chunks: BTreeMap::new(),
+            batched: BTreeMap::new(),
+            unread: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
+            stale: BTreeSet::new(),
+            records: BTreeMap::new(),
         }
-        let Some(term) = self.leading_term(s) else {
-            return;
-        };
-        info!("job {id} found in the store");
-        // The whole list again: it is short, and only unknown jobs are taken.
-        let loading = self
-            .leadership
-            .recoveries
-            .entry(s)
-            .or_insert_with(|| ShardRecovery { term, ..ShardRecovery::default() });
-        loading.after = None;
-        loading.listed = false;
     }
 
-    pub(crate) fn continue_recoveries(&mut self) {
-        // What changes after a record was read comes by the watch, which must stand.
-        let watched = self.leadership.watches.get(&Watch::Jobs).is_some_and(|f| f.after.is_some());
-        if !self.holds_lease() || !watched {
-            return;
-        }
-        let shards: Vec<usize> = self.leadership.recoveries.keys().copied().collect();
-        for s in shards {
-            self.continue_recovery(s);
-        }
+    /// The term under which the shard is led.
+    pub(crate) fn term(&self) -> u64 {
+        self.term
     }
 
-    fn continue_recovery(&mut self, s: usize) {
-        let now = self.context.now;
-        let Some(l) = self.leadership.recoveries.get_mut(&s) else {
-            return;
-        };
-        if l.busy || now < l.retry {
-            return;
-        }
-        let term = l.term;
-        if !l.listed {
-            l.busy = true;
-            let call = KvRequest::List { prefix: format!("w/{s}/"), after: l.after.clone() };
-            return self
-                .context
-                .call_store(LeadershipCall::ReadRecoveryPage { shard: s, term }, call);
+    /// Lists all jobs once more: the list is short, and only unknown jobs are recovered.
+    pub(crate) fn list_again(&mut self) {
+        self.after = None;
+        self.listed = false;
+    }
+
+    /// Changes of records may have been missed: all are read again.
+    pub(crate) fn read_records_again(&mut self) {
+        self.unread.extend(std::mem::take(&mut self.records).into_keys());
+        self.stale.append(&mut self.in_flight);
+    }
+
+    /// Reads the next page, or the next records.
+    pub(crate) fn read_on(&mut self, shard: usize, context: &mut Context) -> RecoveryProgress {
+        if self.page_in_flight || context.now < self.retry_at {
+            return RecoveryProgress::Reading;
         }
-        let in_flight: Vec<String> =
-            l.todo.iter().take(LOADS.saturating_sub(l.in_flight.len())).cloned().collect();
-        for job in &in_flight {
-            l.todo.remove(job);
-            l.in_flight.insert(job.clone());
+        let term = self.term;
+        if !self.listed {
+            self.page_in_flight = true;
+            let call = KvRequest::List { prefix: format!("w/{shard}/"), after: self.after.clone() };
+            context.call_store(LeadershipCall::ReadRecoveryPage { shard, term }, call);
+            return RecoveryProgress::Reading;
         }
-        let finished = l.todo.is_empty() && l.in_flight.is_empty() && l.stale.is_empty();
-        for job in in_flight {
-            let key = job::job_key(&job);
-            self.context.call_store(
-                LeadershipCall::ReadRecoveredRecord { shard: s, term, job },
-                KvRequest::Get(key),
-            );
+        for _ in self.in_flight.len()..MAX_RECORD_READS {
+            let Some(job) = self.unread.pop_first() else {
+                break;
+            };
+            self.in_flight.insert(job.clone());
+            let call = KvRequest::Get(job::job_key(&job));
+            context.call_store(LeadershipCall::ReadRecoveredRecord { shard, term, job }, call);
         }
-        if finished {
-            self.finish_recovery(s);
+        if self.unread.is_empty() && self.in_flight.is_empty() && self.stale.is_empty() {
+            RecoveryProgress::AllRead
+        } else {
+            RecoveryProgress::Reading
         }
     }
 
-    pub(crate) fn recovery_page_reply(&mut self, s: usize, term: u64, reply: KvResponse) {
-        let now = self.context.now;
-        let known = |id: &str, c: &Controller| c.jobs.by_id.contains_key(id);
-        let KvResponse::Page { items, more, .. } = reply else {
-            if let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) {
-                l.busy = false;
-                l.retry = now + Micros::millis(200);
-            }
-            return;
-        };
-        let (mut new, mut batched) = (Vec::new(), Vec::new());
-        for i in &items {
-            let Some((id, chunk)) = job::parse_chunk_key(&i.key) else {
-                continue;
-            };
-            if job::is_batch(id) {
-                if !job::batch_is_sound(&i.value) {
-                    self.note_unreadable(&i.key, "some of its jobs cannot be read");
-                }
-                let jobs = job::decode_batch(&i.value).into_iter();
-                let unknown = jobs.filter(|(id, _)| !known(id, self));
-                batched.extend(unknown.map(|(id, v)| (id, (i.key.clone(), i.revision, v))));
-            } else if !known(id, self) {
-                new.push((id.to_string(), chunk, i.clone()));
-            }
-        }
-        let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) else {
-            return;
-        };
-        l.busy = false;
-        l.after = items.last().map(|i| i.key.clone());
-        l.listed = !more || items.is_empty();
-        for (id, chunk, item) in new {
-            l.todo.insert(id.clone());
-            l.chunks.entry(id).or_default().insert(chunk, (item.value, item.revision));
+    /// A page could not be read; it is requested again later.
+    pub(crate) fn page_failed(&mut self, now: Micros) {
+        self.page_in_flight = false;
+        self.retry_at = now + PAGE_RETRY_DELAY;
+    }
+
+    /// A page was read, up to the key `last`; `more` if another follows.
+    pub(crate) fn add_page(&mut self, page: RecoveryPage, last: Option<String>, more: bool) {
+        self.page_in_flight = false;
+        self.listed = !more || last.is_none();
+        self.after = last;
+        for ListedChunk { job, number, value, revision } in page.chunks {
+            self.unread.insert(job.clone());
+            self.chunks.entry(job).or_default().insert(number, (value, revision));
         }
-        for (id, found) in batched {
-            l.todo.insert(id.clone());
-            l.batched.insert(id, found);
+        for (job, batched) in page.batched {
+            self.unread.insert(job.clone());
+            self.batched.insert(job, batched);
         }
-        self.continue_recovery(s);
     }
 
-    pub(crate) fn recovery_record_reply(
-        &mut self,
-        s: usize,
-        term: u64,
-        job: &str,
-        reply: KvResponse,
-    ) {
-        let Some(l) = self.leadership.recoveries.get_mut(&s).filter(|l| l.term == term) else {
-            return;
-        };
-        l.in_flight.remove(job);
+    /// The read of a job's record was answered. Whether reading goes on at once.
+    pub(crate) fn add_record(&mut self, job: &str, reply: KvResponse, now: Micros) -> bool {
+        self.in_flight.remove(job);
         match reply {
-            _ if l.stale.remove(job) => {
-                l.todo.insert(job.to_string());
+            _ if self.stale.remove(job) => {
+                self.unread.insert(job.to_string());
+                true
             }
             KvResponse::Value(item) => {
-                let record =
-                    item.as_ref().and_then(|i| serde_json::from_value(i.value.clone()).ok());
-                let revision = item.map_or(0, |i| i.revision);
-                l.records.insert(job.to_string(), (record, revision));
+                let revision = item.as_ref().map_or(0, |item| item.revision);
+                let record = item.and_then(|item| serde_json::from_value(item.value).ok());
+                self.records.insert(job.to_string(), ReadRecord { record, revision });
+                true
             }
             _ => {
-                l.todo.insert(job.to_string());
-                l.retry = self.context.now + Micros::millis(150);
-                return;
+                self.unread.insert(job.to_string());
+                self.retry_at = now + RECORD_RETRY_DELAY;
+                false
             }
         }
-        self.continue_recovery(s);
     }
 
-    /// Something stored cannot be read, which is told once: it stays as it is.
-    pub(crate) fn note_unreadable(&mut self, name: &str, what: &str) {
-        if self.jobs.unreadable.insert(name.to_string()) {
-            warn!("{name}: {what}");
-        }
-    }
-
-    /// A job cannot be read, and its batch, if it is in one, is kept for it.
-    fn leave_unreadable(&mut self, id: &str, what: &str) {
-        self.note_unreadable(id, what);
-        if let Some(batch) = self.api.admission.batched.get(id).cloned() {
-            self.jobs.unreadable.insert(batch);
-        }
-        self.api.admission.unbatch(id);
-    }
-
-    fn finish_recovery(&mut self, s: usize) {
-        let Some(mut l) = self.leadership.recoveries.remove(&s) else {
-            return;
-        };
-        // A job's own part 0 is newer than what it was accepted with.
-        let mut batches: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
-        for (id, (key, version, value)) in l.batched {
-            let jobs = batches.entry((key, version)).or_default();
-            let chunks = l.chunks.entry(id.clone()).or_default();
+    /// All has been read: what each job is made of. Jobs that were listed in a batch alone get
+    /// the chunk 0 that stands there, and are named beside that batch. A job's own chunk 0 is
+    /// newer than what it was accepted with.
+    pub(crate) fn finish(mut self) -> RecoveredShard {
+        let mut batches: BTreeMap<StoredBatch, BTreeSet<String>> = BTreeMap::new();
+        for (id, BatchedJob { batch, first_chunk }) in self.batched {
+            let jobs = batches.entry(batch).or_default();
+            let chunks = self.chunks.entry(id.clone()).or_default();
             if let Entry::Vacant(first) = chunks.entry(0) {
-                first.insert((value, 0));
+                first.insert((first_chunk, 0));
                 jobs.insert(id);
             }
         }
-        for ((key, version), jobs) in batches {
-            self.api.admission.add_batch(&key, s, version, jobs);
-        }
-        let mut count = 0;
-        for (id, chunks) in l.chunks {
-            if self.jobs.by_id.contains_key(&id) {
-                continue;
-            }
-            let Some((Some(record), revision)) = l.records.remove(&id) else {
-                self.leave_unreadable(&id, "no record that can be read");
-                continue;
-            };
-            self.jobs.dependency_graph.note(&id, &record);
-            self.cache_stage(
-                &id,
-                CachedStage {
-                    stage: record.stage,
-                    shard: record.shard,
-                    tasks: record.tasks,
-                    revision,
-                },
-            );
-            let Some(mut job) = Job::restore(s, revision, self.jobs.chunk_layout, &chunks) else {
-                self.leave_unreadable(&id, "stored tasks cannot be read");
-                continue;
-            };
-            job.set_layout(self.jobs.chunk_layout, self.jobs.previous_chunk_layout);
-            // What was said since its record was read came by the watch.
-            let stage = self.jobs.cached_stages.get(&id).map_or(record.stage, |k| k.stage);
-            job.cancelled = stage == StoredStage::Cancelled;
-            job.over = stage == StoredStage::Done;
-            job.dependencies = record.dependencies.as_slice().into();
-            job.waiting = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
-            if job.waiting {
-                self.jobs.dependency_graph.wait(&id);
-            }
-            if job.over {
-                // What its parts still name has completed; it must not be
-                // wanted, and so started, again.
-                job.chunks.iter_mut().for_each(|p| p.placed.clear());
-            }
-            count += 1;
-            for chunk in &job.chunks {
-                for (index, p) in &chunk.placed {
-                    self.jobs
-                        .tasks_by_machine
-                        .entry((s, p.machine.clone()))
-                        .or_default()
-                        .insert((id.clone(), *index));
-                }
-            }
-            self.changes.jobs.insert(id.clone());
-            self.changes.progress.insert(id.clone());
-            self.jobs.by_id.insert(id, job);
-        }
-        let first = match &mut self.leadership.shards[s].leadership {
-            Some(m) if m.term == l.term => !std::mem::replace(&mut m.recovered, true),
-            _ => return,
-        };
-        info!("shard {s} term {}: {count} unfinished jobs read", l.term);
-        // The whole of the shard's desired state: whatever it does not name is not wanted.
-        self.changes.complete_desired.insert(s);
-        let machines: Vec<String> = self
-            .jobs
-            .tasks_by_machine
-            .keys()
-            .filter(|(shard, _)| *shard == s)
-            .map(|(_, m)| m.to_string())
-            .collect();
-        let cancelled: Vec<String> = self
-            .jobs
-            .by_id
-            .iter()
-            .filter(|(_, j)| j.shard == s && j.cancelled)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in cancelled {
-            self.stop_job(&id);
-        }
-        for m in machines {
-            self.scheduler.mark_stale(&m);
-            self.evaluate_machine(s, &m);
-        }
-        if first {
-            self.scheduler.request_pass();
-        }
+        let (term, chunks, records) = (self.term, self.chunks, self.records);
+        RecoveredShard { term, batches, chunks, records }
     }
 }
+
+/// All that was read of a shard's jobs.
+#[derive(Debug)]
+pub(crate) struct RecoveredShard {
+    /// The term under which the shard is led.
+    pub(crate) term: u64,
+    /// The jobs of each batch that have no chunk 0 of their own.
+    pub(crate) batches: BTreeMap<StoredBatch, BTreeSet<String>>,
+    /// Chunks of each job.
+    pub(crate) chunks: BTreeMap<String, StoredChunks>,
+    /// Records of the jobs.
+    pub(crate) records: BTreeMap<String, ReadRecord>,
+}
--- /dev/null
+++ b/src/controller/leadership/replies.rs
@@ -0,0 +1,51 @@
+//! Which reply of the key-value store goes where.
+
+use crate::controller::Controller;
+use crate::controller::calls::{LeadershipCall, Watch};
+use crate::controller::leadership::lease_renewal::RenewalOutcome;
+use crate::kv_store::KvResponse;
+
+impl Controller {
+    /// A call about leases, watches or recoveries was answered.
+    pub(crate) fn leadership_reply(&mut self, call: LeadershipCall, reply: KvResponse) {
+        match call {
+            LeadershipCall::GrantLease { sent } => {
+                self.leadership.controller_lease.grant_reply(sent, &reply, &self.context);
+            }
+            LeadershipCall::RenewLease { sent, epoch } => {
+                let lease = &mut self.leadership.controller_lease;
+                let outcome = lease.renewal_reply(sent, epoch, &reply, &self.context);
+                if outcome == RenewalOutcome::Expired {
+                    self.controller_lease_expired();
+                }
+            }
+            LeadershipCall::ListTerms => self.leadership.terms_reply(&reply, &mut self.context),
+            LeadershipCall::ListLeases => {
+                self.leadership.shard_list_in_flight = false;
+                if let KvResponse::Page { items, .. } = &reply {
+                    self.leadership.shards_read = true;
+                    self.observe_leases(items);
+                }
+            }
+            LeadershipCall::StartWatch(watch) => self.watch_start_reply(watch, &reply),
+            LeadershipCall::Watch(watch) => self.watch_reply(watch, reply),
+            LeadershipCall::PollChanges { sent } => {
+                // The watch itself will tell why a poll failed.
+                if let KvResponse::WatchEvents(revision, events) = reply {
+                    self.apply_events(Watch::Jobs, events);
+                    self.leadership.watches.jobs_polled(revision, sent);
+                }
+            }
+            LeadershipCall::AcquireShard { shard, term, epoch } => {
+                self.acquisition_reply(shard, term, epoch, &reply);
+            }
+            LeadershipCall::Release { shard } => self.leadership.release_reply(shard),
+            LeadershipCall::ReadRecoveryPage { shard, term } => {
+                self.recovery_page_reply(shard, term, reply);
+            }
+            LeadershipCall::ReadRecoveredRecord { shard, term, job } => {
+                self.recovery_record_reply(shard, term, &job, reply);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/leadership/watch_events.rs
@@ -0,0 +1,130 @@
+//! Changes that watches of the key-value store tell of, decoded and handed on.
+
+use crate::controller::Controller;
+use crate::controller::calls::Watch;
+use crate::controller::jobs::job::{JobRecord, StoredStage};
+use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::leadership::{shard_lease, watches};
+use crate::kv_store::KvResponse;
+use crate::wire::{KeyValue, WatchEvent};
+use log::warn;
+use serde_json::Value;
+
+/// A change of a key that is watched.
+enum Change {
+    /// Of a shard's lease; `item` is what its key holds now, if it exists.
+    ShardLease { shard: usize, item: Option<KeyValue>, revision: u64 },
+    /// Of a job's record.
+    Job { id: String, record: JobRecord, revision: u64 },
+    /// Of a team's quota; the value is null if it was deleted.
+    Quota { team: String, value: Value, revision: u64 },
+}
+
+impl Change {
+    /// What a watch tells of; `None` if it concerns nothing that is known, or cannot be read.
+    fn decode(watch: Watch, event: WatchEvent, shards: usize) -> Option<Change> {
+        let WatchEvent { put, delete, value, revision } = event;
+        let is_put = put.is_some();
+        let key = put.or(delete)?;
+        match watch {
+            Watch::ShardLeases => {
+                let shard = shard_lease::shard_of_key(&key).filter(|shard| *shard < shards)?;
+                let item = is_put.then_some(KeyValue { key, value, revision });
+                Some(Change::ShardLease { shard, item, revision })
+            }
+            Watch::Jobs => {
+                let id = key.strip_prefix(watches::key_prefix(watch)).filter(|_| is_put)?;
+                let Ok(record) = serde_json::from_value(value) else {
+                    warn!("unreadable record of job {id}");
+                    return None;
+                };
+                Some(Change::Job { id: id.to_string(), record, revision })
+            }
+            Watch::Quotas => {
+                let team = key.strip_prefix(watches::key_prefix(watch))?.to_string();
+                let value = if is_put { value } else { Value::Null };
+                Some(Change::Quota { team, value, revision })
+            }
+        }
+    }
+}
+
+impl Controller {
+    /// A call of a watch was answered.
+    pub(crate) fn watch_reply(&mut self, watch: Watch, reply: KvResponse) {
+        match reply {
+            KvResponse::WatchEvents(revision, events) => {
+                self.apply_events(watch, events);
+                self.leadership.watches.state_mut(watch).answered(revision);
+            }
+            KvResponse::Compacted => self.leadership.watches.compacted(watch),
+            _ => self.leadership.watches.failed(watch, &mut self.context),
+        }
+    }
+
+    /// Hands on what a watch, or a poll beside it, tells of.
+    pub(crate) fn apply_events(&mut self, watch: Watch, events: Vec<WatchEvent>) {
+        for event in events {
+            match Change::decode(watch, event, self.leadership.shard_count()) {
+                None => {}
+                Some(Change::ShardLease { shard, item, revision }) => {
+                    // Older than the own acquisition: the shard has been acquired since.
+                    let led = self.leadership.led_shard(shard);
+                    if led.is_none_or(|leadership| revision > leadership.revision) {
+                        self.observe_lease(shard, item.as_ref());
+                    }
+                }
+                Some(Change::Job { id, record, revision }) => {
+                    self.job_record_changed(&id, &record, revision);
+                }
+                Some(Change::Quota { team, value, revision }) => {
+                    self.observe_quota(&team, &value, revision);
+                }
+            }
+        }
+    }
+
+    /// A job's record was written at a revision, by this process or another.
+    fn job_record_changed(&mut self, id: &str, record: &JobRecord, revision: u64) {
+        self.jobs.dependency_graph.note(id, record);
+        self.jobs.unreadable.remove(id);
+        self.cache_stage(
+            id,
+            CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
+        );
+        match record.stage {
+            StoredStage::Cancelled => self.job_cancelled(id),
+            StoredStage::Accepted => self.adopt(id, record.shard),
+            StoredStage::Done => {}
+        }
+    }
+
+    /// The list that begins a watch was answered: changes before its revision may have been
+    /// missed.
+    pub(crate) fn watch_start_reply(&mut self, watch: Watch, reply: &KvResponse) {
+        let KvResponse::Page { revision, items, .. } = reply else {
+            return self.leadership.watches.failed(watch, &mut self.context);
+        };
+        self.leadership.watches.state_mut(watch).answered(*revision);
+        match watch {
+            Watch::ShardLeases => self.observe_leases(items),
+            Watch::Jobs => self.job_changes_missed(),
+            Watch::Quotas => self.quota.resynchronize(),
+        }
+    }
+
+    /// Cancellations may have been missed: all that was concluded from jobs' records is read
+    /// again.
+    fn job_changes_missed(&mut self) {
+        self.invalidate_unfinished();
+        for recovery in self.leadership.recoveries.values_mut() {
+            recovery.read_records_again();
+        }
+        let busy = self.jobs.by_id.iter().filter(|(_, j)| j.busy);
+        self.machines.cancellations.add_unknown(busy.map(|(id, _)| id.clone()).collect());
+        let ids: Vec<String> = self.jobs.by_id.keys().cloned().collect();
+        for id in ids {
+            self.read_back(&id);
+        }
+    }
+}
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -9,10 +9,10 @@
 use crate::config::{Settings, Workers};
 use crate::controller::calls::MachinesCall;
 use crate::controller::jobs::job::{self, StoredStage};
-use crate::controller::leadership::shard::DRIFT;
+use crate::controller::leadership::controller_lease::CLOCK_DRIFT_PER_MILLE;
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::{Machines, timeouts};
-use crate::controller::{CachedStage, Controller, Watch};
+use crate::controller::{CachedStage, Controller};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
 /// by a controller that does not know of it: what a cancellation has, less the
 /// worker's own lease, which the last such answer begins anew.
 pub fn unanswered_limit(workers: &Workers) -> Micros {
-    let lease = timeouts::worker_lease(workers).stretched(DRIFT);
+    let lease = timeouts::worker_lease(workers).stretched(CLOCK_DRIFT_PER_MILLE);
     Micros::from_secs_f64(workers.cancel_s).since(lease + CANCELLATION_MARGIN)
 }
 
@@ -149,9 +149,7 @@
         let lease = self.context.options.controller_lease;
         let limit = unanswered_limit(&self.context.settings.workers).max(lease);
         let limit = limit.min(Micros(2 * lease.0));
-        let jobs_watch = self.leadership.watches.get(&Watch::Jobs);
-        let caught_up_at = jobs_watch.map_or(Micros::ZERO, |watch| watch.caught_up_at());
-        self.context.now.since(caught_up_at) <= limit
+        self.context.now.since(self.leadership.jobs_caught_up_at()) <= limit
     }
 
     /// A job was found to be cancelled: its tasks on own machines are stopped at
@@ -196,8 +194,7 @@
 
     /// Cancellations to be repeated to peers.
     pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
-        let watched = self.peers.by_member.values().map(|peer| peer.watched).min();
-        let followed_by_all = watched.unwrap_or(u64::MAX);
+        let followed_by_all = self.peers.followed_revision().unwrap_or(u64::MAX);
         self.machines.cancellations.due_for_repetition(self.context.now, followed_by_all)
     }
 
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -21,7 +21,7 @@
             term,
             fencing_token: managed.fencing_token(term)?,
             incarnation: managed.incarnation,
-            lease_until: self.leadership.controller_lease.valid_until,
+            lease_until: self.leadership.lease_valid_until(),
             cancellations_known: self.cancellations_up_to_date(),
         })
     }
@@ -36,7 +36,7 @@
         };
         let inputs = ReconcileInputs {
             desired: &self.machines.desired,
-            shards: &self.leadership.shards,
+            shards: self.leadership.shards(),
             stages: &self.jobs.cached_stages,
             machine_types: &self.autoscaler.machine_types,
         };
@@ -68,7 +68,7 @@
         }
         let inputs = ReconcileInputs {
             desired: &self.machines.desired,
-            shards: &self.leadership.shards,
+            shards: self.leadership.shards(),
             stages: &self.jobs.cached_stages,
             machine_types: &self.autoscaler.machine_types,
         };
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -5,7 +5,7 @@
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
 use crate::controller::scheduler::estimate::Estimates;
-use crate::peer::{DesiredTask, DesiredUpdate, Frame, Phase, Shape};
+use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -70,14 +70,14 @@
             let (Some(term), true) = (self.leading_term(shard), self.has_recovered(shard)) else {
                 continue;
             };
-            self.peers.desired_state_seq += 1;
-            let seq = self.peers.desired_state_seq;
-            let mut tasks_on = |machine: &Rc<str>| {
-                desired_on(&mut self.jobs, self.scheduler.estimates(), shard, machine, seq)
+            let seq = self.peers.next_desired_state_seq();
+            let desired = |machine: &Rc<str>| MachineDesired {
+                machine: machine.to_string(),
+                known_term: 0,
+                tasks: desired_on(&mut self.jobs, self.scheduler.estimates(), shard, machine, seq),
             };
-            let machines =
-                changed.machines.iter().map(|m| (m.to_string(), 0, tasks_on(m))).collect();
-            let terms: Vec<u64> = self.leadership.shards.iter().map(|s| s.term).collect();
+            let machines = changed.machines.iter().map(desired).collect();
+            let terms = self.leadership.terms();
             let known_terms = terms.clone();
             let complete = changed.complete;
             let update = DesiredUpdate { shard, term, seq, complete, machines, terms, known_terms };
@@ -102,7 +102,7 @@
             }
         }
         if std::mem::take(&mut self.changes.announce_terms) {
-            for shard in 0..self.leadership.shards.len() {
+            for shard in 0..self.leadership.shard_count() {
                 changed.entry(shard).or_default();
             }
         }
@@ -111,7 +111,7 @@
 
     /// Whether this process knows a shard's jobs, be it that it is about to hand it over.
     fn has_recovered(&self, shard: usize) -> bool {
-        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        let leadership = self.leadership.led_shard(shard);
         leadership.is_some_and(|leadership| leadership.recovered)
     }
 }
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::controller::leadership::shard;
 use crate::controller::quota::amount::QuotaAmount;
-use crate::peer::{AppliedUpdate, DesiredTask, DesiredUpdate, Phase};
+use crate::peer::{AppliedUpdate, DesiredTask, DesiredUpdate, MachineDesired, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Desired state of a shard, as received.
@@ -130,11 +130,11 @@
 impl Controller {
     /// Applies a message of a shard's desired state.
     pub(crate) fn apply_desired_state(&mut self, update: DesiredUpdate) {
-        let shards = self.leadership.shards.len();
+        let shards = self.leadership.shard_count();
         let Some(state) = self.machines.desired.get_mut(update.shard) else {
             return;
         };
-        if update.term < self.leadership.shards[update.shard].term || !state.accept(&update) {
+        if update.term < self.leadership.term(update.shard) || !state.accept(&update) {
             return;
         }
         let mut touched: BTreeSet<String> = BTreeSet::new();
@@ -142,7 +142,7 @@
             touched.extend(state.begin_complete());
         }
         let now = self.context.now;
-        for (machine, known_machine_term, tasks) in update.machines {
+        for MachineDesired { machine, known_term, tasks } in update.machines {
             touched.insert(machine.clone());
             let before = state.tasks_on(&machine);
             for task in &tasks {
@@ -154,7 +154,7 @@
                     self.scheduler.note_image(now, &task.image, &machine, task.incarnation);
                 }
             }
-            let known_machine_term = match known_machine_term {
+            let known_machine_term = match known_term {
                 0 => {
                     let machine_shard = shard::shard_of_machine(&machine, shards);
                     update.terms.get(machine_shard).copied().unwrap_or(0)
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -146,14 +146,13 @@
             MachinesCall::Direct { machine, starts, term } => {
                 self.direct_reply(&machine, &starts, term, reply);
             }
-            MachinesCall::Inspect => self.inspected(&reply),
+            MachinesCall::Inspect => self.leadership.probe_reply(&reply, self.context.now),
             MachinesCall::ReadUnknownJob { .. } => {}
         }
     }
 
     fn direct_reply(&mut self, machine: &str, starts: &[AttemptId], term: u64, reply: DirectReply) {
-        let shard = &self.leadership.shards[self.shard_of_machine(machine)];
-        if shard.leadership.as_ref().is_none_or(|leadership| leadership.term != term) {
+        if !self.leadership.leads_under(self.shard_of_machine(machine), term) {
             return;
         }
         let now = self.context.now;
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -58,7 +58,7 @@
             return self.refuse_heartbeat(ticket, "superseded");
         }
         let now = self.context.now;
-        self.leadership.connectivity.record_contact(now);
+        self.leadership.record_contact(now);
         let worker_lease = timeouts::worker_lease(&self.context.settings.workers);
         let Some(intake) = self.machines.apply_heartbeat(now, &heartbeat, term, worker_lease)
         else {
@@ -93,7 +93,7 @@
     fn redirect_heartbeat(&mut self, ticket: Ticket, shard: usize, machine: &str) {
         match self.shard_leader(shard) {
             Some(leader) if leader != self.context.me => {
-                self.leadership.connectivity.note_misdirected(self.context.now, machine);
+                self.leadership.note_misdirected(self.context.now, machine);
                 let member = self.context.members[leader].clone();
                 self.context.respond(ticket, 421, None, &HeartbeatRedirect { member: &member });
             }
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -11,7 +11,7 @@
 
 mod incarnation;
 
-use crate::controller::leadership::shard;
+use crate::controller::leadership::fencing_token;
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::{ObservedState, ObservedTask};
 use crate::time::Micros;
@@ -95,7 +95,7 @@
     /// The fencing token of its commands under a term; `None` if the term has no further
     /// ones.
     pub fn fencing_token(&self, term: u64) -> Option<u64> {
-        shard::raised_fencing_token(term, self.fencing_token_raises)
+        fencing_token::raised_fencing_token(term, self.fencing_token_raises)
     }
 
     /// Shows the worker a higher fencing token from now on.
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -23,6 +23,7 @@
 mod reconciler;
 mod timeouts;
 
+use crate::controller::leadership::shard::shard_of_machine;
 use crate::peer::MachineView;
 use cancellation::Cancellations;
 use desired_state::received::DesiredState;
@@ -67,6 +68,12 @@
         }
     }
 
+    /// Forgets the machines of a shard, one of `shards`, that this process does not lead any
+    /// more.
+    pub(crate) fn forget_shard(&mut self, shard: usize, shards: usize) {
+        self.managed.retain(|machine, _| shard_of_machine(machine, shards) != shard);
+    }
+
     /// Manages the machines of a shard that this process has just acquired and on which some
     /// shard desires tasks: each is unknown until it sends a heartbeat under the new term, or
     /// has been silent for a whole lease. Returns their names.
--- a/src/controller/machines/timeouts.rs
+++ b/src/controller/machines/timeouts.rs
@@ -1,7 +1,7 @@
 //! How long workers may be silent, by the settings of the platform.
 
 use crate::config::Workers;
-use crate::controller::leadership::shard::DRIFT;
+use crate::controller::leadership::controller_lease::CLOCK_DRIFT_PER_MILLE;
 use crate::time::Micros;
 
 /// Added to a worker's lease before its tasks count as gone: the way of its last answer.
@@ -19,7 +19,7 @@
 /// Until when after its last answered heartbeat a worker's tasks may run, by this process's
 /// clock.
 pub(crate) fn longest_worker_lease(workers: &Workers) -> Micros {
-    worker_lease(workers).stretched(DRIFT) + WORKER_LEASE_MARGIN
+    worker_lease(workers).stretched(CLOCK_DRIFT_PER_MILLE) + WORKER_LEASE_MARGIN
 }
 
 /// A machine that has been silent for longer gets no new tasks.
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -32,7 +32,7 @@
         }
         let acquired_at: Vec<Option<Micros>> = self
             .leadership
-            .shards
+            .shards()
             .iter()
             .map(|shard| shard.leadership.as_ref().map(|leadership| leadership.acquired_at))
             .collect();
@@ -55,7 +55,7 @@
             if managed.is_some_and(|m| m.heartbeat_under_term && !m.direct_in_flight) {
                 self.send_direct_commands(&machine);
             }
-            let leadership = self.leadership.shards[shard].leadership.as_ref();
+            let leadership = self.leadership.led_shard(shard);
             let at = ViewedAt {
                 now: self.context.now,
                 term,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,10 +1,15 @@
-//! The controller: (now, event) in, effects out. No I/O, no clock, ordered
-//! maps and a seeded generator, so that a run can be repeated exactly.
+//! The controller: (now, event) in, effects out. No I/O, no clock, ordered maps and a seeded
+//! generator, so that a run can be repeated exactly.
 //!
-//! A process has up to three roles, each in a module of its own: it answers
-//! users ([`api`]), runs the jobs of its shards ([`job_manager`], [`scheduling_pass`]) and
-//! commands the machines of its shards ([`machine_commands`]). What it wants on machines
-//! goes out as whole-state messages that its own machine manager reads, too.
+//! [`Controller`] is a router. It owns the components, hands each event and reply to the one
+//! that it concerns, fixes the order in which they work at a tick and at a flush, and carries
+//! what one concludes to the others. It keeps no state of its own, decides nothing about jobs
+//! or machines, and no component reaches into another's fields but by way of it.
+//!
+//! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards
+//! that it leads ([`jobs`], [`scheduler`], [`quota`]) and commands their machines
+//! ([`machines`]). What it desires on machines goes out as whole-state messages that its own
+//! machine manager reads, too.
 
 pub mod api;
 pub mod autoscaler;
@@ -30,7 +35,7 @@
 use api::Api;
 use api::counts::Counts;
 use autoscaler::Autoscaler;
-use calls::{MachinesCall, PendingCall, Watch};
+use calls::{MachinesCall, PendingCall};
 use changes::PendingChanges;
 use context::Context;
 use jobs::Jobs;
@@ -38,14 +43,15 @@
 use leadership::Leadership;
 use machines::{Machines, cancellation};
 use peers::Peers;
-use peers::frames::PeerInfo;
 use quota::Quotas;
 use scheduler::Scheduler;
 use timers::Timers;
 
+/// How often desired state and views are sent in turn during one flush: desired state may change
+/// views, and views may end tasks. What is left then waits for the next flush.
+const MAX_FLUSH_ROUNDS: usize = 3;
+
 /// All of a controller's state, a component a concern.
-///
-/// It routes events to the components and carries what one of them concludes to the others.
 pub struct Controller {
     context: Context,
     leadership: Leadership,
@@ -93,7 +99,8 @@
         self.context.member_number(name)
     }
 
-    /// Takes in an event.
+    /// Hands an event to the components that it concerns; what is to be done about it is added
+    /// to `effects`.
     pub fn handle(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         self.context.now = now;
         match event {
@@ -141,31 +148,26 @@
         }
     }
 
+    /// Time has passed: whatever is due is done, in this order.
     fn tick(&mut self) {
-        if self.holds_lease() {
-            if !std::mem::replace(&mut self.leadership.held_lease, true) {
-                self.evaluate_all();
-            }
-            self.leadership.lease_held_at = self.context.now;
-        } else {
-            self.leadership.held_lease = false;
+        let now = self.context.now;
+        if self.leadership.regained_lease(now) {
+            self.evaluate_all();
         }
-        self.check_connectivity();
-        self.maintain_shards();
+        self.leadership.check_connectivity(&self.machines, &self.peers, &mut self.context);
+        self.maintain_leadership();
         let holds_lease = self.holds_lease();
         self.api.expire_submissions(&mut self.context, &mut self.counts, holds_lease);
         self.api.expire_status_queries(&mut self.context, &mut self.counts);
         self.read_unknown_jobs();
         self.maintain_dependencies();
         self.send_probes();
-        if self.context.now >= self.timers.upkeep {
-            self.timers.upkeep = self.context.now + timers::UPKEEP_EVERY;
+        if self.timers.upkeep.restart_if_due(now) {
             self.expire_machine_incarnations();
             self.check_spot_notices();
             self.repeat_unobserved();
             self.expire_preemption_requests();
-            if self.context.now >= self.timers.guarantees {
-                self.timers.guarantees = self.context.now + timers::GUARANTEES_EVERY;
+            if self.timers.guarantees.restart_if_due(now) {
                 self.refresh_guarantee_budget();
                 self.raise_starved_jobs();
                 self.hold_machines_for_large_tasks();
@@ -173,20 +175,18 @@
             self.count_unobserved_placements();
             self.scheduler.request_pass();
         }
-        if self.context.now >= self.timers.quotas {
-            self.timers.quotas = self.context.now + timers::QUOTAS_EVERY;
+        if self.timers.quotas.restart_if_due(now) {
             self.maintain_quotas();
         }
-        if self.context.now >= self.timers.refusals {
-            self.timers.refusals = self.context.now + timers::REFUSALS_EVERY;
+        if self.timers.refusals.restart_if_due(now) {
             self.api.refusals.log();
             self.log_waiting();
         }
         self.maintain_autoscaler();
     }
 
-    /// Works off what has changed since the last call: placements, writes,
-    /// desired state, views, and one frame for each peer.
+    /// Works off what has changed since the last call, in this order: placements, writes,
+    /// desired state, views, one frame for each peer, and the answers that waited for peers.
     pub fn flush(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.context.now = now;
         self.api.status_queries.send_comparisons(&mut self.context);
@@ -196,14 +196,8 @@
             self.run_scheduling_pass();
             self.store_dirty();
             let mut frame = Frame::default();
-            // Desired state may change views, and views may end tasks; what is left
-            // after a few rounds waits for the next turn.
-            for _ in 0..3 {
-                if self.changes.desired.is_empty()
-                    && self.changes.complete_desired.is_empty()
-                    && self.changes.machines.is_empty()
-                    && !self.changes.announce_terms
-                {
+            for _ in 0..MAX_FLUSH_ROUNDS {
+                if !self.changes.concern_machines() {
                     break;
                 }
                 self.send_desired_state(&mut frame);
@@ -211,9 +205,7 @@
             }
             self.store_dirty();
             self.send_frames(frame);
-        } else if self.context.now >= self.timers.peer_heartbeat
-            || !self.changes.cancelled.is_empty()
-        {
+        } else if self.timers.peer_heartbeat.is_due(now) || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
         }
         self.answer_acknowledged();
@@ -240,6 +232,7 @@
         self.leadership.serves_shard(shard, self.context.now)
     }
 
+    /// The shard of a machine.
     fn shard_of_machine(&self, machine: &str) -> usize {
         self.leadership.shard_of_machine(machine)
     }
--- /dev/null
+++ b/src/controller/peers/full_sync.rs
@@ -0,0 +1,75 @@
+//! Full synchronization: all that a peer must know which has received nothing so far, or has
+//! missed a frame.
+
+use crate::controller::Controller;
+use crate::peer::{
+    AddressHint, DesiredStateMessage, DesiredUpdate, Frame, MachineDesired, Progress,
+};
+
+/// Terminated machines that are named, of those last in the order of names.
+const MAX_TERMINATED_NAMED: usize = 500;
+
+impl Controller {
+    /// A frame that, beside what `frame` says, tells everything.
+    pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
+        frame.full = true;
+        let shards = 0..self.leadership.shard_count();
+        frame.desired = shards.filter_map(|shard| self.full_desired_state(shard)).collect();
+        let managed = self.machines.managed.keys();
+        let views = managed.filter_map(|machine| self.machines.views.get(machine));
+        frame.views = views.cloned().collect();
+        frame.progress = self
+            .jobs
+            .by_id
+            .iter()
+            .map(|(id, j)| Progress { job: id.clone(), done: j.done(), running: j.running() })
+            .collect();
+        frame.address_hints = self.address_hints();
+        frame.terminated =
+            self.machines.terminated.iter().rev().take(MAX_TERMINATED_NAMED).cloned().collect();
+        frame
+    }
+
+    /// The desired state of a shard that this process serves, for all machines.
+    fn full_desired_state(&self, shard: usize) -> Option<DesiredStateMessage> {
+        let desired = &self.machines.desired[shard];
+        if !self.serves_shard(shard)
+            || self.leading_term(shard) != Some(desired.term)
+            || !desired.is_complete()
+        {
+            return None;
+        }
+        let with_tasks = desired.machines.iter().filter(|(_, m)| !m.tasks.is_empty());
+        let update = DesiredUpdate {
+            shard,
+            term: desired.term,
+            seq: desired.seq,
+            complete: true,
+            // Terms machine by machine: one that nothing has been desired on
+            // since its shard moved would hold up all others of the shard.
+            machines: with_tasks
+                .map(|(name, m)| MachineDesired {
+                    machine: name.clone(),
+                    known_term: m.known_machine_term,
+                    tasks: m.tasks.clone(),
+                })
+                .collect(),
+            terms: Vec::new(),
+            known_terms: desired.known_terms.clone(),
+        };
+        Some(update.to_message())
+    }
+
+    /// Where machines of other shards were, for a peer that may acquire their shards.
+    fn address_hints(&self) -> Vec<AddressHint> {
+        let views = self.machines.views.values();
+        views
+            .filter(|v| !self.machines.managed.contains_key(&v.machine) && !v.address.is_empty())
+            .map(|v| AddressHint {
+                machine: v.machine.clone(),
+                incarnation: v.incarnation,
+                address: v.address.clone(),
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/controller/peers/peer_state.rs
@@ -0,0 +1,98 @@
+//! What a peer's frames said of itself.
+
+use crate::peer::{Demand, Frame, QuotaDemand};
+use crate::time::Micros;
+use std::collections::BTreeMap;
+
+/// A peer that has been silent for longer does not count as alive.
+const PEER_TIMEOUT: Micros = Micros::secs(3);
+
+/// Whether frames of a peer have been lost before the one that has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FrameContinuity {
+    /// It follows the last one, or tells everything.
+    Unbroken,
+    /// Something was lost, and is not known.
+    FramesLost,
+}
+
+/// Another controller, by what its frames said.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct PeerState {
+    /// When its last frame came.
+    pub(crate) last_frame_at: Option<Micros>,
+    /// Since when all its frames said that it is healthy, without a gap.
+    pub(crate) healthy_since: Option<Micros>,
+    /// Its controller lease is valid.
+    pub(crate) holds_lease: bool,
+    incarnation: u64,
+    /// Tasks that wait there.
+    pub(crate) demand: Vec<Demand>,
+    /// What its shards lack of the teams' limits.
+    pub(crate) quota_demand: Vec<QuotaDemand>,
+    /// It hands its shards over, since it and its workers cannot reach each other.
+    pub(crate) partitioned: bool,
+    /// Machines of others' shards that send their heartbeats to it, by shard.
+    pub(crate) misdirected: BTreeMap<usize, u32>,
+    last_frame_number: u64,
+    /// A frame of it was lost, and it has not told everything since.
+    pub(crate) missed_frames: bool,
+    /// Revision of the key-value store up to which it has followed the jobs.
+    pub(crate) followed_revision: u64,
+    /// Format of what it stores and sends; 0 in versions that do not tell it.
+    pub(crate) format: u32,
+}
+
+impl PeerState {
+    /// Whether a frame has come lately.
+    pub(crate) fn is_alive(&self, now: Micros) -> bool {
+        self.last_frame_at.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
+    }
+
+    /// Whether it is alive, holds its lease and can be reached by its workers.
+    pub(crate) fn is_healthy(&self, now: Micros) -> bool {
+        self.is_alive(now) && self.holds_lease && !self.partitioned
+    }
+
+    /// Records what a frame says of its sender, and takes the sender's demand out of it.
+    pub(crate) fn record(&mut self, frame: &mut Frame, now: Micros) -> FrameContinuity {
+        let continuity = self.record_number(frame);
+        if self.incarnation != frame.incarnation {
+            self.incarnation = frame.incarnation;
+            self.healthy_since = None;
+        }
+        self.partitioned = frame.partitioned;
+        self.followed_revision = frame.watched;
+        self.format = frame.format;
+        let is_healthy = frame.state_ok && !frame.partitioned;
+        if self.last_frame_at.is_none_or(|at| now.since(at) > PEER_TIMEOUT) || !is_healthy {
+            self.healthy_since = None;
+        }
+        self.last_frame_at = Some(now);
+        self.holds_lease = frame.state_ok;
+        if !frame.state_ok {
+            // It cannot act: what it said that it needs must hold up nobody.
+            self.demand.clear();
+            self.quota_demand.clear();
+            self.misdirected.clear();
+        }
+        if is_healthy {
+            self.healthy_since.get_or_insert(now);
+        }
+        if frame.has_demand {
+            let misdirected = frame.misdirected.iter();
+            self.misdirected = misdirected.map(|m| (m.shard as usize, m.machines)).collect();
+            self.demand = std::mem::take(&mut frame.demand);
+            self.quota_demand = std::mem::take(&mut frame.quota_demand);
+        }
+        continuity
+    }
+
+    fn record_number(&mut self, frame: &Frame) -> FrameContinuity {
+        let same_process = self.incarnation == frame.incarnation;
+        let is_next = same_process && self.last_frame_number + 1 == frame.number;
+        self.last_frame_number = frame.number;
+        self.missed_frames = !frame.full && (self.missed_frames || !is_next);
+        if frame.full || is_next { FrameContinuity::Unbroken } else { FrameContinuity::FramesLost }
+    }
+}
--- /dev/null
+++ b/src/controller/peers/receiving.rs
@@ -0,0 +1,97 @@
+//! Frames from the other controllers: what they say is handed on to the components.
+
+use crate::controller::Controller;
+use crate::controller::peers::Peers;
+use crate::controller::peers::peer_state::FrameContinuity;
+use crate::peer::{DesiredStateMessage, Frame, ShardClaim};
+use crate::time::Micros;
+use log::warn;
+
+impl Peers {
+    /// Records what a frame says of its sender; `None` if that is no other member.
+    fn record_frame(
+        &mut self,
+        from: usize,
+        frame: &mut Frame,
+        now: Micros,
+    ) -> Option<FrameContinuity> {
+        Some(self.by_member.get_mut(&from)?.record(frame, now))
+    }
+}
+
+impl Controller {
+    /// Whether a frame of a member has come lately.
+    pub(crate) fn peer_alive(&self, member: usize) -> bool {
+        self.peers.is_alive(member, self.context.now)
+    }
+
+    /// A frame came from a member.
+    pub(crate) fn peer_frame(&mut self, from: usize, mut frame: Frame) {
+        let Some(continuity) = self.peers.record_frame(from, &mut frame, self.context.now) else {
+            return;
+        };
+        if continuity == FrameContinuity::FramesLost {
+            self.desired_state_incomplete(from);
+        }
+        self.observe_claims(&frame.shard_claims);
+        self.receive_desired_state(from, frame.desired);
+        for view in frame.views {
+            self.apply_view(view);
+        }
+        for progress in frame.progress {
+            self.jobs.progress.insert(progress.job, (progress.done, progress.running));
+        }
+        for job in frame.cancelled {
+            // Answers that were read before the cancellation must not go out now.
+            self.apply_peer_cancellation(&job);
+        }
+        for machine in frame.terminated {
+            self.machine_terminated(&machine);
+        }
+        for urgency in frame.inherited_urgency {
+            self.inherit_urgency(&urgency.job, urgency.rank, Micros(urgency.due_us));
+        }
+        if frame.is_autoscaler {
+            self.set_draining(frame.draining.into_iter().collect());
+        }
+        for preempt in frame.preempt {
+            self.preempt_task(&preempt);
+        }
+        for hint in frame.address_hints {
+            self.machines.apply_address_hint(hint);
+        }
+        if frame.missed.contains(&(self.context.me as u32)) {
+            self.changes.peers_to_sync.insert(from);
+        }
+    }
+
+    /// Frames of a member were lost. What they said is not known, so nothing follows from what
+    /// the rest of its desired state does not name.
+    fn desired_state_incomplete(&mut self, from: usize) {
+        for shard in 0..self.leadership.shard_count() {
+            if self.shard_leader(shard) == Some(from) {
+                self.machines.desired[shard].mark_incomplete();
+            }
+        }
+    }
+
+    /// A peer says which shards it leads. A higher term that has not come by the watch yet is
+    /// taken over; the lease itself comes with the watch.
+    fn observe_claims(&mut self, claims: &[ShardClaim]) {
+        for claim in claims {
+            let shard = claim.shard as usize;
+            if self.leadership.observe_claim(shard, claim.term) {
+                self.step_down(shard, "a peer leads it under a higher term");
+            }
+        }
+    }
+
+    fn receive_desired_state(&mut self, from: usize, messages: Vec<DesiredStateMessage>) {
+        for message in messages {
+            match message.decode() {
+                Ok(update) => self.apply_desired_state(update),
+                Err(error) => warn!("desired state of peer {from} ignored: {error}"),
+            }
+        }
+    }
+}
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::calls::QuotaCall;
 use crate::controller::jobs::Jobs;
-use crate::controller::leadership::{Leadership, shard};
+use crate::controller::leadership::{Leadership, shard_lease};
 use crate::controller::quota::Quotas;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::quota::job_demand::{pending_demand, shard_usage};
@@ -47,7 +47,7 @@
         let served = |shard: &usize| leadership.serves_shard(*shard, now);
         let mut list = Vec::new();
         for (team, quota) in self.limited_teams() {
-            for shard in (0..leadership.shards.len()).filter(served) {
+            for shard in (0..leadership.shard_count()).filter(served) {
                 let mut available = quota.grant(shard);
                 available -= shard_usage(jobs, shard, team);
                 for unmet in unmet_demand(available, &pending_demand(jobs, now, shard, team)) {
@@ -90,11 +90,7 @@
 impl Controller {
     /// What live peers' shards lack of teams' limits.
     fn peers_quota_demand(&self) -> impl Iterator<Item = &QuotaDemand> {
-        self.peers
-            .by_member
-            .iter()
-            .filter(|(member, _)| self.peer_alive(**member))
-            .flat_map(|(_, peer)| &peer.quota_demand)
+        self.peers.live_quota_demand(self.context.now)
     }
 
     /// The most urgent rank that lacks some of a team's limit, on any shard.
@@ -115,7 +111,7 @@
         self.quota.own_demand.clone_from(&own);
         let teams: Vec<String> = self.quota.limited_teams().map(|(team, _)| team.clone()).collect();
         for team in teams {
-            for shard in 0..self.leadership.shards.len() {
+            for shard in 0..self.leadership.shard_count() {
                 self.maintain_grant(&team, shard, &own);
             }
         }
@@ -134,7 +130,7 @@
                 self.preempt_task(&task);
             }
         }
-        let shards = self.leadership.shards.len();
+        let shards = self.leadership.shard_count();
         let Some(change) = self.quota.next_change(team, shard, shards, &demand) else {
             return;
         };
@@ -168,13 +164,13 @@
         let revision = self.quota.team(team).map_or(0, TeamQuota::revision);
         // From here on the lowering may be applied at any time.
         self.quota.change_team(team, |quota| quota.change_sent(shard, change.grant));
-        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        let leadership = self.leadership.led_shard(shard);
         let lease_revision = leadership.map_or(0, |leadership| leadership.revision);
         let (key, value) = (team_quota::key(team), change.value);
         let txn = Txn {
             conditions: vec![
                 Condition { key: key.clone(), revision },
-                Condition { key: shard::lease_key(shard), revision: lease_revision },
+                shard_lease::lease_condition(shard, lease_revision),
             ],
             writes: vec![Write::Put { key, value: value.clone(), lease: None }],
         };
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -34,7 +34,7 @@
 
     /// Whether a shard's jobs are known here; else the desired state received from it counts.
     fn jobs_known(&self, shard: usize) -> bool {
-        let leadership = self.leadership.shards[shard].leadership.as_ref();
+        let leadership = self.leadership.led_shard(shard);
         leadership.is_some_and(|leadership| leadership.recovered)
     }
 }
@@ -42,7 +42,7 @@
 impl Controller {
     /// Brings the capacity index up to date: only what has changed is computed anew.
     pub(crate) fn refresh_capacity(&mut self) {
-        for shard in 0..self.leadership.shards.len() {
+        for shard in 0..self.leadership.shard_count() {
             let source = self.shard_source(shard);
             let previous = self.scheduler.shard_sources.insert(shard, source);
             // The shard has changed its leader, or its leader has fallen silent.
@@ -66,7 +66,7 @@
                 || self.shard_leader(shard).is_some_and(live_peer),
             jobs_known: inputs.jobs_known(shard),
             leading_term,
-            term: self.leadership.shards[shard].term,
+            term: self.leadership.term(shard),
         }
     }
 
@@ -147,7 +147,7 @@
             && view.healthy
             && self.shard_sources.get(&shard).is_some_and(|source| source.has_live_leader)
             && view.notice_ms.is_none()
-            && view.term == inputs.leadership.shards[shard].term
+            && view.term == inputs.leadership.term(shard)
             && !inputs.autoscaler.draining.contains(&view.machine)
             && !inputs.machines.terminated.contains(&view.machine)
     }
@@ -193,7 +193,7 @@
     /// Reserves what own jobs have placed on a machine.
     fn reserve_own_tasks(&self, inputs: &SchedulingInputs<'_>, capacity: &mut MachineCapacity) {
         let jobs = inputs.jobs;
-        let shards = 0..inputs.leadership.shards.len();
+        let shards = 0..inputs.leadership.shard_count();
         for shard in shards.filter(|shard| inputs.jobs_known(*shard)) {
             let key = (shard, Rc::clone(&capacity.machine));
             for (id, index) in jobs.tasks_by_machine.get(&key).into_iter().flatten() {
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -74,7 +74,7 @@
         zone: spec.zone.clone(),
         spot: spec.spot,
         rank: class.rank,
-        beyond: class.beyond_guarantee,
+        beyond_guarantee: class.beyond_guarantee,
     }
 }
 
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -43,7 +43,7 @@
 /// Placements wait for writes in a small buffer, about a second's worth: a
 /// later decision knows more.
 fn chunk_backlog(inputs: &SchedulingInputs<'_>) -> usize {
-    let shards = inputs.leadership.shards.len().max(1);
+    let shards = inputs.leadership.shard_count().max(1);
     let writes_per_s = inputs.context.settings.state.write_rps / shards as f64;
     (writes_per_s as usize).max(MIN_CHUNK_BACKLOG)
 }
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -33,7 +33,7 @@
             return;
         }
         self.refresh_capacity();
-        let controllers = self.leadership.shards.len().max(1) as f64;
+        let controllers = self.leadership.shard_count().max(1) as f64;
         let scheduler = &mut self.scheduler;
         scheduler.guarantee_budget.refresh(&self.quota, scheduler.capacity.usage(), controllers);
     }
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -22,7 +22,7 @@
 impl QueueClass {
     /// The class of tasks that wait on some shard.
     pub(crate) fn of_demand(demand: &Demand) -> QueueClass {
-        QueueClass { beyond_guarantee: demand.beyond, rank: demand.rank }
+        QueueClass { beyond_guarantee: demand.beyond_guarantee, rank: demand.rank }
     }
 }
 
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -117,10 +117,6 @@
 
     /// What waits on live peers' shards.
     pub(crate) fn peers_demand(&self) -> impl Iterator<Item = &Demand> {
-        self.peers
-            .by_member
-            .iter()
-            .filter(|(member, _)| self.peer_alive(**member))
-            .flat_map(|(_, peer)| &peer.demand)
+        self.peers.live_demand(self.context.now)
     }
 }
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -1,11 +1,11 @@
-//! Jobs: their progress, what waits, what it lacks and what should make room.
+//! Jobs: their progress, what waits, what it lacks and what should be preempted.
 
 use prost::Message;
 
-/// A job's progress for display.
+/// A job's progress, for display.
 #[derive(Clone, PartialEq, Message)]
 pub struct Progress {
-    /// Job.
+    /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Tasks done.
@@ -16,7 +16,7 @@
     pub running: u32,
 }
 
-/// Waiting tasks of one shape.
+/// Waiting tasks with the same requirements.
 #[derive(Clone, PartialEq, Message)]
 pub struct Demand {
     /// How many tasks wait.
@@ -28,10 +28,10 @@
     /// GPUs of each.
     #[prost(double, tag = "3")]
     pub gpus: f64,
-    /// Memory of each.
+    /// Memory of each, in GB.
     #[prost(double, tag = "4")]
     pub memory_gb: f64,
-    /// Allowed types; none named: all.
+    /// Allowed machine types; none named: all.
     #[prost(string, repeated, tag = "5")]
     pub types: Vec<String>,
     /// Allowed zone.
@@ -40,21 +40,21 @@
     /// May use spot machines.
     #[prost(bool, tag = "7")]
     pub spot: bool,
-    /// Rank of service.
+    /// Rank of service: lower is more urgent.
     #[prost(uint32, tag = "8")]
     pub rank: u32,
     /// Its team uses its whole guarantee, so that others go first.
     #[prost(bool, tag = "9")]
-    pub beyond: bool,
+    pub beyond_guarantee: bool,
 }
 
 /// What a shard lacks of a team's limit.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaDemand {
-    /// Shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Team.
+    /// Name of the team.
     #[prost(string, tag = "2")]
     pub team: String,
     /// CPUs that waiting tasks lack.
@@ -68,27 +68,27 @@
     pub rank: u32,
 }
 
-/// A task that is asked to make room.
+/// A task whose preemption is requested.
 #[derive(Clone, PartialEq, Message)]
 pub struct Preempt {
-    /// Job.
+    /// Id of its job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Attempt.
+    /// Number of its attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// There is time for it to save first.
+    /// There is time for it to save a checkpoint first.
     #[prost(bool, tag = "4")]
     pub save: bool,
 }
 
-/// A job that others need, and how urgent the most urgent of them is.
+/// A job on which others depend, and how urgent the most urgent of them is.
 #[derive(Clone, PartialEq, Message)]
 pub struct InheritedUrgency {
-    /// Job.
+    /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Rank of service: lower is more urgent.
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -1,38 +1,39 @@
-//! What a shard wants on machines: the desired state, as it is sent and as it is kept.
+//! What a shard desires on machines: the desired state, as it is sent and as it is kept.
 
 use prost::Message;
 use std::collections::BTreeMap;
 use std::ops::Deref;
 use std::rc::Rc;
+use thiserror::Error;
 
-/// What the tasks of a job have in common, as the desired state tells it.
+/// What the tasks of a job have in common, as far as the desired state says it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Shape {
-    /// Job.
+    /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// CPUs.
+    /// CPUs of each task.
     #[prost(double, tag = "2")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of each task.
     #[prost(double, tag = "3")]
     pub gpus: f64,
-    /// Memory.
+    /// Memory of each task, in GB.
     #[prost(double, tag = "4")]
     pub memory_gb: f64,
-    /// Image.
+    /// Name of the image.
     #[prost(string, tag = "5")]
     pub image: String,
-    /// Size of the image.
+    /// Size of the image, in GB.
     #[prost(double, tag = "6")]
     pub image_gb: f64,
     /// Rank of service: lower is more urgent.
     #[prost(uint32, tag = "7")]
     pub rank: u32,
-    /// Team.
+    /// Name of the team.
     #[prost(string, tag = "8")]
     pub team: String,
-    /// Seconds between its checkpoints, 0 if it saves none.
+    /// Seconds between a task's checkpoints, 0 if it saves none.
     #[prost(double, tag = "9")]
     pub checkpoint_s: f64,
     /// Seconds that a task is expected to run.
@@ -40,39 +41,42 @@
     pub expected_s: f64,
 }
 
-/// A task that a shard wants on a machine, or wants stopped there, as it is sent:
+/// A task that a shard desires on a machine, or desires to be stopped there, as it is sent:
 /// an array of thousands would repeat its job's description in each.
 #[derive(Clone, PartialEq, Message)]
 pub struct DesiredTaskMessage {
-    /// Place of its job among the message's shapes.
+    /// Index of its job among the message's shapes.
     #[prost(uint32, tag = "1")]
     pub shape: u32,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Attempt.
+    /// Number of its attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// Session of the machine for which it was written ahead.
+    /// Incarnation of the worker for which it was stored.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Stop it, giving it this many milliseconds to save.
+    /// Stop it, with this many milliseconds to save a checkpoint.
     #[prost(uint64, optional, tag = "5")]
     pub stop_ms: Option<u64>,
     /// Time of day at which it was placed, in seconds.
     #[prost(uint64, tag = "6")]
     pub placed_s: u64,
-    /// See [`Phase`]. Only what is surely written down may be started, so a
-    /// word of a later version must not read as that: it reads as `Ahead`.
+    /// See [`Phase`]. Only what is surely stored may be started, so a value of a later version
+    /// must not read as that: it reads as `Ahead`.
     #[prost(enumeration = "Phase", tag = "7")]
     pub phase: i32,
 }
 
 impl DesiredTaskMessage {
-    /// As it is kept; `None` if it names no job.
-    fn read(self, shapes: &[Rc<Shape>]) -> Option<DesiredTask> {
-        Some(DesiredTask {
-            shape: Rc::clone(shapes.get(self.shape as usize)?),
+    /// As it is kept.
+    fn decode(self, shapes: &[Rc<Shape>]) -> Result<DesiredTask, DesiredStateError> {
+        let Some(shape) = shapes.get(self.shape as usize) else {
+            return Err(DesiredStateError { index: self.index, shape: self.shape });
+        };
+        Ok(DesiredTask {
+            shape: Rc::clone(shape),
             index: self.index,
             attempt: self.attempt,
             incarnation: self.incarnation,
@@ -83,44 +87,54 @@
     }
 }
 
-/// How far a wanted task is, by its owner.
+/// Why a desired state cannot be decoded: a task names a job that the message does not have.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("task {index} is of job {shape} of the message, which has fewer")]
+pub struct DesiredStateError {
+    /// Number of the task in its job.
+    index: u32,
+    /// Index of its job among the message's shapes.
+    shape: u32,
+}
+
+/// How far a desired task is, by the shard that desires it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Phase {
-    /// Decided and not written down yet: its room is booked, it is not started.
+    /// Decided and not stored yet: its resources are reserved, it is not started.
     Ahead = 0,
-    /// Written down: to be started, or to go on.
+    /// Stored: to be started, or to go on.
     DesiredHere = 1,
-    /// Its attempt has ended, which is not written down yet: it is not started
-    /// again, and what is listed of it is kept.
+    /// Its attempt has ended, which is not stored yet: it is not started again, and what is
+    /// observed of it is kept.
     Over = 2,
 }
 
-/// All that a shard wants on one machine.
+/// All that a shard desires on one machine, as it is sent.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineDesiredMessage {
-    /// Machine.
+    /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
     /// The tasks.
     #[prost(message, repeated, tag = "2")]
     pub tasks: Vec<DesiredTaskMessage>,
-    /// Term of the machine's shard that this desired state has taken into account, where
-    /// they are repeated; 0: as the message says.
+    /// Highest term of the machine's shard that this desired state has taken into account, where
+    /// it is sent again; 0: as the message's `terms` say.
     #[prost(uint64, tag = "3")]
-    pub known: u64,
+    pub known_term: u64,
 }
 
-/// A shard's desired state: of some machines, or of all.
+/// A shard's desired state: of some machines, or of all, as it is sent.
 #[derive(Clone, PartialEq, Message)]
 pub struct DesiredStateMessage {
-    /// Shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Term under which it asks.
+    /// Term under which its leader sends it.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Order within the term.
+    /// Order of the shard's messages within the term.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
     /// True: machines that are not named have no desired tasks of this shard.
@@ -129,32 +143,35 @@
     /// The machines.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineDesiredMessage>,
-    /// Terms of all shards, by number, as the sender knew them. What it had
-    /// concluded from views under earlier terms is in the message, so a
-    /// machine's shard starts nothing of it under a later term than the named.
+    /// Terms of all shards, by number, as the sender knew them. What it had concluded from views
+    /// under earlier terms is in the message, so the leader of a machine's shard starts nothing
+    /// of it under a later term than the named.
     #[prost(uint64, repeated, tag = "6")]
     pub terms: Vec<u64>,
-    /// Jobs of the tasks.
+    /// Jobs of the tasks, which name them by index.
     #[prost(message, repeated, tag = "7")]
     pub shapes: Vec<Shape>,
     /// Terms of all shards that the sender knew when it made this, or the newest
     /// change that is in it. Only from one who knows the term of a machine's shard
-    /// does it follow that a task which is not named is not wanted there.
+    /// does it follow that a task which is not named is not desired there.
     #[prost(uint64, repeated, tag = "9")]
     pub known_terms: Vec<u64>,
 }
 
 impl DesiredStateMessage {
-    /// As it is kept; `None` if a task names no job.
-    pub fn read(self) -> Option<DesiredUpdate> {
+    /// As it is kept.
+    pub fn decode(self) -> Result<DesiredUpdate, DesiredStateError> {
         let shapes: Vec<Rc<Shape>> = self.shapes.into_iter().map(Rc::new).collect();
         let mut machines = Vec::with_capacity(self.machines.len());
         for desired in self.machines {
-            let tasks: Option<Vec<DesiredTask>> =
-                desired.tasks.into_iter().map(|task| task.read(&shapes)).collect();
-            machines.push((desired.machine, desired.known, tasks?));
+            let tasks = desired.tasks.into_iter().map(|task| task.decode(&shapes));
+            machines.push(MachineDesired {
+                machine: desired.machine,
+                known_term: desired.known_term,
+                tasks: tasks.collect::<Result<_, _>>()?,
+            });
         }
-        Some(DesiredUpdate {
+        Ok(DesiredUpdate {
             shard: self.shard as usize,
             term: self.term,
             seq: self.seq,
@@ -166,22 +183,22 @@
     }
 }
 
-/// A task that a shard wants on a machine, as it is kept.
+/// A task that a shard desires on a machine, as it is kept: see [`DesiredTaskMessage`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredTask {
     /// Its job.
     pub shape: Rc<Shape>,
-    /// See [`DesiredTaskMessage`].
+    /// Number of the task in its job.
     pub index: u32,
-    /// See [`DesiredTaskMessage`].
+    /// Number of its attempt.
     pub attempt: u64,
-    /// See [`DesiredTaskMessage`].
+    /// Incarnation of the worker for which it was stored.
     pub incarnation: u64,
-    /// See [`DesiredTaskMessage`].
+    /// Stop it, with this many milliseconds to save a checkpoint.
     pub stop_ms: Option<u64>,
-    /// See [`DesiredTaskMessage`].
+    /// Time of day at which it was placed, in seconds.
     pub placed_s: u64,
-    /// See [`DesiredTaskMessage`].
+    /// A [`Phase`], or what a later version sent as one.
     pub phase: i32,
 }
 
@@ -194,12 +211,12 @@
 }
 
 impl DesiredTask {
-    /// How far it is, by its owner.
+    /// How far it is, by the shard that desires it.
     pub fn phase(&self) -> Phase {
         Phase::try_from(self.phase).unwrap_or(Phase::Ahead)
     }
 
-    /// As it is sent; `shape` is the place of its job among the message's shapes.
+    /// As it is sent; `shape` is the index of its job among the message's shapes.
     fn to_message(&self, shape: u32) -> DesiredTaskMessage {
         DesiredTaskMessage {
             shape,
@@ -213,23 +230,35 @@
     }
 }
 
-/// Wants of a shard, as they are kept: see [`DesiredStateMessage`].
+/// All that a shard desires on one machine, as it is kept.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct MachineDesired {
+    /// Name of the machine.
+    pub machine: String,
+    /// Highest term of the machine's shard that was taken into account; 0: as
+    /// [`DesiredUpdate::terms`] says.
+    pub known_term: u64,
+    /// The tasks.
+    pub tasks: Vec<DesiredTask>,
+}
+
+/// A shard's desired state, as it is kept: see [`DesiredStateMessage`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredUpdate {
-    /// Shard.
+    /// Number of the shard.
     pub shard: usize,
-    /// Term under which it asks.
+    /// Term under which its leader sends it.
     pub term: u64,
-    /// Order within the term.
+    /// Order of the shard's messages within the term.
     pub seq: u64,
     /// Machines that are not named have no desired tasks of this shard.
     pub complete: bool,
-    /// Machine, term of its shard that was taken into account (0: as `terms`
-    /// says), tasks.
-    pub machines: Vec<(String, u64, Vec<DesiredTask>)>,
+    /// The machines.
+    pub machines: Vec<MachineDesired>,
     /// Terms of all shards, as the sender knew them.
     pub terms: Vec<u64>,
-    /// See [`DesiredStateMessage`].
+    /// Terms of all shards that the sender knew when it made this, or the newest change that is
+    /// in it.
     pub known_terms: Vec<u64>,
 }
 
@@ -237,19 +266,22 @@
     /// As it is sent.
     pub fn to_message(&self) -> DesiredStateMessage {
         let mut shapes: Vec<Shape> = Vec::new();
-        let mut places: BTreeMap<*const Shape, u32> = BTreeMap::new();
+        let mut indices: BTreeMap<*const Shape, u32> = BTreeMap::new();
         let mut machines = Vec::with_capacity(self.machines.len());
-        for (machine, known, tasks) in &self.machines {
-            let mut desired = Vec::with_capacity(tasks.len());
-            for task in tasks {
-                let shape = *places.entry(Rc::as_ptr(&task.shape)).or_insert_with(|| {
+        for on_machine in &self.machines {
+            let mut tasks = Vec::with_capacity(on_machine.tasks.len());
+            for task in &on_machine.tasks {
+                let shape = *indices.entry(Rc::as_ptr(&task.shape)).or_insert_with(|| {
                     shapes.push((*task.shape).clone());
                     shapes.len() as u32 - 1
                 });
-                desired.push(task.to_message(shape));
+                tasks.push(task.to_message(shape));
             }
-            let machine = machine.clone();
-            machines.push(MachineDesiredMessage { machine, tasks: desired, known: *known });
+            machines.push(MachineDesiredMessage {
+                machine: on_machine.machine.clone(),
+                tasks,
+                known_term: on_machine.known_term,
+            });
         }
         DesiredStateMessage {
             shard: self.shard as u32,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -6,84 +6,82 @@
 };
 use prost::Message;
 
-/// What this version stores and sends, as a number that rises with each change which
-/// operators should see during an upgrade. Versions that say nothing count as 0.
+/// Format of what this version stores and sends: a number that rises with each change which
+/// operators should see during an upgrade. Versions that send none count as 0.
 pub const FORMAT: u32 = 1;
 
 /// One message between controllers.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// Sender.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// The sender's run: a number drawn when its process started.
+    /// The sender's incarnation: a number drawn when its process started.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Shards that the sender holds at present, as far as it may act.
+    /// Shards that the sender leads at present, as far as it may act.
     #[prost(message, repeated, tag = "3")]
     pub shard_claims: Vec<ShardClaim>,
-    /// The sender's state lease is valid.
+    /// The sender's controller lease is valid.
     #[prost(bool, tag = "4")]
     pub state_ok: bool,
-    /// Wants.
+    /// Desired state of shards that the sender leads.
     #[prost(message, repeated, tag = "5")]
     pub desired: Vec<DesiredStateMessage>,
-    /// Machines.
+    /// Machines of these shards.
     #[prost(message, repeated, tag = "6")]
     pub views: Vec<MachineView>,
     /// Progress of jobs.
     #[prost(message, repeated, tag = "7")]
     pub progress: Vec<Progress>,
-    /// Everything that waits at the sender; replaces what it said before.
+    /// All tasks that wait at the sender; replaces what it said before.
     #[prost(message, repeated, tag = "8")]
     pub demand: Vec<Demand>,
-    /// True if `demand` and `needs` are meant to be taken.
+    /// True if `demand`, `quota_demand` and `misdirected` are said: empty, they mean none.
     #[prost(bool, tag = "9")]
     pub has_demand: bool,
-    /// Limits that its shards run into.
+    /// What its shards lack of the teams' limits.
     #[prost(message, repeated, tag = "10")]
     pub quota_demand: Vec<QuotaDemand>,
-    /// Jobs whose cancellation the sender has confirmed, told again until all
-    /// know of them.
+    /// Jobs whose cancellation the sender has confirmed, sent again until all know of them.
     #[prost(string, repeated, tag = "11")]
     pub cancelled: Vec<String>,
-    /// Machines that the renting shard knows to be gone.
+    /// Machines that the sender knows to be terminated.
     #[prost(string, repeated, tag = "12")]
     pub terminated: Vec<String>,
-    /// Machines that the renting shard is about to return; all of them.
+    /// Machines that the autoscaler drains before it scales in; all of them.
     #[prost(string, repeated, tag = "13")]
     pub draining: Vec<String>,
-    /// True if the sender rents and `draining` is meant to be taken.
+    /// True if the sender is the autoscaler and says `draining`.
     #[prost(bool, tag = "14")]
     pub is_autoscaler: bool,
-    /// Tasks of other shards that the sender asks to be stopped for more
-    /// urgent ones.
+    /// Tasks of other shards whose preemption the sender requests, for more urgent ones.
     #[prost(message, repeated, tag = "15")]
     pub preempt: Vec<Preempt>,
-    /// Machines of shards that the sender does not hold, as it last knew them.
+    /// Where machines of shards that the sender does not lead were last known to be.
     #[prost(message, repeated, tag = "16")]
     pub address_hints: Vec<AddressHint>,
-    /// Machines of others' shards that report to the sender; taken with `demand`.
+    /// Machines of others' shards that send their heartbeats to the sender; said with `demand`.
     #[prost(message, repeated, tag = "17")]
     pub misdirected: Vec<MisdirectedHeartbeats>,
-    /// The sender and its workers are out of each other's reach: it gives its
-    /// shards up and is to be given none.
+    /// The sender and its workers cannot reach each other: it hands its shards over, and none
+    /// is handed back to it.
     #[prost(bool, tag = "18")]
     pub partitioned: bool,
-    /// Members of whom the sender missed something: they are to tell it all.
+    /// Members of whom the sender missed a frame: they are to send it everything.
     #[prost(uint32, repeated, tag = "19")]
     pub missed: Vec<u32>,
     /// Counts the sender's frames, the same for all peers: one that was lost with a
     /// connection shows as a gap.
     #[prost(uint64, tag = "20")]
     pub number: u64,
-    /// It tells everything: what was missed before does not matter any more.
+    /// It says everything: what was missed before does not matter any more.
     #[prost(bool, tag = "21")]
     pub full: bool,
     /// Revision of the key-value store up to which the sender has followed the jobs.
     #[prost(uint64, tag = "22")]
     pub watched: u64,
-    /// Jobs that the sender's waiting jobs need.
+    /// Jobs on which the sender's waiting jobs depend.
     #[prost(message, repeated, tag = "23")]
     pub inherited_urgency: Vec<InheritedUrgency>,
     /// The sender's [`FORMAT`]: shows which members still run an earlier version.
--- a/src/peer/shards.rs
+++ b/src/peer/shards.rs
@@ -1,26 +1,26 @@
-//! Which shards a controller holds, and what it knows of others' shards.
+//! Which shards a controller leads, and what it knows of others' shards.
 
 use prost::Message;
 
-/// A shard as its holder sees it.
+/// A shard that the sender leads.
 #[derive(Clone, PartialEq, Message)]
 pub struct ShardClaim {
     /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Its term.
+    /// The term under which the sender leads it.
     #[prost(uint64, tag = "2")]
     pub term: u64,
 }
 
-/// Where a machine was last known to be, for a controller that may take its
+/// Where a machine was last known to be, for a controller that may acquire its
 /// shard without having known of it.
 #[derive(Clone, PartialEq, Message)]
 pub struct AddressHint {
-    /// Machine.
+    /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
-    /// Session.
+    /// Incarnation of its worker.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
     /// Address for direct commands.
@@ -28,11 +28,11 @@
     pub address: String,
 }
 
-/// Machines of somebody else's shard that reported to the sender lately: their
-/// holder does not answer them.
+/// Machines of somebody else's shard that sent their heartbeats to the sender lately: their
+/// leader does not answer them.
 #[derive(Clone, PartialEq, Message)]
 pub struct MisdirectedHeartbeats {
-    /// Shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
     /// How many machines.
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -1,20 +1,20 @@
-//! Machines and their tasks as the machine's shard knows them: the observed state.
+//! Machines and their tasks as the leaders of their shards know them: the observed state.
 
 use prost::Message;
 
-/// A task on a machine, as the machine's shard knows it.
+/// A task on a machine, as the leader of the machine's shard knows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct ObservedTask {
-    /// Job.
+    /// Id of its job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Attempt.
+    /// Number of its attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// See [`ObservedState`]; a word of a later version reads as the first one, from
+    /// See [`ObservedState`]; a value of a later version reads as the first one, from
     /// which nothing is concluded.
     #[prost(enumeration = "ObservedState", tag = "4")]
     pub observed: i32,
@@ -30,7 +30,7 @@
     Fetching = 1,
     /// Runs.
     Running = 2,
-    /// Saves.
+    /// Saves a checkpoint before it stops.
     Saving = 3,
     /// Completed.
     Done = 4,
@@ -38,14 +38,14 @@
     Stopped = 5,
     /// Failed.
     Failed = 6,
-    /// The machine or its shard had no room: it never ran there.
+    /// The machine had no capacity for it: it never ran there.
     Refused = 7,
-    /// Admitted, waiting for a stopping task's room.
+    /// Admitted, waiting for the resources of a task that stops.
     Waiting = 8,
 }
 
 impl ObservedState {
-    /// Over on this machine.
+    /// Whether it has ended on this machine.
     pub fn over(self) -> bool {
         matches!(
             self,
@@ -57,69 +57,69 @@
     }
 }
 
-/// Which desired state of a shard the machine's shard acts on.
+/// Which desired state of a shard the leader of the machine's shard acts on.
 #[derive(Clone, PartialEq, Message)]
 pub struct AppliedUpdate {
-    /// The asking shard.
+    /// Number of the shard that desires it.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Its term.
+    /// Term under which it was sent.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Its newest message.
+    /// Number of its newest message.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
 }
 
-/// A machine as its shard knows it.
+/// A machine as the leader of its shard knows it.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineView {
-    /// Name.
+    /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
     /// Its shard's term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Order within the term.
+    /// Order of the machine's views within the term.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// Has reported under this term.
+    /// It has sent a heartbeat under this term.
     #[prost(bool, tag = "4")]
     pub known: bool,
-    /// Session of the newest report.
+    /// Incarnation of the newest heartbeat.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    /// Sessions up to this one are surely over.
+    /// Incarnations up to this one are surely over.
     #[prost(uint64, tag = "6")]
     pub over_through: u64,
-    /// Never reported under this term, and every older session is over.
+    /// It has sent no heartbeat under this term, and every earlier incarnation is over.
     #[prost(bool, tag = "7")]
     pub vanished: bool,
-    /// Type.
+    /// Machine type.
     #[prost(string, tag = "8")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the cloud.
     #[prost(string, tag = "9")]
     pub zone: String,
-    /// Spot machine.
+    /// It is a spot machine.
     #[prost(bool, tag = "10")]
     pub spot: bool,
     /// Address for direct commands.
     #[prost(string, tag = "11")]
     pub address: String,
-    /// Milliseconds until the cloud takes it.
+    /// Milliseconds until the cloud reclaims it, after a spot notice.
     #[prost(uint64, optional, tag = "12")]
     pub notice_ms: Option<u64>,
-    /// Reports in time and does not fail its tasks.
+    /// It sends heartbeats in time and is not in quarantine.
     #[prost(bool, tag = "13")]
     pub healthy: bool,
     /// Its tasks.
     #[prost(message, repeated, tag = "14")]
     pub tasks: Vec<ObservedTask>,
-    /// Wants that this view takes into account.
+    /// Desired state that this view takes into account.
     #[prost(message, repeated, tag = "15")]
     pub applied: Vec<AppliedUpdate>,
-    /// Fails what it starts; its shard wants it returned.
+    /// It fails what it starts, and is to be scaled in.
     #[prost(bool, tag = "16")]
     pub faulty: bool,
 }
--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -92,5 +92,5 @@
 /// frame of any size that peers take.
 pub fn peer_backlog(mem_mb: f64) -> usize {
     let share = (mem_mb * 1024.0 * 1024.0 * PEER_BACKLOG_SHARE) as usize;
-    share.clamp(peer::MAX_FRAME, 2 * peer::MAX_FRAME)
+    share.clamp(peer::MAX_FRAME_BYTES, 2 * peer::MAX_FRAME_BYTES)
 }
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -61,14 +61,14 @@
             };
             match peer::read_frame(&connection.inbound) {
                 Ok(None) => return false,
-                Ok(Some((frame, used))) => {
+                Ok(Some(peer::ReadFrame { frame, used })) => {
                     connection.inbound.drain(..used);
                     if !self.accept_frame(id, member, frame) {
                         return true;
                     }
                 }
-                Err(peer::BadFrame) => {
-                    warn!("unreadable frame from a peer; connection closed");
+                Err(error) => {
+                    warn!("connection of a peer closed: {error}");
                     self.close(id);
                     return true;
                 }
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -76,7 +76,7 @@
         zone: zone.map(String::from),
         spot,
         rank: 2,
-        beyond: false,
+        beyond_guarantee: false,
     };
     let room = |cpus: f64, spot| FreeCapacity {
         machine_type: "small".into(),
--- a/tests/components/leadership.rs
+++ b/tests/components/leadership.rs
@@ -1,7 +1,10 @@
 //! Shards, their terms and leases.
 
 use millethold::config::Workers;
-use millethold::controller::leadership::shard::{self, ControllerLease, Shard, ShardLease};
+use millethold::controller::leadership::controller_lease::ControllerLease;
+use millethold::controller::leadership::fencing_token::{self, FIRST_RAISED_OFFSET};
+use millethold::controller::leadership::shard::{self, Shard, ShardAcquisition};
+use millethold::controller::leadership::shard_lease::ShardLease;
 use millethold::controller::machines::cancellation;
 use millethold::time::Micros;
 use millethold::wire::{KeyValue, Write};
@@ -29,33 +32,33 @@
     for (stored, want) in table {
         let mut s = Shard::default();
         s.observe_lease(Micros::secs(1), stored.as_ref());
-        assert_eq!(s.acquirable_at("a", 7), want, "{stored:?}");
+        assert_eq!(s.acquirable_revision("a", 7), want, "{stored:?}");
     }
     // What this run gave up stands until the release is carried out, perhaps late: it
     // is taken anew, on its mark, instead of being acted on under the old term.
     for (last_led_term, want) in [(3, None), (4, Some(40)), (5, Some(40))] {
         let mut s = Shard { last_led_term, ..Shard::default() };
         s.observe_lease(Micros::secs(1), Some(&item("a", 7, 4, 40)));
-        assert_eq!(s.acquirable_at("a", 7), want, "acted under term {last_led_term}");
-        assert_eq!(s.acquirable_at("b", 7), None, "nobody else may");
+        assert_eq!(s.acquirable_revision("a", 7), want, "acted under term {last_led_term}");
+        assert_eq!(s.acquirable_revision("b", 7), None, "nobody else may");
     }
     let mut s = Shard::default();
     s.observe_lease(Micros::secs(1), Some(&item("b", 3, 4, 40)));
     s.observe_lease(Micros::secs(9), None);
     assert_eq!(s.vacant_since, Micros::secs(9));
-    let (txn, term) = s.take(0, 0, "a", 7, 12);
-    assert_eq!(term, shard::TERM_STRIDE, "a term only rises");
-    assert_eq!(shard::next_term(u64::MAX), u64::MAX, "a damaged term is no panic");
+    let ShardAcquisition { transaction: txn, term } = s.acquire(0, 0, "a", 7, 12);
+    assert_eq!(term, fencing_token::TERM_STRIDE, "a term only rises");
+    assert_eq!(fencing_token::next_term(u64::MAX), u64::MAX, "a damaged term is no panic");
     // Terms of this version, and of earlier ones, which count by one: the next is above
     // all tokens that may have been shown under them.
     for before in [0, 4, term, term + 1, term + 900] {
-        let next = shard::next_term(before);
+        let next = fencing_token::next_term(before);
         assert!(next > before, "{before}");
         for fencing_token_raises in
-            [0, 1, 2, shard::FIRST_RAISED - 2, shard::FIRST_RAISED, u64::MAX]
+            [0, 1, 2, FIRST_RAISED_OFFSET - 2, FIRST_RAISED_OFFSET, u64::MAX]
         {
-            let fencing_token = shard::raised_fencing_token(next, fencing_token_raises);
-            let fits = |t: u64| t >= next && t < shard::next_term(next);
+            let fencing_token = fencing_token::raised_fencing_token(next, fencing_token_raises);
+            let fits = |t: u64| t >= next && t < fencing_token::next_term(next);
             assert!(fencing_token.is_none_or(fits), "{before}: {fencing_token:?}");
             // A few takes by earlier versions do not reach what was raised.
             assert!(
@@ -63,7 +66,11 @@
                 "{fencing_token:?}"
             );
         }
-        assert_eq!(shard::raised_fencing_token(next, shard::FIRST_RAISED), None, "{before}");
+        assert_eq!(
+            fencing_token::raised_fencing_token(next, FIRST_RAISED_OFFSET),
+            None,
+            "{before}"
+        );
     }
     let versions: Vec<u64> = txn.conditions.iter().map(|c| c.revision).collect();
     assert_eq!(versions, [0, 40], "both keys are conditions");
@@ -72,13 +79,13 @@
 
     let ttl = Micros::secs(8);
     let mut lease = ControllerLease { id: Some(1), ..ControllerLease::default() };
-    lease.extended(Micros::secs(100), ttl);
-    assert!(lease.valid(Micros::secs(107)));
-    assert!(!lease.valid(Micros::millis(107_950)), "drift and margin are taken off");
-    lease.extended(Micros::secs(90), ttl);
-    assert!(lease.valid(Micros::secs(107)), "an older answer does not shorten it");
-    lease.lost();
-    assert!(!lease.valid(Micros::secs(101)));
+    lease.extend(Micros::secs(100), ttl);
+    assert!(lease.is_valid(Micros::secs(107)));
+    assert!(!lease.is_valid(Micros::millis(107_950)), "drift and margin are taken off");
+    lease.extend(Micros::secs(90), ttl);
+    assert!(lease.is_valid(Micros::secs(107)), "an older answer does not shorten it");
+    lease.expire(Micros::secs(100));
+    assert!(!lease.is_valid(Micros::secs(101)));
 
     for shards in 1..6 {
         let mut count = vec![0; shards];
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -1,7 +1,7 @@
 //! What a machine's shard concludes from reports, and what it starts.
 
 use millethold::controller::jobs::job::StoredStage;
-use millethold::controller::leadership::shard::{TERM_STRIDE, next_term};
+use millethold::controller::leadership::fencing_token::{TERM_STRIDE, next_term};
 use millethold::controller::machines::attempt::AttemptId;
 use millethold::controller::machines::machine::ManagedMachine;
 use millethold::controller::machines::machine::heartbeat_intake::HeartbeatSource;
--- a/tests/components/sockets.rs
+++ b/tests/components/sockets.rs
@@ -27,7 +27,7 @@
     const MB: usize = 1024 * 1024;
     for (mem_mb, want) in [(16.0, 4 * MB), (88.0, 11 * MB / 2), (258.0, 8 * MB)] {
         assert_eq!(peer_backlog(mem_mb), want, "{mem_mb}");
-        assert!(want >= millethold::peer::MAX_FRAME, "a frame of any size must fit");
+        assert!(want >= millethold::peer::MAX_FRAME_BYTES, "a frame of any size must fit");
     }
     // A buffer that always has something left holds no more than a few times that.
     let (mut buffer, mut written) = (Vec::new(), 0);
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -4,7 +4,7 @@
 use millethold::controller::jobs::job::{
     self, ChunkLayout, Job, JobRecord, StoredStage, TaskEnd, decode_batch, encode_batch,
 };
-use millethold::peer::{self, InheritedUrgency, ObservedState};
+use millethold::peer::{self, InheritedUrgency, ObservedState, ReadFrame};
 use millethold::time::Micros;
 use millethold::wire::{self, JobSpec};
 use prost::Message;
@@ -74,11 +74,12 @@
 #[test]
 fn frames_of_production() {
     let bytes = frame();
-    let (mut read, used) = peer::read_frame(&bytes).expect("a frame").expect("all of it");
+    let ReadFrame { frame: mut read, used } =
+        peer::read_frame(&bytes).expect("a frame").expect("all of it");
     assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
     assert_eq!((read.cancelled.len(), read.views.len(), read.inherited_urgency.len()), (1, 1, 0));
-    let wants = read.desired[0].clone().read().expect("wants");
-    assert_eq!((wants.shard, wants.seq, wants.machines[0].2[0].attempt), (1, 6, 2));
+    let wants = read.desired[0].clone().decode().expect("wants");
+    assert_eq!((wants.shard, wants.seq, wants.machines[0].tasks[0].attempt), (1, 6, 2));
     let mut written = Vec::new();
     peer::write_frame(&mut written, &read);
     assert_eq!(written, bytes, "without pipelines it is the same");
--- a/tests/controller/damaged_data.rs
+++ b/tests/controller/damaged_data.rs
@@ -3,7 +3,7 @@
 //! waits for them, and what cannot be read is neither called lost nor begun.
 
 use crate::harness::{Harness, settings, warnings};
-use millethold::peer;
+use millethold::peer::{self, ReadFrame};
 use millethold::time::Micros;
 use serde_json::{Value, json};
 
@@ -268,10 +268,13 @@
 fn damaged_frames() {
     let sent = whole_frame();
     let body = &sent[4..];
-    let (whole, _) = peer::read_frame(&sent).expect("a frame").expect("all of it");
+    let whole = peer::read_frame(&sent).expect("a frame").expect("all of it").frame;
     // Unknown fields are skipped: number 200 as a text, 201 as a number.
     let unknown = [body, &[0xc2, 0x0c, 2, b'h', b'i', 0xc8, 0x0c, 7]].concat();
-    assert_eq!(peer::read_frame(&framed(&unknown)), Ok(Some((whole, unknown.len() + 4))));
+    assert_eq!(
+        peer::read_frame(&framed(&unknown)),
+        Ok(Some(ReadFrame { frame: whole, used: unknown.len() + 4 }))
+    );
     let cut = (0..body.len()).map(|n| body[..n].to_vec());
     let bits = [0x01, 0x08, 0x80, 0xff];
     let flipped = (0..body.len()).flat_map(|n| {
@@ -286,7 +289,7 @@
     let (mut read, mut refused) = (0, 0);
     for body in cut.chain(flipped) {
         match peer::read_frame(&framed(&body)) {
-            Ok(Some((frame, _))) => {
+            Ok(Some(ReadFrame { frame, .. })) => {
                 read += 1;
                 harness.hear(1, frame);
                 if read % 20 == 0 {
--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -9,9 +9,9 @@
 use millethold::controller::jobs::job::{
     ChunkLayout, Job, JobRecord, decode_batch, encode_batch, is_batch, parse_chunk_key,
 };
-use millethold::controller::leadership::shard::{ShardLease, Term};
+use millethold::controller::leadership::shard_lease::{ShardLease, TermRecord};
 use millethold::controller::quota::team_quota::TeamQuota;
-use millethold::peer::{self, Frame};
+use millethold::peer::{self, Frame, ReadFrame};
 use millethold::time::Micros;
 use millethold::wire::MachineType;
 use prost::Message;
@@ -85,7 +85,7 @@
                 let written = match kind {
                     "j" => again::<JobRecord>(value),
                     "hold" => again::<ShardLease>(value),
-                    "seat" => again::<Term>(value),
+                    "seat" => again::<TermRecord>(value),
                     "types" => again::<Vec<MachineType>>(value),
                     "quota" => quota_again(value),
                     "u" => continue,
@@ -127,13 +127,14 @@
     for left in [production(), first_with_pipelines()] {
         for (name, sent) in &left.frames {
             let name = format!("{}: {name}", left.version);
-            let (frame, used) = peer::read_frame(sent).expect(&name).expect("all of it");
+            let ReadFrame { frame, used } =
+                peer::read_frame(sent).expect(&name).expect("all of it");
             assert_eq!(used, sent.len(), "{name}");
             let mut written = Vec::new();
             peer::write_frame(&mut written, &frame);
             assert_eq!(&written, sent, "{name}");
             for desired in &frame.desired {
-                let read = desired.clone().read().expect(&name);
+                let read = desired.clone().decode().expect(&name);
                 assert_eq!(&read.to_message(), desired, "{name}");
             }
         }
@@ -151,7 +152,7 @@
 }
 
 fn frame_of(sent: &[u8]) -> Frame {
-    peer::read_frame(sent).expect("a frame").expect("all of it").0
+    peer::read_frame(sent).expect("a frame").expect("all of it").frame
 }
 
 /// The next version takes the seats, the jobs and their tasks over: what was accepted is
