--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the cloud, whose list lags.
 
-use crate::settings::{LIST_LAG, ZONES};
-use crate::state_calls::Answer;
+use crate::kv_store_http::Answer;
+use crate::settings::{CLOUD_LIST_LAG, ZONES};
 use millethold::http::Request;
 use millethold::time::Micros;
 use millethold::wire::{
@@ -32,9 +32,9 @@
     /// Nothing.
     None,
     /// These are new.
-    RentedMachine(Vec<String>),
+    Created(Vec<String>),
     /// These are gone.
-    ScaledIn(Vec<String>),
+    Deleted(Vec<String>),
 }
 
 /// The cloud.
@@ -87,20 +87,20 @@
             }
             ("POST", path::MACHINES) => {
                 let request: ScaleOutRequest = serde_json::from_slice(&request.body).ok()?;
-                Some(self.rent(now, &request))
+                Some(self.create(now, &request))
             }
             ("POST", path::RETURN) => {
                 let names: MachineNames = serde_json::from_slice(&request.body).ok()?;
                 for name in &names.machines {
                     self.take(now, name);
                 }
-                Some((Answer::new(200, &json!({})), CloudEffect::ScaledIn(names.machines)))
+                Some((Answer::new(200, &json!({})), CloudEffect::Deleted(names.machines)))
             }
             _ => None,
         }
     }
 
-    fn rent(&mut self, now: Micros, request: &ScaleOutRequest) -> (Answer, CloudEffect) {
+    fn create(&mut self, now: Micros, request: &ScaleOutRequest) -> (Answer, CloudEffect) {
         if let Some(machines) = self.requests.get(&request.request) {
             let names = MachineNames { machines: machines.clone() };
             return (Answer::new(200, &names), CloudEffect::None);
@@ -110,16 +110,16 @@
         if count == 0 {
             return (Answer::new(503, &json!({ "error": "no capacity" })), CloudEffect::None);
         }
-        let rented = (0..count).map(|_| self.add(now, &request.zone, request.spot));
-        let machines: Vec<String> = rented.collect();
+        let created = (0..count).map(|_| self.add(now, &request.zone, request.spot));
+        let machines: Vec<String> = created.collect();
         self.requests.insert(request.request.clone(), machines.clone());
         let names = MachineNames { machines: machines.clone() };
-        (Answer::new(200, &names), CloudEffect::RentedMachine(machines))
+        (Answer::new(200, &names), CloudEffect::Created(machines))
     }
 
     /// The machines that there were a while ago.
     fn list(&self, now: Micros, after: Option<&str>) -> Vec<ListedMachine> {
-        let then = now.since(LIST_LAG);
+        let then = now.since(CLOUD_LIST_LAG);
         let there = |m: &Machine| m.since <= then && m.until.is_none_or(|until| until > then);
         let wanted = self.machines.iter().filter(|(name, machine)| {
             there(machine) && after.is_none_or(|after| name.as_str() > after)
--- a/crates/rehearsal/src/faults.rs
+++ b/crates/rehearsal/src/faults.rs
@@ -7,17 +7,17 @@
 use std::fmt;
 
 /// Nothing goes wrong before this.
-const QUIET: Micros = Micros::secs(3);
+const FIRST_FAULT_AT: Micros = Micros::secs(3);
 /// Between the beginnings of two groups of faults.
-const GROUP_EVERY: (u64, u64) = (4_000, 8_000);
+const FAULT_GROUP_INTERVAL_MS: (u64, u64) = (4_000, 8_000);
 /// How long a fault lasts.
-const LASTS: (u64, u64) = (800, 9_000);
+const FAULT_DURATION_MS: (u64, u64) = (800, 9_000);
 /// Direct commands are held for so long: also for longer than a cancellation has.
-const HELD_COMMANDS: (u64, u64) = (1_000, 40_000);
-/// Copies of reports come so much later.
-pub const LATE_REPORTS: (u64, u64) = (500, 20_000);
+const DELAYED_COMMANDS_MS: (u64, u64) = (1_000, 40_000);
+/// Copies of heartbeats come so much later.
+pub const LATE_HEARTBEATS_MS: (u64, u64) = (500, 20_000);
 /// Transactions without an answer are carried out so much later.
-pub const LATE_WRITES: (u64, u64) = (300, 9_000);
+pub const LATE_WRITES_MS: (u64, u64) = (300, 9_000);
 
 /// Some of the workers: those whose number leaves this rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -88,7 +88,8 @@
         to: usize,
     },
     /// A controller and the key-value store are.
-    CutState {
+    #[serde(rename = "cut_state")]
+    CutKvStore {
         /// Its number.
         controller: usize,
         /// What becomes of messages.
@@ -102,7 +103,8 @@
     /// It refuses all.
     RefuseAll,
     /// It answers late, by up to so much.
-    SlowState {
+    #[serde(rename = "slow_state")]
+    SlowKvStore {
         /// How much at most.
         by: Micros,
     },
@@ -135,7 +137,7 @@
         /// Which.
         workers: SomeWorkers,
     },
-    /// Reports of these workers do not arrive.
+    /// heartbeats of these workers do not arrive.
     Mute {
         /// Which.
         workers: SomeWorkers,
@@ -145,8 +147,9 @@
         /// Which.
         workers: SomeWorkers,
     },
-    /// Some direct commands are held, while reports go on.
-    HeldCommands {
+    /// Some direct commands are held, while heartbeats go on.
+    #[serde(rename = "held_commands")]
+    DelayedCommands {
         /// How many of a hundred.
         percent: u32,
         /// At least so long.
@@ -154,8 +157,9 @@
         /// At most so long.
         most: Micros,
     },
-    /// Of some reports a copy comes later, at any controller.
-    LateReports {
+    /// Of some heartbeats a copy comes later, at any controller.
+    #[serde(rename = "late_reports")]
+    LateHeartbeats {
         /// How many of a hundred.
         percent: u32,
     },
@@ -172,7 +176,7 @@
     /// The cloud refuses all calls.
     CloudAway,
     /// The cloud takes some machines.
-    TakeMachines {
+    ReclaimMachines {
         /// Which.
         workers: SomeWorkers,
     },
@@ -208,9 +212,9 @@
             Fault::KillInTurn { pause, back } => {
                 self.at + Micros(pause.0 * controllers as u64) + back
             }
-            Fault::HeldCommands { most, .. } => self.until + most,
-            Fault::LateReports { .. } => self.until + Micros::millis(LATE_REPORTS.1),
-            Fault::LateWrites { .. } => self.until + Micros::millis(LATE_WRITES.1),
+            Fault::DelayedCommands { most, .. } => self.until + most,
+            Fault::LateHeartbeats { .. } => self.until + Micros::millis(LATE_HEARTBEATS_MS.1),
+            Fault::LateWrites { .. } => self.until + Micros::millis(LATE_WRITES_MS.1),
             _ => self.until,
         }
     }
@@ -226,15 +230,16 @@
 /// Draws groups of two or three faults that overlap, over so much time.
 pub fn draw_faults(rng: &mut StdRng, over: Micros, controllers: usize) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
-    let mut group = QUIET;
+    let mut group = FIRST_FAULT_AT;
     while group < over {
         for _ in 0..rng.random_range(2..=3) {
             let at = group + Micros::millis(rng.random_range(0..2_500));
-            let lasts = Micros::millis(rng.random_range(LASTS.0..LASTS.1));
+            let lasts = Micros::millis(rng.random_range(FAULT_DURATION_MS.0..FAULT_DURATION_MS.1));
             let fault = draw_fault(rng, controllers);
             faults.push(PlannedFault { at, until: at + lasts, fault });
         }
-        group += Micros::millis(rng.random_range(GROUP_EVERY.0..GROUP_EVERY.1));
+        group +=
+            Micros::millis(rng.random_range(FAULT_GROUP_INTERVAL_MS.0..FAULT_GROUP_INTERVAL_MS.1));
     }
     faults.sort_by_key(|fault| fault.at);
     faults
@@ -271,10 +276,10 @@
         4 | 5 => Fault::Pause { controller },
         6 => Fault::CutPeers { controller, cut: draw_cut(rng) },
         7 => Fault::CutOneWay { from: controller, to: other },
-        8 => Fault::CutState { controller, cut: draw_cut(rng) },
+        8 => Fault::CutKvStore { controller, cut: draw_cut(rng) },
         9 | 10 => Fault::RefuseOne { controller },
         11 => Fault::RefuseAll,
-        12 => Fault::SlowState { by: Micros::millis(rng.random_range(50..1_500)) },
+        12 => Fault::SlowKvStore { by: Micros::millis(rng.random_range(50..1_500)) },
         13 => Fault::LateWrites { percent: rng.random_range(5..40) },
         14 => Fault::LostAnswers { percent: rng.random_range(5..40) },
         15 => Fault::CutWorkers { controller, cut: draw_cut(rng) },
@@ -283,21 +288,21 @@
         18 => Fault::Mute { workers: draw_workers(rng) },
         19 => Fault::Hang { workers: draw_workers(rng) },
         20 | 21 => {
-            let least = rng.random_range(HELD_COMMANDS.0..HELD_COMMANDS.1);
-            let most = rng.random_range(least..=HELD_COMMANDS.1);
+            let least = rng.random_range(DELAYED_COMMANDS_MS.0..DELAYED_COMMANDS_MS.1);
+            let most = rng.random_range(least..=DELAYED_COMMANDS_MS.1);
             let percent = rng.random_range(20..90);
-            Fault::HeldCommands {
+            Fault::DelayedCommands {
                 percent,
                 least: Micros::millis(least),
                 most: Micros::millis(most),
             }
         }
-        22 => Fault::LateReports { percent: rng.random_range(5..40) },
+        22 => Fault::LateHeartbeats { percent: rng.random_range(5..40) },
         23 => Fault::SlowLinks { by: Micros::millis(rng.random_range(20..400)) },
         24 => Fault::CutUsers { controller },
         25 => match rng.random() {
             true => Fault::CloudAway,
-            false => Fault::TakeMachines { workers: SomeWorkers { of: 9, rest: 4 } },
+            false => Fault::ReclaimMachines { workers: SomeWorkers { of: 9, rest: 4 } },
         },
         _ => Fault::CancelMany { count: rng.random_range(4..20) },
     }
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -17,13 +17,14 @@
 /// How a task came off its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Off {
+pub enum TaskEnd {
     /// It completed.
     Done,
     /// It was stopped by command.
     Stopped,
-    /// The worker's lease ran out.
-    LeaseOver,
+    /// The worker's lease expired.
+    #[serde(rename = "lease_over")]
+    LeaseExpired,
     /// The machine is gone.
     MachineGone,
 }
@@ -31,7 +32,7 @@
 /// What a user asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Asked {
+pub enum RequestKind {
     /// To accept a job, or the same once more.
     Submit,
     /// How a job stands.
@@ -46,7 +47,8 @@
     /// Job.
     pub job: String,
     /// What was asked.
-    pub asked: Asked,
+    #[serde(rename = "asked")]
+    pub request_kind: RequestKind,
     /// The controller.
     pub controller: usize,
     /// When the request was sent.
@@ -60,9 +62,10 @@
 /// Something that was seen.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "seen")]
-pub enum Seen {
+pub enum Observation {
     /// A task's image is there, and the task is on the machine from now on.
-    On {
+    #[serde(rename = "on")]
+    TaskStarted {
         /// Task.
         task: TaskId,
         /// Attempt.
@@ -71,7 +74,8 @@
         machine: String,
     },
     /// A task is not on its machine any more.
-    Off {
+    #[serde(rename = "off")]
+    TaskEnded {
         /// Task.
         task: TaskId,
         /// Attempt.
@@ -79,14 +83,16 @@
         /// Machine.
         machine: String,
         /// How.
-        how: Off,
+        how: TaskEnd,
     },
     /// A user submits a job, or asks for its cancellation, for the first time.
-    Asked {
+    #[serde(rename = "asked")]
+    Requested {
         /// Job.
         job: String,
         /// What.
-        asked: Asked,
+        #[serde(rename = "asked")]
+        request_kind: RequestKind,
     },
     /// A user is answered.
     Answer(UserAnswer),
@@ -95,7 +101,8 @@
         /// Job.
         job: String,
         /// What was asked.
-        asked: Asked,
+        #[serde(rename = "asked")]
+        request_kind: RequestKind,
     },
     /// A machine executed direct commands this long after they had been sent.
     LateCommands {
@@ -103,7 +110,7 @@
         machine: String,
         /// How late.
         late: Micros,
-        /// Whether token and session still matched.
+        /// Whether fencing token and incarnation still matched.
         executed: bool,
     },
 }
@@ -115,7 +122,7 @@
     pub at: Micros,
     /// What.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 /// All that was seen in a run.
@@ -127,17 +134,21 @@
 
 impl History {
     /// Adds what is seen now.
-    pub fn add(&mut self, at: Micros, seen: Seen) {
-        self.entries.push(Entry { at, seen });
+    pub fn add(&mut self, at: Micros, observation: Observation) {
+        self.entries.push(Entry { at, observation });
     }
 
     /// What concerns a job, the last `most` entries, as lines.
     pub fn about(&self, job: &str, most: usize) -> Vec<String> {
-        let concerns = |entry: &&Entry| match &entry.seen {
-            Seen::On { task, .. } | Seen::Off { task, .. } => task.job == job,
-            Seen::Asked { job: of, .. } | Seen::NoAnswer { job: of, .. } => of == job,
-            Seen::Answer(answer) => answer.job == job,
-            Seen::LateCommands { .. } => false,
+        let concerns = |entry: &&Entry| match &entry.observation {
+            Observation::TaskStarted { task, .. } | Observation::TaskEnded { task, .. } => {
+                task.job == job
+            }
+            Observation::Requested { job: of, .. } | Observation::NoAnswer { job: of, .. } => {
+                of == job
+            }
+            Observation::Answer(answer) => answer.job == job,
+            Observation::LateCommands { .. } => false,
         };
         let lines: Vec<String> =
             self.entries.iter().filter(concerns).map(|entry| entry.to_string()).collect();
@@ -148,26 +159,30 @@
 impl std::fmt::Display for Entry {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:9.3} ", self.at.as_secs_f64())?;
-        match &self.seen {
-            Seen::On { task, attempt, machine } => {
+        match &self.observation {
+            Observation::TaskStarted { task, attempt, machine } => {
                 write!(f, "{machine}: {}/{} attempt {attempt} is on", task.job, task.index)
             }
-            Seen::Off { task, attempt, machine, how } => {
+            Observation::TaskEnded { task, attempt, machine, how } => {
                 write!(f, "{machine}: {}/{} attempt {attempt} off: {how:?}", task.job, task.index)
             }
-            Seen::Asked { job, asked } => write!(f, "user: {asked:?} of {job} begins"),
-            Seen::Answer(a) => write!(
+            Observation::Requested { job, request_kind } => {
+                write!(f, "user: {request_kind:?} of {job} begins")
+            }
+            Observation::Answer(a) => write!(
                 f,
                 "user: {:?} of {} at n{}, sent {:.3} -> {} {:?}",
-                a.asked,
+                a.request_kind,
                 a.job,
                 a.controller,
                 a.sent.as_secs_f64(),
                 a.status,
                 a.stage
             ),
-            Seen::NoAnswer { job, asked } => write!(f, "user: {asked:?} of {job} unanswered"),
-            Seen::LateCommands { machine, late, executed } => write!(
+            Observation::NoAnswer { job, request_kind } => {
+                write!(f, "user: {request_kind:?} of {job} unanswered")
+            }
+            Observation::LateCommands { machine, late, executed } => write!(
                 f,
                 "{machine}: commands {:.1} s late, executed: {executed}",
                 late.as_secs_f64()
--- a/crates/rehearsal/src/jobs.rs
+++ b/crates/rehearsal/src/jobs.rs
@@ -9,22 +9,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Jobs a second at most, however many workers there are.
-const MOST_JOBS_PER_SECOND: f64 = 8.0;
+const MAX_JOBS_PER_S: f64 = 8.0;
 /// Workers for each job a second below that.
 const WORKERS_PER_JOB: f64 = 8.0;
 /// The team with the smallest limit, by its place in [`TEAMS`]. Its jobs are small, so that
 /// all of them fit within the limit in a run's time.
 const TIGHT_TEAM: usize = 0;
-const MOST_TASKS_OF_TIGHT_TEAM: u32 = 6;
-const LONGEST_OF_TIGHT_TEAM: Micros = Micros::secs(3);
+const MAX_TASKS_OF_TIGHT_TEAM: u32 = 6;
+const MAX_RUN_OF_TIGHT_TEAM: Micros = Micros::secs(3);
 /// Parts of the jobs that are of a kind, in percent.
-const CALLED_OFF: u32 = 30;
-const WITH_UPSTREAM: u32 = 15;
-const WITH_MISTAKE: u32 = 4;
-const BOUND_TO_ZONE: u32 = 12;
-const TOGETHER: u32 = 6;
-const APART: u32 = 6;
-const SAVING: u32 = 20;
+const CANCELLED_PERCENT: u32 = 30;
+const WITH_DEPENDENCIES_PERCENT: u32 = 15;
+const WITH_MISTAKE_PERCENT: u32 = 4;
+const BOUND_TO_ZONE_PERCENT: u32 = 12;
+const ONE_ZONE_PERCENT: u32 = 6;
+const SPREAD_PERCENT: u32 = 6;
+const CHECKPOINTING_PERCENT: u32 = 20;
 
 /// A job as its user plans it.
 #[derive(Debug, Clone, PartialEq)]
@@ -92,7 +92,7 @@
 
 /// Draws the jobs that users hand in over so much time.
 pub fn draw_jobs(rng: &mut StdRng, over: Micros, workers: usize) -> Jobs {
-    let rate = (workers as f64 / WORKERS_PER_JOB).clamp(1.0, MOST_JOBS_PER_SECOND);
+    let rate = (workers as f64 / WORKERS_PER_JOB).clamp(1.0, MAX_JOBS_PER_S);
     let count = (over.as_secs_f64() * rate) as usize;
     let mut jobs = Jobs::default();
     let mut ids: Vec<String> = Vec::new();
@@ -105,7 +105,7 @@
             }
         };
         let at = over.as_secs_f64() * number as f64 / count as f64;
-        let dependencies = draw_upstream(rng, &ids);
+        let dependencies = draw_dependencies(rng, &ids);
         let plan = draw_job(rng, id.clone(), Micros::from_secs_f64(at), workers, dependencies);
         jobs.plans.insert(id.clone(), plan);
         ids.push(id);
@@ -119,8 +119,8 @@
 }
 
 /// One or two of the last jobs, for some.
-fn draw_upstream(rng: &mut StdRng, ids: &[String]) -> Vec<String> {
-    if ids.len() < 4 || !chance(rng, WITH_UPSTREAM) {
+fn draw_dependencies(rng: &mut StdRng, ids: &[String]) -> Vec<String> {
+    if ids.len() < 4 || !chance(rng, WITH_DEPENDENCIES_PERCENT) {
         return Vec::new();
     }
     let recent = &ids[ids.len().saturating_sub(8)..];
@@ -143,15 +143,15 @@
     };
     let team = [0, 1, 1, 2, 2, 2][rng.random_range(0..6)];
     let small = team == TIGHT_TEAM;
-    let tasks = if small { tasks.min(MOST_TASKS_OF_TIGHT_TEAM) } else { tasks };
+    let tasks = if small { tasks.min(MAX_TASKS_OF_TIGHT_TEAM) } else { tasks };
     let cpus = [1.0, 1.0, 2.0, 4.0][rng.random_range(0..4)];
     let runs = match rng.random_range(0..5) {
         0..3 => Micros::millis(rng.random_range(400..3_000)),
         3 => Micros::millis(rng.random_range(3_000..8_000)),
         _ => Micros::millis(rng.random_range(8_000..16_000)),
     };
-    let runs = if small { runs.min(LONGEST_OF_TIGHT_TEAM) } else { runs };
-    let mistake = chance(rng, WITH_MISTAKE);
+    let runs = if small { runs.min(MAX_RUN_OF_TIGHT_TEAM) } else { runs };
+    let mistake = chance(rng, WITH_MISTAKE_PERCENT);
     // Most are called off soon, while their first starts are on their way.
     let soon = rng.random_range(0..3) > 0;
     let wait = Micros::millis(if soon {
@@ -159,8 +159,8 @@
     } else {
         rng.random_range(2_500..12_000)
     });
-    let called_off = mistake || chance(rng, CALLED_OFF);
-    let zone_bound = chance(rng, BOUND_TO_ZONE);
+    let called_off = mistake || chance(rng, CANCELLED_PERCENT);
+    let zone_bound = chance(rng, BOUND_TO_ZONE_PERCENT);
     let shape = rng.random_range(0..100);
     JobPlan {
         id,
@@ -171,10 +171,11 @@
         urgency: ["low", "standard", "standard", "high", "production"][rng.random_range(0..5)],
         image: format!("img-{:02}", rng.random_range(0..12)),
         zone: zone_bound.then(|| ZONES[rng.random_range(0..ZONES.len())]),
-        together: !zone_bound && shape < TOGETHER,
-        apart: !zone_bound && (TOGETHER..TOGETHER + APART).contains(&shape),
+        together: !zone_bound && shape < ONE_ZONE_PERCENT,
+        apart: !zone_bound
+            && (ONE_ZONE_PERCENT..ONE_ZONE_PERCENT + SPREAD_PERCENT).contains(&shape),
         spot: rng.random_range(0..3) > 0,
-        saves: match chance(rng, SAVING) {
+        saves: match chance(rng, CHECKPOINTING_PERCENT) {
             true => Micros::millis(rng.random_range(200..1_000)),
             false => Micros::ZERO,
         },
--- a/crates/rehearsal/src/state_service.rs
+++ b/crates/rehearsal/src/kv_store.rs
@@ -39,7 +39,7 @@
 
 /// The stored state.
 #[derive(Debug, Default)]
-pub struct StateService {
+pub struct KvStore {
     keys: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
     changes: Vec<WatchEvent>,
@@ -49,7 +49,7 @@
     revision: u64,
 }
 
-impl StateService {
+impl KvStore {
     /// Number of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
--- a/crates/rehearsal/src/state_calls.rs
+++ b/crates/rehearsal/src/kv_store_http.rs
@@ -1,6 +1,6 @@
 //! Calls of the key-value store, as they come over HTTP.
 
-use crate::state_service::{Outcome, StateService};
+use crate::kv_store::{KvStore, Outcome};
 use millethold::http::Request;
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
@@ -69,7 +69,7 @@
 }
 
 /// Carries a call out; `None` if it is a watch that has to wait.
-pub fn carry_out(call: &KvRequest, now: Micros, state: &mut StateService) -> Option<Answer> {
+pub fn carry_out(call: &KvRequest, now: Micros, state: &mut KvStore) -> Option<Answer> {
     state.expire(now);
     let revision = |revision, failed| Revision { revision, failed };
     Some(match call {
@@ -105,6 +105,6 @@
 }
 
 /// The answer to a watch that nothing has happened for.
-pub fn nothing_changed(state: &StateService) -> Answer {
+pub fn nothing_changed(state: &KvStore) -> Answer {
     Answer::new(200, &WatchResponse { revision: state.revision(), events: Vec::new() })
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -7,16 +7,18 @@
 //! - [`options`], [`settings`], [`addresses`]: what is asked for, and what the processes are told;
 //! - [`net`], [`relay`]: sockets on one event loop, and the links between controllers;
 //! - [`faults`], [`links`]: what goes wrong when, and what it does to a message;
-//! - [`state_service`], [`state_calls`], [`cloud`], [`worker`], [`jobs`]: the stand-ins, which know no sockets;
+//! - [`kv_store`], [`kv_store_http`], [`cloud`], [`worker`], [`jobs`]: the stand-ins, which know no sockets;
 //! - [`world`] and what belongs to it: one run, in which all of these meet;
 //! - [`process`]: the controllers' processes;
-//! - [`history`], [`rules`], [`report`], [`soak`]: what was seen, what it breaks, what is told of it.
+//! - [`history`], [`rules`], [`report`], [`soak`]: what was seen, what it breaks, what is answered of it.
 
 mod addresses;
 pub mod cloud;
 pub mod faults;
 pub mod history;
 pub mod jobs;
+pub mod kv_store;
+pub mod kv_store_http;
 pub mod links;
 mod net;
 pub mod options;
@@ -26,7 +28,5 @@
 pub mod rules;
 pub mod settings;
 pub mod soak;
-pub mod state_calls;
-pub mod state_service;
 pub mod worker;
 mod world;
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -1,6 +1,6 @@
 //! What becomes of a message on its way, by the faults that are there.
 
-use crate::faults::{Cut, Fault, LATE_WRITES, PlannedFault};
+use crate::faults::{Cut, Fault, LATE_WRITES_MS, PlannedFault};
 use millethold::time::Micros;
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -17,7 +17,7 @@
         controller: usize,
     },
     /// A controller to the key-value store.
-    State {
+    KvStore {
         /// The controller.
         controller: usize,
     },
@@ -26,7 +26,7 @@
         /// The controller.
         controller: usize,
     },
-    /// A worker's reports.
+    /// A worker's heartbeats.
     Heartbeat {
         /// The worker.
         worker: usize,
@@ -60,10 +60,10 @@
 
 /// What becomes of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passage {
+pub enum Delivery {
     /// It arrives at this time.
     At(Micros),
-    /// It does not arrive, and nobody is told.
+    /// It does not arrive, and nobody is answered.
     Lost,
     /// Its connection is reset.
     Reset,
@@ -71,7 +71,7 @@
 
 /// What becomes of a call to the key-value store beside its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Service {
+pub enum StoreBehavior {
     /// It is carried out and answered.
     Served,
     /// It is refused.
@@ -83,24 +83,24 @@
 }
 
 /// What becomes of a message that is sent now.
-pub fn pass(
+pub fn transmit(
     faults: &[PlannedFault],
     rng: &mut StdRng,
     now: Micros,
     link: Link,
     direction: Direction,
-) -> Passage {
+) -> Delivery {
     let mut at = now;
     for planned in faults.iter().filter(|planned| planned.active(now)) {
         match effect(rng, &planned.fault, link, direction) {
             Effect::None => {}
             Effect::Later(by) => at = at.max(now + by),
             Effect::Cut(Cut::Held) => at = at.max(planned.until + AFTER_CUT),
-            Effect::Cut(Cut::Reset) => return Passage::Reset,
-            Effect::Lost => return Passage::Lost,
+            Effect::Cut(Cut::Reset) => return Delivery::Reset,
+            Effect::Lost => return Delivery::Lost,
         }
     }
-    Passage::At(at)
+    Delivery::At(at)
 }
 
 /// What one fault does to a message.
@@ -124,7 +124,7 @@
     };
     match *fault {
         Fault::SlowLinks { by } => Effect::Later(up_to(rng, by)),
-        Fault::SlowState { by } if matches!(link, Link::State { .. }) => {
+        Fault::SlowKvStore { by } if matches!(link, Link::KvStore { .. }) => {
             Effect::Later(up_to(rng, Micros(by.0 / 2)))
         }
         Fault::CutPeers { controller, cut } => match link {
@@ -134,7 +134,7 @@
         Fault::CutOneWay { from, to } if link == (Link::Peer { from, to }) => {
             Effect::Cut(Cut::Held)
         }
-        Fault::CutState { controller, cut } if link == (Link::State { controller }) => {
+        Fault::CutKvStore { controller, cut } if link == (Link::KvStore { controller }) => {
             Effect::Cut(cut)
         }
         Fault::CutUsers { controller } if link == (Link::User { controller }) => {
@@ -161,7 +161,7 @@
             Link::Heartbeat { worker, .. } if workers.has(worker) => Effect::Cut(Cut::Reset),
             _ => Effect::None,
         },
-        Fault::HeldCommands { percent, least, most } => match (link, direction) {
+        Fault::DelayedCommands { percent, least, most } => match (link, direction) {
             (Link::Command { .. }, Direction::Request) if rng.random_range(0..100) < percent => {
                 Effect::Later(Micros(rng.random_range(least.0..=most.0)))
             }
@@ -173,30 +173,30 @@
 
 /// What the key-value store does with a call of a controller; `changes` says that it
 /// changes what is stored.
-pub fn serve(
+pub fn store_behavior(
     faults: &[PlannedFault],
     rng: &mut StdRng,
     now: Micros,
     controller: usize,
     changes: bool,
-) -> Service {
+) -> StoreBehavior {
     for planned in faults.iter().filter(|planned| planned.active(now)) {
         match planned.fault {
-            Fault::RefuseAll => return Service::Refused,
+            Fault::RefuseAll => return StoreBehavior::Refused,
             Fault::RefuseOne { controller: refused } if refused == controller => {
-                return Service::Refused;
+                return StoreBehavior::Refused;
             }
             Fault::LateWrites { percent } if changes && rng.random_range(0..100) < percent => {
-                let by = rng.random_range(LATE_WRITES.0..LATE_WRITES.1);
-                return Service::Late(now + Micros::millis(by));
+                let by = rng.random_range(LATE_WRITES_MS.0..LATE_WRITES_MS.1);
+                return StoreBehavior::Late(now + Micros::millis(by));
             }
             Fault::LostAnswers { percent } if changes && rng.random_range(0..100) < percent => {
-                return Service::AnswerLost;
+                return StoreBehavior::AnswerLost;
             }
             _ => {}
         }
     }
-    Service::Served
+    StoreBehavior::Served
 }
 
 /// Whether the key-value store refuses a controller at present.
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -108,8 +108,9 @@
 fn run_soak(options: &SoakOptions) -> Result<SoakReport, String> {
     options.check().map_err(|e| e.to_string())?;
     let stop = Arc::new(AtomicBool::new(false));
-    let told = Arc::clone(&stop);
-    ctrlc::set_handler(move || told.store(true, Ordering::Relaxed)).map_err(|e| e.to_string())?;
+    let known_to_users = Arc::clone(&stop);
+    ctrlc::set_handler(move || known_to_users.store(true, Ordering::Relaxed))
+        .map_err(|e| e.to_string())?;
     let report = soak::soak(options, &stop, |run| print!("{run}")).map_err(|e| e.to_string())?;
     if let Some(file) = &options.report {
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// A controller calls the key-value store.
-    State {
+    KvStore {
         /// Its number.
         controller: usize,
     },
@@ -39,7 +39,7 @@
         /// Number of the worker.
         worker: usize,
     },
-    /// A worker reports to a controller.
+    /// A worker heartbeats to a controller.
     Heartbeat {
         /// Number of the worker.
         worker: usize,
@@ -54,9 +54,9 @@
     /// One side of a relayed connection between controllers.
     Relay {
         /// Number of the relayed connection.
-        pipe: u64,
+        relayed: u64,
         /// Whether it is the side of the controller that connected.
-        near: bool,
+        from_initiator: bool,
     },
 }
 
@@ -259,7 +259,7 @@
         }
         let (event, used) = match self.role {
             Role::Relay { .. } => return Some(NetEvent::Bytes(std::mem::take(&mut self.inbound))),
-            Role::State { .. } | Role::Cloud { .. } | Role::Commands { .. } => {
+            Role::KvStore { .. } | Role::Cloud { .. } | Role::Commands { .. } => {
                 let (request, used) = http::parse_request(&self.inbound).ok()??;
                 (NetEvent::Request(request), used)
             }
@@ -300,9 +300,11 @@
                 let _ = world.net.add(stream, role);
             }
             ListenerRole::Peer { from, to } => {
-                let pipe = world.relays.reserve();
-                if let Ok(near) = world.net.add(stream, Role::Relay { pipe, near: true }) {
-                    world.relay_accepted(pipe, from, to, near);
+                let relayed = world.relays.reserve();
+                if let Ok(from_initiator) =
+                    world.net.add(stream, Role::Relay { relayed, from_initiator: true })
+                {
+                    world.relay_accepted(relayed, from, to, from_initiator);
                 }
             }
         }
--- a/crates/rehearsal/src/options.rs
+++ b/crates/rehearsal/src/options.rs
@@ -4,13 +4,13 @@
 use std::path::PathBuf;
 
 /// Most members of a run.
-pub const MOST_CONTROLLERS: usize = 9;
+pub const MAX_CONTROLLERS: usize = 9;
 /// Most workers of a run.
-pub const MOST_WORKERS: usize = 600;
+pub const MAX_WORKERS: usize = 600;
 /// Most seconds of faults in a run.
-const MOST_SECONDS: u64 = 3_600;
+const MAX_SECONDS: u64 = 3_600;
 /// Most runs beside each other: nine members each stay far below 300 processes.
-pub const MOST_PARALLEL: usize = 16;
+pub const MAX_PARALLEL: usize = 16;
 
 /// A soak: a number of runs, each with its seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,11 +66,11 @@
             false => Err(BadOption { option, reason: format!("must be from 1 to {most}") }),
         };
         within("seeds", self.seeds, 100_000)?;
-        within("seconds", self.seconds, MOST_SECONDS)?;
-        within("controllers", self.controllers as u64, MOST_CONTROLLERS as u64)?;
-        within("parallel", self.parallel as u64, MOST_PARALLEL as u64)?;
+        within("seconds", self.seconds, MAX_SECONDS)?;
+        within("controllers", self.controllers as u64, MAX_CONTROLLERS as u64)?;
+        within("parallel", self.parallel as u64, MAX_PARALLEL as u64)?;
         if let Some(workers) = self.workers {
-            within("workers", workers as u64, MOST_WORKERS as u64)?;
+            within("workers", workers as u64, MAX_WORKERS as u64)?;
         }
         if self.first_seed.checked_add(self.seeds).is_none() {
             let reason = "the last seed is too large".to_string();
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -6,7 +6,7 @@
 
 /// One direction of a relayed connection.
 #[derive(Debug, Default)]
-struct Way {
+struct RelayDirection {
     /// What waits, and until when.
     waiting: VecDeque<(Micros, Vec<u8>)>,
     /// Its source has closed: its target does once all has arrived.
@@ -15,15 +15,15 @@
 
 /// A relayed connection.
 #[derive(Debug)]
-pub struct Pipe {
+pub struct RelayedConnection {
     /// Who connected.
     pub from: usize,
     /// To whom.
     pub to: usize,
-    near: ConnectionId,
+    from_initiator: ConnectionId,
     far: ConnectionId,
-    forward: Way,
-    back: Way,
+    forward: RelayDirection,
+    back: RelayDirection,
 }
 
 /// What is to be done with a connection of a pipe.
@@ -35,44 +35,44 @@
     Close(ConnectionId),
 }
 
-impl Pipe {
-    fn way(&mut self, near: bool) -> (&mut Way, ConnectionId) {
-        match near {
+impl RelayedConnection {
+    fn direction_from(&mut self, from_initiator: bool) -> (&mut RelayDirection, ConnectionId) {
+        match from_initiator {
             true => (&mut self.forward, self.far),
-            false => (&mut self.back, self.near),
+            false => (&mut self.back, self.from_initiator),
         }
     }
 
     /// Both of its connections.
     pub fn connections(&self) -> [ConnectionId; 2] {
-        [self.near, self.far]
+        [self.from_initiator, self.far]
     }
 
     /// Bytes came from one side, and may go on at a time; never before earlier ones.
-    pub fn push(&mut self, near: bool, at: Micros, bytes: Vec<u8>) -> Micros {
-        let (way, _) = self.way(near);
-        let at = way.waiting.back().map_or(at, |(last, _)| at.max(*last));
-        way.waiting.push_back((at, bytes));
+    pub fn push(&mut self, from_initiator: bool, at: Micros, bytes: Vec<u8>) -> Micros {
+        let (direction_from, _) = self.direction_from(from_initiator);
+        let at = direction_from.waiting.back().map_or(at, |(last, _)| at.max(*last));
+        direction_from.waiting.push_back((at, bytes));
         at
     }
 
     /// One side has closed; true if nothing of it waits any more.
-    pub fn end(&mut self, near: bool) -> bool {
-        let (way, _) = self.way(near);
-        way.ends = true;
-        way.waiting.is_empty()
+    pub fn end(&mut self, from_initiator: bool) -> bool {
+        let (direction_from, _) = self.direction_from(from_initiator);
+        direction_from.ends = true;
+        direction_from.waiting.is_empty()
     }
 
     /// What may go on by now, from one side.
-    pub fn take(&mut self, near: bool, now: Micros) -> Vec<Step> {
-        let (way, target) = self.way(near);
+    pub fn take(&mut self, from_initiator: bool, now: Micros) -> Vec<Step> {
+        let (direction_from, target) = self.direction_from(from_initiator);
         let mut steps = Vec::new();
-        while way.waiting.front().is_some_and(|(at, _)| *at <= now) {
-            if let Some((_, bytes)) = way.waiting.pop_front() {
+        while direction_from.waiting.front().is_some_and(|(at, _)| *at <= now) {
+            if let Some((_, bytes)) = direction_from.waiting.pop_front() {
                 steps.push(Step::Send(target, bytes));
             }
         }
-        if way.ends && way.waiting.is_empty() {
+        if direction_from.ends && direction_from.waiting.is_empty() {
             steps.push(Step::Close(target));
         }
         steps
@@ -83,7 +83,7 @@
 #[derive(Debug, Default)]
 pub struct Relays {
     next: u64,
-    pipes: BTreeMap<u64, Pipe>,
+    connections: BTreeMap<u64, RelayedConnection>,
 }
 
 impl Relays {
@@ -94,25 +94,37 @@
     }
 
     /// Both sides are there.
-    pub fn add(&mut self, pipe: u64, ends: (usize, usize), near: ConnectionId, far: ConnectionId) {
+    pub fn add(
+        &mut self,
+        relayed: u64,
+        ends: (usize, usize),
+        from_initiator: ConnectionId,
+        far: ConnectionId,
+    ) {
         let (from, to) = ends;
-        let (forward, back) = (Way::default(), Way::default());
-        self.pipes.insert(pipe, Pipe { from, to, near, far, forward, back });
+        let (forward, back) = (RelayDirection::default(), RelayDirection::default());
+        self.connections
+            .insert(relayed, RelayedConnection { from, to, from_initiator, far, forward, back });
     }
 
     /// One of them.
-    pub fn get_mut(&mut self, pipe: u64) -> Option<&mut Pipe> {
-        self.pipes.get_mut(&pipe)
+    pub fn get_mut(&mut self, relayed: u64) -> Option<&mut RelayedConnection> {
+        self.connections.get_mut(&relayed)
     }
 
     /// Removes one.
-    pub fn remove(&mut self, pipe: u64) -> Option<Pipe> {
-        self.pipes.remove(&pipe)
+    pub fn remove(&mut self, relayed: u64) -> Option<RelayedConnection> {
+        self.connections.remove(&relayed)
     }
 
     /// Numbers of those that a controller is at an end of.
     pub fn of(&self, controller: usize) -> Vec<u64> {
-        let of = |pipe: &Pipe| pipe.from == controller || pipe.to == controller;
-        self.pipes.iter().filter(|(_, pipe)| of(pipe)).map(|(number, _)| *number).collect()
+        let of =
+            |relayed: &RelayedConnection| relayed.from == controller || relayed.to == controller;
+        self.connections
+            .iter()
+            .filter(|(_, relayed)| of(relayed))
+            .map(|(number, _)| *number)
+            .collect()
     }
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,8 +1,8 @@
-//! What is told of runs: as text, and as JSON.
+//! What is answered of runs: as text, and as JSON.
 
 use crate::faults::PlannedFault;
-use crate::history::{History, Off, Seen};
-use crate::rules::Break;
+use crate::history::{History, Observation, TaskEnd};
+use crate::rules::Violation;
 use millethold::time::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -52,9 +52,9 @@
 pub struct Evidence {
     /// The broken rule.
     #[serde(flatten)]
-    pub broken: Break,
+    pub broken: Violation,
     /// The last entries about its job.
-    pub seen: Vec<String>,
+    pub observations: Vec<String>,
 }
 
 /// How often things happened.
@@ -90,7 +90,7 @@
     /// How often things happened.
     pub counts: Counts,
     /// Broken rules.
-    pub breaks: Vec<Evidence>,
+    pub violations: Vec<Evidence>,
     /// What else went wrong.
     pub failures: Vec<Failure>,
     /// Longest time for which the rehearsal itself was not run by the machine.
@@ -104,7 +104,7 @@
         workers: usize,
         faults: &[PlannedFault],
         history: &History,
-        breaks: Vec<Break>,
+        violations: Vec<Violation>,
         mut failures: Vec<Failure>,
         stalled: Micros,
     ) -> RunReport {
@@ -112,16 +112,16 @@
         if counts.starts == 0 {
             failures.push(Failure::NothingRan);
         }
-        let evidence = |broken: Break| {
-            let seen = history.about(&broken.job, EVIDENCE_LINES);
-            Evidence { broken, seen }
+        let evidence = |broken: Violation| {
+            let observations = history.about(&broken.job, EVIDENCE_LINES);
+            Evidence { broken, observations }
         };
         RunReport {
             seed,
             workers,
             faults: faults.iter().map(ToString::to_string).collect(),
             counts,
-            breaks: breaks.into_iter().map(evidence).collect(),
+            violations: violations.into_iter().map(evidence).collect(),
             failures,
             stalled,
         }
@@ -129,7 +129,7 @@
 
     /// Whether no rule was broken and nothing else went wrong.
     pub fn passed(&self) -> bool {
-        self.breaks.is_empty() && self.failures.is_empty()
+        self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
@@ -137,19 +137,22 @@
     let mut counts = Counts::default();
     let mut cancelled: BTreeMap<&str, ()> = BTreeMap::new();
     for entry in &history.entries {
-        match &entry.seen {
-            Seen::On { .. } => counts.starts += 1,
-            Seen::Off { how: Off::Done, .. } => counts.completed += 1,
-            Seen::Off { how: Off::LeaseOver | Off::MachineGone, .. } => counts.lost += 1,
-            Seen::Off { how: Off::Stopped, .. } | Seen::Asked { .. } => {}
-            Seen::Answer(answer) => {
+        match &entry.observation {
+            Observation::TaskStarted { .. } => counts.starts += 1,
+            Observation::TaskEnded { how: TaskEnd::Done, .. } => counts.completed += 1,
+            Observation::TaskEnded {
+                how: TaskEnd::LeaseExpired | TaskEnd::MachineGone, ..
+            } => counts.lost += 1,
+            Observation::TaskEnded { how: TaskEnd::Stopped, .. }
+            | Observation::Requested { .. } => {}
+            Observation::Answer(answer) => {
                 counts.answers += 1;
                 if answer.stage == Some(millethold::wire::JobStage::Cancelled) {
                     cancelled.insert(&answer.job, ());
                 }
             }
-            Seen::NoAnswer { .. } => counts.unanswered += 1,
-            Seen::LateCommands { executed, .. } => {
+            Observation::NoAnswer { .. } => counts.unanswered += 1,
+            Observation::LateCommands { executed, .. } => {
                 counts.late_commands += 1;
                 counts.late_executed += u64::from(*executed);
             }
@@ -185,15 +188,15 @@
         for fault in &self.faults {
             writeln!(f, "  {fault}")?;
         }
-        for evidence in self.breaks.iter().take(SHOWN_BREAKS) {
+        for evidence in self.violations.iter().take(SHOWN_BREAKS) {
             let b = &evidence.broken;
             writeln!(f, "  broken: {:?} at {:.3}: {}", b.rule, b.at.as_secs_f64(), b.what)?;
-            for line in &evidence.seen {
+            for line in &evidence.observations {
                 writeln!(f, "    {line}")?;
             }
         }
-        if self.breaks.len() > SHOWN_BREAKS {
-            writeln!(f, "  and {} more", self.breaks.len() - SHOWN_BREAKS)?;
+        if self.violations.len() > SHOWN_BREAKS {
+            writeln!(f, "  and {} more", self.violations.len() - SHOWN_BREAKS)?;
         }
         for failure in &self.failures {
             writeln!(f, "  failed: {failure:?}")?;
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,6 +1,6 @@
 //! The protocol's rules, judged by what workers and users saw and by nothing else.
 
-use crate::history::{Asked, Entry, History, Off, Seen, TaskId, UserAnswer};
+use crate::history::{Entry, History, Observation, RequestKind, TaskEnd, TaskId, UserAnswer};
 use millethold::time::Micros;
 use millethold::wire::JobStage;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 /// Accepted CPUs over a limit that are rounding.
 const ROUNDING: f64 = 1e-6;
 /// A job whose questions go unanswered for so long once all faults are over is forgotten.
-pub const FORGOTTEN: Micros = Micros::secs(75);
+pub const FORGOTTEN_AFTER: Micros = Micros::secs(75);
 
 /// A rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -93,14 +93,14 @@
     /// Time that a cancellation has.
     pub cancel: Micros,
     /// From when on no fault is left.
-    pub calm: Micros,
+    pub faults_over_at: Micros,
     /// When the run ended.
     pub end: Micros,
 }
 
 /// A rule that was broken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// When it was seen.
@@ -113,9 +113,9 @@
 
 /// What users were told of a job so far.
 #[derive(Debug, Clone, Default)]
-struct Told {
+struct KnownToUsers {
     submitted: bool,
-    cancel_asked: bool,
+    cancel_requested: bool,
     accepted: Option<Micros>,
     last_answer: Option<Micros>,
     ended: Option<(JobStage, Micros)>,
@@ -131,62 +131,62 @@
 }
 
 /// The rules at work: what was seen so far.
-struct Judge<'a> {
+struct Checker<'a> {
     facts: &'a Facts,
-    told: BTreeMap<String, Told>,
+    known_to_users: BTreeMap<String, KnownToUsers>,
     present: BTreeSet<Present>,
     completed: BTreeMap<String, BTreeSet<u32>>,
-    breaks: Vec<Break>,
+    violations: Vec<Violation>,
 }
 
 /// Finds all rules that a history breaks.
-pub fn check(facts: &Facts, history: &History) -> Vec<Break> {
-    let mut judge = Judge {
+pub fn check(facts: &Facts, history: &History) -> Vec<Violation> {
+    let mut checker = Checker {
         facts,
-        told: BTreeMap::new(),
+        known_to_users: BTreeMap::new(),
         present: BTreeSet::new(),
         completed: BTreeMap::new(),
-        breaks: Vec::new(),
+        violations: Vec::new(),
     };
     for entry in &history.entries {
-        judge.take(entry);
+        checker.take(entry);
     }
-    judge.finish();
-    judge.breaks
+    checker.finish();
+    checker.violations
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     fn take(&mut self, entry: &Entry) {
         let at = entry.at;
-        match &entry.seen {
-            Seen::On { task, attempt, machine } => {
+        match &entry.observation {
+            Observation::TaskStarted { task, attempt, machine } => {
                 let present =
                     Present { task: task.clone(), attempt: *attempt, machine: machine.clone() };
                 self.comes_on(at, present);
             }
-            Seen::Off { task, attempt, machine, how } => {
+            Observation::TaskEnded { task, attempt, machine, how } => {
                 let present =
                     Present { task: task.clone(), attempt: *attempt, machine: machine.clone() };
                 self.goes_off(at, &present, *how);
             }
-            Seen::Asked { job, asked } => {
-                let told = self.told.entry(job.clone()).or_default();
-                told.submitted |= *asked == Asked::Submit;
-                told.cancel_asked |= *asked == Asked::Cancel;
+            Observation::Requested { job, request_kind } => {
+                let known_to_users = self.known_to_users.entry(job.clone()).or_default();
+                known_to_users.submitted |= *request_kind == RequestKind::Submit;
+                known_to_users.cancel_requested |= *request_kind == RequestKind::Cancel;
             }
-            Seen::Answer(answer) => self.answered(at, answer),
-            Seen::NoAnswer { job, .. } => self.unanswered(at, job),
-            Seen::LateCommands { .. } => {}
+            Observation::Answer(answer) => self.answered(at, answer),
+            Observation::NoAnswer { job, .. } => self.unanswered(at, job),
+            Observation::LateCommands { .. } => {}
         }
     }
 
     fn broken(&mut self, rule: Rule, at: Micros, job: &str, what: String) {
-        self.breaks.push(Break { rule, at, job: job.to_string(), what });
+        self.violations.push(Violation { rule, at, job: job.to_string(), what });
     }
 
     /// When users were first told that a job is cancelled.
     fn cancelled_at(&self, job: &str) -> Option<Micros> {
-        let (stage, at) = self.told.get(job)?.ended?;
+        let (stage, at) = self.known_to_users.get(job)?.ended?;
         (stage == JobStage::Cancelled).then_some(at)
     }
 
@@ -217,10 +217,10 @@
             let what = format!("{name} while attempt {} is on {}", other.attempt, other.machine);
             self.broken(Rule::RanTwice, at, &job, what);
         }
-        if let Some(told) = self.cancelled_at(&job)
-            && at > told + self.facts.cancel
+        if let Some(known_to_users) = self.cancelled_at(&job)
+            && at > known_to_users + self.facts.cancel
         {
-            let late = at.since(told).as_secs_f64();
+            let late = at.since(known_to_users).as_secs_f64();
             self.broken(Rule::RanCancelled, at, &job, format!("{name} began {late:.1} s after"));
         }
         let Some(facts) = self.facts.jobs.get(&job).cloned() else {
@@ -238,10 +238,10 @@
         self.check_quota(at, &job, &facts.team);
     }
 
-    fn goes_off(&mut self, at: Micros, gone: &Present, how: Off) {
+    fn goes_off(&mut self, at: Micros, gone: &Present, how: TaskEnd) {
         let job = &gone.task.job;
         self.present.remove(gone);
-        if how == Off::Done {
+        if how == TaskEnd::Done {
             self.completed.entry(job.clone()).or_default().insert(gone.task.index);
         }
         self.check_overstay(at, gone);
@@ -250,10 +250,10 @@
     /// Whether a task that is on its machine until now has stayed for too long.
     fn check_overstay(&mut self, at: Micros, present: &Present) {
         let job = &present.task.job;
-        if let Some(told) = self.cancelled_at(job)
-            && at > told + self.facts.cancel
+        if let Some(known_to_users) = self.cancelled_at(job)
+            && at > known_to_users + self.facts.cancel
         {
-            let late = at.since(told).as_secs_f64();
+            let late = at.since(known_to_users).as_secs_f64();
             let what = format!(
                 "{job}/{} attempt {} was on {} until {late:.1} s after",
                 present.task.index, present.attempt, present.machine
@@ -298,43 +298,44 @@
 
     fn answered(&mut self, at: Micros, answer: &UserAnswer) {
         let job = answer.job.as_str();
-        let told = self.told.get(job).cloned().unwrap_or_default();
+        let known_to_users = self.known_to_users.get(job).cloned().unwrap_or_default();
         let known = matches!(answer.status, 200 | 201);
-        if !told.submitted {
+        if !known_to_users.submitted {
             if known {
-                let what = format!("{:?} answered {}", answer.asked, answer.status);
+                let what = format!("{:?} answered {}", answer.request_kind, answer.status);
                 self.broken(Rule::Invented, at, job, what);
             }
             return;
         }
-        let accepted_before = told.accepted.is_some_and(|accepted| accepted < answer.sent);
+        let accepted_before =
+            known_to_users.accepted.is_some_and(|accepted| accepted < answer.sent);
         let refused = answer.status == 404
-            || (answer.asked == Asked::Submit && matches!(answer.status, 400 | 422));
+            || (answer.request_kind == RequestKind::Submit && matches!(answer.status, 400 | 422));
         if accepted_before && refused {
-            let what = format!("{:?} answered {}", answer.asked, answer.status);
+            let what = format!("{:?} answered {}", answer.request_kind, answer.status);
             self.broken(Rule::Forgotten, at, job, what);
         }
         if !known {
             return;
         }
-        let told = self.told.entry(job.to_string()).or_default();
-        told.accepted.get_or_insert(at);
-        told.last_answer = Some(at);
+        let known_to_users = self.known_to_users.entry(job.to_string()).or_default();
+        known_to_users.accepted.get_or_insert(at);
+        known_to_users.last_answer = Some(at);
         if let Some(stage) = answer.stage {
-            self.told_stage(at, answer, stage);
+            self.check_stage(at, answer, stage);
         }
     }
 
-    fn told_stage(&mut self, at: Micros, answer: &UserAnswer, stage: JobStage) {
+    fn check_stage(&mut self, at: Micros, answer: &UserAnswer, stage: JobStage) {
         let job = answer.job.as_str();
         let is_final = matches!(stage, JobStage::Done | JobStage::Cancelled);
-        let before = self.told.get(job).and_then(|told| told.ended);
-        if let Some((told, when)) = before
-            && told != stage
+        let before = self.known_to_users.get(job).and_then(|known_to_users| known_to_users.ended);
+        if let Some((known_to_users, when)) = before
+            && known_to_users != stage
             && (is_final || answer.sent > when)
         {
             let what = format!(
-                "told {told:?} at {:.3}, then {stage:?} by n{}",
+                "told {known_to_users:?} at {:.3}, then {stage:?} by n{}",
                 when.as_secs_f64(),
                 answer.controller
             );
@@ -346,8 +347,12 @@
         }
         if stage == JobStage::Cancelled && before.is_none() {
             let family = self.with_ancestors(job);
-            let asked = |id: &String| self.told.get(id).is_some_and(|told| told.cancel_asked);
-            if !family.iter().any(asked) {
+            let request_kind = |id: &String| {
+                self.known_to_users
+                    .get(id)
+                    .is_some_and(|known_to_users| known_to_users.cancel_requested)
+            };
+            if !family.iter().any(request_kind) {
                 let what = "called cancelled, though nobody asked for that".to_string();
                 self.broken(Rule::WentBack, at, job, what);
             }
@@ -355,8 +360,8 @@
         if !is_final {
             self.check_orphan(at, answer, stage);
         }
-        if is_final && let Some(told) = self.told.get_mut(job) {
-            told.ended.get_or_insert((stage, at));
+        if is_final && let Some(known_to_users) = self.known_to_users.get_mut(job) {
+            known_to_users.ended.get_or_insert((stage, at));
         }
     }
 
@@ -364,26 +369,29 @@
         let mut family = self.with_ancestors(&answer.job);
         family.remove(&answer.job);
         let called_off = family.iter().filter_map(|up| self.cancelled_at(up)).min();
-        if let Some(told) = called_off
-            && answer.sent > told + self.facts.cancel
+        if let Some(known_to_users) = called_off
+            && answer.sent > known_to_users + self.facts.cancel
         {
-            let late = answer.sent.since(told).as_secs_f64();
+            let late = answer.sent.since(known_to_users).as_secs_f64();
             let what = format!("{stage:?} {late:.1} s after one before it was cancelled");
             self.broken(Rule::Orphaned, at, &answer.job, what);
         }
     }
 
     fn unanswered(&mut self, at: Micros, job: &str) {
-        let calm = self.facts.calm;
-        let Some(told) = self.told.get_mut(job).filter(|told| !told.forgotten) else {
+        let faults_over_at = self.facts.faults_over_at;
+        let Some(known_to_users) =
+            self.known_to_users.get_mut(job).filter(|known_to_users| !known_to_users.forgotten)
+        else {
             return;
         };
-        let Some(accepted) = told.accepted.filter(|_| told.ended.is_none()) else {
+        let Some(accepted) = known_to_users.accepted.filter(|_| known_to_users.ended.is_none())
+        else {
             return;
         };
-        let since = told.last_answer.unwrap_or(accepted).max(calm);
-        if at > since + FORGOTTEN {
-            told.forgotten = true;
+        let since = known_to_users.last_answer.unwrap_or(accepted).max(faults_over_at);
+        if at > since + FORGOTTEN_AFTER {
+            known_to_users.forgotten = true;
             let what = format!("no answer for {:.0} s", at.since(since).as_secs_f64());
             self.broken(Rule::Forgotten, at, job, what);
         }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -5,21 +5,21 @@
 use millethold::time::Micros;
 use std::fmt::Write;
 
-/// Between two reports of a worker.
-pub const HEARTBEAT: Micros = Micros::millis(800);
+/// Between two heartbeats of a worker.
+pub const HEARTBEAT_INTERVAL: Micros = Micros::millis(800);
 /// A worker goes on for so long after the last answered report was sent.
 pub const WORKER_LEASE: Micros = Micros::secs(8);
 /// Time that a cancellation has.
-pub const CANCEL: Micros = Micros::secs(18);
+pub const CANCEL_DEADLINE: Micros = Micros::secs(18);
 /// State lease of the controllers.
-const STATE_LEASE_MS: u64 = 5_000;
+const CONTROLLER_LEASE_MS: u64 = 5_000;
 /// How long a shard's home must be well before the shard goes back.
-const HAND_BACK_S: u64 = 4;
+const FAILBACK_DELAY_S: u64 = 4;
 /// Requests and changes a second that the key-value store takes.
-const STATE_RATE: f64 = 1_500.0;
-const STATE_CHANGES: f64 = 400.0;
+const STORE_REQUESTS_PER_S: f64 = 1_500.0;
+const STORE_CHANGES_PER_S: f64 = 400.0;
 /// How far the cloud's list lags.
-pub const LIST_LAG: Micros = Micros::secs(1);
+pub const CLOUD_LIST_LAG: Micros = Micros::secs(1);
 /// The zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
@@ -84,19 +84,19 @@
     let _ = write!(
         text,
         "[settings.workers]\nreport_s = {}\nlease_s = {:.1}\ncancel_s = {:.1}\n\
-         [settings.state]\nrps = {STATE_RATE:.1}\nwrite_rps = {STATE_CHANGES:.1}\n\
+         [settings.state]\nrps = {STORE_REQUESTS_PER_S:.1}\nwrite_rps = {STORE_CHANGES_PER_S:.1}\n\
          value_kb = 8.0\ntxn_ops = 8\n\
          [settings.cloud]\nrps = 20.0\nlist_lag_s = {:.1}\n\
          [settings.machine_limits]\ncores = 1.0\nmem_mb = 200.0\nfd_limit = 4000\n",
-        HEARTBEAT.as_secs_f64(),
+        HEARTBEAT_INTERVAL.as_secs_f64(),
         WORKER_LEASE.as_secs_f64(),
-        CANCEL.as_secs_f64(),
-        LIST_LAG.as_secs_f64(),
+        CANCEL_DEADLINE.as_secs_f64(),
+        CLOUD_LIST_LAG.as_secs_f64(),
     );
     text
 }
 
 /// The operators' options (INI).
 pub fn options() -> String {
-    format!("[seats]\nlease_ms = {STATE_LEASE_MS}\nhand_back_s = {HAND_BACK_S}\n")
+    format!("[seats]\nlease_ms = {CONTROLLER_LEASE_MS}\nhand_back_s = {FAILBACK_DELAY_S}\n")
 }
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -31,7 +31,7 @@
 
 impl std::error::Error for SoakError {}
 
-/// Plays all runs; `tell` is called with each as it is over. All processes that were
+/// Plays all runs; `on_run` is called with each as it is over. All processes that were
 /// started have ended when this returns.
 ///
 /// # Errors
@@ -40,10 +40,10 @@
 pub fn soak(
     options: &SoakOptions,
     stop: &AtomicBool,
-    tell: impl Fn(&crate::report::RunReport) + Sync,
+    on_run: impl Fn(&crate::report::RunReport) + Sync,
 ) -> Result<SoakReport, SoakError> {
     let next = AtomicU64::new(0);
-    let places = AtomicUsize::new(0);
+    let run_numbers = AtomicUsize::new(0);
     let runs = Mutex::new(BTreeMap::new());
     let error: Mutex<Option<SoakError>> = Mutex::new(None);
     let halted = AtomicBool::new(false);
@@ -56,9 +56,9 @@
                         return;
                     }
                     let seed = options.first_seed + number;
-                    match play(options, seed, &places, stop) {
+                    match play(options, seed, &run_numbers, stop) {
                         Ok(run) => {
-                            tell(&run);
+                            on_run(&run);
                             if let Ok(mut runs) = runs.lock() {
                                 runs.insert(seed, run);
                             }
@@ -84,15 +84,15 @@
 fn play(
     options: &SoakOptions,
     seed: u64,
-    places: &AtomicUsize,
+    run_numbers: &AtomicUsize,
     stop: &AtomicBool,
 ) -> Result<crate::report::RunReport, SoakError> {
     let mut failure = String::new();
     // Addresses that were asked for are not exchanged for others.
     let tries = if options.block.is_some() { 1 } else { SETUP_TRIES };
     for _ in 0..tries {
-        let place = places.fetch_add(1, Ordering::Relaxed);
-        match World::play(options, seed, place, stop) {
+        let run_number = run_numbers.fetch_add(1, Ordering::Relaxed);
+        match World::play(options, seed, run_number, stop) {
             Ok(run) => return Ok(run),
             Err(RunError::Interrupted) => return Err(SoakError::Interrupted),
             Err(RunError::Setup(what)) => failure = what,
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -1,18 +1,18 @@
 //! A stand-in of a worker, by the protocol's text. It knows no sockets: time, commands and
-//! answers go in; what was seen on the machine, and reports, come out.
+//! answers go in; what was seen on the machine, and heartbeats, come out.
 
 use crate::cloud::{CPUS, MACHINE_TYPE, MEMORY_GB};
-use crate::history::{Off, Seen, TaskId};
+use crate::history::{Observation, TaskEnd, TaskId};
 use crate::jobs::{JobPlan, Jobs};
-use crate::settings::{HEARTBEAT, WORKER_LEASE};
+use crate::settings::{HEARTBEAT_INTERVAL, WORKER_LEASE};
 use millethold::time::Micros;
 use millethold::wire::{Cause, Command, DirectCommands, Heartbeat, ReportedTask, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reports about changes come at most this often.
-const CHANGE_EVERY: Micros = Micros::millis(500);
+/// heartbeats about changes come at most this often.
+const MIN_HEARTBEAT_INTERVAL: Micros = Micros::millis(500);
 /// How long an image takes to fetch.
-const FETCH: Micros = Micros::millis(300);
+const IMAGE_FETCH_TIME: Micros = Micros::millis(300);
 /// Rounding of sums of resources.
 const ROUNDING: f64 = 1e-6;
 
@@ -50,19 +50,19 @@
     }
 }
 
-/// A report that is under way.
+/// A heartbeat that is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatInFlight {
     /// Its number.
     pub number: u64,
     /// When it was sent.
     pub sent: Micros,
-    /// The session that it told of.
+    /// The incarnation that it told of.
     pub incarnation: u64,
 }
 
 /// Something seen on the machine, and when.
-pub type SeenAt = (Micros, Seen);
+pub type TimedObservation = (Micros, Observation);
 
 /// A machine's worker.
 #[derive(Debug)]
@@ -81,14 +81,14 @@
     fetching: BTreeMap<TaskId, String>,
     lease_from: Micros,
     hangs_until: Micros,
-    /// The controller that it reports to.
+    /// The controller that it heartbeats to.
     pub controller: usize,
-    /// When it reports next, if nothing changes.
-    pub next_report: Micros,
-    last_report: Micros,
+    /// When it heartbeats next, if nothing changes.
+    pub next_heartbeat: Micros,
+    last_heartbeat: Micros,
     changed: bool,
     /// The report that awaits its answer.
-    pub under_way: Option<HeartbeatInFlight>,
+    pub heartbeat_in_flight: Option<HeartbeatInFlight>,
     heartbeats: u64,
 }
 
@@ -109,16 +109,16 @@
             lease_from: now,
             hangs_until: Micros::ZERO,
             controller,
-            next_report: now,
-            last_report: Micros::ZERO,
+            next_heartbeat: now,
+            last_heartbeat: Micros::ZERO,
             changed: true,
-            under_way: None,
+            heartbeat_in_flight: None,
             heartbeats: 0,
         }
     }
 
     /// Whether the machine hangs.
-    pub fn hangs(&self, now: Micros) -> bool {
+    pub fn is_hanging(&self, now: Micros) -> bool {
         now < self.hangs_until
     }
 
@@ -143,20 +143,20 @@
     }
 
     /// The machine is gone, with all that ran there.
-    pub fn take(&mut self, now: Micros) -> Vec<SeenAt> {
+    pub fn take(&mut self, now: Micros) -> Vec<TimedObservation> {
         self.gone = true;
-        self.end_all(now, Off::MachineGone)
+        self.end_all(now, TaskEnd::MachineGone)
     }
 
-    fn end_all(&mut self, now: Micros, how: Off) -> Vec<SeenAt> {
+    fn end_all(&mut self, now: Micros, how: TaskEnd) -> Vec<TimedObservation> {
         let attempts = std::mem::take(&mut self.attempts);
         self.fetching.clear();
         let on = attempts.into_iter().filter(|(_, attempt)| attempt.on());
         on.map(|((task, number), _)| (now, self.off(task, number, how))).collect()
     }
 
-    fn off(&self, task: TaskId, attempt: u64, how: Off) -> Seen {
-        Seen::Off { task, attempt, machine: self.name.clone(), how }
+    fn off(&self, task: TaskId, attempt: u64, how: TaskEnd) -> Observation {
+        Observation::TaskEnded { task, attempt, machine: self.name.clone(), how }
     }
 
     /// When something changes by itself.
@@ -167,8 +167,8 @@
     }
 
     /// Lets time pass, each change at its own time.
-    pub fn advance(&mut self, now: Micros) -> Vec<SeenAt> {
-        let mut seen = Vec::new();
+    pub fn advance(&mut self, now: Micros) -> Vec<TimedObservation> {
+        let mut observations = Vec::new();
         while !self.gone && self.next_change() <= now {
             let lease_over = self.lease_from + WORKER_LEASE + Micros(1);
             let first = self
@@ -177,25 +177,25 @@
                 .filter_map(|(key, attempt)| attempt.due.map(|due| (due, key.clone())))
                 .min();
             match first {
-                Some((due, key)) if due < lease_over => seen.extend(self.change(due, &key)),
-                _ => seen.extend(self.end_session(lease_over)),
+                Some((due, key)) if due < lease_over => observations.extend(self.change(due, &key)),
+                _ => observations.extend(self.end_session(lease_over)),
             }
         }
-        seen
+        observations
     }
 
-    /// The lease ran out: all tasks are killed and forgotten, and a session begins.
-    fn end_session(&mut self, at: Micros) -> Vec<SeenAt> {
-        let seen = self.end_all(at, Off::LeaseOver);
+    /// The lease ran out: all tasks are killed and forgotten, and a incarnation begins.
+    fn end_session(&mut self, at: Micros) -> Vec<TimedObservation> {
+        let observations = self.end_all(at, TaskEnd::LeaseExpired);
         self.incarnation += 1;
         self.sequence = 0;
         self.lease_from = at;
-        self.under_way = None;
+        self.heartbeat_in_flight = None;
         self.changed = true;
-        seen
+        observations
     }
 
-    fn change(&mut self, at: Micros, key: &(TaskId, u64)) -> Option<SeenAt> {
+    fn change(&mut self, at: Micros, key: &(TaskId, u64)) -> Option<TimedObservation> {
         let (task, number) = key.clone();
         let attempt = self.attempts.get_mut(key)?;
         self.changed = true;
@@ -207,19 +207,19 @@
                     self.images.insert(image);
                 }
                 let machine = self.name.clone();
-                Some((at, Seen::On { task, attempt: number, machine }))
+                Some((at, Observation::TaskStarted { task, attempt: number, machine }))
             }
             TaskState::Running => {
                 let (cause, how) = match attempt.mistake {
-                    true => (Cause::Error, Off::Stopped),
-                    false => (Cause::Done, Off::Done),
+                    true => (Cause::Error, TaskEnd::Stopped),
+                    false => (Cause::Done, TaskEnd::Done),
                 };
                 *attempt = Attempt::exited(cause);
                 Some((at, self.off(task, number, how)))
             }
             TaskState::Saving => {
                 *attempt = Attempt::exited(Cause::Stopped);
-                Some((at, self.off(task, number, Off::Stopped)))
+                Some((at, self.off(task, number, TaskEnd::Stopped)))
             }
             TaskState::Exited => {
                 attempt.due = None;
@@ -229,22 +229,22 @@
     }
 
     /// When it wants to report.
-    pub fn report_due(&self) -> Micros {
+    pub fn heartbeat_due(&self) -> Micros {
         match self.changed {
-            true => self.next_report.min(self.last_report + CHANGE_EVERY),
-            false => self.next_report,
+            true => self.next_heartbeat.min(self.last_heartbeat + MIN_HEARTBEAT_INTERVAL),
+            false => self.next_heartbeat,
         }
     }
 
-    /// Makes a report to be sent now, `spread` after which the next one is due.
+    /// Makes a heartbeat to be sent now, `spread` after which the next one is due.
     pub fn make_heartbeat(&mut self, now: Micros, spread: Micros, address: String) -> Heartbeat {
         self.heartbeats += 1;
         self.changed = false;
-        self.last_report = now;
-        self.next_report = now + Micros(HEARTBEAT.0 * 3 / 4) + spread;
-        let under_way =
+        self.last_heartbeat = now;
+        self.next_heartbeat = now + Micros(HEARTBEAT_INTERVAL.0 * 3 / 4) + spread;
+        let heartbeat_in_flight =
             HeartbeatInFlight { number: self.heartbeats, sent: now, incarnation: self.incarnation };
-        self.under_way = Some(under_way);
+        self.heartbeat_in_flight = Some(heartbeat_in_flight);
         self.body(address)
     }
 
@@ -279,8 +279,8 @@
         fencing_token: u64,
         commands: Vec<Command>,
         jobs: &Jobs,
-    ) -> Vec<SeenAt> {
-        // Of an earlier session, or by one whose time is over.
+    ) -> Vec<TimedObservation> {
+        // Of an earlier incarnation, or by one whose time is over.
         if heartbeat.incarnation != self.incarnation || fencing_token < self.fencing_token {
             return Vec::new();
         }
@@ -296,7 +296,7 @@
         now: Micros,
         direct: DirectCommands,
         jobs: &Jobs,
-    ) -> (bool, Vec<SeenAt>) {
+    ) -> (bool, Vec<TimedObservation>) {
         if direct.fencing_token < self.fencing_token || direct.incarnation != self.incarnation {
             return (false, Vec::new());
         }
@@ -305,19 +305,24 @@
         (true, self.execute(now, direct.commands, jobs))
     }
 
-    fn execute(&mut self, now: Micros, commands: Vec<Command>, jobs: &Jobs) -> Vec<SeenAt> {
-        let mut seen = Vec::new();
+    fn execute(
+        &mut self,
+        now: Micros,
+        commands: Vec<Command>,
+        jobs: &Jobs,
+    ) -> Vec<TimedObservation> {
+        let mut observations = Vec::new();
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
                     if let Some(task) = task_id(&task) {
-                        seen.extend(self.start(now, task, attempt, jobs));
+                        observations.extend(self.start(now, task, attempt, jobs));
                     }
                 }
                 Command::Stop { task, attempt, grace_s } => {
                     if let Some(task) = task_id(&task) {
                         let grace = Micros::from_secs_f64(grace_s);
-                        seen.extend(self.stop(now, task, attempt, grace));
+                        observations.extend(self.stop(now, task, attempt, grace));
                     }
                 }
                 Command::Forget { task, attempt } => {
@@ -327,10 +332,16 @@
                 }
             }
         }
-        seen
+        observations
     }
 
-    fn start(&mut self, now: Micros, task: TaskId, number: u64, jobs: &Jobs) -> Option<SeenAt> {
+    fn start(
+        &mut self,
+        now: Micros,
+        task: TaskId,
+        number: u64,
+        jobs: &Jobs,
+    ) -> Option<TimedObservation> {
         let key = (task.clone(), number);
         if self.attempts.contains_key(&key) {
             return None;
@@ -351,7 +362,7 @@
         if !cached {
             self.fetching.insert(task.clone(), job.image.clone());
         }
-        let wait = if cached { job.runs } else { FETCH };
+        let wait = if cached { job.runs } else { IMAGE_FETCH_TIME };
         self.attempts.insert(
             key,
             Attempt {
@@ -366,7 +377,7 @@
             },
         );
         let machine = self.name.clone();
-        cached.then_some((now, Seen::On { task, attempt: number, machine }))
+        cached.then_some((now, Observation::TaskStarted { task, attempt: number, machine }))
     }
 
     fn has_other_attempt(&self, task: &TaskId) -> bool {
@@ -380,7 +391,13 @@
         cpus + job.cpus <= CPUS + ROUNDING && memory + 2.0 * job.cpus <= MEMORY_GB + ROUNDING
     }
 
-    fn stop(&mut self, now: Micros, task: TaskId, number: u64, grace: Micros) -> Option<SeenAt> {
+    fn stop(
+        &mut self,
+        now: Micros,
+        task: TaskId,
+        number: u64,
+        grace: Micros,
+    ) -> Option<TimedObservation> {
         let attempt = self.attempts.get_mut(&(task.clone(), number))?;
         let saves = attempt.state == TaskState::Running
             && attempt.saves > Micros::ZERO
@@ -399,7 +416,7 @@
         }
         *attempt = Attempt::exited(Cause::Stopped);
         self.fetching.remove(&task);
-        on.then(|| (now, self.off(task, number, Off::Stopped)))
+        on.then(|| (now, self.off(task, number, TaskEnd::Stopped)))
     }
 
     fn forget(&mut self, task: TaskId, number: u64) {
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/fault_injection.rs
@@ -25,9 +25,11 @@
                 }
             }
             Fault::Pause { controller } => self.controllers[controller].pause(),
-            Fault::CutPeers { controller, cut: Cut::Reset } => self.cut_pipes_of(controller),
+            Fault::CutPeers { controller, cut: Cut::Reset } => {
+                self.reset_all_relayed_of(controller)
+            }
             Fault::Hang { workers } => self.hang(workers, planned.until),
-            Fault::TakeMachines { workers } => self.take_machines(workers),
+            Fault::ReclaimMachines { workers } => self.reclaim_machines(workers),
             Fault::CancelMany { count } => self.cancel_many(count),
             _ => {}
         }
@@ -65,12 +67,12 @@
         }
     }
 
-    fn take_machines(&mut self, workers: SomeWorkers) {
+    fn reclaim_machines(&mut self, workers: SomeWorkers) {
         let machines = self.workers.iter().enumerate();
         let taken = machines.filter(|(number, m)| workers.has(*number) && !m.gone);
         let names: Vec<String> = taken.map(|(_, machine)| machine.name.clone()).collect();
         for name in names {
-            self.take_machine(&name);
+            self.remove_machine(&name);
         }
     }
 
--- a/crates/rehearsal/src/world/machines.rs
+++ b/crates/rehearsal/src/world/machines.rs
@@ -1,13 +1,13 @@
-//! Machines: their reports, what they are told, and how they come and go.
+//! Machines: their heartbeats, what they are told, and how they come and go.
 
 use super::{Action, World};
-use crate::faults::{Fault, LATE_REPORTS};
-use crate::history::Seen;
-use crate::links::{Direction, Link, Passage};
+use crate::faults::{Fault, LATE_HEARTBEATS_MS};
+use crate::history::Observation;
+use crate::kv_store_http::Answer;
+use crate::links::{Delivery, Direction, Link};
 use crate::net::{ConnectionId, Role};
-use crate::settings::{HEARTBEAT, member_number};
-use crate::state_calls::Answer;
-use crate::worker::{HeartbeatInFlight, SeenAt};
+use crate::settings::{HEARTBEAT_INTERVAL, member_number};
+use crate::worker::{HeartbeatInFlight, TimedObservation};
 use millethold::http::{self, OutgoingRequest, Request};
 use millethold::time::Micros;
 use millethold::wire::{Command, DirectCommands, HeartbeatResponse, path};
@@ -15,16 +15,16 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// How long a worker waits for the answer to its report.
-const REPORT_PATIENCE: Micros = Micros::secs(4);
+/// How long a worker waits for the answer to its heartbeat.
+const HEARTBEAT_TIMEOUT: Micros = Micros::secs(4);
 /// After a failure it tries the next controller this much later.
-const NEXT_CONTROLLER: Micros = Micros::secs(1);
+const NEXT_CONTROLLER_DELAY: Micros = Micros::secs(1);
 /// Commands that are later than this are told of.
-const LATE: Micros = Micros::secs(5);
+const LATE_COMMAND_AGE: Micros = Micros::secs(5);
 /// Number of a request whose answer nobody awaits.
-pub(super) const NOBODY: u64 = u64::MAX;
+pub(super) const NO_REQUEST: u64 = u64::MAX;
 
-/// A worker's connection to the controller that it reports to.
+/// A worker's connection to the controller that it heartbeats to.
 #[derive(Debug)]
 pub(super) struct HeartbeatConnection {
     id: ConnectionId,
@@ -40,73 +40,80 @@
 }
 
 impl World {
-    fn see_all(&mut self, seen: Vec<SeenAt>) {
-        for (at, seen) in seen {
-            self.see(at, seen);
+    fn record_all(&mut self, observations: Vec<TimedObservation>) {
+        for (at, observations) in observations {
+            self.record(at, observations);
         }
     }
 
     /// Lets a worker's own time pass, and lets it report.
     pub(super) fn worker_turn(&mut self, worker: usize) {
         let now = self.now;
-        let seen = self.workers[worker].advance(now);
-        self.see_all(seen);
+        let observations = self.workers[worker].advance(now);
+        self.record_all(observations);
         let machine = &self.workers[worker];
         if machine.gone {
             return;
         }
-        if !machine.hangs(now) && machine.under_way.is_none() && machine.report_due() <= now {
-            self.send_report(worker);
+        if !machine.is_hanging(now)
+            && machine.heartbeat_in_flight.is_none()
+            && machine.heartbeat_due() <= now
+        {
+            self.send_heartbeat(worker);
         }
         let machine = &self.workers[worker];
-        let heartbeat = match machine.under_way {
+        let heartbeat = match machine.heartbeat_in_flight {
             Some(_) => Micros::FAR,
-            None => machine.report_due().max(now + Micros::millis(1)),
+            None => machine.heartbeat_due().max(now + Micros::millis(1)),
         };
-        // Reports of a machine that hangs come afterwards; it is looked at meanwhile.
-        let pause = if machine.hangs(now) { Micros::millis(50) } else { Micros::ZERO };
+        // heartbeats of a machine that hangs come afterwards; it is looked at meanwhile.
+        let pause = if machine.is_hanging(now) { Micros::millis(50) } else { Micros::ZERO };
         let next = machine.next_change().min(heartbeat.max(now + pause)).max(now + Micros(1));
         self.at(next, Action::Worker { worker });
     }
 
-    fn send_report(&mut self, worker: usize) {
-        let spread = Micros(self.rng.random_range(0..HEARTBEAT.0 / 2));
+    fn send_heartbeat(&mut self, worker: usize) {
+        let spread = Micros(self.rng.random_range(0..HEARTBEAT_INTERVAL.0 / 2));
         let controller = self.workers[worker].controller;
         let address = self.addresses.worker(controller, worker).to_string();
         let machine = &mut self.workers[worker];
         let heartbeat = machine.make_heartbeat(self.now, spread, address);
-        let Some(under_way) = machine.under_way else {
+        let Some(heartbeat_in_flight) = machine.heartbeat_in_flight else {
             return;
         };
         let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
-        let number = under_way.number;
-        self.at(self.now + REPORT_PATIENCE, Action::ReportGivenUp { worker, number });
-        self.copy_report(&body);
-        match self.pass(Link::Heartbeat { worker, controller }, Direction::Request) {
-            Passage::At(at) => {
-                self.at(at, Action::Heartbeat { worker, controller, heartbeat: under_way, body });
+        let number = heartbeat_in_flight.number;
+        self.at(self.now + HEARTBEAT_TIMEOUT, Action::HeartbeatTimedOut { worker, number });
+        self.copy_heartbeat(&body);
+        match self.transmit(Link::Heartbeat { worker, controller }, Direction::Request) {
+            Delivery::At(at) => {
+                self.at(
+                    at,
+                    Action::Heartbeat { worker, controller, heartbeat: heartbeat_in_flight, body },
+                );
             }
-            Passage::Lost => {}
-            Passage::Reset => self.heartbeat_failed(worker, number),
+            Delivery::Lost => {}
+            Delivery::Reset => self.heartbeat_failed(worker, number),
         }
     }
 
-    /// Perhaps a copy of a report comes later, at any controller.
-    fn copy_report(&mut self, body: &[u8]) {
+    /// Perhaps a copy of a heartbeat comes later, at any controller.
+    fn copy_heartbeat(&mut self, body: &[u8]) {
         let percent =
             self.faults.iter().filter(|f| f.active(self.now)).find_map(|f| match f.fault {
-                Fault::LateReports { percent } => Some(percent),
+                Fault::LateHeartbeats { percent } => Some(percent),
                 _ => None,
             });
         if percent.is_some_and(|percent| self.rng.random_range(0..100) < percent) {
             let controller = self.rng.random_range(0..self.controllers.len());
-            let late = Micros::millis(self.rng.random_range(LATE_REPORTS.0..LATE_REPORTS.1));
+            let late =
+                Micros::millis(self.rng.random_range(LATE_HEARTBEATS_MS.0..LATE_HEARTBEATS_MS.1));
             let body = body.to_vec();
-            self.at(self.now + late, Action::ReportCopy { controller, body });
+            self.at(self.now + late, Action::HeartbeatCopy { controller, body });
         }
     }
 
-    /// A report arrives at a controller's socket.
+    /// A heartbeat arrives at a controller's socket.
     pub(super) fn deliver_heartbeat(
         &mut self,
         worker: usize,
@@ -138,18 +145,18 @@
         }
     }
 
-    /// A copy of a report arrives at a controller's socket; nobody awaits its answer.
+    /// A copy of a heartbeat arrives at a controller's socket; nobody awaits its answer.
     pub(super) fn deliver_copy(&mut self, controller: usize, body: Vec<u8>) {
         let host = self.controller_address(controller);
         let request =
             OutgoingRequest { method: "POST", path: path::HEARTBEAT.to_string(), body: Some(body) };
-        if let Ok(id) = self.net.connect(host, Role::User { request: NOBODY }) {
+        if let Ok(id) = self.net.connect(host, Role::User { request: NO_REQUEST }) {
             self.net.request(id, &request, host);
         }
     }
 
-    /// A controller has answered a report; the answer is on its way.
-    pub(super) fn report_answer_sent(
+    /// A controller has answered a heartbeat; the answer is on its way.
+    pub(super) fn forward_heartbeat_answer(
         &mut self,
         id: ConnectionId,
         worker: usize,
@@ -163,13 +170,13 @@
         let Some(heartbeat) = heartbeat else {
             return;
         };
-        match self.pass(Link::Heartbeat { worker, controller }, Direction::Answer) {
-            Passage::At(at) => {
+        match self.transmit(Link::Heartbeat { worker, controller }, Direction::Answer) {
+            Delivery::At(at) => {
                 let http::Answer { status, body, .. } = answer;
                 self.at(at, Action::HeartbeatAnswer { worker, heartbeat, status, body });
             }
-            Passage::Lost => {}
-            Passage::Reset => self.heartbeat_failed(worker, heartbeat.number),
+            Delivery::Lost => {}
+            Delivery::Reset => self.heartbeat_failed(worker, heartbeat.number),
         }
     }
 
@@ -184,7 +191,7 @@
         }
     }
 
-    /// The answer to a report arrives at its worker.
+    /// The answer to a heartbeat arrives at its worker.
     pub(super) fn heartbeat_answered(
         &mut self,
         worker: usize,
@@ -194,13 +201,13 @@
     ) {
         let now = self.now;
         let machine = &mut self.workers[worker];
-        let seen = machine.advance(now);
-        let awaited = machine.under_way == Some(heartbeat);
-        if machine.gone || !awaited || machine.hangs(now) {
-            // Given up, of an earlier session, or nobody is there to read it.
-            return self.see_all(seen);
+        let observations = machine.advance(now);
+        let awaited = machine.heartbeat_in_flight == Some(heartbeat);
+        if machine.gone || !awaited || machine.is_hanging(now) {
+            // Given up, of an earlier incarnation, or nobody is there to read it.
+            return self.record_all(observations);
         }
-        machine.under_way = None;
+        machine.heartbeat_in_flight = None;
         let more = match (status, serde_json::from_slice::<HeartbeatResponse>(body)) {
             (200, Ok(reply)) => {
                 machine.answered(now, heartbeat, reply.fencing_token, reply.commands, &self.jobs)
@@ -216,8 +223,8 @@
                 Vec::new()
             }
         };
-        self.see_all(seen);
-        self.see_all(more);
+        self.record_all(observations);
+        self.record_all(more);
         self.at(now, Action::Worker { worker });
     }
 
@@ -227,7 +234,7 @@
         match named.filter(|n| *n < count && *n != machine.controller) {
             Some(named) => {
                 machine.controller = named;
-                machine.next_report = self.now + Micros::millis(self.rng.random_range(0..500));
+                machine.next_heartbeat = self.now + Micros::millis(self.rng.random_range(0..500));
             }
             None => self.try_next_controller(worker),
         }
@@ -237,19 +244,22 @@
         let count = self.controllers.len();
         let machine = &mut self.workers[worker];
         machine.controller = (machine.controller + 1) % count;
-        machine.next_report = self.now + NEXT_CONTROLLER;
+        machine.next_heartbeat = self.now + NEXT_CONTROLLER_DELAY;
     }
 
     /// A worker has waited long enough.
-    pub(super) fn report_given_up(&mut self, worker: usize, number: u64) {
+    pub(super) fn heartbeat_timed_out(&mut self, worker: usize, number: u64) {
         self.heartbeat_failed(worker, number);
     }
 
     fn heartbeat_failed(&mut self, worker: usize, number: u64) {
-        if self.workers[worker].under_way.is_none_or(|heartbeat| heartbeat.number != number) {
+        if self.workers[worker]
+            .heartbeat_in_flight
+            .is_none_or(|heartbeat| heartbeat.number != number)
+        {
             return;
         }
-        self.workers[worker].under_way = None;
+        self.workers[worker].heartbeat_in_flight = None;
         if let Some(connection) = self.heartbeat_connections.remove(&worker) {
             self.net.close(connection.id);
         }
@@ -273,8 +283,8 @@
             },
             _ => None,
         };
-        match self.pass(Link::Command { worker, controller }, Direction::Request) {
-            Passage::At(at) => {
+        match self.transmit(Link::Command { worker, controller }, Direction::Request) {
+            Delivery::At(at) => {
                 let action = match direct {
                     Some(direct) => {
                         Action::Commands { connection: id, controller, worker, direct, sent }
@@ -283,8 +293,8 @@
                 };
                 self.at(at, action);
             }
-            Passage::Lost => {}
-            Passage::Reset => self.net.close(id),
+            Delivery::Lost => {}
+            Delivery::Reset => self.net.close(id),
         }
     }
 
@@ -301,30 +311,30 @@
         let machine = &mut self.workers[worker];
         let before = machine.advance(now);
         if machine.gone {
-            return self.see_all(before);
+            return self.record_all(before);
         }
-        if machine.hangs(now) {
+        if machine.is_hanging(now) {
             let at = now + Micros::millis(100);
-            self.see_all(before);
+            self.record_all(before);
             return self
                 .at(at, Action::Commands { connection: id, controller, worker, direct, sent });
         }
         let starts = direct.commands.iter().any(|c| matches!(c, Command::Start { .. }));
-        let (executed, seen) = machine.direct(now, direct, &self.jobs);
+        let (executed, observations) = machine.direct(now, direct, &self.jobs);
         let name = machine.name.clone();
-        self.see_all(before);
-        if starts && now > sent + LATE {
+        self.record_all(before);
+        if starts && now > sent + LATE_COMMAND_AGE {
             let late = now.since(sent);
-            self.see(now, Seen::LateCommands { machine: name, late, executed });
+            self.record(now, Observation::LateCommands { machine: name, late, executed });
         }
-        self.see_all(seen);
+        self.record_all(observations);
         self.answer_command(id, controller, worker, if executed { 200 } else { 409 });
         self.at(now, Action::Worker { worker });
     }
 
     /// A question arrives at a worker.
     pub(super) fn inspect(&mut self, id: ConnectionId, controller: usize, worker: usize) {
-        if !self.workers[worker].gone && !self.workers[worker].hangs(self.now) {
+        if !self.workers[worker].gone && !self.workers[worker].is_hanging(self.now) {
             self.answer_command(id, controller, worker, 200);
         }
     }
@@ -332,10 +342,10 @@
     fn answer_command(&mut self, id: ConnectionId, controller: usize, worker: usize, status: u16) {
         let address = self.addresses.worker(controller, worker).to_string();
         let answer = Answer::new(status, &self.workers[worker].body(address));
-        match self.pass(Link::Command { worker, controller }, Direction::Answer) {
-            Passage::At(at) => self.at(at, Action::Reply { connection: id, answer }),
-            Passage::Lost => {}
-            Passage::Reset => self.net.close(id),
+        match self.transmit(Link::Command { worker, controller }, Direction::Answer) {
+            Delivery::At(at) => self.at(at, Action::Reply { connection: id, answer }),
+            Delivery::Lost => {}
+            Delivery::Reset => self.net.close(id),
         }
     }
 
@@ -348,15 +358,15 @@
     }
 
     /// A machine is returned, or the cloud takes it.
-    pub(super) fn take_machine(&mut self, name: &str) {
+    pub(super) fn remove_machine(&mut self, name: &str) {
         self.cloud.take(self.now, name);
         let Some(worker) = self.workers.iter().position(|w| w.name == name && !w.gone) else {
             return;
         };
         let machine = &mut self.workers[worker];
-        let mut seen = machine.advance(self.now);
-        seen.extend(machine.take(self.now));
-        self.see_all(seen);
+        let mut observations = machine.advance(self.now);
+        observations.extend(machine.take(self.now));
+        self.record_all(observations);
         if let Some(connection) = self.heartbeat_connections.remove(&worker) {
             self.net.close(connection.id);
         }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -2,33 +2,33 @@
 //!
 //! - this file: the clock, the queue of actions, the phases of a run;
 //! - `setup`: files, sockets and processes;
-//! - `outside`: calls to the key-value store and the cloud;
-//! - `machines`: reports and commands;
+//! - `services`: calls to the key-value store and the cloud;
+//! - `machines`: heartbeats and commands;
 //! - `users`: what users ask and are told;
 //! - `peers`: links between controllers;
-//! - `troubles`: faults begin and end.
+//! - `fault_injection`: faults begin and end.
 
+mod fault_injection;
 mod machines;
-mod outside;
 mod peers;
+mod services;
 mod setup;
-mod troubles;
 mod users;
 
 use crate::addresses::Addresses;
 use crate::cloud::Cloud;
 use crate::faults::PlannedFault;
-use crate::history::{History, Seen};
+use crate::history::{History, Observation};
 use crate::jobs::Jobs;
-use crate::links::{self, Direction, Link, Passage};
+use crate::kv_store::KvStore;
+use crate::kv_store_http::Answer;
+use crate::links::{self, Delivery, Direction, Link};
 use crate::net::{ConnectionId, Net, NetEvent, Role};
 use crate::options::SoakOptions;
 use crate::process::Controller;
 use crate::relay::Relays;
 use crate::report::{Failure, RunReport};
 use crate::rules;
-use crate::state_calls::Answer;
-use crate::state_service::StateService;
 use crate::worker::{HeartbeatInFlight, Worker};
 use calloop::EventLoop;
 use machines::HeartbeatConnection;
@@ -36,8 +36,8 @@
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use millethold::wire::DirectCommands;
-use outside::Watch;
 use rand::rngs::StdRng;
+use services::Watch;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -45,21 +45,21 @@
 use users::{UserJob, UserRequest, UserStep};
 
 /// All controllers answer health checks by then, also on a loaded machine.
-const STARTS_WITHIN: Duration = Duration::from_secs(120);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(120);
 /// Once all faults are over some task begins or ends at least this often while a job is not
 /// over: generous, since the machine may be loaded and waits behind faults double.
-const PROGRESS_WITHIN: Micros = Micros::secs(120);
+const PROGRESS_TIMEOUT: Micros = Micros::secs(120);
 /// A run ends by then, whatever still goes on.
-const ENDS_WITHIN: Micros = Micros::secs(900);
+const RUN_TIMEOUT: Micros = Micros::secs(900);
 /// Between looks at what no message tells of.
-const TICK: Micros = Micros::millis(50);
+const TICK_INTERVAL: Micros = Micros::millis(50);
 
 /// Something that is to happen at a certain time.
 enum Action {
     /// A call reaches the key-value store.
     KvRequest { connection: ConnectionId, controller: usize, call: KvRequest },
     /// A transaction is carried out whose answer nobody awaits.
-    LateCall { call: KvRequest },
+    LateTransaction { call: KvRequest },
     /// A call reaches the cloud.
     CloudCall { connection: ConnectionId, controller: usize, request: Request },
     /// Direct commands reach a worker.
@@ -76,18 +76,18 @@
     Reply { connection: ConnectionId, answer: Answer },
     /// A worker's time has come.
     Worker { worker: usize },
-    /// A report reaches a controller.
+    /// A heartbeat reaches a controller.
     Heartbeat { worker: usize, controller: usize, heartbeat: HeartbeatInFlight, body: Vec<u8> },
-    /// A copy of a report reaches a controller.
-    ReportCopy { controller: usize, body: Vec<u8> },
-    /// The answer to a report reaches its worker.
+    /// A copy of a heartbeat reaches a controller.
+    HeartbeatCopy { controller: usize, body: Vec<u8> },
+    /// The answer to a heartbeat reaches its worker.
     HeartbeatAnswer { worker: usize, heartbeat: HeartbeatInFlight, status: u16, body: Vec<u8> },
-    /// A worker has waited long enough for the answer to a report.
-    ReportGivenUp { worker: usize, number: u64 },
+    /// A worker has waited long enough for the answer to a heartbeat.
+    HeartbeatTimedOut { worker: usize, number: u64 },
     /// A rented machine is up.
     MachineUp { name: String },
     /// Bytes of a relayed connection may go on.
-    Relay { pipe: u64, near: bool },
+    Relay { relayed: u64, from_initiator: bool },
     /// A user acts.
     User(UserStep),
     /// A user has waited long enough for an answer.
@@ -120,7 +120,7 @@
     healthy: Vec<bool>,
     /// The run's files; they go with it.
     _directory: TempDir,
-    state: StateService,
+    state: KvStore,
     watches: Vec<Watch>,
     cloud: Cloud,
     workers: Vec<Worker>,
@@ -131,7 +131,7 @@
     next_request: u64,
     faults: Vec<PlannedFault>,
     /// From when on no fault is left.
-    calm: Micros,
+    faults_over_at: Micros,
     /// When a task last came on a machine or went off.
     last_progress: Micros,
     history: History,
@@ -154,13 +154,13 @@
     pub(crate) fn play(
         options: &SoakOptions,
         seed: u64,
-        place: usize,
+        run_number: usize,
         stop: &AtomicBool,
     ) -> Result<RunReport, RunError> {
         let mut event_loop = EventLoop::try_new().map_err(|e| RunError::Setup(e.to_string()))?;
         let net = Net::new(event_loop.handle());
-        let mut world = World::set_up(options, seed, place, net).map_err(RunError::Setup)?;
-        let deadline = Instant::now() + STARTS_WITHIN;
+        let mut world = World::set_up(options, seed, run_number, net).map_err(RunError::Setup)?;
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
         while !world.healthy.iter().all(|healthy| *healthy) {
             world.turn(&mut event_loop, stop)?;
             if let Some(controller) = world.controllers.iter_mut().position(Controller::has_ended) {
@@ -188,7 +188,8 @@
             return Err(RunError::Interrupted);
         }
         self.advance();
-        let next = self.actions.first_key_value().map_or(self.now + TICK, |((at, _), _)| *at);
+        let next =
+            self.actions.first_key_value().map_or(self.now + TICK_INTERVAL, |((at, _), _)| *at);
         let wait = next.since(self.clock()).duration();
         event_loop.dispatch(wait, self).map_err(|e| RunError::Setup(e.to_string()))
     }
@@ -206,7 +207,7 @@
             let ((at, _), action) = entry.remove_entry();
             self.stalled = self.stalled.max(clock.since(at));
             self.now = self.now.max(at);
-            self.happen(action);
+            self.perform(action);
         }
         self.now = self.now.max(clock);
     }
@@ -216,24 +217,24 @@
         self.actions.insert((at.max(self.now), self.next_action), action);
     }
 
-    fn see(&mut self, at: Micros, seen: Seen) {
-        if matches!(seen, Seen::On { .. } | Seen::Off { .. }) {
+    fn record(&mut self, at: Micros, observations: Observation) {
+        if matches!(observations, Observation::TaskStarted { .. } | Observation::TaskEnded { .. }) {
             self.last_progress = self.last_progress.max(at);
         }
-        self.history.add(at, seen);
+        self.history.add(at, observations);
     }
 
     /// What becomes of a message that is sent now.
-    fn pass(&mut self, link: Link, direction: Direction) -> Passage {
-        links::pass(&self.faults, &mut self.rng, self.now, link, direction)
+    fn transmit(&mut self, link: Link, direction: Direction) -> Delivery {
+        links::transmit(&self.faults, &mut self.rng, self.now, link, direction)
     }
 
-    fn happen(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::KvRequest { connection, controller, call } => {
-                self.state_call(connection, controller, call);
+                self.serve_kv_request(connection, controller, call);
             }
-            Action::LateCall { call } => self.late_call(call),
+            Action::LateTransaction { call } => self.serve_late_transaction(call),
             Action::CloudCall { connection, controller, request } => {
                 self.cloud_call(connection, controller, &request);
             }
@@ -250,13 +251,17 @@
             Action::Heartbeat { worker, controller, heartbeat, body } => {
                 self.deliver_heartbeat(worker, controller, heartbeat, body);
             }
-            Action::ReportCopy { controller, body } => self.deliver_copy(controller, body),
+            Action::HeartbeatCopy { controller, body } => self.deliver_copy(controller, body),
             Action::HeartbeatAnswer { worker, heartbeat, status, body } => {
                 self.heartbeat_answered(worker, heartbeat, status, &body);
             }
-            Action::ReportGivenUp { worker, number } => self.report_given_up(worker, number),
+            Action::HeartbeatTimedOut { worker, number } => {
+                self.heartbeat_timed_out(worker, number)
+            }
             Action::MachineUp { name } => self.machine_up(name),
-            Action::Relay { pipe, near } => self.relay_on(pipe, near),
+            Action::Relay { relayed, from_initiator } => {
+                self.forward_relayed(relayed, from_initiator)
+            }
             Action::User(step) => self.user_step(step),
             Action::UserGivesUp { request } => self.user_unanswered(request),
             Action::FaultBegins(number) => self.fault_begins(number),
@@ -287,8 +292,8 @@
 
     fn socket_event(&mut self, id: ConnectionId, role: Role, event: NetEvent) {
         match (role, event) {
-            (Role::State { controller }, NetEvent::Request(request)) => {
-                self.state_request(id, controller, &request);
+            (Role::KvStore { controller }, NetEvent::Request(request)) => {
+                self.kv_request(id, controller, &request);
             }
             (Role::Cloud { controller }, NetEvent::Request(request)) => {
                 self.cloud_request(id, controller, request);
@@ -297,13 +302,13 @@
                 self.command_request(id, controller, worker, &request);
             }
             (Role::Heartbeat { worker, .. }, NetEvent::Answer(answer)) => {
-                self.report_answer_sent(id, worker, answer);
+                self.forward_heartbeat_answer(id, worker, answer);
             }
             (Role::User { request }, NetEvent::Answer(answer)) => {
                 self.user_answer_sent(id, request, answer);
             }
-            (Role::Relay { pipe, near }, NetEvent::Bytes(bytes)) => {
-                self.relay_bytes(pipe, near, bytes);
+            (Role::Relay { relayed, from_initiator }, NetEvent::Bytes(bytes)) => {
+                self.relay_bytes(relayed, from_initiator, bytes);
             }
             (role, NetEvent::Closed) => {
                 self.net.close(id);
@@ -318,15 +323,15 @@
         match role {
             Role::Heartbeat { worker, .. } => self.heartbeat_connection_closed(id, worker),
             Role::User { request } => self.user_connection_closed(request),
-            Role::Relay { pipe, near } => self.relay_closed(pipe, near),
-            Role::State { .. } => self.watches.retain(|watch| watch.connection != id),
+            Role::Relay { relayed, from_initiator } => self.relay_closed(relayed, from_initiator),
+            Role::KvStore { .. } => self.watches.retain(|watch| watch.connection != id),
             Role::Cloud { .. } | Role::Commands { .. } => {}
         }
     }
 
     /// Looks at what no message tells of.
     fn tick(&mut self) {
-        self.expire_state();
+        self.expire_leases();
         for controller in 0..self.controllers.len() {
             if !self.healthy.iter().all(|healthy| *healthy) {
                 self.check_health();
@@ -338,31 +343,31 @@
                 self.at(self.now + Micros::millis(300), Action::Start { controller });
             }
         }
-        self.at(self.now + TICK, Action::Tick);
+        self.at(self.now + TICK_INTERVAL, Action::Tick);
     }
 
     /// Whether the run is over: no fault is left, and all jobs have been served and all
     /// questions asked; or nothing more happens.
     fn over(&self) -> bool {
-        if self.now < self.calm {
+        if self.now < self.faults_over_at {
             return false;
         }
         let served = self.users_are_done() && !self.workers.iter().any(Worker::busy);
-        let stuck = self.now > self.calm.max(self.last_progress) + PROGRESS_WITHIN;
-        served || stuck || self.now > self.calm + ENDS_WITHIN
+        let stuck = self.now > self.faults_over_at.max(self.last_progress) + PROGRESS_TIMEOUT;
+        served || stuck || self.now > self.faults_over_at + RUN_TIMEOUT
     }
 
     /// Judges what was seen.
     fn finish(mut self, options: &SoakOptions) -> RunReport {
-        self.note_unserved();
+        self.record_unserved();
         let facts = self.facts();
-        let breaks = rules::check(&facts, &self.history);
+        let violations = rules::check(&facts, &self.history);
         let report = RunReport::new(
             self.seed,
             self.workers.len(),
             &self.faults,
             &self.history,
-            breaks,
+            violations,
             std::mem::take(&mut self.failures),
             self.stalled,
         );
--- a/crates/rehearsal/src/world/peers.rs
+++ b/crates/rehearsal/src/world/peers.rs
@@ -1,78 +1,93 @@
 //! Links between controllers: each connection goes through a relay.
 
 use super::{Action, World};
-use crate::links::{Direction, Link, Passage};
+use crate::links::{Delivery, Direction, Link};
 use crate::net::{ConnectionId, Role};
 use crate::relay::Step;
 
 impl World {
     /// A controller has connected to what it believes to be a peer.
-    pub(crate) fn relay_accepted(&mut self, pipe: u64, from: usize, to: usize, near: ConnectionId) {
-        if self.pass(Link::Peer { from, to }, Direction::Request) == Passage::Reset {
-            return self.net.close(near);
+    pub(crate) fn relay_accepted(
+        &mut self,
+        number: u64,
+        from: usize,
+        to: usize,
+        from_initiator: ConnectionId,
+    ) {
+        if self.transmit(Link::Peer { from, to }, Direction::Request) == Delivery::Reset {
+            return self.net.close(from_initiator);
         }
-        match self.net.connect(self.addresses.peers(to), Role::Relay { pipe, near: false }) {
-            Ok(far) => self.relays.add(pipe, (from, to), near, far),
-            Err(_) => self.net.close(near),
+        match self.net.connect(
+            self.addresses.peers(to),
+            Role::Relay { relayed: number, from_initiator: false },
+        ) {
+            Ok(far) => self.relays.add(number, (from, to), from_initiator, far),
+            Err(_) => self.net.close(from_initiator),
         }
     }
 
     /// Bytes have come from one side.
-    pub(super) fn relay_bytes(&mut self, pipe: u64, near: bool, bytes: Vec<u8>) {
-        let Some((from, to)) = self.relays.get_mut(pipe).map(|pipe| (pipe.from, pipe.to)) else {
+    pub(super) fn relay_bytes(&mut self, number: u64, from_initiator: bool, bytes: Vec<u8>) {
+        let Some((from, to)) =
+            self.relays.get_mut(number).map(|connection| (connection.from, connection.to))
+        else {
             return;
         };
-        let link = if near { Link::Peer { from, to } } else { Link::Peer { from: to, to: from } };
-        match self.pass(link, Direction::Request) {
-            Passage::At(at) => {
-                if let Some(relayed) = self.relays.get_mut(pipe) {
-                    let at = relayed.push(near, at, bytes);
-                    self.at(at, Action::Relay { pipe, near });
+        let link = if from_initiator {
+            Link::Peer { from, to }
+        } else {
+            Link::Peer { from: to, to: from }
+        };
+        match self.transmit(link, Direction::Request) {
+            Delivery::At(at) => {
+                if let Some(connection) = self.relays.get_mut(number) {
+                    let at = connection.push(from_initiator, at, bytes);
+                    self.at(at, Action::Relay { relayed: number, from_initiator });
                 }
             }
-            Passage::Lost => {}
-            Passage::Reset => self.cut_pipe(pipe),
+            Delivery::Lost => {}
+            Delivery::Reset => self.reset_relayed(number),
         }
     }
 
-    /// What waited on a relayed connection may go on.
-    pub(super) fn relay_on(&mut self, pipe: u64, near: bool) {
+    /// What waited on a connection connection may go on.
+    pub(super) fn forward_relayed(&mut self, number: u64, from_initiator: bool) {
         let now = self.now;
-        let Some(relayed) = self.relays.get_mut(pipe) else {
+        let Some(connection) = self.relays.get_mut(number) else {
             return;
         };
-        for step in relayed.take(near, now) {
+        for step in connection.take(from_initiator, now) {
             match step {
                 Step::Send(id, bytes) => self.net.send(id, &bytes),
                 Step::Close(id) => {
                     self.net.close_when_written(id);
-                    self.relays.remove(pipe);
+                    self.relays.remove(number);
                 }
             }
         }
     }
 
-    /// One side of a relayed connection has closed: the other does once all has arrived.
-    pub(super) fn relay_closed(&mut self, pipe: u64, near: bool) {
-        let settled = self.relays.get_mut(pipe).map(|relayed| relayed.end(near));
+    /// One side of a connection connection has closed: the other does once all has arrived.
+    pub(super) fn relay_closed(&mut self, number: u64, from_initiator: bool) {
+        let settled = self.relays.get_mut(number).map(|connection| connection.end(from_initiator));
         if settled == Some(true) {
-            self.cut_pipe(pipe);
+            self.reset_relayed(number);
         }
     }
 
-    /// Both sides of a relayed connection are reset.
-    fn cut_pipe(&mut self, pipe: u64) {
-        if let Some(relayed) = self.relays.remove(pipe) {
-            for id in relayed.connections() {
+    /// Both sides of a connection connection are reset.
+    fn reset_relayed(&mut self, number: u64) {
+        if let Some(connection) = self.relays.remove(number) {
+            for id in connection.connections() {
                 self.net.close(id);
             }
         }
     }
 
     /// All connections of a controller with its peers are reset.
-    pub(super) fn cut_pipes_of(&mut self, controller: usize) {
-        for pipe in self.relays.of(controller) {
-            self.cut_pipe(pipe);
+    pub(super) fn reset_all_relayed_of(&mut self, controller: usize) {
+        for number in self.relays.of(controller) {
+            self.reset_relayed(number);
         }
     }
 }
--- a/crates/rehearsal/src/world/outside.rs
+++ b/crates/rehearsal/src/world/services.rs
@@ -3,9 +3,9 @@
 use super::{Action, World};
 use crate::cloud::CloudEffect;
 use crate::faults::Fault;
-use crate::links::{self, Direction, Link, Passage, Service};
+use crate::kv_store_http::{self, Answer, nothing_changed};
+use crate::links::{self, Delivery, Direction, Link, StoreBehavior};
 use crate::net::ConnectionId;
-use crate::state_calls::{self, Answer, nothing_changed};
 use millethold::http::Request;
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
@@ -26,57 +26,69 @@
 
 impl World {
     /// A controller sends a call to the key-value store.
-    pub(super) fn state_request(&mut self, id: ConnectionId, controller: usize, asked: &Request) {
-        let Some(call) = state_calls::read(asked) else {
+    pub(super) fn kv_request(
+        &mut self,
+        id: ConnectionId,
+        controller: usize,
+        request_kind: &Request,
+    ) {
+        let Some(call) = kv_store_http::read(request_kind) else {
             return self.net.answer(id, 400, b"{\"error\":\"malformed\"}");
         };
-        match self.pass(Link::State { controller }, Direction::Request) {
-            Passage::At(at) => {
+        match self.transmit(Link::KvStore { controller }, Direction::Request) {
+            Delivery::At(at) => {
                 self.at(at, Action::KvRequest { connection: id, controller, call });
             }
-            Passage::Lost => {}
-            Passage::Reset => self.net.close(id),
+            Delivery::Lost => {}
+            Delivery::Reset => self.net.close(id),
         }
     }
 
     /// A call arrives at the key-value store.
-    pub(super) fn state_call(&mut self, id: ConnectionId, controller: usize, call: KvRequest) {
+    pub(super) fn serve_kv_request(
+        &mut self,
+        id: ConnectionId,
+        controller: usize,
+        call: KvRequest,
+    ) {
         let changes = call.puts() > 0;
-        match links::serve(&self.faults, &mut self.rng, self.now, controller, changes) {
-            Service::Refused => {
+        match links::store_behavior(&self.faults, &mut self.rng, self.now, controller, changes) {
+            StoreBehavior::Refused => {
                 let trouble = Answer::new(503, &json!({ "error": "trouble" }));
-                self.answer_state(id, controller, trouble);
+                self.answer_kv_request(id, controller, trouble);
             }
-            Service::Late(at) => self.at(at, Action::LateCall { call }),
-            Service::AnswerLost => {
-                state_calls::carry_out(&call, self.now, &mut self.state);
+            StoreBehavior::Late(at) => self.at(at, Action::LateTransaction { call }),
+            StoreBehavior::AnswerLost => {
+                kv_store_http::carry_out(&call, self.now, &mut self.state);
                 self.wake_watches();
             }
-            Service::Served => match state_calls::carry_out(&call, self.now, &mut self.state) {
-                Some(answer) => {
-                    self.answer_state(id, controller, answer);
-                    self.wake_watches();
+            StoreBehavior::Served => {
+                match kv_store_http::carry_out(&call, self.now, &mut self.state) {
+                    Some(answer) => {
+                        self.answer_kv_request(id, controller, answer);
+                        self.wake_watches();
+                    }
+                    None => {
+                        let block = match &call {
+                            KvRequest::Watch { block, .. } => *block,
+                            _ => Micros::ZERO,
+                        };
+                        let until = self.now + block;
+                        self.watches.push(Watch { connection: id, controller, call, until });
+                        self.wake_watches();
+                    }
                 }
-                None => {
-                    let block = match &call {
-                        KvRequest::Watch { block, .. } => *block,
-                        _ => Micros::ZERO,
-                    };
-                    let until = self.now + block;
-                    self.watches.push(Watch { connection: id, controller, call, until });
-                    self.wake_watches();
-                }
-            },
+            }
         }
     }
 
     /// A transaction that its caller has given up is carried out.
-    pub(super) fn late_call(&mut self, call: KvRequest) {
+    pub(super) fn serve_late_transaction(&mut self, call: KvRequest) {
         let outage = self.outage_until();
         if outage > self.now {
-            return self.at(outage, Action::LateCall { call });
+            return self.at(outage, Action::LateTransaction { call });
         }
-        state_calls::carry_out(&call, self.now, &mut self.state);
+        kv_store_http::carry_out(&call, self.now, &mut self.state);
         self.wake_watches();
     }
 
@@ -87,11 +99,11 @@
         active.map(|fault| fault.until).max().unwrap_or(Micros::ZERO)
     }
 
-    fn answer_state(&mut self, id: ConnectionId, controller: usize, answer: Answer) {
-        match self.pass(Link::State { controller }, Direction::Answer) {
-            Passage::At(at) => self.at(at, Action::Reply { connection: id, answer }),
-            Passage::Lost => {}
-            Passage::Reset => self.net.close(id),
+    fn answer_kv_request(&mut self, id: ConnectionId, controller: usize, answer: Answer) {
+        match self.transmit(Link::KvStore { controller }, Direction::Answer) {
+            Delivery::At(at) => self.at(at, Action::Reply { connection: id, answer }),
+            Delivery::Lost => {}
+            Delivery::Reset => self.net.close(id),
         }
     }
 
@@ -105,12 +117,12 @@
                 waiting.push(watch);
                 continue;
             }
-            let answer = match state_calls::carry_out(&watch.call, now, &mut self.state) {
+            let answer = match kv_store_http::carry_out(&watch.call, now, &mut self.state) {
                 None if watch.until <= now => Some(nothing_changed(&self.state)),
                 answer => answer,
             };
             match answer {
-                Some(answer) => self.answer_state(watch.connection, watch.controller, answer),
+                Some(answer) => self.answer_kv_request(watch.connection, watch.controller, answer),
                 None => waiting.push(watch),
             }
         }
@@ -118,7 +130,7 @@
     }
 
     /// Ends leases and watches whose time is over.
-    pub(super) fn expire_state(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         if self.outage_until() <= self.now {
             self.state.expire(self.now);
         }
@@ -127,12 +139,12 @@
 
     /// A controller sends a call to the cloud.
     pub(super) fn cloud_request(&mut self, id: ConnectionId, controller: usize, request: Request) {
-        match self.pass(Link::Cloud { controller }, Direction::Request) {
-            Passage::At(at) => {
+        match self.transmit(Link::Cloud { controller }, Direction::Request) {
+            Delivery::At(at) => {
                 self.at(at, Action::CloudCall { connection: id, controller, request });
             }
-            Passage::Lost => {}
-            Passage::Reset => self.net.close(id),
+            Delivery::Lost => {}
+            Delivery::Reset => self.net.close(id),
         }
     }
 
@@ -147,19 +159,19 @@
         };
         match effect {
             CloudEffect::None => {}
-            CloudEffect::RentedMachine(names) => {
+            CloudEffect::Created(names) => {
                 for name in names {
                     let boot = Micros::millis(self.rng.random_range(BOOT_MS.0..BOOT_MS.1));
                     self.at(self.now + boot, Action::MachineUp { name });
                 }
             }
-            CloudEffect::ScaledIn(names) => {
+            CloudEffect::Deleted(names) => {
                 for name in names {
-                    self.take_machine(&name);
+                    self.remove_machine(&name);
                 }
             }
         }
-        if let Passage::At(at) = self.pass(Link::Cloud { controller }, Direction::Answer) {
+        if let Delivery::At(at) = self.transmit(Link::Cloud { controller }, Direction::Answer) {
             self.at(at, Action::Reply { connection: id, answer });
         }
     }
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -7,13 +7,13 @@
 use crate::faults::draw_faults;
 use crate::history::History;
 use crate::jobs::{Jobs, draw_jobs};
+use crate::kv_store::KvStore;
 use crate::net::{ListenerRole, Net, Role};
 use crate::options::SoakOptions;
 use crate::process::{Controller, Program, write_file};
 use crate::relay::Relays;
 use crate::rules::{Facts, JobFacts, MachineFacts};
-use crate::settings::{self, CANCEL, TEAMS, ZONES};
-use crate::state_service::StateService;
+use crate::settings::{self, CANCEL_DEADLINE, TEAMS, ZONES};
 use crate::worker::Worker;
 use millethold::time::Micros;
 use rand::rngs::StdRng;
@@ -27,29 +27,29 @@
 const FEW_WORKERS: (usize, usize) = (12, 40);
 const MANY_WORKERS: (usize, usize) = (150, 300);
 /// One run in so many has many workers.
-const MANY_EVERY: u32 = 8;
+const MANY_WORKERS_ONE_IN: u32 = 8;
 /// Machines that may be rented beside those of the start, as a part of them.
-const SPARE_PART: usize = 4;
+const SPARE_MACHINES_DIVISOR: usize = 4;
 /// Between the end of the faults and the end of what users ask on their own.
-const STRANGERS_EVERY: Micros = Micros::millis(1_700);
+const UNKNOWN_JOB_POLL_INTERVAL: Micros = Micros::millis(1_700);
 
 impl World {
     /// A run whose controllers have been started.
     pub(super) fn set_up(
         options: &SoakOptions,
         seed: u64,
-        place: usize,
+        run_number: usize,
         net: Net,
     ) -> Result<World, String> {
         let mut rng = StdRng::seed_from_u64(seed);
         let directory = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let addresses = Addresses::new(options.block, place);
+        let addresses = Addresses::new(options.block, run_number);
         let controllers = (0..options.controllers)
             .map(|number| controller(options, addresses, number, directory.path()))
             .collect::<Result<Vec<Controller>, String>>()?;
         let count = match options.workers {
             Some(count) => count,
-            None if rng.random_range(0..MANY_EVERY) == 0 => {
+            None if rng.random_range(0..MANY_WORKERS_ONE_IN) == 0 => {
                 rng.random_range(MANY_WORKERS.0..MANY_WORKERS.1)
             }
             None => rng.random_range(FEW_WORKERS.0..FEW_WORKERS.1),
@@ -67,9 +67,9 @@
             healthy: vec![false; controllers.len()],
             controllers,
             _directory: directory,
-            state: StateService::default(),
+            state: KvStore::default(),
             watches: Vec::new(),
-            cloud: Cloud::new(count + count.div_ceil(SPARE_PART)),
+            cloud: Cloud::new(count + count.div_ceil(SPARE_MACHINES_DIVISOR)),
             workers: Vec::new(),
             heartbeat_connections: BTreeMap::new(),
             jobs: Jobs::default(),
@@ -77,7 +77,7 @@
             requests: BTreeMap::new(),
             next_request: 0,
             faults: Vec::new(),
-            calm: Micros::FAR,
+            faults_over_at: Micros::FAR,
             last_progress: Micros::ZERO,
             history: History::default(),
             failures: Vec::new(),
@@ -99,7 +99,7 @@
     fn listen(&mut self) -> std::io::Result<()> {
         let count = self.controllers.len();
         for controller in 0..count {
-            let state = ListenerRole::Fixed(Role::State { controller });
+            let state = ListenerRole::Fixed(Role::KvStore { controller });
             self.net.listen(self.addresses.state(controller), state)?;
             let cloud = ListenerRole::Fixed(Role::Cloud { controller });
             self.net.listen(self.addresses.cloud(controller), cloud)?;
@@ -141,7 +141,7 @@
             fault.until += begins;
         }
         let settled = faults.iter().map(|fault| fault.settled(controllers)).max();
-        self.calm = settled.unwrap_or(begins).max(begins + over);
+        self.faults_over_at = settled.unwrap_or(begins).max(begins + over);
         for (number, fault) in faults.iter().enumerate() {
             let (at, until) = (fault.at, fault.until);
             self.at(at, Action::FaultBegins(number));
@@ -156,10 +156,10 @@
             self.user_jobs.insert(id.clone(), UserJob::default());
         }
         self.jobs = jobs;
-        let mut at = begins + STRANGERS_EVERY;
-        while at < self.calm {
-            self.at(at, Action::User(UserStep::AskForNothing));
-            at += STRANGERS_EVERY;
+        let mut at = begins + UNKNOWN_JOB_POLL_INTERVAL;
+        while at < self.faults_over_at {
+            self.at(at, Action::User(UserStep::PollUnknownJob));
+            at += UNKNOWN_JOB_POLL_INTERVAL;
         }
     }
 
@@ -184,8 +184,8 @@
             jobs: self.jobs.plans.iter().map(|(id, plan)| (id.clone(), job(plan))).collect(),
             machines: self.workers.iter().map(machine).collect(),
             limits: limited.map(|team| (team.name.to_string(), team.most)).collect(),
-            cancel: CANCEL,
-            calm: self.calm,
+            cancel: CANCEL_DEADLINE,
+            faults_over_at: self.faults_over_at,
             end: self.now,
         }
     }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -1,9 +1,9 @@
 //! Users: what they hand in, ask and call off, at all controllers, and what they are told.
 
-use super::machines::{NOBODY, empty};
+use super::machines::{NO_REQUEST, empty};
 use super::{Action, World};
-use crate::history::{Asked, Seen, UserAnswer};
-use crate::links::{Direction, Link, Passage};
+use crate::history::{Observation, RequestKind, UserAnswer};
+use crate::links::{Delivery, Direction, Link};
 use crate::net::{ConnectionId, Role};
 use crate::report::Failure;
 use millethold::http::{self, OutgoingRequest};
@@ -13,20 +13,20 @@
 use serde::Deserialize;
 
 /// Between two questions about a job.
-const POLL: (u64, u64) = (700, 1_300);
+const POLL_INTERVAL_MS: (u64, u64) = (700, 1_300);
 /// After an answer that says to come back, or none.
-const RETRY: (u64, u64) = (500, 1_200);
+const RETRY_DELAY_MS: (u64, u64) = (500, 1_200);
 /// A connection that is refused is tried elsewhere soon.
-const ELSEWHERE: (u64, u64) = (50, 300);
+const RECONNECT_DELAY_MS: (u64, u64) = (50, 300);
 /// How long users wait for an answer.
-const POLL_PATIENCE: Micros = Micros::secs(2);
-const PATIENCE: Micros = Micros::secs(5);
+const POLL_TIMEOUT: Micros = Micros::secs(2);
+const REQUEST_TIMEOUT: Micros = Micros::secs(5);
 /// Questions about a job after its end.
-const ASKED_AFTERWARDS: u32 = 3;
+const POLLS_AFTER_END: u32 = 3;
 /// One in so many users looks closely: asks all controllers at once.
-const CLOSE_LOOKS: u32 = 4;
+const CONCURRENT_POLL_ONE_IN: u32 = 4;
 /// A job that nobody submits begins like this; those of users have six digits.
-const NOBODYS_JOB: &str = "j-9";
+const UNKNOWN_JOB_PREFIX: &str = "j-9";
 
 /// Something that a user does.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,9 +38,9 @@
     /// Calls a job off.
     Cancel(String),
     /// Asks all controllers at once how a job stands.
-    LookClosely(String),
+    PollAllControllers(String),
     /// Asks about a job that nobody submitted.
-    AskForNothing,
+    PollUnknownJob,
 }
 
 /// A job, as its user sees it.
@@ -50,10 +50,10 @@
     accepted: bool,
     /// Refused for good.
     refused: Option<u16>,
-    cancel_asked: bool,
+    cancel_requested: bool,
     cancel_answered: bool,
     ended: Option<JobStage>,
-    asked_afterwards: u32,
+    polls_after_end: u32,
     /// A question is planned or under way.
     polling: bool,
 }
@@ -62,14 +62,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct UserRequest {
     job: String,
-    asked: Asked,
+    request_kind: RequestKind,
     controller: usize,
     sent: Micros,
     connection: Option<ConnectionId>,
     /// It is a health check of the beginning.
     health: bool,
     /// It stands alone: nothing follows from its answer.
-    aside: bool,
+    detached: bool,
 }
 
 /// The part of an answer that users read.
@@ -87,19 +87,20 @@
         match step {
             UserStep::Submit(job) => self.user_submits(job),
             UserStep::Poll(job) => {
-                self.ask_any(job, Asked::Poll, false);
+                self.send_to_any(job, RequestKind::Poll, false);
             }
             UserStep::Cancel(job) => self.user_cancels(job),
-            UserStep::LookClosely(job) => {
+            UserStep::PollAllControllers(job) => {
                 for controller in 0..self.controllers.len() {
-                    self.ask(controller, job.clone(), Asked::Poll, true);
+                    self.send_request(controller, job.clone(), RequestKind::Poll, true);
                 }
                 let again = self.rng.random_range(0..self.controllers.len());
-                self.ask(again, job, Asked::Submit, true);
+                self.send_request(again, job, RequestKind::Submit, true);
             }
-            UserStep::AskForNothing => {
-                let job = format!("{NOBODYS_JOB}{:07}", self.rng.random_range(0..10_000_000));
-                self.ask_any(job, Asked::Poll, true);
+            UserStep::PollUnknownJob => {
+                let job =
+                    format!("{UNKNOWN_JOB_PREFIX}{:07}", self.rng.random_range(0..10_000_000));
+                self.send_to_any(job, RequestKind::Poll, true);
             }
         }
     }
@@ -108,15 +109,15 @@
         let dependencies = self.jobs.plans[&job].dependencies.clone();
         let accepted = |up: &String| self.user_jobs.get(up).is_some_and(|up| up.accepted);
         if !dependencies.iter().all(accepted) {
-            let at = self.soon(RETRY);
+            let at = self.soon(RETRY_DELAY_MS);
             return self.at(at, Action::User(UserStep::Submit(job)));
         }
         let user_job = self.user_jobs.entry(job.clone()).or_default();
         if !std::mem::replace(&mut user_job.submitted, true) {
-            let asked = Asked::Submit;
-            self.see(self.now, Seen::Asked { job: job.clone(), asked });
+            let request_kind = RequestKind::Submit;
+            self.record(self.now, Observation::Requested { job: job.clone(), request_kind });
         }
-        self.ask_any(job, Asked::Submit, false);
+        self.send_to_any(job, RequestKind::Submit, false);
     }
 
     fn user_cancels(&mut self, job: String) {
@@ -125,40 +126,47 @@
             return;
         }
         if !user_job.accepted {
-            let at = self.soon(RETRY);
+            let at = self.soon(RETRY_DELAY_MS);
             return self.at(at, Action::User(UserStep::Cancel(job)));
         }
-        if !std::mem::replace(&mut user_job.cancel_asked, true) {
-            let asked = Asked::Cancel;
-            self.see(self.now, Seen::Asked { job: job.clone(), asked });
+        if !std::mem::replace(&mut user_job.cancel_requested, true) {
+            let request_kind = RequestKind::Cancel;
+            self.record(self.now, Observation::Requested { job: job.clone(), request_kind });
         }
-        self.ask_any(job, Asked::Cancel, false);
+        self.send_to_any(job, RequestKind::Cancel, false);
     }
 
     /// Asks any controller.
-    fn ask_any(&mut self, job: String, asked: Asked, aside: bool) {
+    fn send_to_any(&mut self, job: String, request_kind: RequestKind, detached: bool) {
         let controller = self.rng.random_range(0..self.controllers.len());
-        self.ask(controller, job, asked, aside);
+        self.send_request(controller, job, request_kind, detached);
     }
 
-    fn ask(&mut self, controller: usize, job: String, asked: Asked, aside: bool) {
-        let request = match asked {
-            Asked::Submit => {
+    fn send_request(
+        &mut self,
+        controller: usize,
+        job: String,
+        request_kind: RequestKind,
+        detached: bool,
+    ) {
+        let request = match request_kind {
+            RequestKind::Submit => {
                 let body = self.jobs.plans[&job].submission();
                 OutgoingRequest::post(path::JOBS.to_string(), &body)
             }
-            Asked::Poll => OutgoingRequest::get(format!("{}/{job}", path::JOBS)),
-            Asked::Cancel => OutgoingRequest {
+            RequestKind::Poll => OutgoingRequest::get(format!("{}/{job}", path::JOBS)),
+            RequestKind::Cancel => OutgoingRequest {
                 method: "POST",
                 path: format!("{}/{job}/{}", path::JOBS, path::CANCEL),
                 body: Some(empty()),
             },
         };
-        let number = self.new_request(controller, job, asked, aside);
-        let patience = if asked == Asked::Poll { POLL_PATIENCE } else { PATIENCE };
+        let number = self.new_request(controller, job, request_kind, detached);
+        let patience =
+            if request_kind == RequestKind::Poll { POLL_TIMEOUT } else { REQUEST_TIMEOUT };
         self.at(self.now + patience, Action::UserGivesUp { request: number });
         // Users sit beside the controllers: what holds their messages only lets them wait.
-        if self.pass(Link::User { controller }, Direction::Request) == Passage::Reset {
+        if self.transmit(Link::User { controller }, Direction::Request) == Delivery::Reset {
             return self.user_connection_closed(number);
         }
         let host = self.controller_address(controller);
@@ -173,16 +181,22 @@
         }
     }
 
-    fn new_request(&mut self, controller: usize, job: String, asked: Asked, aside: bool) -> u64 {
+    fn new_request(
+        &mut self,
+        controller: usize,
+        job: String,
+        request_kind: RequestKind,
+        detached: bool,
+    ) -> u64 {
         self.next_request += 1;
         let request = UserRequest {
             job,
-            asked,
+            request_kind,
             controller,
             sent: self.now,
             connection: None,
             health: false,
-            aside,
+            detached,
         };
         self.requests.insert(self.next_request, request);
         self.next_request
@@ -190,7 +204,7 @@
 
     /// A health check of the beginning.
     pub(super) fn new_health_request(&mut self, controller: usize) -> u64 {
-        let number = self.new_request(controller, String::new(), Asked::Poll, true);
+        let number = self.new_request(controller, String::new(), RequestKind::Poll, true);
         if let Some(request) = self.requests.get_mut(&number) {
             request.health = true;
         }
@@ -200,7 +214,7 @@
     /// A controller has answered a user.
     pub(super) fn user_answer_sent(&mut self, id: ConnectionId, number: u64, answer: http::Answer) {
         self.net.close(id);
-        if number == NOBODY {
+        if number == NO_REQUEST {
             return;
         }
         let Some(request) = self.requests.remove(&number) else {
@@ -212,11 +226,11 @@
         }
         let stage = serde_json::from_slice::<JobAnswer>(&answer.body).ok().and_then(|a| a.stage);
         let known = matches!(answer.status, 200 | 201);
-        self.see(
+        self.record(
             self.now,
-            Seen::Answer(UserAnswer {
+            Observation::Answer(UserAnswer {
                 job: request.job.clone(),
-                asked: request.asked,
+                request_kind: request.request_kind,
                 controller: request.controller,
                 sent: request.sent,
                 status: answer.status,
@@ -224,13 +238,13 @@
             }),
         );
         if known {
-            self.user_is_told(&request, stage);
+            self.user_learns_stage(&request, stage);
         } else {
-            self.user_is_refused(&request, answer.status);
+            self.user_request_refused(&request, answer.status);
         }
     }
 
-    fn user_is_told(&mut self, request: &UserRequest, stage: Option<JobStage>) {
+    fn user_learns_stage(&mut self, request: &UserRequest, stage: Option<JobStage>) {
         let Some(user_job) = self.user_jobs.get_mut(&request.job) else {
             return;
         };
@@ -238,33 +252,36 @@
         let ends = stage.filter(|s| matches!(s, JobStage::Done | JobStage::Cancelled));
         let ended = ends.is_some() && user_job.ended.is_none();
         user_job.ended = user_job.ended.or(ends);
-        user_job.cancel_answered |= request.asked == Asked::Cancel;
-        let plain_poll = request.asked == Asked::Poll && !request.aside;
+        user_job.cancel_answered |= request.request_kind == RequestKind::Cancel;
+        let plain_poll = request.request_kind == RequestKind::Poll && !request.detached;
         if plain_poll {
             user_job.polling = false;
-            user_job.asked_afterwards += u32::from(user_job.ended.is_some());
+            user_job.polls_after_end += u32::from(user_job.ended.is_some());
         }
-        if (first || ended) && self.rng.random_range(0..CLOSE_LOOKS) == 0 {
+        if (first || ended) && self.rng.random_range(0..CONCURRENT_POLL_ONE_IN) == 0 {
             let wait = Micros::millis(self.rng.random_range(0..6));
-            self.at(self.now + wait, Action::User(UserStep::LookClosely(request.job.clone())));
+            self.at(
+                self.now + wait,
+                Action::User(UserStep::PollAllControllers(request.job.clone())),
+            );
         }
-        self.plan_poll(&request.job, POLL);
+        self.plan_poll(&request.job, POLL_INTERVAL_MS);
     }
 
-    fn user_is_refused(&mut self, request: &UserRequest, status: u16) {
+    fn user_request_refused(&mut self, request: &UserRequest, status: u16) {
         if self.user_jobs.contains_key(&request.job) {
-            let asked = request.asked;
-            self.see(self.now, Seen::NoAnswer { job: request.job.clone(), asked });
+            let request_kind = request.request_kind;
+            self.record(self.now, Observation::NoAnswer { job: request.job.clone(), request_kind });
         }
-        let for_good = matches!(status, 400 | 422) && request.asked == Asked::Submit;
+        let for_good = matches!(status, 400 | 422) && request.request_kind == RequestKind::Submit;
         if for_good
-            && !request.aside
+            && !request.detached
             && let Some(job) = self.user_jobs.get_mut(&request.job)
         {
             job.refused = Some(status);
             return;
         }
-        self.try_again(request, RETRY);
+        self.try_again(request, RETRY_DELAY_MS);
     }
 
     /// A user's connection is refused or reset.
@@ -272,7 +289,7 @@
         if let Some(request) = self.requests.remove(&number)
             && !request.health
         {
-            self.unanswered(&request, ELSEWHERE);
+            self.unanswered(&request, RECONNECT_DELAY_MS);
         }
     }
 
@@ -282,34 +299,34 @@
             if let Some(id) = request.connection {
                 self.net.close(id);
             }
-            self.unanswered(&request, RETRY);
+            self.unanswered(&request, RETRY_DELAY_MS);
         }
     }
 
     fn unanswered(&mut self, request: &UserRequest, again: (u64, u64)) {
         if self.user_jobs.contains_key(&request.job) {
-            let asked = request.asked;
-            self.see(self.now, Seen::NoAnswer { job: request.job.clone(), asked });
+            let request_kind = request.request_kind;
+            self.record(self.now, Observation::NoAnswer { job: request.job.clone(), request_kind });
         }
         self.try_again(request, again);
     }
 
     /// The user asks the same again, some time later.
     fn try_again(&mut self, request: &UserRequest, wait: (u64, u64)) {
-        if request.aside {
+        if request.detached {
             return;
         }
         let job = request.job.clone();
-        match request.asked {
-            Asked::Submit => {
+        match request.request_kind {
+            RequestKind::Submit => {
                 let at = self.soon(wait);
                 self.at(at, Action::User(UserStep::Submit(job)));
             }
-            Asked::Cancel => {
+            RequestKind::Cancel => {
                 let at = self.soon(wait);
                 self.at(at, Action::User(UserStep::Cancel(job)));
             }
-            Asked::Poll => {
+            RequestKind::Poll => {
                 if let Some(user_job) = self.user_jobs.get_mut(&job) {
                     user_job.polling = false;
                 }
@@ -324,7 +341,7 @@
         let Some(user_job) = self.user_jobs.get_mut(job) else {
             return;
         };
-        if user_job.polling || user_job.asked_afterwards >= ASKED_AFTERWARDS {
+        if user_job.polling || user_job.polls_after_end >= POLLS_AFTER_END {
             return;
         }
         user_job.polling = true;
@@ -334,15 +351,15 @@
     /// Whether every job is over and its user has asked about it afterwards.
     pub(super) fn users_are_done(&self) -> bool {
         let done = |job: &UserJob| {
-            let cancelled = !job.cancel_asked || job.cancel_answered;
+            let cancelled = !job.cancel_requested || job.cancel_answered;
             job.refused.is_some()
-                || (job.ended.is_some() && job.asked_afterwards >= ASKED_AFTERWARDS && cancelled)
+                || (job.ended.is_some() && job.polls_after_end >= POLLS_AFTER_END && cancelled)
         };
         self.user_jobs.values().all(done)
     }
 
     /// Tells of the jobs that were not served.
-    pub(super) fn note_unserved(&mut self) {
+    pub(super) fn record_unserved(&mut self) {
         for (id, job) in &self.user_jobs {
             if let Some(status) = job.refused {
                 self.failures.push(Failure::Refused { job: id.clone(), status });
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -2,7 +2,9 @@
 
 use millethold::time::Micros;
 use millethold::wire::JobStage;
-use millethold_rehearsal::history::{Asked, Entry, History, Off, Seen, TaskId, UserAnswer};
+use millethold_rehearsal::history::{
+    Entry, History, Observation, RequestKind, TaskEnd, TaskId, UserAnswer,
+};
 use millethold_rehearsal::rules::{Facts, JobFacts, MachineFacts, RULES, Rule, check};
 use std::collections::BTreeSet;
 
@@ -11,7 +13,7 @@
 const AFTER: &str = "j-2";
 const NOBODYS: &str = "j-9";
 /// Time that a cancellation has.
-const CANCEL: Micros = Micros::secs(18);
+const CANCEL_DEADLINE: Micros = Micros::secs(18);
 /// From when on no fault is left.
 const CALM: Micros = Micros::secs(50);
 
@@ -37,8 +39,8 @@
         ]
         .into(),
         limits: [("red".to_string(), 8.0)].into(),
-        cancel: CANCEL,
-        calm: CALM,
+        cancel: CANCEL_DEADLINE,
+        faults_over_at: CALM,
         end: Micros::secs(200),
     }
 }
@@ -50,52 +52,61 @@
     facts
 }
 
-fn at(s: u64, seen: Seen) -> Entry {
-    Entry { at: Micros::secs(s), seen }
+fn at(s: u64, observation: Observation) -> Entry {
+    Entry { at: Micros::secs(s), observation }
 }
 
 fn on(s: u64, job: &str, index: u32, attempt: u64, machine: &str) -> Entry {
     let task = TaskId { job: job.into(), index };
-    at(s, Seen::On { task, attempt, machine: machine.into() })
+    at(s, Observation::TaskStarted { task, attempt, machine: machine.into() })
 }
 
-fn off(s: u64, job: &str, index: u32, attempt: u64, machine: &str, how: Off) -> Entry {
+fn off(s: u64, job: &str, index: u32, attempt: u64, machine: &str, how: TaskEnd) -> Entry {
     let task = TaskId { job: job.into(), index };
-    at(s, Seen::Off { task, attempt, machine: machine.into(), how })
+    at(s, Observation::TaskEnded { task, attempt, machine: machine.into(), how })
 }
 
-fn asked(s: u64, job: &str, asked: Asked) -> Entry {
-    at(s, Seen::Asked { job: job.into(), asked })
+fn request_kind(s: u64, job: &str, request_kind: RequestKind) -> Entry {
+    at(s, Observation::Requested { job: job.into(), request_kind })
 }
 
 /// An answer that came a second after its request was sent.
-fn answer(s: u64, job: &str, asked: Asked, status: u16, stage: Option<JobStage>) -> Entry {
-    sent_answer(s - 1, s, job, asked, status, stage)
+fn answer(
+    s: u64,
+    job: &str,
+    request_kind: RequestKind,
+    status: u16,
+    stage: Option<JobStage>,
+) -> Entry {
+    sent_answer(s - 1, s, job, request_kind, status, stage)
 }
 
 fn sent_answer(
     sent: u64,
     s: u64,
     job: &str,
-    asked: Asked,
+    request_kind: RequestKind,
     status: u16,
     stage: Option<JobStage>,
 ) -> Entry {
     let sent = Micros::secs(sent);
     let job = job.to_string();
-    at(s, Seen::Answer(UserAnswer { job, asked, controller: 0, sent, status, stage }))
+    at(s, Observation::Answer(UserAnswer { job, request_kind, controller: 0, sent, status, stage }))
 }
 
 fn submitted(job: &str) -> Vec<Entry> {
     let queued = Some(JobStage::Queued);
-    vec![asked(1, job, Asked::Submit), answer(2, job, Asked::Submit, 201, queued)]
+    vec![
+        request_kind(1, job, RequestKind::Submit),
+        answer(2, job, RequestKind::Submit, 201, queued),
+    ]
 }
 
-/// The job is told as cancelled at second 10.
+/// The job is answered as cancelled at second 10.
 fn cancelled(job: &str) -> Vec<Entry> {
     let mut entries = submitted(job);
-    entries.push(asked(9, job, Asked::Cancel));
-    entries.push(answer(10, job, Asked::Cancel, 200, Some(JobStage::Cancelled)));
+    entries.push(request_kind(9, job, RequestKind::Cancel));
+    entries.push(answer(10, job, RequestKind::Cancel, 200, Some(JobStage::Cancelled)));
     entries
 }
 
@@ -105,7 +116,7 @@
     for index in 0..3 {
         let s = 3 + 2 * u64::from(index);
         entries.push(on(s, job, index, 1, "vm-0"));
-        entries.push(off(s + 1, job, index, 1, "vm-0", Off::Done));
+        entries.push(off(s + 1, job, index, 1, "vm-0", TaskEnd::Done));
     }
     entries
 }
@@ -128,7 +139,7 @@
 fn cases() -> Vec<Case> {
     use JobStage::{Cancelled, Done, Queued, Running};
     let case = |name, rule, facts, before, then| Case { name, rule, facts, before, then };
-    let poll = |s, job, stage| answer(s, job, Asked::Poll, 200, Some(stage));
+    let poll = |s, job, stage| answer(s, job, RequestKind::Poll, 200, Some(stage));
     vec![
         case(
             "on a second machine",
@@ -143,7 +154,7 @@
             facts(),
             with(
                 cancelled(JOB),
-                vec![on(28, JOB, 0, 1, "vm-0"), off(28, JOB, 0, 1, "vm-0", Off::Stopped)],
+                vec![on(28, JOB, 0, 1, "vm-0"), off(28, JOB, 0, 1, "vm-0", TaskEnd::Stopped)],
             ),
             on(29, JOB, 1, 2, "vm-0"),
         ),
@@ -152,7 +163,7 @@
             Rule::RanCancelled,
             facts(),
             with(submitted(JOB), with(vec![on(5, JOB, 0, 1, "vm-0")], cancelled(JOB))),
-            off(29, JOB, 0, 1, "vm-0", Off::LeaseOver),
+            off(29, JOB, 0, 1, "vm-0", TaskEnd::LeaseExpired),
         ),
         case(
             "above the team's limit",
@@ -194,14 +205,14 @@
             Rule::Forgotten,
             facts(),
             submitted(JOB),
-            answer(5, JOB, Asked::Poll, 404, None),
+            answer(5, JOB, RequestKind::Poll, 404, None),
         ),
         case(
             "a repeat is refused",
             Rule::Forgotten,
             facts(),
             submitted(JOB),
-            answer(5, JOB, Asked::Submit, 422, None),
+            answer(5, JOB, RequestKind::Submit, 422, None),
         ),
         case(
             "no answer for long, all faults being over",
@@ -209,15 +220,18 @@
             facts(),
             with(
                 submitted(JOB),
-                vec![at(125, Seen::NoAnswer { job: JOB.into(), asked: Asked::Poll })],
+                vec![at(
+                    125,
+                    Observation::NoAnswer { job: JOB.into(), request_kind: RequestKind::Poll },
+                )],
             ),
-            at(126, Seen::NoAnswer { job: JOB.into(), asked: Asked::Poll }),
+            at(126, Observation::NoAnswer { job: JOB.into(), request_kind: RequestKind::Poll }),
         ),
         case(
             "nobody's job",
             Rule::Invented,
             facts(),
-            vec![answer(5, NOBODYS, Asked::Poll, 404, None)],
+            vec![answer(5, NOBODYS, RequestKind::Poll, 404, None)],
             poll(6, NOBODYS, Queued),
         ),
         case(
@@ -238,22 +252,25 @@
             "queued after cancelled",
             Rule::WentBack,
             facts(),
-            with(cancelled(JOB), vec![sent_answer(9, 11, JOB, Asked::Poll, 200, Some(Queued))]),
-            sent_answer(11, 12, JOB, Asked::Poll, 200, Some(Queued)),
+            with(
+                cancelled(JOB),
+                vec![sent_answer(9, 11, JOB, RequestKind::Poll, 200, Some(Queued))],
+            ),
+            sent_answer(11, 12, JOB, RequestKind::Poll, 200, Some(Queued)),
         ),
         case(
             "running after done",
             Rule::WentBack,
             facts(),
             with(completed(JOB), vec![poll(20, JOB, Done)]),
-            sent_answer(21, 22, JOB, Asked::Poll, 200, Some(Running)),
+            sent_answer(21, 22, JOB, RequestKind::Poll, 200, Some(Running)),
         ),
         case(
             "done after cancelled, whenever it was asked",
             Rule::WentBack,
             facts(),
             with(completed(JOB), cancelled(JOB)[2..].to_vec()),
-            sent_answer(8, 11, JOB, Asked::Poll, 200, Some(Done)),
+            sent_answer(8, 11, JOB, RequestKind::Poll, 200, Some(Done)),
         ),
         case(
             "cancelled by nobody",
@@ -275,9 +292,9 @@
             facts(),
             with(
                 with(submitted(AFTER), cancelled(JOB)),
-                vec![sent_answer(28, 30, AFTER, Asked::Poll, 200, Some(Queued))],
+                vec![sent_answer(28, 30, AFTER, RequestKind::Poll, 200, Some(Queued))],
             ),
-            sent_answer(29, 31, AFTER, Asked::Poll, 200, Some(Queued)),
+            sent_answer(29, 31, AFTER, RequestKind::Poll, 200, Some(Queued)),
         ),
     ]
 }
@@ -292,10 +309,10 @@
         assert_eq!(check(&facts, &history), Vec::new(), "{name}: before");
         let facts = Facts { end: then.at, ..facts };
         history.entries.push(then);
-        let breaks = check(&facts, &history);
-        let rules: BTreeSet<Rule> = breaks.iter().map(|b| b.rule).collect();
-        assert_eq!(rules, BTreeSet::from([rule]), "{name}: {breaks:?}");
-        assert!(!history.about(&breaks[0].job, 10).is_empty(), "{name}: no evidence");
+        let violations = check(&facts, &history);
+        let rules: BTreeSet<Rule> = violations.iter().map(|b| b.rule).collect();
+        assert_eq!(rules, BTreeSet::from([rule]), "{name}: {violations:?}");
+        assert!(!history.about(&violations[0].job, 10).is_empty(), "{name}: no evidence");
         shown.insert(rule);
     }
     assert_eq!(shown, BTreeSet::from(RULES), "a rule that no history breaks");
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -3,12 +3,14 @@
 use millethold::time::Micros;
 use millethold::wire::{Cause, Command, Condition, DirectCommands, TaskState, Txn, Write};
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
-use millethold_rehearsal::history::{Off, Seen};
+use millethold_rehearsal::history::{Observation, TaskEnd};
 use millethold_rehearsal::jobs::{JobPlan, Jobs, draw_jobs};
-use millethold_rehearsal::links::{Direction, Link, Passage, Service, pass, serve};
+use millethold_rehearsal::kv_store::{KvStore, Outcome};
+use millethold_rehearsal::links::{
+    Delivery, Direction, Link, StoreBehavior, store_behavior, transmit,
+};
 use millethold_rehearsal::settings::WORKER_LEASE;
-use millethold_rehearsal::state_service::{Outcome, StateService};
-use millethold_rehearsal::worker::{SeenAt, Worker};
+use millethold_rehearsal::worker::{TimedObservation, Worker};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde_json::json;
@@ -66,14 +68,17 @@
     DirectCommands { fencing_token, incarnation, commands }
 }
 
-/// What the worker reports: task, attempt, state, cause.
+/// What the worker heartbeats: task, attempt, state, cause.
 fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<Cause>)> {
     let heartbeat = worker.body("10.1.0.1:1".into());
     heartbeat.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
 }
 
-fn ons(seen: &[SeenAt]) -> usize {
-    seen.iter().filter(|(_, seen)| matches!(seen, Seen::On { .. })).count()
+fn ons(observations: &[TimedObservation]) -> usize {
+    observations
+        .iter()
+        .filter(|(_, observations)| matches!(observations, Observation::TaskStarted { .. }))
+        .count()
 }
 
 /// Commands are carried out in order, once each, as the protocol says.
@@ -135,12 +140,13 @@
         assert_eq!(ons(&saving.advance(on)), 1, "the image is there");
         assert_eq!(reported(&mut saving)[0].2, Running);
         saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, 2.0)]), &jobs());
-        let mut seen = Vec::new();
+        let mut observations = Vec::new();
         if let Some(grace) = second {
-            seen = saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, grace)]), &jobs()).1;
+            observations =
+                saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, grace)]), &jobs()).1;
         }
-        seen.extend(saving.advance(on + Micros::secs(2)));
-        let off: Vec<Micros> = seen.iter().map(|(at, _)| *at).collect();
+        observations.extend(saving.advance(on + Micros::secs(2)));
+        let off: Vec<Micros> = observations.iter().map(|(at, _)| *at).collect();
         assert_eq!(off, [on + ends], "{second:?}");
     }
 }
@@ -148,8 +154,8 @@
 /// Tokens, sessions and leases.
 #[test]
 fn who_may_command() {
-    // Token and session of the commands, whether a worker in its first session that has
-    // seen token 5 executes them.
+    // Token and incarnation of the commands, whether a worker in its first incarnation that has
+    // seen fencing token 5 executes them.
     for (fencing_token, incarnation, want) in
         [(5, 1, true), (6, 1, true), (4, 1, false), (5, 2, false)]
     {
@@ -160,18 +166,18 @@
         assert_eq!(executed, want, "token {fencing_token}, session {incarnation}");
         assert_eq!(reported(&mut worker).len(), usize::from(want));
     }
-    // An answer renews the lease from when its report was sent; one below the token, or
-    // to a report of an earlier session, does not.
+    // An answer renews the lease from when its heartbeat was sent; one below the fencing token, or
+    // to a heartbeat of an earlier incarnation, does not.
     let mut worker = worker();
     worker.make_heartbeat(NOW + Micros::secs(4), Micros::ZERO, String::new());
-    let heartbeat = worker.under_way.expect("a report");
+    let heartbeat = worker.heartbeat_in_flight.expect("a report");
     worker.answered(NOW + Micros::secs(7), heartbeat, 5, vec![start("j-1/0", 1)], &jobs());
     let low =
         worker.answered(NOW + Micros::secs(7), heartbeat, 4, vec![start("j-1/1", 1)], &jobs());
     assert_eq!((low.len(), reported(&mut worker).len()), (0, 1));
     let over = NOW + Micros::secs(4) + WORKER_LEASE;
-    let seen = worker.advance(over);
-    assert_eq!(worker.body(String::new()).incarnation, 1, "{seen:?}");
+    let observations = worker.advance(over);
+    assert_eq!(worker.body(String::new()).incarnation, 1, "{observations:?}");
     worker.advance(over + Micros(1));
     assert_eq!((worker.body(String::new()).incarnation, reported(&mut worker).len()), (2, 0));
     let late = worker.answered(over + Micros(2), heartbeat, 5, vec![start("j-1/2", 1)], &jobs());
@@ -184,30 +190,30 @@
     // How long it hangs, when and how its task of five seconds is off.
     let image = Micros::millis(300);
     let table = [
-        (Micros::ZERO, image + Micros::secs(5), Off::Done),
-        (Micros::secs(2), image + Micros::secs(7), Off::Done),
-        (Micros::secs(20), WORKER_LEASE + Micros(1), Off::LeaseOver),
+        (Micros::ZERO, image + Micros::secs(5), TaskEnd::Done),
+        (Micros::secs(2), image + Micros::secs(7), TaskEnd::Done),
+        (Micros::secs(20), WORKER_LEASE + Micros(1), TaskEnd::LeaseExpired),
     ];
-    for (hangs, after, want) in table {
+    for (is_hanging, after, want) in table {
         let mut worker = worker();
         worker.direct(NOW, direct(1, 1, vec![start("j-1/0", 1)]), &jobs());
         worker.advance(NOW + image);
-        worker.hang(NOW + image, NOW + image + hangs);
-        let seen = worker.advance(NOW + Micros::secs(30));
-        let off = seen.iter().find_map(|(at, seen)| match seen {
-            Seen::Off { how, .. } => Some((*at, *how)),
+        worker.hang(NOW + image, NOW + image + is_hanging);
+        let observations = worker.advance(NOW + Micros::secs(30));
+        let off = observations.iter().find_map(|(at, observations)| match observations {
+            Observation::TaskEnded { how, .. } => Some((*at, *how)),
             _ => None,
         });
-        assert_eq!(off, Some((NOW + after, want)), "{hangs:?}");
+        assert_eq!(off, Some((NOW + after, want)), "{is_hanging:?}");
     }
 }
 
 /// Transactions compare and change at once; keys go with their lease.
 #[test]
-fn state_service() {
+fn kv_store() {
     let put = |key: &str, lease| Write::Put { key: key.into(), value: json!(1), lease };
     let on = |key: &str, version| Condition { key: key.into(), revision: version };
-    let mut state = StateService::default();
+    let mut state = KvStore::default();
     let lease = state.grant(NOW, Micros::secs(5));
     // Conditions, writes, what becomes of it.
     let table = [
@@ -222,7 +228,7 @@
         let txn = Txn { conditions, writes };
         assert_eq!(state.transact(&txn), want, "{txn:?}");
     }
-    let versions = |state: &StateService| {
+    let versions = |state: &KvStore| {
         state
             .list("", None, 9)
             .items
@@ -248,67 +254,71 @@
     let heartbeat = Link::Heartbeat { worker: 1, controller: 0 };
     let command = Link::Command { worker: 1, controller: 0 };
     let peers = Link::Peer { from: 0, to: 1 };
-    let state = Link::State { controller: 0 };
+    let state = Link::KvStore { controller: 0 };
     let until = NOW + Micros::secs(3);
-    let later = Passage::At(until + Micros::millis(3));
+    let later = Delivery::At(until + Micros::millis(3));
     let held = Micros::secs(30);
-    let all_held = Fault::HeldCommands { percent: 100, least: held, most: held };
+    let all_held = Fault::DelayedCommands { percent: 100, least: held, most: held };
     let (request, answer) = (Direction::Request, Direction::Answer);
     // Fault, link, direction, what becomes of the message.
     let table = [
         (Fault::CutPeers { controller: 1, cut: Cut::Held }, peers, request, later),
-        (Fault::CutPeers { controller: 2, cut: Cut::Held }, peers, request, Passage::At(NOW)),
-        (Fault::CutPeers { controller: 0, cut: Cut::Reset }, peers, request, Passage::Reset),
+        (Fault::CutPeers { controller: 2, cut: Cut::Held }, peers, request, Delivery::At(NOW)),
+        (Fault::CutPeers { controller: 0, cut: Cut::Reset }, peers, request, Delivery::Reset),
         (Fault::CutOneWay { from: 0, to: 1 }, peers, request, later),
-        (Fault::CutOneWay { from: 1, to: 0 }, peers, request, Passage::At(NOW)),
-        (Fault::CutState { controller: 0, cut: Cut::Held }, state, request, later),
-        (Fault::CutState { controller: 1, cut: Cut::Held }, state, request, Passage::At(NOW)),
-        (Fault::CutWorkers { controller: 0, cut: Cut::Reset }, heartbeat, request, Passage::Reset),
+        (Fault::CutOneWay { from: 1, to: 0 }, peers, request, Delivery::At(NOW)),
+        (Fault::CutKvStore { controller: 0, cut: Cut::Held }, state, request, later),
+        (Fault::CutKvStore { controller: 1, cut: Cut::Held }, state, request, Delivery::At(NOW)),
+        (Fault::CutWorkers { controller: 0, cut: Cut::Reset }, heartbeat, request, Delivery::Reset),
         (
             Fault::CutWorkers { controller: 1, cut: Cut::Reset },
             heartbeat,
             request,
-            Passage::At(NOW),
+            Delivery::At(NOW),
         ),
         (Fault::CutSome { workers: some, cut: Cut::Held }, command, request, later),
-        (Fault::Deaf { workers: some }, heartbeat, request, Passage::At(NOW)),
-        (Fault::Deaf { workers: some }, heartbeat, answer, Passage::Lost),
-        (Fault::Deaf { workers: some }, command, request, Passage::Lost),
-        (Fault::Mute { workers: some }, heartbeat, request, Passage::Reset),
-        (Fault::Mute { workers: some }, command, request, Passage::At(NOW)),
-        // Reports go on while commands are held.
-        (all_held, command, request, Passage::At(NOW + held)),
-        (all_held, command, answer, Passage::At(NOW)),
-        (all_held, heartbeat, request, Passage::At(NOW)),
-        (Fault::CutUsers { controller: 0 }, Link::User { controller: 0 }, request, Passage::Reset),
-        (Fault::RefuseAll, state, request, Passage::At(NOW)),
+        (Fault::Deaf { workers: some }, heartbeat, request, Delivery::At(NOW)),
+        (Fault::Deaf { workers: some }, heartbeat, answer, Delivery::Lost),
+        (Fault::Deaf { workers: some }, command, request, Delivery::Lost),
+        (Fault::Mute { workers: some }, heartbeat, request, Delivery::Reset),
+        (Fault::Mute { workers: some }, command, request, Delivery::At(NOW)),
+        // heartbeats go on while commands are held.
+        (all_held, command, request, Delivery::At(NOW + held)),
+        (all_held, command, answer, Delivery::At(NOW)),
+        (all_held, heartbeat, request, Delivery::At(NOW)),
+        (Fault::CutUsers { controller: 0 }, Link::User { controller: 0 }, request, Delivery::Reset),
+        (Fault::RefuseAll, state, request, Delivery::At(NOW)),
     ];
     let mut rng = StdRng::seed_from_u64(1);
     for (fault, link, direction, want) in table {
         let planned = [PlannedFault { at: NOW, until, fault }];
-        let got = pass(&planned, &mut rng, NOW, link, direction);
+        let got = transmit(&planned, &mut rng, NOW, link, direction);
         assert_eq!(got, want, "{fault:?} {link:?} {direction:?}");
-        for outside in [NOW - Micros(1), until] {
-            let got = pass(&planned, &mut rng, outside, link, direction);
-            assert_eq!(got, Passage::At(outside), "{fault:?} at {outside:?}");
+        for services in [NOW - Micros(1), until] {
+            let got = transmit(&planned, &mut rng, services, link, direction);
+            assert_eq!(got, Delivery::At(services), "{fault:?} at {services:?}");
         }
     }
     // Fault, whether the call changes something, what becomes of it.
     let table = [
-        (Fault::RefuseAll, false, Service::Refused),
-        (Fault::RefuseOne { controller: 0 }, false, Service::Refused),
-        (Fault::RefuseOne { controller: 1 }, false, Service::Served),
-        (Fault::LostAnswers { percent: 100 }, true, Service::AnswerLost),
-        (Fault::LostAnswers { percent: 100 }, false, Service::Served),
-        (Fault::LateWrites { percent: 100 }, false, Service::Served),
+        (Fault::RefuseAll, false, StoreBehavior::Refused),
+        (Fault::RefuseOne { controller: 0 }, false, StoreBehavior::Refused),
+        (Fault::RefuseOne { controller: 1 }, false, StoreBehavior::Served),
+        (Fault::LostAnswers { percent: 100 }, true, StoreBehavior::AnswerLost),
+        (Fault::LostAnswers { percent: 100 }, false, StoreBehavior::Served),
+        (Fault::LateWrites { percent: 100 }, false, StoreBehavior::Served),
     ];
     for (fault, changes, want) in table {
         let planned = [PlannedFault { at: NOW, until, fault }];
-        assert_eq!(serve(&planned, &mut rng, NOW, 0, changes), want, "{fault:?} {changes}");
+        assert_eq!(
+            store_behavior(&planned, &mut rng, NOW, 0, changes),
+            want,
+            "{fault:?} {changes}"
+        );
     }
     let late = [PlannedFault { at: NOW, until, fault: Fault::LateWrites { percent: 100 } }];
-    let served = serve(&late, &mut rng, NOW, 0, true);
-    assert!(matches!(served, Service::Late(at) if at > NOW), "{served:?}");
+    let served = store_behavior(&late, &mut rng, NOW, 0, true);
+    assert!(matches!(served, StoreBehavior::Late(at) if at > NOW), "{served:?}");
 }
 
 /// The same seed draws the same, another one something else; faults overlap, and every
