--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -1,6 +1,5 @@
 //! Sockets on one event loop: listeners, HTTP connections and raw ones.
 
-use crate::world::World;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use millethold::http::{self, OutgoingAnswer, OutgoingRequest};
@@ -83,9 +82,26 @@
     close_after: bool,
 }
 
-/// All sockets of a run.
-pub struct Net {
-    handle: LoopHandle<'static, World>,
+/// What the event loop calls when a socket is ready; `D` is the loop's data.
+pub struct Callbacks<D> {
+    /// A connection may be read (`readable`) or written (`writable`).
+    pub ready: fn(data: &mut D, id: ConnectionId, readable: bool, writable: bool),
+    /// A listener has accepted a connection.
+    pub accepted: fn(data: &mut D, stream: TcpStream, role: ListenerRole),
+}
+
+impl<D> Clone for Callbacks<D> {
+    fn clone(&self) -> Callbacks<D> {
+        *self
+    }
+}
+
+impl<D> Copy for Callbacks<D> {}
+
+/// All sockets of a run, on an event loop whose data is `D`.
+pub struct Net<D: 'static> {
+    handle: LoopHandle<'static, D>,
+    callbacks: Callbacks<D>,
     connections: HashMap<ConnectionId, Connection>,
     next: u64,
     buffer: Vec<u8>,
@@ -100,10 +116,16 @@
     }
 }
 
-impl Net {
+impl<D: 'static> Net<D> {
     /// Sockets on this event loop.
-    pub fn new(handle: LoopHandle<'static, World>) -> Net {
-        Net { handle, connections: HashMap::new(), next: 1, buffer: vec![0; READ_BUFFER] }
+    pub fn new(handle: LoopHandle<'static, D>, callbacks: Callbacks<D>) -> Net<D> {
+        Net {
+            handle,
+            callbacks,
+            connections: HashMap::new(),
+            next: 1,
+            buffer: vec![0; READ_BUFFER],
+        }
     }
 
     /// Listens; `role` is that of the connections that come.
@@ -117,9 +139,10 @@
             Interest::READ,
             Mode::Level,
         );
+        let accepted = self.callbacks.accepted;
         self.handle
-            .insert_source(source, move |_, listener, world: &mut World| {
-                accept(world, listener, role);
+            .insert_source(source, move |_, listener, data: &mut D| {
+                accept(data, listener, role, accepted);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -136,15 +159,21 @@
         self.add(stream, role)
     }
 
-    fn add(&mut self, stream: TcpStream, role: Role) -> io::Result<ConnectionId> {
+    /// Adds a connected socket.
+    ///
+    /// # Errors
+    ///
+    /// If the event loop does not take it; the socket is closed by being dropped.
+    pub fn add(&mut self, stream: TcpStream, role: Role) -> io::Result<ConnectionId> {
         let id = ConnectionId(self.next);
         self.next += 1;
         let stream = Rc::new(stream);
         let source = Generic::new(Shared(Rc::clone(&stream)), Interest::BOTH, Mode::Edge);
+        let ready = self.callbacks.ready;
         let token = self
             .handle
-            .insert_source(source, move |ready, _, world: &mut World| {
-                world.socket_ready(id, ready.readable, ready.writable);
+            .insert_source(source, move |readiness, _, data: &mut D| {
+                ready(data, id, readiness.readable, readiness.writable);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -288,25 +317,17 @@
 }
 
 /// Accepts the connections that wait.
-fn accept(world: &mut World, listener: &TcpListener, role: ListenerRole) {
+fn accept<D>(
+    data: &mut D,
+    listener: &TcpListener,
+    role: ListenerRole,
+    accepted: fn(&mut D, TcpStream, ListenerRole),
+) {
     while let Ok((stream, _)) = listener.accept() {
         if stream.set_nonblocking(true).is_err() {
             continue;
         }
         let _ = stream.set_nodelay(true);
-        match role {
-            ListenerRole::Fixed(role) => {
-                // A connection that cannot be watched is closed by being dropped.
-                let _ = world.net.add(stream, role);
-            }
-            ListenerRole::Peer { from, to } => {
-                let relayed = world.relays.reserve();
-                if let Ok(from_initiator) =
-                    world.net.add(stream, Role::Relay { relayed, from_initiator: true })
-                {
-                    world.relay_accepted(relayed, from, to, from_initiator);
-                }
-            }
-        }
+        accepted(data, stream, role);
     }
 }
--- a/crates/rehearsal/src/options.rs
+++ b/crates/rehearsal/src/options.rs
@@ -1,7 +1,7 @@
 //! What a soak is asked for, checked.
 
-use std::fmt;
 use std::path::PathBuf;
+use thiserror::Error;
 
 /// Most members of a run.
 pub const MAX_CONTROLLERS: usize = 9;
@@ -38,22 +38,24 @@
 }
 
 /// Why a soak cannot be played as it is asked for.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadOption {
-    /// The option.
-    pub option: &'static str,
-    /// What is wrong with it.
-    pub reason: String,
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum BadOption {
+    /// A number is 0 or too large.
+    #[error("--{option}: must be from 1 to {max}")]
+    OutOfRange {
+        /// Name of the option.
+        option: &'static str,
+        /// The largest value that is allowed.
+        max: u64,
+    },
+    /// The seed of the last run does not fit.
+    #[error("--first-seed: the last seed is too large")]
+    LastSeedTooLarge,
+    /// The service's program does not exist.
+    #[error("--binary: {} is not there; build it first", .0.display())]
+    NoBinary(PathBuf),
 }
 
-impl fmt::Display for BadOption {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "--{}: {}", self.option, self.reason)
-    }
-}
-
-impl std::error::Error for BadOption {}
-
 impl SoakOptions {
     /// Checks what can be checked before anything is started.
     ///
@@ -61,9 +63,9 @@
     ///
     /// The first option that is wrong.
     pub fn check(&self) -> Result<(), BadOption> {
-        let within = |option, value: u64, most: u64| match (1..=most).contains(&value) {
+        let within = |option, value: u64, max: u64| match (1..=max).contains(&value) {
             true => Ok(()),
-            false => Err(BadOption { option, reason: format!("must be from 1 to {most}") }),
+            false => Err(BadOption::OutOfRange { option, max }),
         };
         within("seeds", self.seeds, 100_000)?;
         within("seconds", self.seconds, MAX_SECONDS)?;
@@ -73,12 +75,10 @@
             within("workers", workers as u64, MAX_WORKERS as u64)?;
         }
         if self.first_seed.checked_add(self.seeds).is_none() {
-            let reason = "the last seed is too large".to_string();
-            return Err(BadOption { option: "first-seed", reason });
+            return Err(BadOption::LastSeedTooLarge);
         }
         if !self.binary.is_file() {
-            let reason = format!("{} is not there; build it first", self.binary.display());
-            return Err(BadOption { option: "binary", reason });
+            return Err(BadOption::NoBinary(self.binary.clone()));
         }
         Ok(())
     }
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -7,30 +7,27 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::thread;
+use thiserror::Error;
 
 /// Tries of a run whose addresses are somebody else's.
 const SETUP_TRIES: usize = 2;
 
 /// Why a soak ended early.
-#[derive(Debug, Clone, PartialEq, Eq)]
+#[derive(Debug, Error)]
 pub enum SoakError {
-    /// It was told to stop.
+    /// It was asked to stop.
+    #[error("interrupted")]
     Interrupted,
-    /// A run could not be set up.
-    Setup(String),
+    /// A run could not be played.
+    #[error("seed {seed}: {source}")]
+    Run {
+        /// Seed of the run.
+        seed: u64,
+        /// Why.
+        source: RunError,
+    },
 }
 
-impl std::fmt::Display for SoakError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            SoakError::Interrupted => f.write_str("interrupted"),
-            SoakError::Setup(what) => f.write_str(what),
-        }
-    }
-}
-
-impl std::error::Error for SoakError {}
-
 /// Plays all runs; `on_run` is called with each as it is over. All processes that were
 /// started have ended when this returns.
 ///
@@ -87,16 +84,16 @@
     run_numbers: &AtomicUsize,
     stop: &AtomicBool,
 ) -> Result<crate::report::RunReport, SoakError> {
-    let mut failure = String::new();
     // Addresses that were asked for are not exchanged for others.
     let tries = if options.block.is_some() { 1 } else { SETUP_TRIES };
-    for _ in 0..tries {
+    for try_number in 1.. {
         let run_number = run_numbers.fetch_add(1, Ordering::Relaxed);
         match World::play(options, seed, run_number, stop) {
             Ok(run) => return Ok(run),
-            Err(RunError::Interrupted) => return Err(SoakError::Interrupted),
-            Err(RunError::Setup(what)) => failure = what,
+            Err(RunError::Interrupted) => break,
+            Err(source) if try_number >= tries => return Err(SoakError::Run { seed, source }),
+            Err(_) => {}
         }
     }
-    Err(SoakError::Setup(format!("seed {seed}: {failure}")))
+    Err(SoakError::Interrupted)
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -23,7 +23,7 @@
 use crate::kv_store::KvStore;
 use crate::kv_store_http::Answer;
 use crate::links::{self, Delivery, Direction, Link};
-use crate::net::{ConnectionId, Net, NetEvent, Role};
+use crate::net::{Callbacks, ConnectionId, ListenerRole, Net, NetEvent, Role};
 use crate::options::SoakOptions;
 use crate::process::Controller;
 use crate::relay::Relays;
@@ -39,9 +39,13 @@
 use rand::rngs::StdRng;
 use services::Watch;
 use std::collections::BTreeMap;
+use std::io;
+use std::net::TcpStream;
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
+use thiserror::Error;
 use users::{UserJob, UserRequest, UserStep};
 
 /// All controllers answer health checks by then, also on a loaded machine.
@@ -111,8 +115,8 @@
     rng: StdRng,
     actions: BTreeMap<(Micros, u64), Action>,
     next_action: u64,
-    pub(crate) net: Net,
-    pub(crate) relays: Relays,
+    net: Net<World>,
+    relays: Relays,
     addresses: Addresses,
     seed: u64,
     controllers: Vec<Controller>,
@@ -141,12 +145,36 @@
 }
 
 /// Why a run could not be played.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum RunError {
-    /// It was told to stop.
+    /// It was asked to stop.
+    #[error("interrupted")]
     Interrupted,
-    /// A file, a socket or a process could not be had.
-    Setup(String),
+    /// The event loop failed.
+    #[error("event loop: {0}")]
+    EventLoop(#[from] calloop::Error),
+    /// A file of the run or a socket could not be had.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The service's program could not be started.
+    #[error("{}: {source}", binary.display())]
+    Start {
+        /// The program.
+        binary: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// A controller ended before it had answered a health check.
+    #[error("controller n{controller} ended: {last_line}")]
+    ControllerEnded {
+        /// Its number.
+        controller: usize,
+        /// The last line of its output.
+        last_line: String,
+    },
+    /// Some controller answered no health check in time.
+    #[error("the controllers do not become healthy")]
+    Unhealthy,
 }
 
 impl World {
@@ -157,18 +185,19 @@
         run_number: usize,
         stop: &AtomicBool,
     ) -> Result<RunReport, RunError> {
-        let mut event_loop = EventLoop::try_new().map_err(|e| RunError::Setup(e.to_string()))?;
-        let net = Net::new(event_loop.handle());
-        let mut world = World::set_up(options, seed, run_number, net).map_err(RunError::Setup)?;
+        let mut event_loop = EventLoop::try_new().map_err(RunError::from)?;
+        let callbacks = Callbacks { ready: World::socket_ready, accepted: World::socket_accepted };
+        let net = Net::new(event_loop.handle(), callbacks);
+        let mut world = World::set_up(options, seed, run_number, net)?;
         let deadline = Instant::now() + STARTUP_TIMEOUT;
         while !world.healthy.iter().all(|healthy| *healthy) {
             world.turn(&mut event_loop, stop)?;
             if let Some(controller) = world.controllers.iter_mut().position(Controller::has_ended) {
-                let line = world.controllers[controller].last_line();
-                return Err(RunError::Setup(format!("controller n{controller} ended: {line}")));
+                let last_line = world.controllers[controller].last_line();
+                return Err(RunError::ControllerEnded { controller, last_line });
             }
             if Instant::now() > deadline {
-                return Err(RunError::Setup("the controllers do not become healthy".to_string()));
+                return Err(RunError::Unhealthy);
             }
         }
         world.begin(options);
@@ -191,7 +220,7 @@
         let next =
             self.actions.first_key_value().map_or(self.now + TICK_INTERVAL, |((at, _), _)| *at);
         let wait = next.since(self.clock()).duration();
-        event_loop.dispatch(wait, self).map_err(|e| RunError::Setup(e.to_string()))
+        event_loop.dispatch(wait, self).map_err(RunError::from)
     }
 
     fn clock(&self) -> Micros {
@@ -273,7 +302,7 @@
     }
 
     /// The event loop says that a socket may be read or written.
-    pub(crate) fn socket_ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
+    fn socket_ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
         // What was due before comes before what the socket brings.
         self.advance();
         if writable {
@@ -290,6 +319,23 @@
         }
     }
 
+    /// A listener has accepted a connection.
+    fn socket_accepted(&mut self, stream: TcpStream, role: ListenerRole) {
+        match role {
+            ListenerRole::Fixed(role) => {
+                // A connection that cannot be watched is closed by being dropped.
+                let _ = self.net.add(stream, role);
+            }
+            ListenerRole::Peer { from, to } => {
+                let relayed = self.relays.reserve();
+                let role = Role::Relay { relayed, from_initiator: true };
+                if let Ok(initiator) = self.net.add(stream, role) {
+                    self.relay_accepted(relayed, from, to, initiator);
+                }
+            }
+        }
+    }
+
     fn socket_event(&mut self, id: ConnectionId, role: Role, event: NetEvent) {
         match (role, event) {
             (Role::KvStore { controller }, NetEvent::Request(request)) => {
--- a/crates/rehearsal/src/world/peers.rs
+++ b/crates/rehearsal/src/world/peers.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// A controller has connected to what it believes to be a peer.
-    pub(crate) fn relay_accepted(
+    pub(super) fn relay_accepted(
         &mut self,
         number: u64,
         from: usize,
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -1,7 +1,7 @@
 //! Files, sockets and processes of a run; how it begins, and what is kept of it.
 
 use super::users::{UserJob, UserStep};
-use super::{Action, World};
+use super::{Action, RunError, World};
 use crate::addresses::Addresses;
 use crate::cloud::Cloud;
 use crate::faults::draw_faults;
@@ -19,6 +19,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddrV4;
 use std::path::Path;
 use std::time::Instant;
@@ -39,14 +40,14 @@
         options: &SoakOptions,
         seed: u64,
         run_number: usize,
-        net: Net,
-    ) -> Result<World, String> {
+        net: Net<World>,
+    ) -> Result<World, RunError> {
         let mut rng = StdRng::seed_from_u64(seed);
-        let directory = tempfile::tempdir().map_err(|e| e.to_string())?;
+        let directory = tempfile::tempdir()?;
         let addresses = Addresses::new(options.block, run_number);
         let controllers = (0..options.controllers)
             .map(|number| controller(options, addresses, number, directory.path()))
-            .collect::<Result<Vec<Controller>, String>>()?;
+            .collect::<io::Result<Vec<Controller>>>()?;
         let count = match options.workers {
             Some(count) => count,
             None if rng.random_range(0..MANY_WORKERS_ONE_IN) == 0 => {
@@ -83,20 +84,21 @@
             failures: Vec::new(),
             stalled: Micros::ZERO,
         };
-        world.listen().map_err(|e| e.to_string())?;
+        world.listen()?;
         for number in 0..count {
             let zone = ZONES[number % ZONES.len()];
             let name = world.cloud.add(Micros::ZERO, zone, number % 3 == 2);
-            world.add_worker(name).map_err(|e| e.to_string())?;
+            world.add_worker(name)?;
         }
         for controller in &mut world.controllers {
-            controller.start().map_err(|e| format!("{}: {e}", options.binary.display()))?;
+            let binary = || options.binary.clone();
+            controller.start().map_err(|source| RunError::Start { binary: binary(), source })?;
         }
         world.at(Micros::ZERO, Action::Tick);
         Ok(world)
     }
 
-    fn listen(&mut self) -> std::io::Result<()> {
+    fn listen(&mut self) -> io::Result<()> {
         let count = self.controllers.len();
         for controller in 0..count {
             let state = ListenerRole::Fixed(Role::KvStore { controller });
@@ -112,7 +114,7 @@
     }
 
     /// A worker comes up on a machine that the cloud has.
-    pub(super) fn add_worker(&mut self, name: String) -> std::io::Result<()> {
+    pub(super) fn add_worker(&mut self, name: String) -> io::Result<()> {
         let worker = self.workers.len();
         for controller in 0..self.controllers.len() {
             let role = ListenerRole::Fixed(Role::Commands { controller, worker });
@@ -216,7 +218,7 @@
     addresses: Addresses,
     number: usize,
     directory: &Path,
-) -> Result<Controller, String> {
+) -> io::Result<Controller> {
     let file = |end: &str| directory.join(format!("{}.{end}", settings::member(number)));
     let program = Program {
         binary: options.binary.clone(),
@@ -225,7 +227,7 @@
         log: file("log"),
     };
     let platform = settings::platform(addresses, number, options.controllers);
-    write_file(&program.config, &platform).map_err(|e| e.to_string())?;
-    write_file(&program.options, &settings::options()).map_err(|e| e.to_string())?;
+    write_file(&program.config, &platform)?;
+    write_file(&program.options, &settings::options())?;
     Ok(Controller::new(program))
 }
