--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -166,13 +166,13 @@
             self.expire_machine_incarnations();
             self.check_spot_notices();
             self.repeat_unobserved();
-            self.expire_preemption_requests();
+            self.scheduler.expire_preemption_requests(now);
             if self.timers.guarantees.restart_if_due(now) {
                 self.refresh_guarantee_budget();
                 self.raise_starved_jobs();
                 self.hold_machines_for_large_tasks();
             }
-            self.count_unobserved_placements();
+            self.scheduler.count_unobserved_placements(&self.jobs);
             self.scheduler.request_pass();
         }
         if self.timers.quotas.restart_if_due(now) {
--- a/src/controller/scheduler/capacity/cluster.rs
+++ b/src/controller/scheduler/capacity/cluster.rs
@@ -162,6 +162,7 @@
         machine.is_some_and(|machine| pools.contains(&machine.pool))
     }
 
+    /// A pool by number.
     pub(super) fn pool(&self, id: PoolId) -> &Pool {
         &self.pools[id.0]
     }
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -48,10 +48,12 @@
     reserved_tasks: u32,
     led_by_peer: bool,
     negated_free_millicpus: i64,
+    /// The machine.
     pub(super) machine: MachineId,
 }
 
 impl LoadKey {
+    /// The place of a machine as it now stands.
     pub(super) fn of(machine: MachineId, capacity: &MachineCapacity) -> LoadKey {
         LoadKey {
             reserved_tasks: capacity.tasks.len() as u32,
@@ -67,10 +69,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FreeCpusKey {
     free_millicpus: i64,
+    /// The machine.
     pub(super) machine: MachineId,
 }
 
 impl FreeCpusKey {
+    /// The place of a machine as it now stands.
     pub(super) fn of(machine: MachineId, capacity: &MachineCapacity) -> FreeCpusKey {
         FreeCpusKey { free_millicpus: millicpus(capacity.free.cpus), machine }
     }
@@ -88,21 +92,27 @@
 /// The machines of a pool that have free CPUs, in both orders.
 #[derive(Debug, Clone)]
 pub(super) struct Pool {
+    /// Type and place of its machines.
     pub(super) key: PoolKey,
+    /// Its machines, the least loaded first.
     pub(super) by_load: BTreeSet<LoadKey>,
+    /// Its machines, those with the least free CPUs first.
     pub(super) by_free_cpus: BTreeSet<FreeCpusKey>,
 }
 
 impl Pool {
+    /// A pool without machines.
     pub(super) fn new(key: PoolKey) -> Pool {
         Pool { key, by_load: BTreeSet::new(), by_free_cpus: BTreeSet::new() }
     }
 
+    /// Enters a machine as it now stands.
     pub(super) fn insert(&mut self, machine: MachineId, capacity: &MachineCapacity) {
         self.by_load.insert(LoadKey::of(machine, capacity));
         self.by_free_cpus.insert(FreeCpusKey::of(machine, capacity));
     }
 
+    /// Removes a machine, which must stand as it was entered.
     pub(super) fn remove(&mut self, machine: MachineId, capacity: &MachineCapacity) {
         self.by_load.remove(&LoadKey::of(machine, capacity));
         self.by_free_cpus.remove(&FreeCpusKey::of(machine, capacity));
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -2,8 +2,10 @@
 
 use crate::controller::Controller;
 use crate::controller::machines::attempt::AttemptId;
+use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::ReservedTask;
 use crate::peer::Preempt;
+use crate::time::Micros;
 use std::rc::Rc;
 
 impl Controller {
@@ -37,11 +39,14 @@
         let scheduler = &mut self.scheduler;
         scheduler.guarantee_budget.refresh(&self.quota, scheduler.capacity.usage(), controllers);
     }
+}
 
-    /// Drops requests for preemptions that nobody has granted.
-    pub(crate) fn expire_preemption_requests(&mut self) {
-        for machine in self.scheduler.preemption_requests.expire(self.context.now) {
-            self.scheduler.mark_stale(&machine);
+impl Scheduler {
+    /// Drops requests for preemptions that nobody has granted in time: their tasks no longer
+    /// count as stopping.
+    pub(crate) fn expire_preemption_requests(&mut self, now: Micros) {
+        for machine in self.preemption_requests.expire(now) {
+            self.mark_stale(&machine);
         }
     }
 }
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -20,7 +20,9 @@
 /// A team's tasks on one shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShardTeam {
+    /// Number of the shard.
     pub(super) shard: usize,
+    /// Name of the team.
     pub(super) team: String,
 }
 
@@ -33,6 +35,7 @@
     pub(super) shard_usage: BTreeMap<ShardTeam, QuotaAmount>,
     /// Waiting tasks that no machine has capacity for, though for smaller ones there may be.
     pub(super) blocked: Vec<Demand>,
+    /// Searches that failed.
     pub(super) failures: SearchFailures,
     /// Placements that may still be made.
     pub(super) placements_left: usize,
@@ -85,8 +88,7 @@
         let mut pass = self.scheduler.begin_pass(&self.scheduling_inputs(), &peers_demand);
         peers_demand.sort_by_key(QueueClass::of_demand);
         for queued in order {
-            let rank = queued.class.rank;
-            if self.placements_at_limit(rank) {
+            if self.placements_at_limit(queued.class.rank) {
                 // Those behind it may be more urgent, if beyond their guarantee.
                 self.scheduler.request_pass();
                 continue;
@@ -108,13 +110,6 @@
         self.scheduler.capacity.release_holds();
     }
 
-    /// Whether further tasks of a rank must wait until placements are stored or reported.
-    fn placements_at_limit(&self, rank: u32) -> bool {
-        let inputs = self.scheduling_inputs();
-        let unstored = || self.unstored_urgent_chunks(rank);
-        self.scheduler.placements_at_limit(&inputs, unstored, rank)
-    }
-
     /// What waits on live peers' shards.
     pub(crate) fn peers_demand(&self) -> impl Iterator<Item = &Demand> {
         self.peers.live_demand(self.context.now)
--- a/src/controller/scheduler/search_failures.rs
+++ b/src/controller/scheduler/search_failures.rs
@@ -16,6 +16,7 @@
 }
 
 impl PreemptionSearch {
+    /// The search for a claim; with `only_cached` among machines that have the image.
     pub(super) fn of(claim: &PreemptionClaim<'_>, only_cached: bool) -> PreemptionSearch {
         let team = &claim.job.spec.team;
         PreemptionSearch {
