--- a/src/controller/api/health.rs
+++ b/src/controller/api/health.rs
@@ -54,7 +54,7 @@
         {
             return Err(UnhealthyReason::StoreUnreachableHereOnly);
         }
-        let has_held_lease = self.leadership.has_started();
+        let has_held_lease = self.leadership.is_initialized();
         has_held_lease.then_some(()).ok_or(UnhealthyReason::NeverHeldLease)
     }
 
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -60,7 +60,7 @@
             RecordRead::NoSuchJob => {
                 let PreparedAnswer { status, retry_after_s, body } = if_absent;
                 let retry_after = retry_after_s;
-                self.context.effects.push(Effect::Respond { ticket, status, retry_after, body });
+                self.context.emit(Effect::Respond { ticket, status, retry_after, body });
             }
             RecordRead::NotAnswered => {
                 self.respond_retry_later(ticket, 503, "state service away");
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,4 +1,5 @@
-//! What the calls under way to the key-value store, the cloud and workers are for.
+//! What the calls in flight to the key-value store, the cloud and workers are for: an enum a
+//! component, which the router wraps.
 
 use crate::controller::api::pending::{AdmissionGroup, CancelledJob, PreparedAnswer, QueriedJobs};
 use crate::controller::event::Ticket;
@@ -12,24 +13,38 @@
 /// Which changes a watch follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Watch {
+    /// Of jobs' records.
     Jobs,
+    /// Of the shards' leases.
     ShardLeases,
+    /// Of teams' quotas.
     Quotas,
 }
 
 /// What a call about leases, terms, watches and recoveries is for.
 #[derive(Debug, Clone)]
 pub(crate) enum LeadershipCall {
+    /// Requests a controller lease.
     GrantLease { sent: Micros },
+    /// Renews the controller lease of an epoch.
     RenewLease { sent: Micros, epoch: u64 },
-    ListLeases,
+    /// Lists the terms of all shards.
     ListTerms,
+    /// Lists the leases of all shards, after their terms.
+    ListLeases,
+    /// Waits for changes.
     Watch(Watch),
+    /// Reads the store's revision, from which a watch begins.
     StartWatch(Watch),
+    /// Polls the jobs' changes beside the watch that waits for them.
     PollChanges { sent: Micros },
+    /// Acquires a shard under a term, by the controller lease of an epoch.
     AcquireShard { shard: usize, term: u64, epoch: u64 },
+    /// Releases a shard.
     Release { shard: usize },
+    /// Lists chunks of a shard's jobs, to recover them under a term.
     ReadRecoveryPage { shard: usize, term: u64 },
+    /// Reads the record of a job that is recovered under a term.
     ReadRecoveredRecord { shard: usize, term: u64, job: String },
 }
 
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What became of direct commands.
+/// The end of direct commands to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectReply {
     /// The worker answered.
@@ -27,7 +27,7 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// Surely not executed.
+    /// Surely not executed: they were never sent.
     NotSent,
     /// May have been executed, or may still be.
     Unknown,
@@ -47,13 +47,13 @@
 /// Something that happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A user, worker or prober asks.
+    /// A request of a user, a worker or the load balancer came.
     Http {
-        /// Goes with the answer.
+        /// Names the request in its answer.
         ticket: Ticket,
-        /// Method.
+        /// HTTP method.
         method: String,
-        /// Path with its query.
+        /// Path of the URL, with its query.
         path: String,
         /// Body.
         body: Vec<u8>,
@@ -62,7 +62,7 @@
     Reply {
         /// The call.
         id: CallId,
-        /// How.
+        /// How it ended.
         reply: Reply,
     },
     /// A peer sent a frame.
@@ -72,9 +72,9 @@
         /// The frame.
         frame: Box<Frame>,
     },
-    /// A new connection to a peer stands: nothing was received on it yet.
+    /// A new connection to a peer is open: the peer has received nothing on it yet.
     PeerUp(usize),
-    /// The connection to a peer is gone.
+    /// The connection to a peer is closed.
     PeerDown(usize),
     /// Time has passed.
     Tick,
@@ -87,39 +87,39 @@
     Respond {
         /// The request.
         ticket: Ticket,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Seconds after which to ask again.
+        /// Seconds after which the request may be repeated.
         retry_after: Option<u64>,
         /// JSON.
         body: Vec<u8>,
     },
     /// Call the key-value store.
     KvStore {
-        /// Goes with the reply.
+        /// Names the call in its reply.
         id: CallId,
         /// The call.
         call: KvRequest,
     },
     /// Call the cloud.
     Cloud {
-        /// Goes with the reply.
+        /// Names the call in its reply.
         id: CallId,
         /// The call.
         call: CloudCall,
     },
     /// Send direct commands to a worker.
     Direct {
-        /// Goes with the reply.
+        /// Names the call in its reply.
         id: CallId,
         /// The worker.
         address: SocketAddrV4,
         /// JSON.
         body: Vec<u8>,
     },
-    /// Ask a worker for its report, ordering nothing and showing no token.
+    /// Request a worker's heartbeat, with no commands and no fencing token.
     Inspect {
-        /// Goes with the reply, which is a worker's.
+        /// Names the call in its reply, which is a worker's.
         id: CallId,
         /// The worker.
         address: SocketAddrV4,
@@ -128,7 +128,7 @@
     Peer {
         /// Number of the member.
         to: usize,
-        /// The frame; one for several peers is written only once.
+        /// The frame; one for several peers is encoded only once.
         frame: Rc<Frame>,
     },
 }
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -85,7 +85,7 @@
 
     /// Records whether the signs of a partition are there, with how long they must last. Whether
     /// this node counts as partitioned from now on.
-    fn judge_signs(&mut self, required: Option<Micros>, now: Micros) -> bool {
+    fn detect_partition(&mut self, required: Option<Micros>, now: Micros) -> bool {
         let Some(required) = required else {
             self.suspected_since = None;
             return false;
@@ -122,7 +122,7 @@
         let addresses = healthy.filter_map(|view| view.address.parse().ok());
         for address in addresses.sample(&mut context.rng, PROBED_WORKERS) {
             let id = context.register_call(MachinesCall::Inspect);
-            context.effects.push(Effect::Inspect { id, address });
+            context.emit(Effect::Inspect { id, address });
         }
     }
 }
@@ -188,7 +188,7 @@
             self.maintain_partition(machines, peers, context);
         } else {
             let signs = self.partition_signs(machines, peers, context);
-            if self.connectivity.judge_signs(signs, now) {
+            if self.connectivity.detect_partition(signs, now) {
                 info!("the workers cannot reach this node; its shards are handed over");
                 self.begin_handover_of_all();
             }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -93,7 +93,7 @@
 
     /// Whether a lease was granted, perhaps long ago, that the store has not been seen to end,
     /// and the shards' leases are known.
-    pub(crate) fn has_started(&self) -> bool {
+    pub(crate) fn is_initialized(&self) -> bool {
         let lease = &self.controller_lease;
         lease.epoch > 0 && self.shards_read && lease.id.is_some()
     }
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -63,7 +63,7 @@
             }
             _ => false,
         };
-        if self.context.calls.values().any(being_admitted) {
+        if self.context.calls_in_flight().any(being_admitted) {
             return;
         }
         let Some(term) = self.leading_term(shard) else {
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -5,15 +5,12 @@
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
 use crate::controller::scheduler::estimate::Estimates;
+use crate::controller::timers::UNOBSERVED_REPEAT_INTERVAL;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How often the desired state is repeated for tasks of which no machine has reported for as
-/// long.
-const UNOBSERVED_REPEAT_INTERVAL: Micros = Micros::secs(8);
-
 /// Seconds that a job's tasks are expected to run: what its completed ones
 /// took, or its owner's estimate, corrected.
 pub(crate) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
@@ -36,10 +33,10 @@
     /// between controllers need no answers, and one that was lost unnoticed would
     /// leave its task, and what it uses of the team's limit, waiting for ever.
     pub(crate) fn repeat_unobserved(&mut self) {
-        if !self.holds_lease() || self.context.now < self.timers.reminder {
+        let now = self.context.now;
+        if !self.holds_lease() || !self.timers.unobserved_repeat.restart_if_due(now) {
             return;
         }
-        self.timers.reminder = self.context.now + UNOBSERVED_REPEAT_INTERVAL;
         let wall = self.context.wall();
         let is_unobserved = |placement: &Placement| {
             placement.observed.is_none() && wall.since(placement.at) > UNOBSERVED_REPEAT_INTERVAL
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -66,7 +66,7 @@
             starts: self.starts,
             term: self.term,
         });
-        context.effects.push(Effect::Direct { id, address: self.address, body });
+        context.emit(Effect::Direct { id, address: self.address, body });
     }
 }
 
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -82,7 +82,7 @@
         self.changes.machines.insert(machine);
         let reply = HeartbeatResponse { fencing_token: authority.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
-        self.context.effects.push(Effect::Respond { ticket, status: 200, retry_after: None, body });
+        self.context.emit(Effect::Respond { ticket, status: 200, retry_after: None, body });
     }
 
     fn refuse_heartbeat(&mut self, ticket: Ticket, reason: &str) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -106,7 +106,7 @@
         match event {
             Event::Http { ticket, method, path, body } => self.http(ticket, &method, &path, &body),
             Event::Reply { id, reply } => {
-                if let Some(call) = self.context.calls.remove(&id) {
+                if let Some(call) = self.context.take_call(id) {
                     self.route_reply(call, reply);
                 }
             }
@@ -119,7 +119,7 @@
             }
             Event::Tick => self.tick(),
         }
-        effects.append(&mut self.context.effects);
+        self.context.take_effects(effects);
     }
 
     /// Hands a reply to the component whose call it answers.
@@ -209,7 +209,7 @@
             self.send_frames(Frame::default());
         }
         self.answer_acknowledged();
-        effects.append(&mut self.context.effects);
+        self.context.take_effects(effects);
     }
 
     /// Refuses a request for now; it says after how many seconds to repeat it.
@@ -237,6 +237,11 @@
         self.leadership.shard_of_machine(machine)
     }
 
+    /// Whether a frame of a member has come lately.
+    fn peer_alive(&self, member: usize) -> bool {
+        self.peers.is_alive(member, self.context.now)
+    }
+
     /// The member that leads a shard, as far as known.
     fn shard_leader(&self, shard: usize) -> Option<usize> {
         self.context.member_number(self.leadership.leader_name(shard)?)
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -20,11 +20,6 @@
 }
 
 impl Controller {
-    /// Whether a frame of a member has come lately.
-    pub(crate) fn peer_alive(&self, member: usize) -> bool {
-        self.peers.is_alive(member, self.context.now)
-    }
-
     /// A frame came from a member.
     pub(crate) fn peer_frame(&mut self, from: usize, mut frame: Frame) {
         let Some(continuity) = self.peers.record_frame(from, &mut frame, self.context.now) else {
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -132,7 +132,7 @@
             } else {
                 Rc::clone(&frame)
             };
-            self.context.effects.push(Effect::Peer { to, frame });
+            self.context.emit(Effect::Peer { to, frame });
         }
         if !holds_lease {
             // Nothing could be said yet; the new connections still need all of it.
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -16,6 +16,8 @@
 const GUARANTEES_INTERVAL: Micros = Micros::secs(1);
 /// Between reconciliations of the teams' grants.
 const QUOTAS_INTERVAL: Micros = Micros::millis(300);
+/// How often the desired state is repeated for tasks that no machine has observed for as long.
+pub(crate) const UNOBSERVED_REPEAT_INTERVAL: Micros = Micros::secs(8);
 /// Between log lines about refused requests.
 const REFUSALS_INTERVAL: Micros = Micros::secs(10);
 
@@ -70,8 +72,8 @@
     pub(crate) quotas: Timer,
     /// Log lines about refused requests.
     pub(crate) refusals: Timer,
-    /// When the desired state of tasks that no machine has observed is sent again.
-    pub(crate) reminder: Micros,
+    /// Repetition of the desired state of tasks that no machine has observed.
+    pub(crate) unobserved_repeat: Timer,
 }
 
 impl Default for Timers {
@@ -85,7 +87,7 @@
             guarantees: Timer::new(GUARANTEES_INTERVAL),
             quotas: Timer::new(QUOTAS_INTERVAL),
             refusals: Timer::new(REFUSALS_INTERVAL),
-            reminder: Micros::ZERO,
+            unobserved_repeat: Timer::new(UNOBSERVED_REPEAT_INTERVAL),
         }
     }
 }
