--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -2,12 +2,11 @@
 //!
 //! Where more come than this node's share of changes can take one by one, those
 //! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
-//! all their descriptions. What is written of them later: see [`crate::controller::jobs::batch`].
+//! all their descriptions. What is written of them later: see [`crate::controller::jobs::batches`].
 //!
-//! Owns the submissions that wait and the batches that are still needed. Nothing here
+//! Owns the submissions that wait. Nothing here
 //! tells a user that a job is accepted before the store has applied its transaction.
 
-pub(crate) mod batches;
 pub(crate) mod outcome;
 pub(crate) mod transaction;
 
@@ -15,12 +14,11 @@
 use crate::controller::api::counts::Counts;
 use crate::controller::api::pending::Submission;
 use crate::controller::context::Context;
+use crate::controller::jobs::job;
 use crate::controller::leadership::shard::ShardLeadership;
 use crate::controller::{Controller, Ticket};
 use crate::time::Micros;
 use crate::wire::JobSpec;
-use batches::Batch;
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// How long after a submission others are expected.
@@ -34,7 +32,7 @@
 /// Bytes that a job takes in a batch beside its description, at most.
 const BATCHED_JOB_OVERHEAD_BYTES: f64 = 100.0;
 
-/// Submissions that wait, and the batches that are still needed.
+/// Submissions that wait.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     /// Submissions that have not been sent to the store, in order of arrival.
@@ -44,10 +42,6 @@
     undecided: usize,
     /// Until when further submissions are expected, and writes leave them a share.
     expect_more_until: Micros,
-    /// By key.
-    pub(crate) batches: BTreeMap<String, Batch>,
-    /// Key of the batch in which a job's description is, for jobs with none elsewhere.
-    pub(crate) batched: BTreeMap<String, String>,
     /// Batches that this process has begun, which numbers them.
     batch_count: u64,
 }
@@ -129,6 +123,12 @@
         self.waiting[..max].iter().take_while(fits).count().max(1)
     }
 
+    /// Key of a further batch of a shard, led under a term.
+    fn next_batch_key(&mut self, shard: usize, term: u64) -> String {
+        self.batch_count += 1;
+        job::batch_key(shard, term, self.batch_count)
+    }
+
     /// Takes out the submissions that have waited for too long.
     fn take_expired(&mut self, now: Micros) -> Vec<Submission> {
         let is_late = |s: &mut Submission| now.since(s.arrived_at) > MAX_SUBMISSION_WAIT;
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -1,7 +1,7 @@
 //! What follows from the reply to a transaction that accepts jobs.
 
 use crate::controller::api::pending::{AdmissionGroup, PreparedAnswer, Submission};
-use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::dependency_graph::DependencyOutcome;
 use crate::controller::jobs::job::{self, Job, StoredStage};
 use crate::controller::leadership::shard_lease;
 use crate::controller::{CachedStage, Controller};
@@ -33,8 +33,8 @@
             _ => {
                 for submission in group.submissions {
                     let id = &submission.spec.id;
-                    let cached = self.jobs.cached_stages.get(id).copied();
-                    if let Some(cached) = cached.filter(|c| c.stage == StoredStage::Accepted) {
+                    let cached = self.jobs.stage_cache.get(id);
+                    if let Some(cached) = cached.filter(|c| !c.is_final()) {
                         self.adopt(id, cached.shard);
                     }
                     self.respond_retry_later(submission.ticket, 503, "state service away");
@@ -51,7 +51,7 @@
         let batched = batch_key.is_some();
         if let Some(key) = batch_key.filter(|_| still_led) {
             let jobs = submissions.iter().map(|s| s.spec.id.clone()).collect();
-            self.api.admission.add_batch(&key, shard, revision, jobs);
+            self.jobs.batches.add(&key, shard, revision, jobs);
         }
         let acceptance = Acceptance { shard, revision, still_led, batched };
         for submission in submissions {
@@ -89,7 +89,7 @@
         let accepted = CachedStage { stage: StoredStage::Accepted, shard, tasks, revision };
         self.cache_stage(id, accepted);
         // Others may have changed more of it while the answer was on its way here.
-        let cached = self.jobs.cached_stages.get(id).copied();
+        let cached = self.jobs.stage_cache.get(id);
         if acceptance.still_led && !self.jobs.by_id.contains_key(id) {
             let cancelled = cached.is_some_and(|c| c.stage == StoredStage::Cancelled);
             self.add_accepted_job(&submission, acceptance, cancelled);
@@ -118,12 +118,12 @@
         let layout = self.jobs.chunk_layout;
         let mut job = Job::new(spec, shard, revision, submission.submitted_at, layout);
         let chunk = &mut job.chunks[0];
-        (chunk.version, chunk.stored) = (1, 1);
+        (chunk.version, chunk.stored_version) = (1, 1);
         // In a batch it has no key of its own yet.
         chunk.revision = if batched { 0 } else { revision };
         job.cancelled = cancelled;
-        if job.waiting {
-            self.jobs.dependency_graph.wait(id);
+        if job.awaits_dependencies {
+            self.jobs.dependents.wait(id);
         }
         self.changes.jobs.insert(id.clone());
         self.jobs.by_id.insert(id.clone(), job);
--- a/src/controller/api/cancellation_requests.rs
+++ b/src/controller/api/cancellation_requests.rs
@@ -4,7 +4,7 @@
 use crate::controller::api::pending::CancelledJob;
 use crate::controller::api::record_reads::RecordRead;
 use crate::controller::calls::ApiCall;
-use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::dependency_graph::DependencyOutcome;
 use crate::controller::jobs::job::{self, JobRecord, StoredStage};
 use crate::controller::{CachedStage, Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -18,7 +18,7 @@
 impl Controller {
     /// A user cancels a job.
     pub(crate) fn cancel(&mut self, ticket: Ticket, id: &str) {
-        if let Some(cached) = self.jobs.cached_stages.get(id).copied()
+        if let Some(cached) = self.jobs.stage_cache.get(id)
             && cached.stage != StoredStage::Accepted
         {
             return self.answer_with_stage(ticket, 200, id, cached);
@@ -74,13 +74,7 @@
         revision: u64,
         tries_left: u32,
     ) {
-        let record = JobRecord {
-            shard: job.shard,
-            stage: StoredStage::Cancelled,
-            tasks: job.tasks,
-            dependencies: Vec::new(),
-            more: 0,
-        };
+        let record = JobRecord::ended(job.shard, StoredStage::Cancelled, job.tasks);
         let key = job::job_key(&job.id);
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), revision }],
--- /dev/null
+++ b/src/controller/api/dependency_lookup.rs
@@ -0,0 +1,135 @@
+//! Submissions of jobs that depend on others: each of those must have been accepted.
+
+use crate::controller::api::pending::PreparedAnswer;
+use crate::controller::api::record_reads::RecordRead;
+use crate::controller::calls::ApiCall;
+use crate::controller::jobs::job::{self, MAX_SINGLE_READS};
+use crate::controller::{Controller, Ticket};
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::wire::{JobSpec, Refusal};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// The answer to a submission that names a job that does not exist.
+const NEVER_ACCEPTED: Refusal<'static> =
+    Refusal { error: "a job that was never accepted", field: Some("upstream") };
+/// The answer while many dependencies are read; the submission is to be sent again.
+const BEING_READ: &str = "the jobs that it needs are being read";
+
+/// A submission whose dependencies are being read from the store.
+#[derive(Debug)]
+struct DependencyLookup {
+    ticket: Ticket,
+    spec: Rc<JobSpec>,
+    /// Bytes of the description.
+    size: usize,
+    /// Reads that have not been answered.
+    reads_in_flight: usize,
+    /// Some dependency does not exist.
+    missing: bool,
+    /// Some read failed.
+    failed: bool,
+}
+
+/// Submissions whose dependencies are being read.
+#[derive(Debug, Default)]
+pub(crate) struct DependencyLookups {
+    by_number: BTreeMap<u64, DependencyLookup>,
+    last_number: u64,
+}
+
+impl DependencyLookups {
+    /// Registers a lookup; returns its number.
+    fn add(&mut self, lookup: DependencyLookup) -> u64 {
+        self.last_number += 1;
+        self.by_number.insert(self.last_number, lookup);
+        self.last_number
+    }
+
+    /// The lookup, if that was the last read that it waited for.
+    fn take_finished(&mut self, number: u64) -> Option<DependencyLookup> {
+        self.by_number.get(&number).filter(|lookup| lookup.reads_in_flight == 0)?;
+        self.by_number.remove(&number)
+    }
+}
+
+impl Controller {
+    /// Looks up the dependencies of a submitted job, and goes on with the submission once
+    /// all of them are known to be accepted.
+    pub(crate) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+        if spec.dependencies.contains(&spec.id) {
+            return self.read_job_or_answer(
+                ticket,
+                &spec.id,
+                PreparedAnswer::refusal(422, &NEVER_ACCEPTED),
+            );
+        }
+        let known = |id: &&String| self.jobs.stage_cache.contains(id);
+        let mut unknown: Vec<String> =
+            spec.dependencies.iter().filter(|id| !known(id)).cloned().collect();
+        if unknown.is_empty() {
+            return self.store_dependencies(ticket, spec, size, 0);
+        }
+        if unknown.len() > MAX_SINGLE_READS {
+            let absent: Vec<String> = unknown
+                .iter()
+                .filter(|id| self.jobs.record_pages.was_absent(id))
+                .cloned()
+                .collect();
+            if absent.is_empty() {
+                self.read_records(unknown);
+                return self.respond_retry_later(ticket, 503, BEING_READ);
+            }
+            // Perhaps accepted by now: one that still is not there decides.
+            unknown = absent;
+            unknown.truncate(MAX_SINGLE_READS);
+        }
+        let number = self.api.dependency_lookups.add(DependencyLookup {
+            ticket,
+            spec,
+            size,
+            reads_in_flight: unknown.len(),
+            missing: false,
+            failed: false,
+        });
+        for id in unknown {
+            let key = job::job_key(&id);
+            self.context
+                .call_store(ApiCall::LookUpDependency { number, job: id }, KvRequest::Get(key));
+        }
+    }
+
+    /// Takes in the reply with the record of a submission's dependency.
+    pub(crate) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
+        let read = self.take_record_reply(id, reply);
+        let known = self.jobs.stage_cache.contains(id);
+        let lookups = &mut self.api.dependency_lookups;
+        let Some(lookup) = lookups.by_number.get_mut(&number) else {
+            return;
+        };
+        lookup.reads_in_flight = lookup.reads_in_flight.saturating_sub(1);
+        match read {
+            RecordRead::Found { .. } => {}
+            RecordRead::NoSuchJob => lookup.missing |= !known,
+            RecordRead::NotAnswered => lookup.failed = true,
+        }
+        let Some(lookup) = lookups.take_finished(number) else {
+            return;
+        };
+        let DependencyLookup { ticket, spec, size, missing, failed, .. } = lookup;
+        if failed {
+            return self.respond_retry_later(ticket, 503, "state service away");
+        }
+        if missing {
+            return self.read_job_or_answer(
+                ticket,
+                &spec.id,
+                PreparedAnswer::refusal(422, &NEVER_ACCEPTED),
+            );
+        }
+        if !spec.dependencies.iter().all(|id| self.jobs.stage_cache.contains(id)) {
+            return self.respond_retry_later(ticket, 503, BEING_READ);
+        }
+        self.store_dependencies(ticket, spec, size, 0);
+    }
+}
--- /dev/null
+++ b/src/controller/api/dependency_records.rs
@@ -0,0 +1,113 @@
+//! How an accepted job's dependencies are stored: in its record, and where they do not fit
+//! in further keys that are written before it.
+
+use crate::controller::api::pending::PreparedAnswer;
+use crate::controller::calls::ApiCall;
+use crate::controller::jobs::job::{self, JobRecord, StoredStage};
+use crate::controller::leadership::shard_lease;
+use crate::controller::{Controller, Ticket};
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::wire::{Condition, JobSpec, Txn, Write};
+use serde_json::json;
+use std::rc::Rc;
+
+/// Bytes of a transaction that values may take.
+const MAX_TXN_BYTES: usize = 48 * 1024;
+/// Part of a value that is filled: some is left for its JSON.
+const VALUE_FILL_RATIO: f64 = 0.9;
+/// Bytes that a record takes beside its list of dependencies.
+const RECORD_BYTES: usize = 64;
+/// Bytes that a name takes in a list beside its characters.
+const NAME_OVERHEAD_BYTES: usize = 3;
+
+/// Divides names into lists that fit in so many bytes each; there is at least one list.
+fn divide(names: &[String], list_bytes: usize) -> Vec<Vec<String>> {
+    let mut lists: Vec<Vec<String>> = vec![Vec::new()];
+    let mut left = list_bytes;
+    for name in names {
+        let size = name.len() + NAME_OVERHEAD_BYTES;
+        if size > left && lists.last().is_some_and(|list| !list.is_empty()) {
+            lists.push(Vec::new());
+            left = list_bytes;
+        }
+        left = left.saturating_sub(size);
+        if let Some(list) = lists.last_mut() {
+            list.push(name.clone());
+        }
+    }
+    lists
+}
+
+impl Controller {
+    /// Dependencies divided into lists that a value has room for: the first one goes into
+    /// the job's record, the others into further keys, numbered from 1.
+    fn dependency_lists(&self, dependencies: &[String]) -> Vec<Vec<String>> {
+        let bytes = (self.context.settings.state.value_kb * 1024.0 * VALUE_FILL_RATIO) as usize;
+        divide(dependencies, bytes.saturating_sub(RECORD_BYTES))
+    }
+
+    /// The record of a job as it is accepted.
+    pub(crate) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
+        let mut lists = self.dependency_lists(&spec.dependencies);
+        let further_keys = lists.len() as u32 - 1;
+        let dependencies = lists.swap_remove(0);
+        let stage = StoredStage::Accepted;
+        JobRecord { shard, stage, tasks: spec.tasks, dependencies, further_keys }
+    }
+
+    /// Writes the lists after number `from` that do not fit in a job's record, and then
+    /// accepts the job: a record that names further keys must never be read before they are
+    /// there. Written late, or of an earlier try, they fail on the record's revision.
+    pub(crate) fn store_dependencies(
+        &mut self,
+        ticket: Ticket,
+        spec: Rc<JobSpec>,
+        size: usize,
+        from: usize,
+    ) {
+        let lists = self.dependency_lists(&spec.dependencies);
+        if from + 1 >= lists.len() {
+            return self.queue_submission(ticket, spec, size);
+        }
+        let leadership = self
+            .admitting_shard()
+            .and_then(|shard| Some((shard, self.leadership.led_shard(shard)?.revision)));
+        let Some((shard, revision)) = leadership else {
+            return self.respond_retry_later(ticket, 503, "no seat is held");
+        };
+        let limits = &self.context.settings.state;
+        let lists_per_txn = MAX_TXN_BYTES / (limits.value_kb * 1024.0) as usize;
+        let most = limits.txn_ops.min(lists_per_txn).max(1);
+        let write = |number: usize| Write::Put {
+            key: job::dependency_key(&spec.id, number as u32),
+            value: json!({ "u": lists[number] }),
+            lease: None,
+        };
+        let end = (from + 1 + most).min(lists.len());
+        let conditions = vec![
+            shard_lease::lease_condition(shard, revision),
+            Condition { key: job::job_key(&spec.id), revision: 0 },
+        ];
+        let txn = Txn { conditions, writes: (from + 1..end).map(write).collect() };
+        let call = ApiCall::StoreDependencies { ticket, spec, size, to: end - 1 };
+        self.context.call_store(call, KvRequest::Txn(txn));
+    }
+
+    /// Takes in the reply to a write of lists up to number `to`.
+    pub(crate) fn dependencies_stored(
+        &mut self,
+        ticket: Ticket,
+        spec: Rc<JobSpec>,
+        size: usize,
+        to: usize,
+        reply: &KvResponse,
+    ) {
+        match reply {
+            KvResponse::Applied(_) => self.store_dependencies(ticket, spec, size, to),
+            KvResponse::Conflict(_) => {
+                self.read_job_or_answer(ticket, &spec.id, PreparedAnswer::undecided());
+            }
+            _ => self.respond_retry_later(ticket, 503, "state service away"),
+        }
+    }
+}
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -1,23 +1,23 @@
 //! What users are told of a job.
 
 use crate::controller::decision_log;
-use crate::controller::jobs::dependencies::DependencyOutcome;
-use crate::controller::jobs::job::StoredStage;
+use crate::controller::jobs::dependency_graph::DependencyOutcome;
+use crate::controller::jobs::job::{Progress, StoredStage};
 use crate::controller::{CachedStage, Controller, Ticket};
 use crate::wire::{JobAnswer, JobStage};
 
 impl Controller {
     /// A job's stage and the counts of its tasks.
     pub(crate) fn job_answer<'a>(&self, id: &'a str, cached: CachedStage) -> JobAnswer<'a> {
-        let (done, running) = match cached.stage {
-            StoredStage::Done => (cached.tasks, 0),
-            StoredStage::Cancelled => (self.jobs.progress.get(id).map_or(0, |p| p.0), 0),
-            StoredStage::Accepted => match self.jobs.by_id.get(id) {
-                Some(job) => (job.done(), job.running()),
-                None => self.jobs.progress.get(id).copied().unwrap_or((0, 0)),
-            },
+        let last_known = || self.jobs.progress.get(id).copied().unwrap_or_default();
+        let Progress { done, running } = match cached.stage {
+            StoredStage::Done => Progress { done: cached.tasks, running: 0 },
+            StoredStage::Cancelled => Progress { running: 0, ..last_known() },
+            StoredStage::Accepted => {
+                self.jobs.by_id.get(id).map_or_else(last_known, |job| job.progress())
+            }
         };
-        let stage = match Controller::stage_word(cached.stage) {
+        let stage = match JobStage::from(cached.stage) {
             JobStage::Queued if running > 0 => JobStage::Running,
             stage => stage,
         };
@@ -77,7 +77,7 @@
         let followed_by_peers = self.peers.followed_revision();
         let ready = self.api.terminal_states.take_answerable(self.context.now, followed_by_peers);
         for answer in ready {
-            match self.jobs.cached_stages.get(&answer.job).copied() {
+            match self.jobs.stage_cache.get(&answer.job) {
                 Some(cached) => self.answer_with_stage(answer.ticket, 200, &answer.job, cached),
                 None => self.respond_retry_later(answer.ticket, 503, "undecided"),
             }
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -9,6 +9,9 @@
 pub(crate) mod admission;
 pub(crate) mod cancellation_requests;
 pub(crate) mod counts;
+mod dependency_comparison;
+pub(crate) mod dependency_lookup;
+mod dependency_records;
 pub(crate) mod health;
 pub(crate) mod job_answers;
 pub(crate) mod pending;
@@ -23,6 +26,7 @@
 pub(crate) mod terminal_states;
 
 use admission::Admission;
+use dependency_lookup::DependencyLookups;
 use health::Health;
 use refusals::Refusals;
 use status_queries::StatusQueries;
@@ -31,8 +35,10 @@
 /// Requests that have not been answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct Api {
-    /// Submissions, and the batches in which they were accepted.
+    /// Submissions that wait to be accepted.
     pub(crate) admission: Admission,
+    /// Submissions whose dependencies are being read.
+    pub(crate) dependency_lookups: DependencyLookups,
     /// Status queries that wait to be compared with the key-value store.
     pub(crate) status_queries: StatusQueries,
     /// Terminal states that peers may not know of yet, and who awaits them.
--- a/src/controller/api/queue_page.rs
+++ b/src/controller/api/queue_page.rs
@@ -24,7 +24,7 @@
             // Writing into a String cannot fail.
             let _ = writeln!(page, " {running} {done} {}", job.pending_reason);
         }
-        let blocked = |job: &Job| job.waiting && !job.cancelled && !job.over;
+        let blocked = |job: &Job| job.awaits_dependencies && job.is_active();
         for (id, job) in self.jobs.by_id.iter().filter(|(_, job)| blocked(job)) {
             push_job(&mut page, id, job);
             let dependencies: Vec<&str> = job.dependencies.iter().map(String::as_str).collect();
@@ -39,7 +39,7 @@
             return;
         }
         let mut counts: BTreeMap<(&str, &str, &str), u32> = BTreeMap::new();
-        let queued = |job: &&Job| !job.cancelled && !job.over && job.pending() > 0;
+        let queued = |job: &&Job| job.is_active() && job.pending() > 0;
         for job in self.jobs.by_id.values().filter(queued) {
             let reason = job.pending_reason.as_str();
             let group = (job.spec.class.as_str(), job.spec.team.as_str(), reason);
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -54,7 +54,7 @@
             }
             RecordRead::Found { cached, .. } => self.answer_with_stage(ticket, 200, id, cached),
             // Accepted since the read.
-            RecordRead::NoSuchJob if self.jobs.cached_stages.contains_key(id) => {
+            RecordRead::NoSuchJob if self.jobs.stage_cache.contains(id) => {
                 self.respond_retry_later(ticket, 503, "undecided");
             }
             RecordRead::NoSuchJob => {
@@ -85,7 +85,7 @@
         self.jobs.dependency_graph.note(job, &record);
         self.cache_stage(job, read);
         // This answer may have been overtaken by a later one.
-        let cached = self.jobs.cached_stages.get(job).copied().unwrap_or(read);
+        let cached = self.jobs.stage_cache.get(job).unwrap_or(read);
         match cached.stage {
             StoredStage::Cancelled => self.job_cancelled(job),
             // Its acceptance may have been applied after it was given
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -120,7 +120,12 @@
             state_limits: self.state_limits_status(),
             shards: self.shard_statuses(),
             jobs: self.jobs.by_id.len(),
-            jobs_with_dependencies: self.jobs.by_id.values().filter(|job| job.waiting).count(),
+            jobs_with_dependencies: self
+                .jobs
+                .by_id
+                .values()
+                .filter(|job| job.awaits_dependencies)
+                .count(),
             tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
             rented: self.autoscaler.fleet.count_by_stage(),
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -12,7 +12,7 @@
 use crate::controller::api::record_reads::RecordRead;
 use crate::controller::calls::ApiCall;
 use crate::controller::context::Context;
-use crate::controller::jobs::dependencies::DependencyOutcome;
+use crate::controller::jobs::dependency_graph::DependencyOutcome;
 use crate::controller::jobs::job::{self, StoredStage};
 use crate::controller::{Controller, Ticket};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -136,7 +136,7 @@
     /// A user queries a job's status.
     pub(crate) fn query_job(&mut self, ticket: Ticket, id: &str) {
         let now = self.context.now;
-        let Some(cached) = self.jobs.cached_stages.get(id).copied() else {
+        let Some(cached) = self.jobs.stage_cache.get(id) else {
             return self.read_queried(vec![ticket], id);
         };
         if cached.stage != StoredStage::Accepted
@@ -183,7 +183,7 @@
         };
         for (id, StatusQuery { revision, users }) in jobs {
             // What is known by now may be newer than the comparison.
-            let cached = self.jobs.cached_stages.get(&id).copied();
+            let cached = self.jobs.stage_cache.get(&id);
             match cached {
                 Some(c) if c.stage == StoredStage::Accepted && !self.fresh(sent_at) => {
                     for user in users {
@@ -232,7 +232,7 @@
                 }
                 // Accepted since the read.
                 RecordRead::NoSuchJob
-                    if self.jobs.cached_stages.contains_key(job) || !self.fresh(sent_at) =>
+                    if self.jobs.stage_cache.contains(job) || !self.fresh(sent_at) =>
                 {
                     self.respond_retry_later(ticket, 503, "the state service is slow");
                 }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -65,7 +65,7 @@
             Ok(spec) => spec,
             Err(malformed) => return self.refuse_malformed(ticket, malformed),
         };
-        if let Some(cached) = self.jobs.cached_stages.get(&spec.id).copied() {
+        if let Some(cached) = self.jobs.stage_cache.get(&spec.id) {
             return self.answer_resubmission(ticket, &spec.id, cached);
         }
         if self.autoscaler.machine_types.is_empty() {
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -3,6 +3,10 @@
 
 use crate::controller::api::pending::{AdmissionGroup, CancelledJob, PreparedAnswer, QueriedJobs};
 use crate::controller::event::Ticket;
+use crate::controller::jobs::batches::BatchedChange;
+use crate::controller::jobs::dependency_graph::FurtherList;
+use crate::controller::jobs::job::ReadChunk;
+use crate::controller::jobs::write_plan::JobWrite;
 use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
 use crate::wire::JobSpec;
@@ -72,18 +76,28 @@
     WriteCancellation { ticket: Ticket, job: CancelledJob, tries_left: u32 },
 }
 
-/// What a call about the jobs of own shards and what is known of others is for.
+/// What a call about the jobs of own shards and what is known of others is for. The term is
+/// that of the shard when the call was made.
 #[derive(Debug, Clone)]
 pub(crate) enum JobsCall {
+    /// Reads a page of records that begins at a job.
     ReadRecordPage { first: String },
-    ReadDependencies { job: String, number: u32 },
+    /// Reads a further key with dependencies.
+    ReadDependencies(FurtherList),
+    /// Writes that an own job is cancelled with one that it depends on.
     CancelDependent { job: String, shard: usize, tasks: u32 },
+    /// Deletes a batch.
     DropBatch { key: String, term: u64 },
-    StoreBatch { key: String, term: u64, jobs: Vec<(String, u64)> },
+    /// Writes a batch with changes of its jobs.
+    StoreBatch { key: String, term: u64, changes: Vec<BatchedChange> },
+    /// Reads a batch back.
     ReadBatch { key: String, term: u64 },
-    Store { job: String, term: u64, chunks: Vec<(usize, u64)>, done: bool, drops: Vec<usize> },
+    /// Writes changes of a job.
+    Store { job: String, term: u64, write: JobWrite },
+    /// Reads a job's record back.
     ReadBack { job: String, term: u64 },
-    ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, (u64, u64)> },
+    /// Reads a page of a job's chunks back, after those that have been read.
+    ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, ReadChunk> },
 }
 
 /// What a call about the machines of own shards is for.
--- /dev/null
+++ b/src/controller/jobs/dependents.rs
@@ -0,0 +1,178 @@
+//! Own jobs that depend on others: their release, and their cancellation with one of those.
+//!
+//! What a job depends on is in its record, `j/REF`, which every node follows. Its
+//! shard's leader releases it once each dependency is stored as done, which is
+//! final, and cancels it once one, directly or through others, is stored
+//! as cancelled. Only jobs without tasks on machines still wait, so this is a change of
+//! stage and nothing has to be stopped. A user is told so by any node, also before it is
+//! written: from the stages of all that the job depends on.
+
+use super::dependency_graph::DependencyOutcome;
+use super::inherited_urgency::UrgencyInheritance;
+use super::job::{self, Job, JobRecord, StoredStage};
+use super::stage_cache::CachedStage;
+use crate::controller::Controller;
+use crate::controller::calls::JobsCall;
+use crate::controller::scheduler::pending_reason::PendingReason;
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::time::Micros;
+use crate::wire::{Condition, Txn, Write};
+use log::info;
+use serde_json::json;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+/// Between checks of own waiting jobs where nothing has ended.
+const CHECK_INTERVAL: Micros = Micros::secs(1);
+/// The same while cancellations wait for others in flight.
+const CANCELLATION_RETRY_DELAY: Micros = Micros::millis(100);
+/// Cancellations of waiting jobs in flight at once.
+const MAX_CANCELLATIONS_IN_FLIGHT: usize = 4;
+
+/// Own jobs that wait for their dependencies.
+#[derive(Debug, Default)]
+pub(crate) struct Dependents {
+    waiting: BTreeSet<String>,
+    /// Those whose cancellation is being written.
+    cancelling: BTreeSet<String>,
+    next_check: Micros,
+    pub(crate) urgency: UrgencyInheritance,
+}
+
+impl Dependents {
+    /// An own job waits for others from now on.
+    pub(crate) fn wait(&mut self, id: &str) {
+        self.waiting.insert(id.to_string());
+        self.check_now();
+    }
+
+    /// Whether an own job waits for others.
+    pub(super) fn is_waiting(&self, id: &str) -> bool {
+        self.waiting.contains(id)
+    }
+
+    /// Own jobs that wait for others.
+    pub(super) fn waiting(&self) -> impl Iterator<Item = &String> {
+        self.waiting.iter()
+    }
+
+    /// Has all waiting jobs checked with the next tick.
+    pub(super) fn check_now(&mut self) {
+        self.next_check = Micros::ZERO;
+    }
+}
+
+impl Controller {
+    /// What becomes of a job that is known as accepted.
+    pub(crate) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
+        let acknowledged = |id: &str| self.api.terminal_states.acknowledged(id);
+        self.jobs.dependency_graph.outcome_of(id, &self.jobs.stage_cache, acknowledged)
+    }
+
+    /// Checks own waiting jobs: which are released, and which are cancelled.
+    pub(crate) fn maintain_dependencies(&mut self) {
+        self.jobs.read_further_dependencies(&mut self.context);
+        self.read_record_page();
+        if !self.holds_lease() {
+            return;
+        }
+        if self.jobs.dependency_graph.take_changed() {
+            self.jobs.dependents.check_now();
+        }
+        if self.context.now < self.jobs.dependents.next_check {
+            return;
+        }
+        self.jobs.dependents.next_check = self.context.now + CHECK_INTERVAL;
+        for id in self.jobs.dependents.waiting.iter().cloned().collect::<Vec<_>>() {
+            self.check_dependent(&id);
+        }
+        self.update_inherited_urgency();
+    }
+
+    /// Releases or cancels an own waiting job, if what it depends on decides that.
+    fn check_dependent(&mut self, id: &str) {
+        let waits = |job: &&mut Job| job.awaits_dependencies && job.is_active();
+        let Some(job) = self.jobs.by_id.get_mut(id).filter(waits) else {
+            self.jobs.dependents.waiting.remove(id);
+            return;
+        };
+        // Nothing known of what it depends on is no reason to release it.
+        let Some(dependencies) = self.jobs.dependency_graph.dependencies_of(id) else {
+            return;
+        };
+        if dependencies.len() > job.dependencies.len() {
+            job.dependencies = Rc::clone(dependencies);
+        }
+        match self.dependency_outcome_of(id) {
+            DependencyOutcome::Satisfied => self.release_dependent(id),
+            DependencyOutcome::Cancelled { .. } => self.cancel_dependent(id),
+            DependencyOutcome::Unknown(unknown) => self.read_records(unknown),
+            DependencyOutcome::Pending => {}
+        }
+    }
+
+    /// All dependencies of an own job are done: its tasks may be placed.
+    fn release_dependent(&mut self, id: &str) {
+        info!("job {id} may start: all its dependencies are done");
+        self.counts.released += 1;
+        self.jobs.dependents.waiting.remove(id);
+        let wall = self.context.wall();
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
+            job.awaits_dependencies = false;
+            job.ready_at = wall;
+            job.pending_reason = PendingReason::New;
+        }
+        self.scheduler.request_pass();
+    }
+
+    /// Writes that a waiting job is cancelled with one that it depends on.
+    fn cancel_dependent(&mut self, id: &str) {
+        let Some(job) = self.jobs.by_id.get(id) else {
+            return;
+        };
+        let serves_shard = self.serves_shard(job.shard);
+        let dependents = &mut self.jobs.dependents;
+        if dependents.cancelling.len() >= MAX_CANCELLATIONS_IN_FLIGHT
+            || dependents.cancelling.contains(id)
+            || !serves_shard
+        {
+            let retry_at = self.context.now + CANCELLATION_RETRY_DELAY;
+            dependents.next_check = dependents.next_check.min(retry_at);
+            return;
+        }
+        dependents.cancelling.insert(id.to_string());
+        let (shard, tasks) = (job.shard, job.spec.tasks);
+        let record = JobRecord::ended(shard, StoredStage::Cancelled, tasks);
+        let key = job::job_key(id);
+        let txn = Txn {
+            conditions: vec![Condition { key: key.clone(), revision: job.revision }],
+            writes: vec![Write::Put { key, value: json!(record), lease: None }],
+        };
+        let call = JobsCall::CancelDependent { job: id.to_string(), shard, tasks };
+        self.context.call_store(call, KvRequest::Txn(txn));
+    }
+
+    /// Takes in the reply to the cancellation of a waiting job.
+    pub(super) fn dependent_cancelled(
+        &mut self,
+        id: &str,
+        shard: usize,
+        tasks: u32,
+        reply: &KvResponse,
+    ) {
+        self.jobs.dependents.cancelling.remove(id);
+        match reply {
+            KvResponse::Applied(revision) => {
+                info!("job {id} cancelled with one that it depends on");
+                self.counts.cancelled_with_dependency += 1;
+                let (stage, revision) = (StoredStage::Cancelled, *revision);
+                self.cache_stage(id, CachedStage { stage, shard, tasks, revision });
+                self.announce_cancelled(id, revision);
+                self.job_cancelled(id);
+            }
+            // Perhaps applied, or its user was faster: what is stored decides.
+            KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.read_back(id),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/jobs/further_dependencies.rs
@@ -0,0 +1,41 @@
+//! Reads of the further keys of jobs that depend on more others than their record names.
+
+use super::Jobs;
+use super::dependency_graph::FurtherList;
+use super::job;
+use crate::controller::Controller;
+use crate::controller::calls::JobsCall;
+use crate::controller::context::Context;
+use crate::kv_store::{KvRequest, KvResponse};
+use serde::Deserialize;
+
+impl Jobs {
+    /// Reads the next further key, of the first job that lacks one.
+    pub(super) fn read_further_dependencies(&mut self, context: &mut Context) {
+        if let Some(further) = self.dependency_graph.begin_read(context.now) {
+            let key = job::dependency_key(&further.job, further.number);
+            context.call_store(JobsCall::ReadDependencies(further), KvRequest::Get(key));
+        }
+    }
+}
+
+impl Controller {
+    /// Takes in the reply with a further key.
+    pub(super) fn further_dependencies_read(&mut self, further: &FurtherList, reply: &KvResponse) {
+        if !self.jobs.dependency_graph.end_read(self.context.now, &further.job) {
+            return;
+        }
+        let KvResponse::Value(item) = reply else {
+            return;
+        };
+        // Without one of the names the job might start too early.
+        let names = item.as_ref().and_then(|i| Vec::<String>::deserialize(i.value.get("u")?).ok());
+        match names {
+            Some(names) => self.jobs.dependency_graph.add_further(further, names),
+            None => {
+                let key = job::dependency_key(&further.job, further.number);
+                self.note_unreadable(&key, "no list of jobs that can be read");
+            }
+        }
+    }
+}
--- a/src/controller/jobs/job/keys.rs
+++ b/src/controller/jobs/job/keys.rs
@@ -1,5 +1,6 @@
 //! Keys and records of jobs in the key-value store.
 
+use crate::wire::JobStage;
 use serde::{Deserialize, Serialize};
 
 /// Value of `j/REF`.
@@ -11,22 +12,29 @@
     /// Stage.
     #[serde(rename = "g")]
     pub stage: StoredStage,
-    /// Number of tasks, which a done job still tells.
+    /// Number of tasks, which is shown of a done job too.
     #[serde(rename = "n", default)]
     pub tasks: u32,
-    /// Jobs that have to be done first; of no use any more once it is over.
+    /// Jobs that must be done first; empty once it is over.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
-    /// How many further keys name others, where one value has no room for all.
-    #[serde(rename = "k", default, skip_serializing_if = "is_none")]
-    pub more: u32,
+    /// Number of further keys that name others, where one value has no room for all.
+    #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
+    pub further_keys: u32,
 }
 
-fn is_none(n: &u32) -> bool {
-    *n == 0
+fn is_zero(number: &u32) -> bool {
+    *number == 0
 }
 
-/// Most jobs named at once that are read key by key; more are read by pages.
+impl JobRecord {
+    /// The record of a job that is over.
+    pub fn ended(shard: usize, stage: StoredStage, tasks: u32) -> JobRecord {
+        JobRecord { shard, stage, tasks, dependencies: Vec::new(), further_keys: 0 }
+    }
+}
+
+/// Most jobs whose records are read key by key; more are read by pages.
 pub const MAX_SINGLE_READS: usize = 64;
 
 /// A key just before a job's: after all keys of jobs with smaller ids.
@@ -39,7 +47,7 @@
     key
 }
 
-/// Key of further jobs that have to be done first; numbered from 1.
+/// Key of further dependencies; numbered from 1.
 pub fn dependency_key(id: &str, number: u32) -> String {
     format!("u/{id}/{number}")
 }
@@ -58,16 +66,33 @@
     Cancelled,
 }
 
+impl From<StoredStage> for JobStage {
+    /// The word of the users' pages for a stage; a job with tasks on machines is shown as
+    /// running instead of queued.
+    fn from(stage: StoredStage) -> JobStage {
+        match stage {
+            StoredStage::Accepted => JobStage::Queued,
+            StoredStage::Done => JobStage::Done,
+            StoredStage::Cancelled => JobStage::Cancelled,
+        }
+    }
+}
+
 /// Key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("j/{id}")
 }
 
-/// Key of a part of a job's tasks.
+/// Key of a chunk of a job's tasks.
 pub fn chunk_key(shard: usize, id: &str, chunk: usize) -> String {
     format!("w/{shard}/{id}/{chunk}")
 }
 
+/// Beginning of the keys of all of a job's chunks.
+pub fn chunk_keys(shard: usize, id: &str) -> String {
+    format!("w/{shard}/{id}/")
+}
+
 /// Key of descriptions of jobs that were accepted together. The term and the
 /// number make it unique; jobs' ids never begin like it.
 pub fn batch_key(shard: usize, term: u64, number: u64) -> String {
@@ -83,7 +108,7 @@
 /// one change than a key for each.
 pub const BATCHED_TASKS: u32 = 2;
 
-/// Job and part of a key under `w/S/`.
+/// Job, or name of a batch, and number of the chunk of a key under `w/S/`.
 pub fn parse_chunk_key(key: &str) -> Option<(&str, usize)> {
     let mut fields = key.split('/').skip(2);
     let id = fields.next()?;
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -1,87 +1,126 @@
-//! How jobs stand in the key-value store's values: parts, batches, and how they are
-//! read again. Field names are a letter each, since values are small.
+//! How jobs are stored: the values of chunks and batches, and how they are read again.
+//!
+//! Names of fields are a letter each in the store, since its values are small.
 
 use super::chunk::stored_bytes;
 use super::names::{join_name, split_name};
-use super::{ChunkLayout, Job, Placement};
+use super::{ChunkLayout, Job, Placement, TaskChunk};
 use crate::time::Micros;
 use crate::wire::{JobSpec, MAX_TASKS};
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Latest time of day of a placement, in seconds: what is later is damaged.
-const MAX_SECOND: u64 = u64::MAX / 4_000_000;
+const MAX_PLACED_SECOND: u64 = u64::MAX / 4_000_000;
+/// Most digits of a machine's number; what names more is damaged.
+const MAX_STORED_DIGITS: usize = 20;
+/// Numbers that make up a stored placement.
+const COLUMNS: usize = 7;
 
+/// A chunk's value.
 #[derive(Serialize, Deserialize)]
 struct StoredChunk {
-    /// Version.
-    v: u64,
-    /// Highest attempt.
-    a: u64,
-    /// Completed tasks of the part as a bit each, in hexadecimal digits; the
+    /// Version of the chunk.
+    #[serde(rename = "v")]
+    version: u64,
+    /// Highest attempt given out.
+    #[serde(rename = "a")]
+    last_attempt: u64,
+    /// Completed tasks of the chunk as a bit each, in hexadecimal digits; the
     /// lowest first.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    d: String,
-    /// Beginnings of machines' names, and how many digits follow.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    h: Vec<(String, usize)>,
-    /// Zones.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    y: Vec<String>,
+    #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
+    done_bits: String,
+    /// Beginnings of machines' names.
+    #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
+    name_heads: Vec<NameHead>,
+    #[serde(rename = "y", default, skip_serializing_if = "Vec::is_empty")]
+    zones: Vec<String>,
     /// Earliest time of day of the placements, in seconds.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    b: u64,
-    /// Placements, [`COLUMNS`] numbers each: task since the one before,
-    /// beginning and number of the machine's name, session, attempt, zone,
-    /// seconds since `b`.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    p: Vec<u64>,
-    /// Description, in part 0.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    s: Option<JobSpec>,
-    /// Time of day of the acceptance, in part 0.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    t: Option<u64>,
-    /// Tasks in a part, in part 0: the settings may change between runs.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    z: Option<u32>,
+    #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
+    first_second: u64,
+    /// Placements, [`COLUMNS`] numbers each: task since the one before, beginning (in
+    /// `name_heads`) and number of the machine's name, incarnation, attempt, zone (in
+    /// `zones`), seconds since `first_second`.
+    #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
+    placements: Vec<u64>,
+    /// Description, in chunk 0.
+    #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
+    spec: Option<JobSpec>,
+    /// Time of day of the acceptance in microseconds, in chunk 0.
+    #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
+    accepted: Option<u64>,
+    /// Tasks in a chunk, in chunk 0: the settings may change between runs.
+    #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
+    chunk_size: Option<u32>,
 }
 
-/// Numbers that make up a stored placement.
-const COLUMNS: usize = 7;
+/// The beginning of machines' names, stored as a pair.
+#[derive(PartialEq, Deserialize)]
+#[serde(from = "(String, usize)")]
+struct NameHead {
+    head: String,
+    /// Digits of the number that follows.
+    width: usize,
+}
 
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+impl From<(String, usize)> for NameHead {
+    fn from((head, width): (String, usize)) -> NameHead {
+        NameHead { head, width }
+    }
 }
 
-/// A placement as stored: task, machine, session, attempt, zone, second.
-pub type StoredPlacement = (u32, String, u64, u64, String, u64);
+impl Serialize for NameHead {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.head, self.width).serialize(serializer)
+    }
+}
 
-/// The placements in a part's value; `None` if it cannot be read.
+fn is_zero(number: &u64) -> bool {
+    *number == 0
+}
+
+/// A placement as stored.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct StoredPlacement {
+    /// Task.
+    pub index: u32,
+    /// Machine's name.
+    pub machine: String,
+    /// Incarnation of the machine's worker.
+    pub incarnation: u64,
+    /// Attempt.
+    pub attempt: u64,
+    /// Zone.
+    pub zone: String,
+    /// Time of day of the decision, in seconds.
+    pub placed_second: u64,
+}
+
+/// The placements in a chunk's value; `None` if it cannot be read.
 pub fn stored_placements(value: &Value) -> Option<Vec<StoredPlacement>> {
-    StoredChunk::deserialize(value).ok()?.placements()
+    StoredChunk::deserialize(value).ok()?.read_placements()
 }
 
-/// The place of an entry in a short table, which it joins if it is new.
-fn place_in<T: PartialEq>(table: &mut Vec<T>, entry: T) -> u64 {
-    let at = table.iter().position(|e| *e == entry).unwrap_or_else(|| {
+/// The position of an entry in a short table, to which it is added if it is new.
+fn position_in<T: PartialEq>(table: &mut Vec<T>, entry: T) -> u64 {
+    let position = table.iter().position(|existing| *existing == entry).unwrap_or_else(|| {
         table.push(entry);
         table.len() - 1
     });
-    at as u64
+    position as u64
 }
 
-/// The value of a batch: part 0 of each of its jobs, as it would stand alone.
+/// The value of a batch: chunk 0 of each of its jobs, as it would be stored on its own.
 pub fn encode_batch(chunks: Vec<Value>) -> Value {
     serde_json::json!({ "jobs": chunks })
 }
 
-/// The jobs of a batch with their part 0; what cannot be read is left out.
+/// The jobs of a batch with their chunk 0; what cannot be read is left out.
 pub fn decode_batch(value: &Value) -> Vec<(String, Value)> {
     let chunks = value.get("jobs").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-    let read = |v: &Value| Some((StoredChunk::deserialize(v).ok()?.s?.id, v.clone()));
+    let read = |v: &Value| Some((StoredChunk::deserialize(v).ok()?.spec?.id, v.clone()));
     chunks.iter().filter_map(read).collect()
 }
 
@@ -91,137 +130,183 @@
     chunks.is_some_and(|chunks| chunks.len() == decode_batch(value).len())
 }
 
+/// The version of a chunk that a value holds.
+pub(crate) fn stored_version(value: &Value) -> Option<u64> {
+    value.get("v")?.as_u64()
+}
+
+/// A chunk's completed tasks as hexadecimal digits; `first` is its first task.
+fn encode_done(chunk: &TaskChunk, first: u32) -> String {
+    let mut digits: Vec<u8> = Vec::new();
+    for index in &chunk.done {
+        let bit = (index - first) as usize;
+        if digits.len() <= bit / 4 {
+            digits.resize(bit / 4 + 1, 0);
+        }
+        digits[bit / 4] |= 1 << (bit % 4);
+    }
+    let digit = |digit: &u8| char::from_digit(u32::from(*digit), 16).unwrap_or('0');
+    digits.iter().map(digit).collect()
+}
+
+/// Marks the tasks that such digits name as completed; `None` if they are damaged.
+fn decode_done(chunk: &mut TaskChunk, first: u32, digits: &str) -> Option<()> {
+    for (position, digit) in digits.chars().enumerate() {
+        let digit = digit.to_digit(16)?;
+        for bit in (0..4).filter(|bit| digit & (1 << bit) != 0) {
+            let index = first + position as u32 * 4 + bit;
+            if chunk.pending.remove(&index) {
+                chunk.done.insert(index);
+            }
+        }
+    }
+    Some(())
+}
+
 impl StoredChunk {
-    fn placements(&self) -> Option<Vec<StoredPlacement>> {
-        let mut task = 0_u64;
-        let mut list = Vec::with_capacity(self.p.len() / COLUMNS);
-        for row in self.p.chunks(COLUMNS) {
-            let [step, head, number, incarnation, attempt, zone, at] = *row else {
+    /// Writes placements into the table of an otherwise complete value.
+    fn write_placements(&mut self, placed: &BTreeMap<&u32, &Placement>) {
+        let second = |placement: &Placement| placement.placed_at.0 / 1_000_000;
+        self.first_second = placed.values().map(|placement| second(placement)).min().unwrap_or(0);
+        let mut previous = 0;
+        for (index, placement) in placed {
+            let name = split_name(&placement.machine);
+            let head = NameHead { head: name.head.to_string(), width: name.width };
+            self.placements.extend([
+                u64::from(*index - previous),
+                position_in(&mut self.name_heads, head),
+                name.number,
+                placement.incarnation,
+                placement.attempt,
+                position_in(&mut self.zones, placement.zone.to_string()),
+                second(placement) - self.first_second,
+            ]);
+            previous = **index;
+        }
+    }
+
+    /// Reads its table of placements; `None` if it is damaged.
+    fn read_placements(&self) -> Option<Vec<StoredPlacement>> {
+        let mut index = 0_u64;
+        let mut list = Vec::with_capacity(self.placements.len() / COLUMNS);
+        for row in self.placements.chunks(COLUMNS) {
+            let [step, head, number, incarnation, attempt, zone, second] = *row else {
                 return None;
             };
-            task = task.checked_add(step)?;
-            let (head, width) = self.h.get(usize::try_from(head).ok()?)?;
-            let machine = join_name(head, (*width).min(20), number);
-            let zone = self.y.get(usize::try_from(zone).ok()?)?.clone();
-            let at = self.b.checked_add(at).filter(|at| *at <= MAX_SECOND)?;
-            list.push((u32::try_from(task).ok()?, machine, incarnation, attempt, zone, at));
+            index = index.checked_add(step)?;
+            let name = self.name_heads.get(usize::try_from(head).ok()?)?;
+            let second = self.first_second.checked_add(second);
+            list.push(StoredPlacement {
+                index: u32::try_from(index).ok()?,
+                machine: join_name(&name.head, name.width.min(MAX_STORED_DIGITS), number),
+                incarnation,
+                attempt,
+                zone: self.zones.get(usize::try_from(zone).ok()?)?.clone(),
+                placed_second: second.filter(|second| *second <= MAX_PLACED_SECOND)?,
+            });
         }
         Some(list)
     }
 }
 
+impl TaskChunk {
+    /// Takes in a stored value; `first` is the chunk's first task, `revision` that of its
+    /// key. `None` if the value is damaged.
+    fn restore(&mut self, first: u32, stored: &StoredChunk, revision: u64) -> Option<()> {
+        self.last_attempt = stored.last_attempt;
+        self.version = stored.version;
+        self.stored_version = stored.version;
+        self.revision = revision;
+        self.placement_version = stored.version;
+        decode_done(self, first, &stored.done_bits)?;
+        for placement in stored.read_placements()? {
+            self.restore_placement(placement);
+        }
+        Some(())
+    }
+
+    /// Takes in a stored placement of a task that is not done.
+    fn restore_placement(&mut self, stored: StoredPlacement) {
+        let StoredPlacement { index, machine, incarnation, attempt, zone, placed_second } = stored;
+        if !self.pending.remove(&index) {
+            return;
+        }
+        let bytes = stored_bytes(&machine, incarnation, attempt, &zone);
+        self.bytes += bytes;
+        let placement = Placement {
+            machine: machine.into(),
+            incarnation,
+            attempt,
+            version: self.version,
+            placed_at: Micros::secs(placed_second),
+            restored: true,
+            zone: zone.into(),
+            stop_grace: None,
+            stop_seq: None,
+            observed: None,
+            running_since: None,
+            bytes,
+        };
+        self.placed.insert(index, placement);
+    }
+}
+
 impl Job {
-    /// The value of a part as it stands.
-    pub fn encode_chunk(&self, n: usize) -> Value {
-        let chunk = &self.chunks[n];
-        self.encode(n, chunk.version, chunk.placed.iter().collect())
+    /// The value of a chunk as it is in memory.
+    pub fn encode_chunk(&self, number: usize) -> Value {
+        let chunk = &self.chunks[number];
+        self.encode(number, chunk.version, chunk.placed.iter().collect())
     }
 
-    /// The value of a part with the placements that are stored already, and no
+    /// The value of a chunk with the placements that are stored already, and no
     /// others: an attempt whose end is not stored is still among them.
-    pub fn encode_stored(&self, n: usize) -> Value {
-        let chunk = &self.chunks[n];
+    pub fn encode_stored(&self, number: usize) -> Value {
+        let chunk = &self.chunks[number];
         let ended = chunk.unstored_ends.iter().map(|ended| (&ended.index, &ended.placement));
         let all = chunk.placed.iter().chain(ended);
-        self.encode(n, chunk.stored, all.filter(|(_, p)| p.version <= chunk.stored).collect())
+        let stored = all.filter(|(_, placement)| placement.version <= chunk.stored_version);
+        self.encode(number, chunk.stored_version, stored.collect())
     }
 
-    fn encode(&self, n: usize, version: u64, placed: BTreeMap<&u32, &Placement>) -> Value {
-        let chunk = &self.chunks[n];
-        let first = n as u32 * self.chunk_size;
-        let mut d: Vec<u8> = Vec::new();
-        for i in &chunk.done {
-            let bit = (i - first) as usize;
-            if d.len() <= bit / 4 {
-                d.resize(bit / 4 + 1, 0);
-            }
-            d[bit / 4] |= 1 << (bit % 4);
-        }
-        let digit = |d: &u8| char::from_digit(u32::from(*d), 16).unwrap_or('0');
-        let (mut heads, mut zones, mut rows) = (Vec::new(), Vec::new(), Vec::new());
-        let base = placed.values().map(|p| p.at.0 / 1_000_000).min().unwrap_or(0);
-        let mut last = 0;
-        for (i, p) in placed {
-            let (head, width, number) = split_name(&p.machine);
-            rows.extend([
-                u64::from(i - last),
-                place_in(&mut heads, (head.to_string(), width)),
-                number,
-                p.incarnation,
-                p.attempt,
-                place_in(&mut zones, p.zone.to_string()),
-                p.at.0 / 1_000_000 - base,
-            ]);
-            last = *i;
-        }
-        let stored = StoredChunk {
-            v: version,
-            a: chunk.attempt,
-            d: d.iter().map(digit).collect(),
-            h: heads,
-            y: zones,
-            b: base,
-            p: rows,
-            s: (n == 0).then(|| (*self.spec).clone()),
-            t: (n == 0).then_some(self.accepted.0),
-            z: (n == 0).then_some(self.chunk_size),
+    fn encode(&self, number: usize, version: u64, placed: BTreeMap<&u32, &Placement>) -> Value {
+        let chunk = &self.chunks[number];
+        let is_first = number == 0;
+        let mut stored = StoredChunk {
+            version,
+            last_attempt: chunk.last_attempt,
+            done_bits: encode_done(chunk, number as u32 * self.chunk_size),
+            name_heads: Vec::new(),
+            zones: Vec::new(),
+            first_second: 0,
+            placements: Vec::new(),
+            spec: is_first.then(|| (*self.spec).clone()),
+            accepted: is_first.then_some(self.accepted.0),
+            chunk_size: is_first.then_some(self.chunk_size),
         };
+        stored.write_placements(&placed);
         // Numbers, texts and lists always have a JSON form.
         serde_json::to_value(stored).unwrap_or_default()
     }
 
-    /// Rebuilds a job from its stored parts; `None` without part 0, which
-    /// is written with the acceptance and dropped last.
+    /// Rebuilds a job from the values and revisions of its stored chunks. `None` if one is
+    /// damaged, and without chunk 0, which is written with the acceptance and deleted last.
     pub fn restore(
         shard: usize,
         revision: u64,
-        size: ChunkLayout,
+        layout: ChunkLayout,
         stored: &BTreeMap<usize, (Value, u64)>,
     ) -> Option<Job> {
         let first: StoredChunk = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
         // What is stored of more tasks than can be submitted is damaged.
-        let spec = Rc::new(first.s.filter(|s| u64::from(s.tasks) <= MAX_TASKS)?);
-        let size = ChunkLayout { tasks: first.z.unwrap_or(size.tasks).max(1), ..size };
-        let mut job = Job::new(spec, shard, revision, Micros(first.t.unwrap_or(0)), size);
-        for (n, (value, revision)) in stored {
-            let read: StoredChunk = serde_json::from_value(value.clone()).ok()?;
-            let chunk = job.chunks.get_mut(*n)?;
-            chunk.attempt = read.a;
-            chunk.version = read.v;
-            chunk.stored = read.v;
-            chunk.revision = *revision;
-            chunk.put = read.v;
-            let begin = *n as u32 * size.tasks;
-            for (at, digit) in read.d.chars().enumerate() {
-                let digit = digit.to_digit(16)?;
-                for bit in (0..4).filter(|bit| digit & (1 << bit) != 0) {
-                    let i = begin + at as u32 * 4 + bit;
-                    if chunk.pending.remove(&i) {
-                        chunk.done.insert(i);
-                    }
-                }
-            }
-            for (i, machine, incarnation, attempt, zone, at) in read.placements()? {
-                if chunk.pending.remove(&i) {
-                    let bytes = stored_bytes(&machine, incarnation, attempt, &zone);
-                    chunk.bytes += bytes;
-                    let placement = Placement {
-                        machine: machine.into(),
-                        incarnation,
-                        attempt,
-                        version: read.v,
-                        at: Micros::secs(at),
-                        restored: true,
-                        zone: zone.into(),
-                        stop: None,
-                        stop_seq: None,
-                        observed: None,
-                        running_since: None,
-                        bytes,
-                    };
-                    chunk.placed.insert(i, placement);
-                }
-            }
+        let spec = Rc::new(first.spec.filter(|spec| u64::from(spec.tasks) <= MAX_TASKS)?);
+        let tasks = first.chunk_size.unwrap_or(layout.tasks).max(1);
+        let layout = ChunkLayout { tasks, ..layout };
+        let accepted = Micros(first.accepted.unwrap_or(0));
+        let mut job = Job::new(spec, shard, revision, accepted, layout);
+        for (number, (value, revision)) in stored {
+            let stored: StoredChunk = serde_json::from_value(value.clone()).ok()?;
+            let chunk = job.chunks.get_mut(*number)?;
+            chunk.restore(*number as u32 * layout.tasks, &stored, *revision)?;
         }
         Some(job)
     }
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -2,42 +2,58 @@
 //! the jobs that they depend on.
 //!
 //! Owns the jobs in memory, the cache of all jobs' stages, the dependency graph and the
-//! writes in flight. Only what is stored is acted on.
+//! writes in flight. It must never act on what is not stored: a placement is sent to
+//! machines, and an end makes them forget a task, only once the store has acknowledged it.
 
 pub mod job;
 
-pub(crate) mod batch;
-pub(crate) mod dependencies;
-pub(crate) mod lifecycle;
+pub(crate) mod batches;
+pub(crate) mod dependency_graph;
+pub(crate) mod dependents;
 pub(crate) mod record_pages;
-pub(crate) mod replies;
 pub(crate) mod stage_cache;
-pub(crate) mod writer;
+pub(crate) mod task_index;
+pub(crate) mod write_plan;
+
+mod batch_writer;
+mod evaluation;
+mod further_dependencies;
+mod inherited_urgency;
+mod read_back;
+mod replies;
+mod spot_notices;
+mod stopping;
+mod task_ends;
+mod write_replies;
+mod writer;
 
 use crate::config::StateLimits;
-use dependencies::DependencyGraph;
-use job::{ChunkLayout, Job};
+use batches::Batches;
+use dependency_graph::DependencyGraph;
+use dependents::Dependents;
+use job::{ChunkLayout, Job, Progress};
 use record_pages::RecordPages;
-use stage_cache::CachedStage;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::rc::Rc;
-
-/// Tasks by job and number.
-pub(crate) type TaskSet = BTreeSet<(String, u32)>;
+use stage_cache::StageCache;
+use std::collections::{BTreeMap, BTreeSet};
+use task_index::TaskIndex;
 
 /// The jobs that this process runs, and what it knows of all others.
 #[derive(Debug)]
 pub(crate) struct Jobs {
     /// Jobs of the shards that this process leads.
     pub(crate) by_id: BTreeMap<String, Job>,
-    /// Their tasks by shard and machine.
-    pub(crate) tasks_by_machine: BTreeMap<(usize, Rc<str>), TaskSet>,
-    /// Tasks done and running of any job, for display.
-    pub(crate) progress: BTreeMap<String, (u32, u32)>,
-    pub(crate) cached_stages: BTreeMap<String, CachedStage>,
-    /// Cached jobs, the one cached first in front.
-    pub(crate) cached_order: VecDeque<String>,
+    /// Their tasks by machine.
+    pub(crate) task_index: TaskIndex,
+    /// Progress of any job as last counted by its shard's leader, for display.
+    pub(crate) progress: BTreeMap<String, Progress>,
+    /// Stages of jobs of all shards.
+    pub(crate) stage_cache: StageCache,
+    /// What unfinished jobs of all shards depend on.
     pub(crate) dependency_graph: DependencyGraph,
+    /// Own jobs that wait for their dependencies.
+    pub(crate) dependents: Dependents,
+    /// Batches in the store with own jobs.
+    pub(crate) batches: Batches,
     pub(crate) record_pages: RecordPages,
     /// Jobs and keys that cannot be read, and are left as they are.
     pub(crate) unreadable: BTreeSet<String>,
@@ -46,8 +62,8 @@
     /// How an earlier version divided jobs, as long as the key-value store takes values
     /// that are larger than it will later.
     pub(crate) previous_chunk_layout: Option<ChunkLayout>,
-    /// Writes of tasks in flight.
-    pub(crate) writes_in_flight: usize,
+    /// Transactions with changes of jobs that have not been answered.
+    writes_in_flight: usize,
 }
 
 impl Jobs {
@@ -55,11 +71,12 @@
     pub(crate) fn new(limits: &StateLimits) -> Jobs {
         Jobs {
             by_id: BTreeMap::new(),
-            tasks_by_machine: BTreeMap::new(),
+            task_index: TaskIndex::default(),
             progress: BTreeMap::new(),
-            cached_stages: BTreeMap::new(),
-            cached_order: VecDeque::new(),
+            stage_cache: StageCache::default(),
             dependency_graph: DependencyGraph::default(),
+            dependents: Dependents::default(),
+            batches: Batches::default(),
             record_pages: RecordPages::default(),
             unreadable: BTreeSet::new(),
             chunk_layout: ChunkLayout::new(limits.value_kb),
@@ -70,10 +87,8 @@
     }
     /// Runs a job that was read from the store.
     pub(crate) fn insert_recovered(&mut self, id: &str, job: Job) {
-        for (index, placed) in job.chunks.iter().flat_map(|chunk| &chunk.placed) {
-            let on_machine = (job.shard, placed.machine.clone());
-            let tasks = self.tasks_by_machine.entry(on_machine).or_default();
-            tasks.insert((id.to_string(), *index));
+        for (index, placement) in job.chunks.iter().flat_map(|chunk| &chunk.placed) {
+            self.task_index.add(job.shard, placement.machine.clone(), id, *index);
         }
         self.by_id.insert(id.to_string(), job);
     }
@@ -83,6 +98,7 @@
         // What cannot be read is tried once more under the next term.
         self.unreadable.clear();
         self.by_id.retain(|_, job| job.shard != shard);
-        self.tasks_by_machine.retain(|(of, _), _| *of != shard);
+        self.task_index.remove_shard(shard);
+        self.batches.forget_shard(shard);
     }
 }
--- /dev/null
+++ b/src/controller/jobs/read_back.rs
@@ -0,0 +1,148 @@
+//! Read-back: a job's changes are compared with what the store has of them, after a write
+//! whose outcome is unknown or that failed on a condition.
+
+use super::Jobs;
+use super::job::{self, ChunkVersion, Job, JobRecord, ReadChunk, StoredStage};
+use super::stage_cache::CachedStage;
+use crate::controller::Controller;
+use crate::controller::calls::JobsCall;
+use crate::controller::context::Context;
+use crate::controller::leadership::Leadership;
+use crate::kv_store::{KvRequest, KvResponse};
+use crate::time::Micros;
+use log::warn;
+use std::collections::BTreeMap;
+
+/// How long a job is not placed after a read-back that failed.
+const FAILED_READ_BACK_PAUSE: Micros = Micros::millis(200);
+
+/// The chunks of a job that have been read back, and for which term of its shard.
+struct ChunkReadBack<'a> {
+    id: &'a str,
+    shard: usize,
+    term: u64,
+    chunks: BTreeMap<usize, ReadChunk>,
+}
+
+impl Jobs {
+    /// Reads what the store has of a job, unless a call about it is in flight.
+    pub(crate) fn read_back(&mut self, context: &mut Context, leadership: &Leadership, id: &str) {
+        let Some(job) = self.by_id.get_mut(id).filter(|job| !job.store_call_in_flight) else {
+            return;
+        };
+        let Some(led) = leadership.led_shard(job.shard) else {
+            return;
+        };
+        job.store_call_in_flight = true;
+        let call = JobsCall::ReadBack { job: id.to_string(), term: led.term };
+        context.call_store(call, KvRequest::Get(job::job_key(id)));
+    }
+
+    /// Reads the next page of a job's chunks, after a key.
+    fn read_back_chunks(
+        &mut self,
+        context: &mut Context,
+        read: ChunkReadBack,
+        after: Option<String>,
+    ) {
+        let ChunkReadBack { id, shard, term, chunks } = read;
+        if let Some(job) = self.by_id.get_mut(id) {
+            job.store_call_in_flight = true;
+        }
+        let call = JobsCall::ReadBackChunks { job: id.to_string(), term, read: chunks };
+        let prefix = job::chunk_keys(shard, id);
+        context.call_store(call, KvRequest::List { prefix, after });
+    }
+
+    /// A read-back failed. The job's next write would fail on its conditions and so
+    /// lead here again; nothing is lost by trying that.
+    fn read_back_failed(&mut self, now: Micros, id: &str) {
+        if let Some(job) = self.by_id.get_mut(id) {
+            job.backoff.pause_until(now + FAILED_READ_BACK_PAUSE);
+        }
+    }
+}
+
+impl Job {
+    /// Takes in the stored revisions of all chunks; returns those that turn out to have been
+    /// written, with the revision of each.
+    fn reconcile_chunks(&mut self, read: &BTreeMap<usize, ReadChunk>) -> Vec<(ChunkVersion, u64)> {
+        let mut applied = Vec::new();
+        for (number, chunk) in self.chunks.iter_mut().enumerate() {
+            let Some(ReadChunk { version, revision }) = read.get(&number).copied() else {
+                chunk.revision = 0;
+                continue;
+            };
+            chunk.revision = revision;
+            if version > chunk.stored_version && version <= chunk.version {
+                applied.push((ChunkVersion { number, version }, revision));
+            }
+        }
+        applied
+    }
+}
+
+impl Controller {
+    /// Reads what the store has of a job, unless a call about it is in flight.
+    pub(crate) fn read_back(&mut self, id: &str) {
+        self.jobs.read_back(&mut self.context, &self.leadership, id);
+    }
+
+    /// Takes in the reply with a job's record.
+    pub(super) fn record_read_back(&mut self, id: &str, term: u64, reply: KvResponse) {
+        let Some(shard) = self.finish_store_call(id, term) else {
+            return;
+        };
+        let KvResponse::Value(Some(item)) = reply else {
+            return self.jobs.read_back_failed(self.context.now, id);
+        };
+        let revision = item.revision;
+        let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
+            warn!("unreadable record of job {id}");
+            return;
+        };
+        self.jobs.dependency_graph.note(id, &record);
+        let JobRecord { stage, shard: accepted_by, tasks, .. } = record;
+        self.cache_stage(id, CachedStage { stage, shard: accepted_by, tasks, revision });
+        if stage == StoredStage::Cancelled {
+            self.job_cancelled(id);
+        }
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
+            job.finished_in_store |= stage == StoredStage::Done;
+            job.revision = revision;
+            let read = ChunkReadBack { id, shard, term, chunks: BTreeMap::new() };
+            self.jobs.read_back_chunks(&mut self.context, read, None);
+        }
+    }
+
+    /// Takes in a page of a job's chunks; `chunks` are those of earlier pages.
+    pub(super) fn chunks_read_back(
+        &mut self,
+        id: &str,
+        term: u64,
+        mut chunks: BTreeMap<usize, ReadChunk>,
+        reply: KvResponse,
+    ) {
+        let Some(shard) = self.finish_store_call(id, term) else {
+            return;
+        };
+        let KvResponse::Page { items, more, .. } = reply else {
+            return self.jobs.read_back_failed(self.context.now, id);
+        };
+        for item in &items {
+            if let Some((_, number)) = job::parse_chunk_key(&item.key) {
+                let version = job::stored_version(&item.value).unwrap_or(0);
+                chunks.insert(number, ReadChunk { version, revision: item.revision });
+            }
+        }
+        // A revision missed on a further page would fail every write.
+        if let Some(last) = items.last().filter(|_| more) {
+            let read = ChunkReadBack { id, shard, term, chunks };
+            return self.jobs.read_back_chunks(&mut self.context, read, Some(last.key.clone()));
+        }
+        let job = self.jobs.by_id.get_mut(id);
+        for (chunk, revision) in job.map_or(Vec::new(), |job| job.reconcile_chunks(&chunks)) {
+            self.chunks_acknowledged(id, revision, &[chunk]);
+        }
+    }
+}
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -4,103 +4,124 @@
 //! record of. Read one by one they would take longer than a user tries; a page of `j/`
 //! brings those beside them too.
 
+use super::Jobs;
+use super::job::{self, MAX_SINGLE_READS};
+use super::stage_cache::StageCache;
 use crate::controller::Controller;
 use crate::controller::calls::JobsCall;
-use crate::controller::jobs::job::{self, MAX_SINGLE_READS};
+use crate::controller::context::Context;
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Jobs that wait for a page at most.
-const MAX_WANTED: usize = 20_000;
-/// How long it is remembered that a job was not there.
-const ABSENT_FOR: Micros = Micros::secs(10);
+const MAX_REQUESTED_JOBS: usize = 20_000;
+/// How long it is remembered that a job had no record.
+const ABSENCE_LIFETIME: Micros = Micros::secs(10);
 /// Pause after a page that could not be read.
-const RETRY: Micros = Micros::secs(1);
+const FAILED_PAGE_PAUSE: Micros = Micros::secs(1);
 
 /// Jobs whose records are to be read by pages.
 #[derive(Debug, Default)]
 pub(crate) struct RecordPages {
-    wanted: BTreeSet<String>,
-    reading: bool,
+    requested: BTreeSet<String>,
+    page_in_flight: bool,
+    /// No page is read before this.
     not_before: Micros,
-    /// Jobs that were in no page, and when that was seen.
+    /// Jobs that were in no page, and when that was found.
     absent: BTreeMap<String, Micros>,
 }
 
 impl RecordPages {
     /// Whether a job was in no page a moment ago. It may have been accepted since.
-    pub fn was_absent(&self, id: &str) -> bool {
+    pub(crate) fn was_absent(&self, id: &str) -> bool {
         self.absent.contains_key(id)
     }
 
-    fn want(&mut self, jobs: Vec<String>) {
-        let room = MAX_WANTED.saturating_sub(self.wanted.len());
-        self.wanted.extend(jobs.into_iter().take(room));
+    fn request(&mut self, jobs: Vec<String>) {
+        let room = MAX_REQUESTED_JOBS.saturating_sub(self.requested.len());
+        self.requested.extend(jobs.into_iter().take(room));
     }
 
-    /// A page from `first` to the key `last`, or to the end, did not have these.
+    /// Drops what is not needed any more: requests for jobs that are cached by now, and
+    /// absences that are too old.
+    fn clean_up(&mut self, now: Micros, stages: &StageCache) {
+        self.absent.retain(|_, found_at| now.since(*found_at) < ABSENCE_LIFETIME);
+        while self.requested.first().is_some_and(|id| stages.contains(id)) {
+            self.requested.pop_first();
+        }
+    }
+
+    /// The first requested job, if a page may be read now.
+    fn next(&self, now: Micros) -> Option<&String> {
+        let may_read = !self.page_in_flight && now >= self.not_before;
+        self.requested.first().filter(|_| may_read)
+    }
+
+    /// A page from `first` to the key `last`, or to the end, did not have the jobs that are
+    /// still requested between them.
     fn note_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
         let covered = |id: &String| {
             let key = job::job_key(id);
             id.as_str() >= first && last.is_none_or(|last| key.as_str() <= last)
         };
-        let absent: Vec<String> = self.wanted.iter().filter(|id| covered(id)).cloned().collect();
+        let absent: Vec<String> = self.requested.iter().filter(|id| covered(id)).cloned().collect();
         for id in absent {
-            self.wanted.remove(&id);
+            self.requested.remove(&id);
             self.absent.insert(id, now);
         }
     }
 }
 
-impl Controller {
-    /// Jobs of which nothing is known here are to be read: each by itself, or if they
-    /// are many by pages.
-    pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
-        if unknown.len() <= MAX_SINGLE_READS {
-            return self.machines.cancellations.add_unknown(unknown);
-        }
-        self.jobs.record_pages.want(unknown);
-    }
-
-    /// Reads the next page, from the first job that is wanted, while more than half of
+impl Jobs {
+    /// Reads the next page, from the first requested job, while more than half of
     /// this node's share of requests is there.
-    pub(crate) fn maintain_record_pages(&mut self) {
-        let now = self.context.now;
-        let cached = &self.jobs.cached_stages;
-        let pages = &mut self.jobs.record_pages;
-        pages.absent.retain(|_, at| now.since(*at) < ABSENT_FOR);
-        while pages.wanted.first().is_some_and(|id| cached.contains_key(id)) {
-            pages.wanted.pop_first();
-        }
-        let may_read = !pages.reading && now >= pages.not_before;
-        let Some(first) = pages.wanted.first().cloned() else {
+    fn read_record_page(&mut self, context: &mut Context, holds_lease: bool) {
+        self.record_pages.clean_up(context.now, &self.stage_cache);
+        let Some(first) = self.record_pages.next(context.now).cloned() else {
             return;
         };
-        if !may_read || !self.holds_lease() || !self.context.has_spare_requests() {
+        if !holds_lease || !context.has_spare_requests() {
             return;
         }
-        self.jobs.record_pages.reading = true;
+        self.record_pages.page_in_flight = true;
         let after = Some(job::key_before(&first));
         let call = KvRequest::List { prefix: job::job_key(""), after };
-        self.context.call_store(JobsCall::ReadRecordPage { first }, call);
+        context.call_store(JobsCall::ReadRecordPage { first }, call);
+    }
+}
+
+impl Controller {
+    /// Has the records of jobs read of which nothing is known here: each by itself, or if
+    /// they are many by pages.
+    pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
+        if unknown.len() <= MAX_SINGLE_READS {
+            return self.machines.cancellations.add_unknown(unknown);
+        }
+        self.jobs.record_pages.request(unknown);
+    }
+
+    /// Reads the next page of requested records, while this process may act.
+    pub(super) fn read_record_page(&mut self) {
+        let holds_lease = self.holds_lease();
+        self.jobs.read_record_page(&mut self.context, holds_lease);
     }
 
-    /// Takes in a page of records.
-    pub(crate) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
-        self.jobs.record_pages.reading = false;
+    /// Takes in the reply with a page of records that begins at the job `first`.
+    pub(super) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
+        self.jobs.record_pages.page_in_flight = false;
         let KvResponse::Page { items, more, .. } = reply else {
-            self.jobs.record_pages.not_before = self.context.now + RETRY;
+            self.jobs.record_pages.not_before = self.context.now + FAILED_PAGE_PAUSE;
             return;
         };
         let last = items.last().filter(|_| more).map(|item| item.key.clone());
         for item in items {
             let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
-            if self.jobs.record_pages.wanted.remove(&id) {
+            if self.jobs.record_pages.requested.remove(&id) {
                 self.take_record_reply(&id, &KvResponse::Value(Some(item)));
             }
         }
         self.jobs.record_pages.note_absent(self.context.now, first, last.as_deref());
-        self.maintain_record_pages();
+        self.read_record_page();
     }
 }
--- a/src/controller/leadership/handover.rs
+++ b/src/controller/leadership/handover.rs
@@ -55,7 +55,7 @@
         else {
             return;
         };
-        if self.jobs.by_id.values().any(|j| j.shard == shard && j.busy) {
+        if self.jobs.by_id.values().any(|j| j.shard == shard && j.store_call_in_flight) {
             return;
         }
         let release = Shard::release(shard, leadership.revision);
@@ -82,7 +82,6 @@
         decision_log::leadership_lost(leadership.evidence(shard, self.context.now), reason);
         let shards = self.leadership.shard_count();
         self.jobs.forget_shard(shard);
-        self.api.admission.forget_shard(shard);
         self.machines.forget_shard(shard, shards);
         if shard == AUTOSCALER_SHARD {
             self.autoscaler.leadership_lost();
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -138,10 +138,10 @@
     /// A job cannot be read, and its batch, if it is in one, is kept for it.
     fn leave_unreadable(&mut self, id: &str, what: &str) {
         self.note_unreadable(id, what);
-        if let Some(batch) = self.api.admission.batched.get(id).cloned() {
+        if let Some(batch) = self.jobs.batches.key_of(id).cloned() {
             self.jobs.unreadable.insert(batch);
         }
-        self.api.admission.unbatch(id);
+        self.jobs.batches.remove_job(id);
     }
 
     fn finish_recovery(&mut self, shard: usize) {
@@ -150,7 +150,7 @@
         };
         let mut read = recovery.finish();
         for (batch, jobs) in read.batches {
-            self.api.admission.add_batch(&batch.key, shard, batch.revision, jobs);
+            self.jobs.batches.add(&batch.key, shard, batch.revision, jobs);
         }
         let mut restored = 0;
         for (id, chunks) in read.chunks {
@@ -196,15 +196,15 @@
         };
         job.set_layout(self.jobs.chunk_layout, self.jobs.previous_chunk_layout);
         // What was said since its record was read came by the watch.
-        let stage = self.jobs.cached_stages.get(id).map_or(record.stage, |k| k.stage);
+        let stage = self.jobs.stage_cache.stage(id).unwrap_or(record.stage);
         job.cancelled = stage == StoredStage::Cancelled;
-        job.over = stage == StoredStage::Done;
+        job.finished_in_store = stage == StoredStage::Done;
         job.dependencies = record.dependencies.as_slice().into();
-        job.waiting = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
-        if job.waiting {
-            self.jobs.dependency_graph.wait(id);
+        job.awaits_dependencies = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
+        if job.awaits_dependencies {
+            self.jobs.dependents.wait(id);
         }
-        if job.over {
+        if job.finished_in_store {
             // What its chunks still name has completed; it must not be
             // desired, and so started, again.
             job.chunks.iter_mut().for_each(|p| p.placed.clear());
@@ -219,13 +219,8 @@
     /// it: whatever it does not name is not desired.
     fn reconcile_recovered(&mut self, shard: usize) {
         self.changes.complete_desired.insert(shard);
-        let machines: Vec<String> = self
-            .jobs
-            .tasks_by_machine
-            .keys()
-            .filter(|(of, _)| *of == shard)
-            .map(|(_, machine)| machine.to_string())
-            .collect();
+        let machines: Vec<String> =
+            self.jobs.task_index.machines_of_shard(shard).map(|m| m.to_string()).collect();
         let cancelled: Vec<String> = self
             .jobs
             .by_id
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -120,7 +120,7 @@
         for recovery in self.leadership.recoveries.values_mut() {
             recovery.read_records_again();
         }
-        let busy = self.jobs.by_id.iter().filter(|(_, j)| j.busy);
+        let busy = self.jobs.by_id.iter().filter(|(_, j)| j.store_call_in_flight);
         self.machines.cancellations.add_unknown(busy.map(|(id, _)| id.clone()).collect());
         let ids: Vec<String> = self.jobs.by_id.keys().cloned().collect();
         for id in ids {
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -160,7 +160,7 @@
 
     /// Forgets which jobs are known to be unfinished: changes may have been missed.
     pub(crate) fn invalidate_unfinished(&mut self) {
-        self.jobs.cached_stages.retain(|_, known| known.stage != StoredStage::Accepted);
+        self.jobs.stage_cache.forget_unfinished();
     }
 
     /// Reads unknown jobs, a few at a time.
@@ -168,8 +168,8 @@
         if !self.holds_lease() {
             return;
         }
-        let stages = &self.jobs.cached_stages;
-        let is_known = |id: &String| stages.contains_key(id);
+        let stages = &self.jobs.stage_cache;
+        let is_known = |id: &String| stages.contains(id);
         if let Some(id) = self.machines.cancellations.begin_read(self.context.now, is_known) {
             let key = job::job_key(&id);
             self.context.call_store(MachinesCall::ReadUnknownJob { job: id }, KvRequest::Get(key));
@@ -201,7 +201,7 @@
     /// A peer says that it has confirmed a cancellation.
     pub(crate) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
-        let known = match self.jobs.cached_stages.get(id).copied() {
+        let known = match self.jobs.stage_cache.get(id) {
             Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
             // Which shard runs it does not matter any more.
             None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -3,7 +3,6 @@
 
 use crate::controller::Controller;
 use crate::controller::decision_log::{self, DecisionCounts};
-use crate::controller::jobs::job::StoredStage;
 use crate::controller::machines::reconciler::{ReconcileInputs, Reconciler};
 use crate::controller::machines::start_gate::{CommandAuthority, CommandRoute, CommandViolation};
 use crate::wire::Command;
@@ -37,7 +36,7 @@
         let inputs = ReconcileInputs {
             desired: &self.machines.desired,
             shards: self.leadership.shards(),
-            stages: &self.jobs.cached_stages,
+            stages: &self.jobs.stage_cache,
             machine_types: &self.autoscaler.machine_types,
         };
         let reconciler = Reconciler::collect(inputs, machine, managed, authority);
@@ -69,7 +68,7 @@
         let inputs = ReconcileInputs {
             desired: &self.machines.desired,
             shards: self.leadership.shards(),
-            stages: &self.jobs.cached_stages,
+            stages: &self.jobs.stage_cache,
             machine_types: &self.autoscaler.machine_types,
         };
         let reconciler = Reconciler::collect(inputs, machine, managed, authority);
@@ -96,11 +95,9 @@
         let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
-        let stages = &self.jobs.cached_stages;
-        let is_over =
-            |job: &str| stages.get(job).is_some_and(|known| known.stage != StoredStage::Accepted);
+        let stages = &self.jobs.stage_cache;
         let mut open = managed.starts.open_direct(authority.fencing_token);
-        if open.any(|(attempt, _)| is_over(&attempt.job)) {
+        if open.any(|(attempt, _)| stages.is_final(&attempt.job)) {
             let violation = CommandViolation::OpenStartOfEndedJob;
             authority.record_violation(&mut self.counts.decisions, machine, violation);
         }
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -14,7 +14,7 @@
 /// Seconds that a job's tasks are expected to run: what its completed ones
 /// took, or its owner's estimate, corrected.
 pub(crate) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
-    match job.usual_run() {
+    match job.usual_run_time() {
         Some(run) => run.as_secs_f64(),
         None => job.spec.estimate_s * estimates.correction(&job.spec.class),
     }
@@ -39,7 +39,8 @@
         }
         let wall = self.context.wall();
         let is_unobserved = |placement: &Placement| {
-            placement.observed.is_none() && wall.since(placement.at) > UNOBSERVED_REPEAT_INTERVAL
+            placement.observed.is_none()
+                && wall.since(placement.placed_at) > UNOBSERVED_REPEAT_INTERVAL
         };
         for job in self.jobs.by_id.values() {
             let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
@@ -53,12 +54,8 @@
         let Some(shard) = self.jobs.by_id.get(id).map(|job| job.shard) else {
             return;
         };
-        let with_tasks_of_job = self
-            .jobs
-            .tasks_by_machine
-            .iter()
-            .filter(|((s, _), tasks)| *s == shard && tasks.iter().any(|(job, _)| job == id));
-        self.changes.desired.extend(with_tasks_of_job.map(|(key, _)| key.clone()));
+        let with_tasks_of_job = self.jobs.task_index.machines_of_job(shard, id);
+        self.changes.desired.extend(with_tasks_of_job.cloned());
     }
 
     /// Sends what has changed in the desired state of own shards, and applies it here first.
@@ -88,8 +85,8 @@
     fn take_changed_machines(&mut self) -> BTreeMap<usize, ChangedMachines> {
         let mut changed: BTreeMap<usize, ChangedMachines> = BTreeMap::new();
         for shard in std::mem::take(&mut self.changes.complete_desired) {
-            let all = self.jobs.tasks_by_machine.keys().filter(|(s, _)| *s == shard);
-            let machines = all.map(|(_, machine)| Rc::clone(machine)).collect();
+            let all = self.jobs.task_index.machines_of_shard(shard);
+            let machines = all.map(Rc::clone).collect();
             changed.insert(shard, ChangedMachines { complete: true, machines });
         }
         for (shard, machine) in std::mem::take(&mut self.changes.desired) {
@@ -122,14 +119,14 @@
     machine: &Rc<str>,
     seq: u64,
 ) -> Vec<DesiredTask> {
-    let Some(tasks) = jobs.tasks_by_machine.get(&(shard, Rc::clone(machine))) else {
+    let Some(tasks) = jobs.task_index.on(shard, machine) else {
         return Vec::new();
     };
     let mut list = Vec::new();
-    for (id, index) in tasks {
-        if let Some(job) = jobs.by_id.get_mut(id) {
+    for task in tasks {
+        if let Some(job) = jobs.by_id.get_mut(&task.job) {
             let expected_s = expected_s(job, estimates);
-            job.push_desired(&mut list, *index, machine, expected_s, seq);
+            job.push_desired(&mut list, task.index, machine, expected_s, seq);
         }
     }
     list
@@ -150,14 +147,14 @@
         let Some(chunk) = self.chunk_of(index) else {
             return;
         };
-        let stored = chunk.stored;
+        let stored = chunk.stored_version;
         let desired = |placement: &Placement, phase: Phase| DesiredTask {
             shape: Rc::clone(&shape),
             index,
             attempt: placement.attempt,
             incarnation: placement.incarnation,
-            stop_ms: placement.stop.map(Micros::as_millis),
-            placed_s: placement.at.0 / 1_000_000,
+            stop_ms: placement.stop_grace.map(Micros::as_millis),
+            placed_s: placement.placed_at.0 / 1_000_000,
             phase: phase as i32,
         };
         // Nothing is started before its placement is stored: a start that is not
@@ -166,7 +163,7 @@
         if let Some(placement) = chunk.placed.get_mut(&index)
             && placement.machine == *machine
         {
-            if placement.stop.is_some() {
+            if placement.stop_grace.is_some() {
                 placement.stop_seq.get_or_insert(seq);
             }
             let is_stored = placement.version <= stored;
@@ -185,7 +182,7 @@
     /// What its tasks have in common; the same as long as nothing of it changes.
     fn shape(&mut self, expected_s: f64) -> Rc<Shape> {
         let rank = self.rank();
-        match &self.shape {
+        match &self.announced_shape {
             Some(shape) if shape.rank == rank && shape.expected_s == expected_s => Rc::clone(shape),
             _ => {
                 let spec = &self.spec;
@@ -201,7 +198,7 @@
                     checkpoint_s: spec.checkpoint_s,
                     expected_s,
                 });
-                self.shape = Some(Rc::clone(&shape));
+                self.announced_shape = Some(Rc::clone(&shape));
                 shape
             }
         }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -21,7 +21,9 @@
 
 mod free_capacity;
 mod reconciler;
+mod terminations;
 mod timeouts;
+mod view_updates;
 
 use crate::controller::leadership::shard::shard_of_machine;
 use crate::peer::MachineView;
--- a/src/controller/machines/quarantine.rs
+++ b/src/controller/machines/quarantine.rs
@@ -2,8 +2,7 @@
 //! everywhere.
 
 use crate::controller::Controller;
-use crate::controller::jobs::job::StoredStage;
-use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::jobs::stage_cache::StageCache;
 use crate::controller::machines::Machines;
 use crate::controller::machines::machine::health::FailureRecord;
 use crate::controller::machines::machine::heartbeat_intake::TaskOutcome;
@@ -26,10 +25,9 @@
 impl FailingJobs {
     /// Remembers that a job failed on a machine. Where there are too many jobs, those that
     /// are over by `stages` make way, or that are not known there.
-    fn record(&mut self, job: String, machine: &str, stages: &BTreeMap<String, CachedStage>) {
+    fn record(&mut self, job: String, machine: &str, stages: &StageCache) {
         if self.machines_by_job.len() >= MAX_FAILING_JOBS {
-            let is_unfinished = |known: &CachedStage| known.stage == StoredStage::Accepted;
-            self.machines_by_job.retain(|job, _| stages.get(job).is_some_and(is_unfinished));
+            self.machines_by_job.retain(|job, _| stages.is_unfinished(job));
         }
         if self.machines_by_job.len() < MAX_FAILING_JOBS {
             let machines = self.machines_by_job.entry(job).or_default();
@@ -64,12 +62,7 @@
 }
 
 impl Machines {
-    fn record_outcomes(
-        &mut self,
-        machine: &str,
-        outcomes: Vec<TaskOutcome>,
-        stages: &BTreeMap<String, CachedStage>,
-    ) {
+    fn record_outcomes(&mut self, machine: &str, outcomes: Vec<TaskOutcome>, stages: &StageCache) {
         for outcome in outcomes {
             let managed = self.managed.get_mut(machine);
             match outcome {
@@ -92,6 +85,6 @@
 impl Controller {
     /// Records which tasks of a machine have ended.
     pub(crate) fn record_outcomes(&mut self, machine: &str, outcomes: Vec<TaskOutcome>) {
-        self.machines.record_outcomes(machine, outcomes, &self.jobs.cached_stages);
+        self.machines.record_outcomes(machine, outcomes, &self.jobs.stage_cache);
     }
 }
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -4,7 +4,7 @@
 use crate::controller::autoscaler::machine_types::MachineTypeCatalogue;
 use crate::controller::decision_log;
 use crate::controller::jobs::job::StoredStage;
-use crate::controller::jobs::stage_cache::CachedStage;
+use crate::controller::jobs::stage_cache::StageCache;
 use crate::controller::leadership::shard::Shard;
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::desired_state::received::DesiredState;
@@ -20,7 +20,7 @@
 use crate::time::Micros;
 use crate::wire::Command;
 use log::{debug, info};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// What reconciliation rests on beside the machine itself.
 #[derive(Clone, Copy)]
@@ -30,7 +30,7 @@
     /// All shards, by number, with their terms.
     pub(crate) shards: &'a [Shard],
     /// What is known of jobs' stages, by job.
-    pub(crate) stages: &'a BTreeMap<String, CachedStage>,
+    pub(crate) stages: &'a StageCache,
     /// All machine types.
     pub(crate) machine_types: &'a MachineTypeCatalogue,
 }
@@ -76,7 +76,7 @@
     undesired: BTreeSet<AttemptId>,
     /// What the machine has, if its type is known.
     size: Option<Resources>,
-    stages: &'a BTreeMap<String, CachedStage>,
+    stages: &'a StageCache,
 }
 
 /// Why an attempt on the machine is stopped.
@@ -123,12 +123,12 @@
     }
 
     fn is_cancelled(&self, job: &str) -> bool {
-        self.stages.get(job).is_some_and(|known| known.stage == StoredStage::Cancelled)
+        self.stages.is_cancelled(job)
     }
 
     /// Why a start that may still arrive must not be executed any more; `None` if it may be.
     pub(crate) fn revocation_reason(&self, attempt: &AttemptId) -> Option<RevocationReason> {
-        let stage = self.stages.get(&attempt.job).map(|known| known.stage);
+        let stage = self.stages.stage(&attempt.job);
         if stage.is_some_and(|stage| stage != StoredStage::Accepted) {
             return Some(RevocationReason::Refused(StartRefusal::JobOver));
         }
@@ -144,7 +144,7 @@
     /// Jobs with tasks on the machine of which nothing is known from the store.
     pub(crate) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
         let jobs = managed.present_tasks().map(|attempt| &attempt.job);
-        jobs.filter(|job| !self.stages.contains_key(*job)).cloned().collect()
+        jobs.filter(|job| !self.stages.contains(job)).cloned().collect()
     }
 
     /// The commands that close the difference. The capacity for what they start is reserved,
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -63,7 +63,7 @@
                 heartbeat_timeout: timeouts::heartbeat_timeout(&self.context.settings.workers),
             };
             let progress = &self.jobs.progress;
-            let completes = |job: &str| progress.get(job).is_some_and(|(done, _)| *done > 0);
+            let completes = |job: &str| progress.get(job).is_some_and(|progress| progress.done > 0);
             if let Some(view) = self.machines.changed_view(&machine, at, completes) {
                 frame.views.push(view.clone());
                 self.apply_view(view);
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -1,9 +1,10 @@
 //! Frames from the other controllers: what they say is handed on to the components.
 
 use crate::controller::Controller;
+use crate::controller::jobs::job::{Progress, Urgency};
 use crate::controller::peers::Peers;
 use crate::controller::peers::peer_state::FrameContinuity;
-use crate::peer::{DesiredStateMessage, Frame, ShardClaim};
+use crate::peer::{self, DesiredStateMessage, Frame, ShardClaim};
 use crate::time::Micros;
 use log::warn;
 
@@ -34,7 +35,8 @@
             self.apply_view(view);
         }
         for progress in frame.progress {
-            self.jobs.progress.insert(progress.job, (progress.done, progress.running));
+            let peer::Progress { job, done, running } = progress;
+            self.jobs.progress.insert(job, Progress { done, running });
         }
         for job in frame.cancelled {
             // Answers that were read before the cancellation must not go out now.
@@ -44,7 +46,8 @@
             self.machine_terminated(&machine);
         }
         for urgency in frame.inherited_urgency {
-            self.inherit_urgency(&urgency.job, urgency.rank, Micros(urgency.due_us));
+            let due = Micros(urgency.due_us);
+            self.inherit_urgency(&urgency.job, Urgency { rank: urgency.rank, due });
         }
         if frame.is_autoscaler {
             self.set_draining(frame.draining.into_iter().collect());
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -1,6 +1,7 @@
 //! Frames to the other controllers: what has changed here since the last one.
 
 use crate::controller::autoscaler::AUTOSCALER_SHARD;
+use crate::controller::jobs::job;
 use crate::controller::peers::Peers;
 use crate::controller::{Controller, Effect};
 use crate::peer::{self, Frame, Progress, ShardClaim};
@@ -66,7 +67,7 @@
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
         frame.terminated = std::mem::take(&mut self.changes.terminated);
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
-        frame.inherited_urgency = std::mem::take(&mut self.jobs.dependency_graph.news);
+        frame.inherited_urgency = self.jobs.dependents.urgency.take_outbox();
         if self.timers.missed_frames.is_due(now) {
             frame.missed = self.peers.with_missed_frames();
             if !frame.missed.is_empty() {
@@ -78,9 +79,10 @@
     fn add_progress(&mut self, frame: &mut Frame) {
         for job in std::mem::take(&mut self.changes.progress) {
             if let Some(j) = self.jobs.by_id.get(&job) {
-                let (done, running) = (j.done(), j.running());
-                if self.jobs.progress.get(&job) != Some(&(done, running)) {
-                    self.jobs.progress.insert(job.clone(), (done, running));
+                let progress = j.progress();
+                if self.jobs.progress.get(&job) != Some(&progress) {
+                    self.jobs.progress.insert(job.clone(), progress);
+                    let job::Progress { done, running } = progress;
                     frame.progress.push(Progress { job, done, running });
                 }
             }
@@ -156,7 +158,7 @@
                 continue;
             }
             self.changes.announce_terms = true;
-            let with_tasks = self.jobs.tasks_by_machine.keys();
+            let with_tasks = self.jobs.task_index.shards_and_machines();
             let there = with_tasks.filter(|(_, m)| self.leadership.shard_of_machine(m) == shard);
             self.changes.desired.extend(there.cloned());
         }
--- a/src/controller/quota/job_demand.rs
+++ b/src/controller/quota/job_demand.rs
@@ -23,8 +23,8 @@
 ) -> Vec<RankedDemand> {
     let mut list: Vec<RankedDemand> = Vec::new();
     for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
-        let tasks = job.open();
-        if job.cancelled || job.over || tasks == 0 || now < job.not_before {
+        let tasks = job.placeable();
+        if !job.is_active() || tasks == 0 || job.backoff.is_paused(now) {
             continue;
         }
         let amount = QuotaAmount::of_tasks(&job.spec, tasks);
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -2,6 +2,7 @@
 //! own jobs.
 
 use crate::controller::Controller;
+use crate::controller::jobs::task_index::TaskId;
 use crate::controller::machines::desired_state::own_shards::expected_s;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
@@ -195,14 +196,13 @@
         let jobs = inputs.jobs;
         let shards = 0..inputs.leadership.shard_count();
         for shard in shards.filter(|shard| inputs.jobs_known(*shard)) {
-            let key = (shard, Rc::clone(&capacity.machine));
-            for (id, index) in jobs.tasks_by_machine.get(&key).into_iter().flatten() {
+            let tasks = jobs.task_index.on(shard, &capacity.machine);
+            for TaskId { job: id, index } in tasks.into_iter().flatten() {
                 let Some(job) = jobs.by_id.get(id) else {
                     continue;
                 };
-                let chunk = &job.chunks[(*index / job.chunk_size) as usize];
-                let here = chunk.placed.get(index).filter(|p| p.machine == capacity.machine);
-                let Some(placement) = here else {
+                let placement = job.placement(*index);
+                let Some(placement) = placement.filter(|p| p.machine == capacity.machine) else {
                     continue;
                 };
                 capacity.reserve(ReservedTask {
@@ -212,8 +212,8 @@
                     job: id.clone(),
                     index: *index,
                     attempt: placement.attempt,
-                    stopping: placement.stop.is_some(),
-                    placed: placement.at,
+                    stopping: placement.stop_grace.is_some(),
+                    placed: placement.placed_at,
                     checkpoint_s: job.spec.checkpoint_s,
                     expected_s: expected_s(job, &self.estimates),
                 });
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -21,7 +21,7 @@
         let mut left_by_team: BTreeMap<&str, QuotaAmount> = BTreeMap::new();
         let mut list: Vec<Demand> = Vec::new();
         for queued in self.queue_order(inputs) {
-            let ready = |job: &&Job| inputs.context.now >= job.not_before;
+            let ready = |job: &&Job| !job.backoff.is_paused(inputs.context.now);
             let Some(job) = inputs.jobs.by_id.get(&queued.job).filter(ready) else {
                 continue;
             };
@@ -35,7 +35,7 @@
             });
             let within_limit = Resources::new(left.cpus, left.gpus, f64::INFINITY)
                 .tasks_that_fit(&Resources::new(spec.cpus, spec.gpus, 0.0));
-            let tasks = job.open().min(within_limit);
+            let tasks = job.placeable().min(within_limit);
             if tasks == 0 {
                 continue;
             }
--- a/src/controller/scheduler/large_tasks.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -43,21 +43,20 @@
         let wall = self.context.wall();
         let inputs = self.scheduling_inputs();
         let starved = |job: &&Job| {
-            !job.raised
-                && !job.cancelled
-                && !job.over
+            !job.raised_to_normal
+                && job.is_active()
                 && job.reserved_tasks() == 0
                 && job.done() == 0
                 && !job.suspect()
-                && !job.waiting
-                && wall.since(job.ready).as_secs_f64()
+                && !job.awaits_dependencies
+                && wall.since(job.ready_at).as_secs_f64()
                     > inputs.finish_objective_s(&job.spec.class) * STARVED_SHARE
         };
         let list: Vec<String> =
             self.jobs.by_id.iter().filter(|(_, j)| starved(j)).map(|(id, _)| id.clone()).collect();
         for id in list {
             if let Some(job) = self.jobs.by_id.get_mut(&id) {
-                job.raised = true;
+                job.raised_to_normal = true;
             }
         }
     }
@@ -80,8 +79,8 @@
 fn waiting_for_capacity(inputs: &SchedulingInputs<'_>) -> Vec<WaitingJob> {
     let wall = inputs.context.wall();
     let mut waiting: Vec<WaitingJob> = Vec::new();
-    for job in inputs.jobs.by_id.values().filter(|j| !j.cancelled && !j.over && j.open() > 0) {
-        let waited_s = wall.since(job.ready).as_secs_f64();
+    for job in inputs.jobs.by_id.values().filter(|j| j.is_active() && j.placeable() > 0) {
+        let waited_s = wall.since(job.ready_at).as_secs_f64();
         if waited_s > MIN_WAIT_S && job.pending_reason == PendingReason::NoCapacity {
             let objective_s = inputs.finish_objective_s(&job.spec.class);
             waiting.push(WaitingJob {
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -83,7 +83,7 @@
             && capacity.yielded_until <= inputs.context.now
             && (!placement.excluded_from_held_machines
                 || !self.held_for_large_tasks.contains(&capacity.machine))
-            && !job.avoid.contains(&capacity.machine)
+            && !job.backoff.avoids(&capacity.machine)
             && !lists_attempt(inputs, &capacity.machine, &placement.id, index)
     }
 
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -29,7 +29,7 @@
         let chunks = jobs.by_id.values().flat_map(|job| &job.chunks);
         let placed = chunks.flat_map(|chunk| chunk.placed.values());
         self.unobserved_placements =
-            placed.filter(|p| p.observed.is_none() && p.stop.is_none()).count();
+            placed.filter(|p| p.observed.is_none() && p.stop_grace.is_none()).count();
     }
 }
 
@@ -62,6 +62,6 @@
     /// others are written after them and hold nothing up.
     fn unstored_urgent_chunks(&self, rank: u32) -> usize {
         let changed = self.changes.jobs.iter().filter_map(|id| self.jobs.by_id.get(id));
-        changed.filter(|job| job.rank() <= rank).map(Job::unstored_chunks).sum()
+        changed.filter(|job| job.rank() <= rank).map(Job::chunks_with_unstored_placements).sum()
     }
 }
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -48,14 +48,14 @@
             .jobs
             .by_id
             .iter()
-            .filter(|(_, job)| !job.cancelled && !job.over && !job.waiting && job.pending() > 0)
+            .filter(|(_, job)| job.is_active() && !job.awaits_dependencies && job.pending() > 0)
             .map(|(id, job)| {
                 let (team, one_task) = (&job.spec.team, (&*job.spec).into());
                 let beyond_guarantee = !inputs.quotas.within_guarantee(usage, team, one_task);
                 QueuedJob {
                     class: QueueClass { beyond_guarantee, rank: job.rank() },
                     due: job.due(),
-                    ready: job.ready,
+                    ready: job.ready_at,
                     job: id.clone(),
                 }
             })
--- a/src/controller/scheduler/reservation.rs
+++ b/src/controller/scheduler/reservation.rs
@@ -73,8 +73,9 @@
         let zone = pool.map(|pool| Rc::clone(&pool.zone)).unwrap_or_default();
         let spec = &placement.spec;
         let job = self.jobs.by_id.get_mut(&placement.id).ok_or(PendingReason::NoCapacity)?;
-        let attempt =
-            job.put(wall, index, &machine, incarnation, &zone).ok_or(PendingReason::NoCapacity)?;
+        let attempt = job
+            .place(wall, index, &machine, incarnation, &zone)
+            .ok_or(PendingReason::NoCapacity)?;
         let reserved = ReservedTask {
             rank: job.rank(),
             team: spec.team.clone(),
@@ -96,8 +97,7 @@
         self.scheduler.images.note(now, &spec.image, &machine, incarnation);
         count_placement(placement, pass, machine_id, zone, has_image);
         self.changes.desired.insert((placement.shard, Rc::clone(&machine)));
-        let tasks = self.jobs.tasks_by_machine.entry((placement.shard, machine)).or_default();
-        tasks.insert((placement.id.clone(), index));
+        self.jobs.task_index.add(placement.shard, machine, &placement.id, index);
         self.changes.jobs.insert(placement.id.clone());
         Ok(())
     }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -85,7 +85,7 @@
         let Some(job) = self.jobs.by_id.get(id) else {
             return;
         };
-        if !self.serves_shard(job.shard) || job.waiting {
+        if !self.serves_shard(job.shard) || job.awaits_dependencies {
             return;
         }
         let reason = match self.placement_barrier(job) {
@@ -110,7 +110,7 @@
 
     /// Why nothing of a job may be placed now, whatever capacity there is.
     fn placement_barrier(&self, job: &Job) -> Option<PendingReason> {
-        if self.context.now < job.not_before {
+        if job.backoff.is_paused(self.context.now) {
             return Some(PendingReason::BackedOff);
         }
         // Placed now, it would be stopped again for those that lack the grant, and so
@@ -171,7 +171,7 @@
             fetch_too_slow,
             pack,
             excluded_from_held_machines,
-            fails_by_shape: job.avoid.is_empty()
+            fails_by_shape: !job.backoff.avoids_any()
                 && !spec.one_zone
                 && !spec.spread
                 && !excluded_from_held_machines,
@@ -198,7 +198,7 @@
                 _ => PendingReason::EarlierTasksFirst,
             });
         };
-        if job.open() == 0 {
+        if job.placeable() == 0 {
             return Err(PendingReason::TrialInProgress);
         }
         if placement.beyond_grant() {
--- a/tests/components/jobs.rs
+++ b/tests/components/jobs.rs
@@ -14,32 +14,35 @@
 #[test]
 fn stored_jobs() {
     let spec = wire::parse_job(submission().to_string().as_bytes()).expect("a good submission");
-    let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
+    let size = ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false };
     let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
     assert_eq!((j.chunks.len(), j.pending()), (4, 16));
     let now = Micros::secs(3);
-    assert_eq!(j.put(now, 6, "vm-1", 3, "a"), Some(1));
-    assert_eq!(j.put(now, 6, "vm-2", 3, "a"), None, "placed already");
-    assert_eq!(j.put(now, 7, "vm-1", 3, "a"), Some(2));
-    assert!(j.end(7, TaskEnd::known(ObservedState::Stopped)).is_some());
-    assert_eq!(j.put(now, 7, "vm-2", 1, "b"), Some(3), "attempts are never given out twice");
-    assert!(j.end(6, TaskEnd::known(ObservedState::Done)).is_some());
-    assert!(j.end(6, TaskEnd::known(ObservedState::Done)).is_none(), "it has ended already");
+    assert_eq!(j.place(now, 6, "vm-1", 3, "a"), Some(1));
+    assert_eq!(j.place(now, 6, "vm-2", 3, "a"), None, "placed already");
+    assert_eq!(j.place(now, 7, "vm-1", 3, "a"), Some(2));
+    assert!(j.end(7, TaskEnd::certain(ObservedState::Stopped)).is_some());
+    assert_eq!(j.place(now, 7, "vm-2", 1, "b"), Some(3), "attempts are never given out twice");
+    assert!(j.end(6, TaskEnd::certain(ObservedState::Done)).is_some());
+    assert!(j.end(6, TaskEnd::certain(ObservedState::Done)).is_none(), "it has ended already");
     for i in [0, 1, 2, 4] {
-        j.put(now, i, "vm-3", 1, "a");
-        j.end(i, TaskEnd::known(ObservedState::Done));
+        j.place(now, i, "vm-3", 1, "a");
+        j.end(i, TaskEnd::certain(ObservedState::Done));
     }
     let stored: BTreeMap<usize, (Value, u64)> =
         [0, 1].into_iter().map(|n| (n, (j.encode_chunk(n), 20 + n as u64))).collect();
     // Read with other settings: the stored size of the parts holds.
-    let other = ChunkLayout { tasks: 100, bytes: 1_000, described: false };
+    let other = ChunkLayout { tasks: 100, bytes: 1_000, first_chunk_shares_with_spec: false };
     let back = Job::restore(2, 9, other, &stored).expect("stored parts");
     assert_eq!((back.done(), back.reserved_tasks(), back.pending()), (5, 1, 10));
     assert_eq!(back.accepted, Micros::secs(77));
     assert_eq!(back.chunks[1].placed[&7].attempt, 3);
     // A later holder knows since when it has been there.
-    assert_eq!((back.chunks[1].placed[&7].at, back.chunks[1].placed[&7].restored), (now, true));
-    assert_eq!(back.chunks[1].attempt, 3);
+    assert_eq!(
+        (back.chunks[1].placed[&7].placed_at, back.chunks[1].placed[&7].restored),
+        (now, true)
+    );
+    assert_eq!(back.chunks[1].last_attempt, 3);
     assert!(Job::restore(2, 9, size, &BTreeMap::new()).is_none());
 
     // Names read back as they were, whatever they look like.
@@ -50,10 +53,10 @@
     let spec = Rc::new(wire::parse_job(b.to_string().as_bytes()).expect("a good submission"));
     let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
     for (i, name) in names.into_iter().enumerate() {
-        j.put(now, i as u32, name, 1, "a");
+        j.place(now, i as u32, name, 1, "a");
     }
     let placed = job::stored_placements(&j.encode_chunk(0)).expect("a stored part");
-    assert_eq!(placed.iter().map(|p| p.1.as_str()).collect::<Vec<_>>(), names);
+    assert_eq!(placed.iter().map(|p| p.machine.as_str()).collect::<Vec<_>>(), names);
 
     // Every state of a part fits in a value: no more is placed than it holds.
     let long = "a-machine-whose-name-is-rather-long-";
@@ -66,13 +69,13 @@
         let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
         // Every other task has completed, which is the longest list.
         for i in (0..size.tasks).step_by(2) {
-            j.put(now, i, "vm-1", 1, "a");
-            j.end(i, TaskEnd::known(ObservedState::Done));
+            j.place(now, i, "vm-1", 1, "a");
+            j.end(i, TaskEnd::certain(ObservedState::Done));
         }
         let mut placed = 0;
         while let Some(i) = j.first_pending().filter(|i| *i < size.tasks * 2) {
             let at = Micros::secs(1_800_000_000 + u64::from(i) * 40);
-            j.put(at, i, &format!("{head}{:06}", 999_999 - i), incarnation, zone);
+            j.place(at, i, &format!("{head}{:06}", 999_999 - i), incarnation, zone);
             placed += 1;
         }
         for n in [0, 1] {
@@ -107,7 +110,7 @@
             0,
             1,
             Micros::ZERO,
-            ChunkLayout { tasks: 10, bytes: 1_000, described: false },
+            ChunkLayout { tasks: 10, bytes: 1_000, first_chunk_shares_with_spec: false },
         );
         let zones: BTreeMap<Rc<str>, u32> = taken.iter().map(|(z, n)| (Rc::from(*z), *n)).collect();
         assert_eq!(j.zone_allows(&zones, zone), want, "{together} {apart} {taken:?} {zone}");
@@ -116,7 +119,7 @@
 
 #[test]
 fn batches() {
-    let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
+    let size = ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false };
     let job = |id: &str| {
         let mut body = submission();
         body["ref"] = json!(id);
@@ -142,7 +145,7 @@
         assert_eq!(restored.spec, j.spec);
         let first = &restored.chunks[0];
         // Its first change must create its own key, not change one.
-        assert_eq!((first.version, first.stored, first.revision), (1, 1, 0));
+        assert_eq!((first.version, first.stored_version, first.revision), (1, 1, 0));
         assert_eq!(restored.accepted, j.accepted);
     }
     let strange = [json!(null), json!({}), json!({"jobs": 3}), json!({"jobs": [1, {"v": 1}]})];
@@ -164,9 +167,9 @@
             1,
             0,
             Micros::ZERO,
-            ChunkLayout { tasks: 5, bytes: 1_000, described: false },
+            ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false },
         );
-        j.raised = raised;
+        j.raised_to_normal = raised;
         assert_eq!(j.rank(), rank, "{urgency}, {raised}");
     }
 }
@@ -181,7 +184,7 @@
         ("completed", TaskEnd::listed(Done), false),
         ("failed", TaskEnd::listed(Failed), false),
         ("stopped, and listed as such", TaskEnd::listed(Stopped), false),
-        ("its session is over", TaskEnd::known(Stopped), false),
+        ("its session is over", TaskEnd::certain(Stopped), false),
         ("refused, perhaps by its manager", TaskEnd::listed(Refused), true),
         ("given up before it began", TaskEnd::never_started(), true),
     ];
@@ -189,9 +192,9 @@
         let mut body = submission();
         body["together"] = json!(true);
         let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
-        let size = ChunkLayout { tasks: 5, bytes: 1_000, described: false };
+        let size = ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false };
         let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
-        j.put(Micros::secs(3), 6, "vm-1", 3, "a");
+        j.place(Micros::secs(3), 6, "vm-1", 3, "a");
         assert_eq!((j.limited_tasks(), j.zones().len()), (1, 1), "{name}: placed");
         assert!(j.end(6, end).is_some());
         let still = u32::from(counts);
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -43,7 +43,7 @@
         let stored = BTreeMap::from([(0, (chunk(), 5))]);
         let job = Job::restore(2, 9, ChunkLayout::new(value_kb), &stored).expect("a stored job");
         assert_eq!((job.done(), job.reserved_tasks(), job.pending()), (1, 2, 13), "{value_kb} KiB");
-        assert!(!job.waiting && job.dependencies.is_empty());
+        assert!(!job.awaits_dependencies && job.dependencies.is_empty());
         assert_eq!(job.encode_chunk(0), chunk(), "{value_kb} KiB");
     }
     let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), ChunkLayout::new(8.0));
@@ -51,9 +51,9 @@
     for (task, machine, incarnation, zone) in
         [(0, "vm-000231", 1, "a"), (1, "vm-000232", 3, "b"), (5, "vm-000233", 3, "b")]
     {
-        job.put(wall, task, machine, incarnation, zone);
+        job.place(wall, task, machine, incarnation, zone);
     }
-    job.end(5, TaskEnd::known(ObservedState::Done));
+    job.end(5, TaskEnd::certain(ObservedState::Done));
     assert_eq!(job.encode_chunk(0), chunk());
     let bundle = json!({ "jobs": [chunk()] });
     assert_eq!(encode_batch(vec![job.encode_chunk(0)]), bundle);
@@ -65,7 +65,8 @@
         (StoredStage::Cancelled, r#"{"s":2,"g":"c","n":16}"#),
     ];
     for (stage, stored) in table {
-        let record = JobRecord { shard: 2, stage, tasks: 16, dependencies: Vec::new(), more: 0 };
+        let record =
+            JobRecord { shard: 2, stage, tasks: 16, dependencies: Vec::new(), further_keys: 0 };
         assert_eq!(serde_json::to_string(&record).expect("JSON"), stored);
         assert_eq!(serde_json::from_str::<JobRecord>(stored).expect("a record"), record);
     }
@@ -104,7 +105,7 @@
         assert_eq!(job.chunks.len(), 3);
         while let Some(task) = job.first_pending() {
             let machine = format!("vm-{:06}", 900_000 + task);
-            job.put(Micros::secs(1_000 + u64::from(task)), task, &machine, 1_234, "a");
+            job.place(Micros::secs(1_000 + u64::from(task)), task, &machine, 1_234, "a");
             let chunks = (0..3).map(|n| job.encode_chunk(n).to_string().len());
             assert!(chunks.max() <= Some(2_048), "task {task}");
         }
@@ -116,7 +117,7 @@
         );
         // As some end, others have room.
         let first: Vec<u32> = job.chunks[0].placed.keys().copied().collect();
-        first.iter().for_each(|i| drop(job.end(*i, TaskEnd::known(ObservedState::Done))));
+        first.iter().for_each(|i| drop(job.end(*i, TaskEnd::certain(ObservedState::Done))));
         assert!(job.pending() == 0 || job.first_pending().is_some());
     }
 }
@@ -140,7 +141,7 @@
         for task in free {
             if job.first_pending().is_some() && job.reserved_tasks() < reserved_tasks {
                 let machine = format!("vm-{task:06}");
-                job.put(Micros::secs(1_000), task, &machine, 3, "a");
+                job.place(Micros::secs(1_000), task, &machine, 3, "a");
             }
         }
         assert_eq!(job.reserved_tasks(), reserved_tasks, "{taken:?}");
@@ -199,7 +200,7 @@
         stage: StoredStage::Accepted,
         tasks: 2,
         dependencies: vec!["j-1".into()],
-        more: 0,
+        further_keys: 0,
     };
     let stored = serde_json::to_value(&record).expect("JSON");
     assert_eq!(stored, json!({"s": 1, "g": "a", "n": 2, "u": ["j-1"]}));
@@ -211,6 +212,6 @@
         Micros::ZERO,
         ChunkLayout::new(8.0),
     );
-    assert!(kept.waiting && kept.open() == 0 && kept.pending() == 16);
+    assert!(kept.awaits_dependencies && kept.placeable() == 0 && kept.pending() == 16);
     assert_eq!(kept.encode_chunk(0)["s"].get("upstream"), None, "not with the description");
 }
--- a/tests/stand_ins/store.rs
+++ b/tests/stand_ins/store.rs
@@ -161,7 +161,7 @@
             let key = c.put.as_deref().unwrap_or_default();
             placements_of(key, &c.value, job)
                 .iter()
-                .any(|p| p.0 == index && p.1 == machine && p.3 == attempt)
+                .any(|p| p.index == index && p.machine == machine && p.attempt == attempt)
         })
     }
 
@@ -193,8 +193,8 @@
             };
             for (job, value) in chunks(key, &c.value) {
                 let here = stored_placements(&value).unwrap_or_default();
-                let here = here.into_iter().filter(|p| p.1 == machine);
-                seen.extend(here.map(|p| (job.clone(), p.0, p.3)));
+                let here = here.into_iter().filter(|p| p.machine == machine);
+                seen.extend(here.map(|p| (job.clone(), p.index, p.attempt)));
             }
         }
         seen.len()
@@ -216,7 +216,7 @@
         let own_parts: Vec<_> = self.keys.iter().filter(|(key, _)| own(key)).collect();
         let first_is_own = own_parts.iter().any(|(key, _)| key.ends_with("/0"));
         let in_key = |(key, (value, _, _)): &(&String, &(Value, u64, Option<u64>))| {
-            placements_of(key, value, job).iter().any(|p| p.0 == index && p.3 == attempt)
+            placements_of(key, value, job).iter().any(|p| p.index == index && p.attempt == attempt)
         };
         if first_is_own {
             own_parts.iter().any(in_key)
