--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -4,76 +4,76 @@
 use crate::time::Micros;
 
 /// A connection that has sent part of a request is closed after this long.
-pub(super) const SLOW_SENDER: Micros = Micros::secs(10);
+pub(super) const SLOW_SENDER_TIMEOUT: Micros = Micros::secs(10);
 /// An idle connection of a user or worker is closed after this long.
-pub(super) const IDLE_SENDER: Micros = Micros::secs(120);
+pub(super) const IDLE_SENDER_TIMEOUT: Micros = Micros::secs(120);
 /// An idle connection for commands to a worker is closed after this long.
-pub(super) const IDLE_COMMAND: Micros = Micros::secs(30);
+pub(super) const IDLE_COMMAND_TIMEOUT: Micros = Micros::secs(30);
 /// A connection attempt is given up after this long.
 pub(super) const CONNECT_TIMEOUT: Micros = Micros::millis(1_500);
 /// How long the answer to a command may take.
 pub(super) const COMMAND_TIMEOUT: Micros = Micros::secs(3);
-/// How long the answer to a question about a worker's tasks may take.
+/// How long the answer to a request for a worker's status may take.
 pub(super) const INSPECT_TIMEOUT: Micros = Micros::secs(2);
 
 /// Between attempts to reach a peer.
-pub(super) const PEER_RETRY: Micros = Micros::millis(300);
-/// A peer that has taken nothing for so long stands still or is cut off: what
-/// waits for it is dropped, and it is told all anew once it is heard again.
-pub(super) const STALLED_PEER: Micros = Micros::secs(4);
+pub(super) const PEER_RETRY_INTERVAL: Micros = Micros::millis(300);
+/// A peer that has read nothing for so long stands still or is cut off: what
+/// waits for it is dropped, and it is sent all anew once it is heard from again.
+pub(super) const STALLED_PEER_TIMEOUT: Micros = Micros::secs(4);
 /// Part of the memory that may wait to be written to one peer.
 const PEER_BACKLOG_SHARE: f64 = 1.0 / 16.0;
 
 /// Connections to the key-value store for calls that do not wait.
-pub(super) const STATE_CONNECTIONS: usize = 8;
+pub(super) const MAX_STATE_CONNECTIONS: usize = 8;
 /// Connections to the key-value store for watches.
-pub(super) const WATCH_CONNECTIONS: usize = 8;
+pub(super) const MAX_WATCH_CONNECTIONS: usize = 8;
 /// Connections to the key-value store for leases.
-pub(super) const LEASE_CONNECTIONS: usize = 2;
+pub(super) const MAX_LEASE_CONNECTIONS: usize = 2;
 /// Connections to the cloud.
-pub(super) const CLOUD_CONNECTIONS: usize = 2;
+pub(super) const MAX_CLOUD_CONNECTIONS: usize = 2;
 /// Connections for commands to one worker.
-pub(super) const WORKER_CONNECTIONS: usize = 1;
+pub(super) const MAX_WORKER_CONNECTIONS: usize = 1;
 /// Calls that may wait for the key-value store's rate.
-pub(super) const STATE_QUEUE: usize = 512;
+pub(super) const MAX_THROTTLED_CALLS: usize = 512;
 
 /// Connections that may wait to be accepted: after a restart the whole fleet
 /// and all users come at once. The system may allow fewer.
 pub(super) const LISTEN_BACKLOG: i32 = 4_096;
 /// Connections accepted in one turn, so that a flood of them leaves the other
 /// sockets their turn.
-pub(super) const ACCEPTED_PER_TURN: usize = 32;
+pub(super) const MAX_ACCEPTED_PER_TURN: usize = 32;
 /// Sockets kept for listening, the key-value store, the cloud and peers.
 const RESERVED_SOCKETS: usize = 24;
 /// Commands to workers may take one part in this many of the sockets. A
 /// connection for reports and one for commands for every machine would not fit
 /// on one node that runs the whole fleet.
-const COMMAND_SOCKETS_PART: usize = 3;
+const COMMAND_SOCKETS_DIVISOR: usize = 3;
 /// Commands leave one part in this many of the sockets free for senders.
-const SENDER_SPARE_PART: usize = 16;
+const SENDER_SPARE_DIVISOR: usize = 16;
 
 /// Bytes read from a socket at once.
-pub(super) const READ_BUFFER: usize = 32 * 1024;
+pub(super) const READ_BUFFER_BYTES: usize = 32 * 1024;
 /// Buffers of quiet connections above this are given back: thousands of them
 /// would hold what each once needed.
-pub(super) const QUIET_BUFFER: usize = 512;
+pub(super) const QUIET_BUFFER_BYTES: usize = 512;
 /// The same for connections between controllers, which are few and busy.
-pub(super) const PEER_BUFFER: usize = 64 * 1024;
+pub(super) const PEER_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Between two turns of the timer while something waits for it.
-pub(super) const BUSY_TICK: Micros = Micros::millis(10);
+pub(super) const BUSY_TICK_INTERVAL: Micros = Micros::millis(10);
 /// Between two turns of the timer otherwise.
-pub(super) const QUIET_TICK: Micros = Micros::millis(50);
+pub(super) const QUIET_TICK_INTERVAL: Micros = Micros::millis(50);
 /// Between two searches for connections that are slow or idle.
 pub(super) const SWEEP_INTERVAL: Micros = Micros::secs(1);
 /// The timer fires every few milliseconds. After a gap like this the process
 /// stood still: answers may lie unread, and their calls are not timed out yet.
-pub(super) const STOOD_STILL: Micros = Micros::secs(1);
-/// How long the process then has to read them.
+pub(super) const STANDSTILL_GAP: Micros = Micros::secs(1);
+/// How long calls do not time out then, so that their answers can be read.
 pub(super) const TIMEOUT_PAUSE: Micros = Micros::millis(500);
 
 /// A page for people is made anew after this long.
-pub(super) const PAGE_AGE: Micros = Micros::secs(1);
+pub(super) const MAX_PAGE_AGE: Micros = Micros::secs(1);
 
 /// Whether one more user, worker or prober fits beside the connections that
 /// there are, of `limit` sockets.
@@ -83,8 +83,8 @@
 
 /// Whether one more connection for commands fits: some room stays for senders.
 pub fn command_fits(limit: usize, senders: usize, commanding: usize) -> bool {
-    let spare = limit / SENDER_SPARE_PART;
-    commanding < limit / COMMAND_SOCKETS_PART && sender_fits(limit, senders + spare, commanding)
+    let spare = limit / SENDER_SPARE_DIVISOR;
+    commanding < limit / COMMAND_SOCKETS_DIVISOR && sender_fits(limit, senders + spare, commanding)
 }
 
 /// What may wait to be written to a peer before its connection is given up: a
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,23 +1,40 @@
 //! The process's only thread: sockets and timers on `calloop`, around the pure
-//! controller. Everything here is bounded and timed.
+//! controller. It turns input into events and carries out effects; it decides nothing
+//! about jobs or machines. Everything here is bounded and timed.
 //!
+//! State:
+//! - `connection`, `connections`: an open connection, and all of them with their counts;
+//! - `call`, `calls`: an outgoing call, and all of them with deadlines and pools;
+//! - `destination`: where calls go, and how many connections each may have;
+//! - `throttle`: calls that wait for their share of the store's rate;
+//! - `stats`: latencies and counters.
+//!
+//! What is done with it:
 //! - `limits`: how many connections and bytes there may be, and all time limits;
 //! - `socket`: listening and connecting;
-//! - `connection`: accepting, reading, writing and closing;
-//! - `requests`: requests from users, workers and probers;
-//! - `calls`: outgoing calls and their connections;
+//! - `sockets`: accepting, reading, writing and closing;
+//! - `requests`: requests from users, workers and the load balancer;
+//! - `outgoing`: calls from their start to their end;
 //! - `peers`: frames from and to the other controllers;
 //! - `timers`: what is done at every turn of the timer;
-//! - `status`: the pages for people.
+//! - `pages`: the pages for people;
+//! - `error`: what ends the process at its start.
 
+mod call;
 mod calls;
 mod connection;
+mod connections;
+mod destination;
 mod error;
 mod limits;
+mod outgoing;
+mod pages;
 mod peers;
 mod requests;
 pub mod socket;
-mod status;
+mod sockets;
+mod stats;
+mod throttle;
 mod timers;
 
 pub use connection::drop_written;
@@ -25,23 +42,24 @@
 pub use limits::{command_fits, peer_backlog, sender_fits};
 
 use crate::config::{Config, Options};
-use crate::controller::{CallId, Controller, Effect, Event};
+use crate::controller::{Controller, Effect, Event};
 use crate::http::OutgoingAnswer;
 use crate::kv_store::Budget;
 use crate::time::Micros;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
-use calls::{Call, Destination, Pool};
-use connection::{Connection, ConnectionId};
-use limits::{BUSY_TICK, READ_BUFFER};
+use calls::Calls;
+use connections::Connections;
+use limits::{BUSY_TICK_INTERVAL, READ_BUFFER_BYTES};
 use log::info;
-use peers::{EncodedFrame, PeerLink};
+use pages::PageCache;
+use peers::{EncodedFrame, PeerLink, peer_links};
 use requests::JSON;
-use status::{Page, Stats};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use socket::ListenerKind;
+use stats::Stats;
+use std::collections::BTreeMap;
 use std::net::TcpListener;
-use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Where the steady clock begins: no point in time is zero.
@@ -52,36 +70,25 @@
     handle: LoopHandle<'static, Runtime>,
     controller: Controller,
     config: Config,
-    start: Instant,
+    /// When the steady clock was at [`CLOCK_START`].
+    started: Instant,
+    /// Time by the steady clock, as last read.
     now: Micros,
-    connections: HashMap<ConnectionId, Connection>,
-    next_connection: ConnectionId,
-    /// Connections of users, workers and probers.
-    senders: usize,
-    /// Connections for commands to workers.
-    commanding: usize,
-    /// Those of them that have nothing to do, the one idle for longest first.
-    idle_commands: BTreeSet<(Micros, ConnectionId)>,
+    connections: Connections,
+    calls: Calls,
+    /// The other controllers by their number among the members.
+    peers: BTreeMap<usize, PeerLink>,
     /// Bytes that may wait for a peer.
-    peer_backlog: usize,
+    max_peer_backlog_bytes: usize,
     last_tick: Micros,
     /// No call times out before this.
     timeouts_paused_until: Micros,
-    pools: HashMap<Destination, Pool>,
-    calls: HashMap<CallId, Call>,
-    deadlines: BTreeSet<(Micros, CallId)>,
-    budget: Budget,
-    /// State calls waiting for their share of the rate: reads, and changes,
-    /// which wait longer and must not hold up the reads.
-    throttled: [VecDeque<CallId>; 2],
-    peers: BTreeMap<usize, PeerLink>,
-    /// When slow and idle connections are looked for again.
+    /// When slow and idle connections are searched for again.
     next_sweep: Micros,
     /// An empty list, kept for its capacity.
     effects: Vec<Effect>,
     stats: Stats,
-    /// Pages as last made.
-    pages: BTreeMap<Page, (Micros, Rc<Vec<u8>>)>,
+    pages: PageCache,
     /// What has just been read from a socket.
     buffer: Vec<u8>,
 }
@@ -96,8 +103,8 @@
     let handle = event_loop.handle();
     let senders = socket::listen(config.bind)?;
     let peers = socket::listen(config.peer_bind)?;
-    add_listener(&handle, senders, false)?;
-    add_listener(&handle, peers, true)?;
+    add_listener(&handle, senders, ListenerKind::Senders)?;
+    add_listener(&handle, peers, ListenerKind::Peers)?;
     add_timer(&handle)?;
     let mut runtime = Runtime::new(handle, config, options, seed);
     info!("{} listens on {}", runtime.config.member, runtime.config.bind);
@@ -108,12 +115,12 @@
 fn add_listener(
     handle: &LoopHandle<'static, Runtime>,
     listener: TcpListener,
-    for_peers: bool,
+    kind: ListenerKind,
 ) -> Result<(), RuntimeError> {
     let source = Generic::new(listener, Interest::READ, Mode::Level);
     handle
         .insert_source(source, move |_, listener, runtime: &mut Runtime| {
-            runtime.accept(listener, for_peers);
+            runtime.accept(listener, kind);
             Ok(PostAction::Continue)
         })
         .map_err(|e| RuntimeError::Register(e.error))?;
@@ -121,7 +128,7 @@
 }
 
 fn add_timer(handle: &LoopHandle<'static, Runtime>) -> Result<(), RuntimeError> {
-    let timer = Timer::from_duration(BUSY_TICK.duration());
+    let timer = Timer::from_duration(BUSY_TICK_INTERVAL.duration());
     handle
         .insert_source(timer, |_, _, runtime: &mut Runtime| {
             let wait = runtime.tick();
@@ -137,19 +144,6 @@
     Micros(u64::try_from(since.as_micros()).unwrap_or(0)).since(CLOCK_START)
 }
 
-/// The other controllers by their number among the members.
-fn peer_links(config: &Config) -> BTreeMap<usize, PeerLink> {
-    let members = config.members();
-    config
-        .peers
-        .iter()
-        .filter_map(|peer| {
-            let number = members.iter().position(|member| *member == peer.member)?;
-            Some((number, PeerLink::new(peer.address)))
-        })
-        .collect()
-}
-
 impl Runtime {
     fn new(
         handle: LoopHandle<'static, Runtime>,
@@ -161,34 +155,26 @@
         Runtime {
             handle,
             controller: Controller::new(&config, options, seed, time_of_day()),
-            start: Instant::now(),
+            started: Instant::now(),
             now: CLOCK_START,
-            connections: HashMap::new(),
-            next_connection: 1,
-            senders: 0,
-            commanding: 0,
-            idle_commands: BTreeSet::new(),
-            peer_backlog: peer_backlog(config.settings.machine_limits.mem_mb),
+            connections: Connections::new(config.settings.machine_limits.fd_limit),
+            calls: Calls::new(Budget::new(state.rps, state.write_rps, config.members().len())),
+            peers: peer_links(&config),
+            max_peer_backlog_bytes: peer_backlog(config.settings.machine_limits.mem_mb),
             last_tick: CLOCK_START,
             timeouts_paused_until: Micros::ZERO,
-            pools: HashMap::new(),
-            calls: HashMap::new(),
-            deadlines: BTreeSet::new(),
-            budget: Budget::new(state.rps, state.write_rps, config.members().len()),
-            throttled: [VecDeque::new(), VecDeque::new()],
-            peers: peer_links(&config),
             next_sweep: Micros::ZERO,
             effects: Vec::new(),
             stats: Stats::new(),
-            pages: BTreeMap::new(),
-            buffer: vec![0; READ_BUFFER],
+            pages: PageCache::default(),
+            buffer: vec![0; READ_BUFFER_BYTES],
             config,
         }
     }
 
-    /// Takes the time of what follows from the steady clock.
+    /// Reads the steady clock; what follows acts by this time.
     fn read_clock(&mut self) {
-        let elapsed = u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX / 8);
+        let elapsed = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX / 8);
         self.now = Micros(elapsed) + CLOCK_START;
     }
 
@@ -199,6 +185,7 @@
         self.perform(effects);
     }
 
+    /// Carries out effects in order; the list is kept for its capacity.
     fn perform(&mut self, mut effects: Vec<Effect>) {
         let mut encoded = EncodedFrame::default();
         for effect in effects.drain(..) {
--- a/src/runtime/status.rs
+++ b/src/runtime/pages.rs
@@ -1,17 +1,14 @@
-//! The pages for people, and the latencies and counters that they show.
+//! The pages for people: made by the controller, and kept for a moment.
 
 use super::Runtime;
-use super::limits::PAGE_AGE;
+use super::limits::MAX_PAGE_AGE;
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::json;
-use std::collections::VecDeque;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Longest latency that a histogram tells apart, in microseconds.
-const LONGEST_LATENCY_US: u64 = 60_000_000;
-
 /// Pages for people.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Page {
@@ -21,46 +18,28 @@
     Queue,
 }
 
-/// Latencies and counters for the status page.
-pub(super) struct Stats {
-    answers: Histogram<u64>,
-    heartbeats: Histogram<u64>,
-    state_calls: Histogram<u64>,
-    pub(super) refused_connections: u64,
-    pub(super) bad_requests: u64,
+/// A page as it was last made.
+struct CachedPage {
+    made_at: Micros,
+    body: Rc<Vec<u8>>,
 }
 
-impl Stats {
-    /// Nothing counted yet.
-    pub(super) fn new() -> Stats {
-        Stats {
-            answers: latency_histogram(),
-            heartbeats: latency_histogram(),
-            state_calls: latency_histogram(),
-            refused_connections: 0,
-            bad_requests: 0,
-        }
-    }
+/// Pages as they were last made.
+#[derive(Default)]
+pub(super) struct PageCache(BTreeMap<Page, CachedPage>);
 
-    /// Counts an answer to a sender, apart for workers' reports.
-    pub(super) fn record_answer(&mut self, took: Micros, is_heartbeat: bool) {
-        let histogram = if is_heartbeat { &mut self.heartbeats } else { &mut self.answers };
-        histogram.saturating_record(took.0.max(1));
+impl PageCache {
+    /// A page, unless it is too old.
+    fn get(&self, page: Page, now: Micros) -> Option<Rc<Vec<u8>>> {
+        let cached = self.0.get(&page).filter(|cached| now.since(cached.made_at) < MAX_PAGE_AGE)?;
+        Some(Rc::clone(&cached.body))
     }
 
-    /// Counts an answer of the key-value store.
-    pub(super) fn record_state_call(&mut self, took: Micros) {
-        self.state_calls.saturating_record(took.0.max(1));
+    fn insert(&mut self, page: Page, made_at: Micros, body: Rc<Vec<u8>>) {
+        self.0.insert(page, CachedPage { made_at, body });
     }
 }
 
-fn latency_histogram() -> Histogram<u64> {
-    // Two digits up to a minute in microseconds: these bounds are valid.
-    Histogram::new_with_bounds(1, LONGEST_LATENCY_US, 2).unwrap_or_else(|_| {
-        Histogram::new(1).unwrap_or_else(|_| unreachable!("one significant digit is valid"))
-    })
-}
-
 /// What the status page shows of a histogram, in microseconds.
 #[derive(Serialize)]
 struct LatencySummary {
@@ -104,19 +83,17 @@
 }
 
 impl Runtime {
-    /// A page, made at most once a second whoever asks for it: it tells of all
-    /// jobs or machines, and boards that refresh it would take the processor.
+    /// A page, made at most once a second whoever requests it: it lists all
+    /// jobs or machines, and dashboards that refresh it would take the processor.
     pub(super) fn page(&mut self, page: Page) -> Rc<Vec<u8>> {
-        if let Some((made, body)) = self.pages.get(&page)
-            && self.now.since(*made) < PAGE_AGE
-        {
-            return Rc::clone(body);
+        if let Some(body) = self.pages.get(page, self.now) {
+            return body;
         }
         let body = Rc::new(match page {
             Page::Status => self.status(),
             Page::Queue => self.controller.queue_page(self.now).into_bytes(),
         });
-        self.pages.insert(page, (self.now, Rc::clone(&body)));
+        self.pages.insert(page, self.now, Rc::clone(&body));
         body
     }
 
@@ -129,11 +106,11 @@
         };
         let connections = ConnectionsPage {
             open: self.connections.len(),
-            senders: self.senders,
-            commands: self.commanding,
+            senders: self.connections.senders(),
+            commands: self.connections.commands(),
             refused: self.stats.refused_connections,
             bad_requests: self.stats.bad_requests,
-            state_calls_waiting: self.throttled.iter().map(VecDeque::len).sum(),
+            state_calls_waiting: self.calls.throttled(),
         };
         page["latency"] = json!(latency);
         page["connections"] = json!(connections);
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -3,29 +3,31 @@
 use super::Runtime;
 use super::connection::{Connection, ConnectionId, Role};
 use super::error::RuntimeError;
-use super::limits::{CONNECT_TIMEOUT, PEER_RETRY};
+use super::limits::PEER_RETRY_INTERVAL;
 use super::socket::begin_connect;
+use crate::config::Config;
 use crate::controller::Event;
 use crate::peer::{self, Frame};
 use crate::time::Micros;
 use log::{debug, warn};
+use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// Another controller and the connection on which it is told things.
+/// Another controller and the connection on which frames go to it.
 pub(super) struct PeerLink {
-    pub(super) address: SocketAddrV4,
+    address: SocketAddrV4,
     pub(super) connection: Option<ConnectionId>,
-    /// When to try again to connect.
-    pub(super) retry: Micros,
-    /// Its run as last heard; 0 before that.
-    pub(super) incarnation: u64,
+    /// When to connect, while there is no connection.
+    pub(super) connect_at: Micros,
+    /// Its incarnation by its last frame; 0 before that.
+    incarnation: u64,
 }
 
 impl PeerLink {
     /// A peer that has not been reached yet.
-    pub(super) fn new(address: SocketAddrV4) -> PeerLink {
-        PeerLink { address, connection: None, retry: Micros::ZERO, incarnation: 0 }
+    fn new(address: SocketAddrV4) -> PeerLink {
+        PeerLink { address, connection: None, connect_at: Micros::ZERO, incarnation: 0 }
     }
 }
 
@@ -48,12 +50,25 @@
     }
 }
 
+/// The other controllers by their number among the members.
+pub(super) fn peer_links(config: &Config) -> BTreeMap<usize, PeerLink> {
+    let members = config.members();
+    config
+        .peers
+        .iter()
+        .filter_map(|peer| {
+            let number = members.iter().position(|member| *member == peer.member)?;
+            Some((number, PeerLink::new(peer.address)))
+        })
+        .collect()
+}
+
 impl Runtime {
     /// Takes whole frames from a peer's connection; true once the connection is
     /// gone, false when the next frame has not arrived in full.
     pub(super) fn consume_frames(&mut self, id: ConnectionId) -> bool {
         loop {
-            let Some(connection) = self.connections.get_mut(&id) else {
+            let Some(connection) = self.connections.get_mut(id) else {
                 return true;
             };
             let Role::PeerIn { member } = connection.role else {
@@ -100,22 +115,17 @@
     /// arrive after newer ones.
     fn identify_peer(&mut self, id: ConnectionId, from: usize) {
         let role = Role::PeerIn { member: Some(from) };
-        if let Some(connection) = self.connections.get_mut(&id) {
+        if let Some(connection) = self.connections.get_mut(id) {
             connection.role = role;
         }
-        let older: Vec<ConnectionId> = self
-            .connections
-            .iter()
-            .filter(|(other, connection)| **other != id && connection.role == role)
-            .map(|(other, _)| *other)
-            .collect();
-        for other in older {
+        let is_older = |other, connection: &Connection| other != id && connection.role == role;
+        for other in self.connections.matching(is_older) {
             self.close(other);
         }
     }
 
     /// Closes the connection to a peer that has started anew: what was sent to
-    /// its earlier run is lost.
+    /// its earlier incarnation is lost.
     fn note_incarnation(&mut self, from: usize, incarnation: u64) {
         let Some(link) = self.peers.get_mut(&from) else {
             return;
@@ -134,13 +144,13 @@
         let Some(id) = self.peers.get(&to).and_then(|link| link.connection) else {
             return;
         };
-        let Some(connection) = self.connections.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         if !connection.connected {
             return;
         }
-        if connection.outbound.len() - connection.written > self.peer_backlog {
+        if connection.unwritten() > self.max_peer_backlog_bytes {
             debug!("peer {to} does not read; connection closed");
             self.close(id);
             return;
@@ -158,18 +168,17 @@
         };
         match link.connection {
             Some(id) => {
-                let slow = |c: &Connection| !c.connected && now > c.active + CONNECT_TIMEOUT;
-                if self.connections.get(&id).is_some_and(slow) {
+                if self.connections.get(id).is_some_and(|c| c.is_connecting_slowly(now)) {
                     self.close(id);
                 }
             }
-            None if now >= link.retry => {
+            None if now >= link.connect_at => {
                 let opened = begin_connect(link.address)
                     .map_err(RuntimeError::from)
                     .and_then(|s| self.add_connection(s, Role::PeerOut { member }, false));
                 if let Some(link) = self.peers.get_mut(&member) {
                     link.connection = opened.ok();
-                    link.retry = now + PEER_RETRY;
+                    link.connect_at = now + PEER_RETRY_INTERVAL;
                 }
             }
             None => {}
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -1,8 +1,8 @@
-//! Requests from users, workers and probers, and the answers to them.
+//! Requests from users, workers and the load balancer, and the answers to them.
 
 use super::Runtime;
 use super::connection::{ConnectionId, Role, take_front};
-use super::status::Page;
+use super::pages::Page;
 use crate::controller::{Event, Ticket};
 use crate::http::{self, HttpError, OutgoingAnswer};
 use crate::wire;
@@ -15,7 +15,7 @@
 impl Runtime {
     /// Takes a request from a sender's connection; true if there was one.
     pub(super) fn consume_request(&mut self, id: ConnectionId) -> bool {
-        let Some(connection) = self.connections.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return true;
         };
         match http::parse_request(&connection.inbound) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Shows a page, or leaves the request to the controller.
+    /// Answers a request for a page, or hands the request to the controller.
     fn handle_request(&mut self, id: ConnectionId, request: http::Request) {
         let (page, content_type) = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/status") => (Page::Status, JSON),
@@ -61,13 +61,13 @@
         self.answer(id, answer);
     }
 
-    /// Answers what is no request that this service reads.
+    /// Answers what is no request that can be read, and closes the connection.
     fn refuse_request(&mut self, id: ConnectionId, error: HttpError) {
         self.stats.bad_requests += 1;
         let status = if error == HttpError::TooLarge { 413 } else { 400 };
         let reason = error.to_string();
         let body = serde_json::to_vec(&wire::Refusal::new(&reason)).unwrap_or_default();
-        if let Some(connection) = self.connections.get_mut(&id) {
+        if let Some(connection) = self.connections.get_mut(id) {
             connection.role = Role::Sender { busy: true, since: self.now, heartbeats: false };
         }
         let answer = OutgoingAnswer {
@@ -80,10 +80,10 @@
         self.answer(id, answer);
     }
 
-    /// Answers the request that is being decided on this connection.
+    /// Answers the request that awaits its answer on this connection.
     pub(super) fn answer(&mut self, id: ConnectionId, answer: OutgoingAnswer<'_>) {
         let now = self.now;
-        let Some(connection) = self.connections.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         let Role::Sender { busy: true, since, heartbeats } = connection.role else {
@@ -95,8 +95,8 @@
         connection.role = Role::Sender { busy: false, since: now, heartbeats };
         self.stats.record_answer(now.since(since), heartbeats);
         self.write(id);
-        // A further request may have arrived while this one was being decided.
-        if self.connections.get(&id).is_some_and(|c| !c.inbound.is_empty()) {
+        // A further request may have arrived before this answer.
+        if self.connections.get(id).is_some_and(|c| !c.inbound.is_empty()) {
             self.consume(id);
         }
     }
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -9,6 +9,15 @@
 /// Linux's EINPROGRESS: the connection is being made.
 const IN_PROGRESS: i32 = 115;
 
+/// Who connects to a listening socket.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ListenerKind {
+    /// Users, workers and the load balancer.
+    Senders,
+    /// Other controllers.
+    Peers,
+}
+
 /// Listens with an address that a quick restart may use again at once.
 ///
 /// # Errors
--- /dev/null
+++ b/src/runtime/sockets.rs
@@ -0,0 +1,224 @@
+//! Sockets that are ready: accepting, reading, writing and closing.
+
+use super::Runtime;
+use super::call::CallEnd;
+use super::connection::{Connection, ConnectionId, Role, drop_written};
+use super::error::RuntimeError;
+use super::limits::{MAX_ACCEPTED_PER_TURN, PEER_RETRY_INTERVAL};
+use super::socket::ListenerKind;
+use crate::controller::Event;
+use crate::http;
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction};
+use log::debug;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+
+impl Runtime {
+    /// Registers a socket with the event loop.
+    ///
+    /// # Errors
+    ///
+    /// If the event loop cannot watch it.
+    pub(super) fn add_connection(
+        &mut self,
+        stream: TcpStream,
+        role: Role,
+        connected: bool,
+    ) -> Result<ConnectionId, RuntimeError> {
+        let id = self.connections.take_id();
+        let stream = Rc::new(stream);
+        let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
+        let registration = self
+            .handle
+            .insert_source(source, move |ready, _, runtime: &mut Runtime| {
+                runtime.socket_ready(id, ready.readable, ready.writable);
+                Ok(PostAction::Continue)
+            })
+            .map_err(|e| RuntimeError::Register(e.error))?;
+        let connection = Connection::new(stream, registration, role, connected, self.now);
+        self.connections.insert(id, connection);
+        Ok(id)
+    }
+
+    /// Accepts connections that wait at a listener.
+    pub(super) fn accept(&mut self, listener: &TcpListener, kind: ListenerKind) {
+        self.read_clock();
+        for _ in 0..MAX_ACCEPTED_PER_TURN {
+            let Ok((stream, _)) = listener.accept() else {
+                return;
+            };
+            let fits = kind == ListenerKind::Peers || self.connections.sender_fits();
+            if !fits && !self.close_idle_command() {
+                self.stats.refused_connections += 1;
+                continue;
+            }
+            if stream.set_nonblocking(true).is_err() {
+                continue;
+            }
+            let role = match kind {
+                ListenerKind::Peers => Role::PeerIn { member: None },
+                ListenerKind::Senders => {
+                    Role::Sender { busy: false, since: self.now, heartbeats: false }
+                }
+            };
+            if let Err(e) = self.add_connection(stream, role, true) {
+                debug!("cannot watch a connection: {e}");
+            }
+        }
+    }
+
+    /// The event loop says that a socket may be read or written.
+    fn socket_ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
+        self.read_clock();
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        if !connection.connected {
+            if !writable && !readable {
+                return;
+            }
+            if !matches!(connection.stream.take_error(), Ok(None)) {
+                self.close(id);
+                return;
+            }
+            if writable {
+                connection.connected = true;
+                if let Role::PeerOut { member } = connection.role {
+                    debug!("connected to peer {member}");
+                    self.dispatch(Event::PeerUp(member));
+                }
+            }
+        }
+        if writable {
+            self.write(id);
+        }
+        if readable {
+            self.read(id);
+        }
+    }
+
+    /// Reads all that there is, since the event loop tells of it only once.
+    fn read(&mut self, id: ConnectionId) {
+        loop {
+            let Some(connection) = self.connections.get_mut(id) else {
+                return;
+            };
+            match (&*connection.stream).read(&mut self.buffer) {
+                Ok(0) => {
+                    self.close(id);
+                    return;
+                }
+                Ok(length) => {
+                    connection.receive(&self.buffer[..length], self.now);
+                    // A short read with a whole message in it: more would
+                    // raise a new edge, so a further call is saved.
+                    if self.consume(id) && length < self.buffer.len() {
+                        return;
+                    }
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.close(id);
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Takes whole messages from a connection; true if there was one.
+    pub(super) fn consume(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return true;
+        };
+        match connection.role {
+            Role::Sender { busy: true, .. } => {
+                // One request at a time; what a sender piles up meanwhile is bounded.
+                if connection.inbound.len() > http::MAX_BODY + http::MAX_HEAD {
+                    self.close(id);
+                }
+                false
+            }
+            Role::Sender { .. } => self.consume_request(id),
+            Role::Outgoing { .. } => self.consume_answer(id),
+            Role::PeerIn { .. } => self.consume_frames(id),
+            Role::PeerOut { .. } => {
+                // Peers do not talk on this direction.
+                connection.inbound.clear();
+                false
+            }
+        }
+    }
+
+    /// Writes as much of what waits as the socket takes.
+    pub(super) fn write(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        if !connection.connected {
+            return;
+        }
+        while connection.written < connection.outbound.len() {
+            match (&*connection.stream).write(&connection.outbound[connection.written..]) {
+                Ok(0) => {
+                    self.close(id);
+                    return;
+                }
+                Ok(length) => {
+                    connection.written += length;
+                    if matches!(connection.role, Role::PeerOut { .. }) {
+                        connection.last_active = self.now;
+                    }
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                    drop_written(&mut connection.outbound, &mut connection.written);
+                    return;
+                }
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.close(id);
+                    return;
+                }
+            }
+        }
+        connection.clear_written();
+        let busy = matches!(connection.role, Role::Sender { busy: true, .. });
+        if connection.close_after && !busy {
+            self.close(id);
+        }
+    }
+
+    /// Closes a connection and ends the call that awaited an answer on it.
+    pub(super) fn close(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.remove(id) else {
+            return;
+        };
+        self.handle.remove(connection.registration);
+        match connection.role {
+            Role::Sender { .. } | Role::PeerIn { .. } => {}
+            Role::PeerOut { member } => {
+                if let Some(link) = self.peers.get_mut(&member)
+                    && link.connection == Some(id)
+                {
+                    link.connection = None;
+                    link.connect_at = self.now + PEER_RETRY_INTERVAL;
+                    self.dispatch(Event::PeerDown(member));
+                }
+            }
+            Role::Outgoing { destination, call } => {
+                let pool = self.calls.pool(destination);
+                pool.open = pool.open.saturating_sub(1);
+                pool.idle.retain(|idle| *idle != id);
+                if let Some(call) = call {
+                    // What was never connected has sent nothing.
+                    let sent = connection.connected;
+                    let end = if sent { CallEnd::Unanswered } else { CallEnd::NotSent };
+                    self.finish_call(call, end);
+                }
+                self.assign_calls(destination);
+            }
+        }
+    }
+}
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -1,11 +1,8 @@
 //! What is done at every turn of the timer: deadlines, peers, slow connections.
 
 use super::Runtime;
-use super::calls::Destination;
-use super::connection::{Connection, ConnectionId, Role};
 use super::limits::{
-    BUSY_TICK, CONNECT_TIMEOUT, IDLE_COMMAND, IDLE_SENDER, QUIET_TICK, SLOW_SENDER, STALLED_PEER,
-    STOOD_STILL, SWEEP_INTERVAL, TIMEOUT_PAUSE,
+    BUSY_TICK_INTERVAL, QUIET_TICK_INTERVAL, STANDSTILL_GAP, SWEEP_INTERVAL, TIMEOUT_PAUSE,
 };
 use crate::controller::Event;
 use crate::time::Micros;
@@ -16,7 +13,7 @@
     pub(super) fn tick(&mut self) -> Micros {
         self.read_clock();
         let gap = self.now.since(std::mem::replace(&mut self.last_tick, self.now));
-        if gap > STOOD_STILL {
+        if gap > STANDSTILL_GAP {
             info!("this process stood still for {} ms", gap.as_millis());
             self.timeouts_paused_until = self.now + TIMEOUT_PAUSE;
         }
@@ -32,49 +29,16 @@
             self.sweep_connections();
         }
         self.dispatch(Event::Tick);
-        let busy = self.controller.accepting() || self.throttled.iter().any(|q| !q.is_empty());
-        if busy { BUSY_TICK } else { QUIET_TICK }
+        let busy = self.controller.accepting() || self.calls.throttled() > 0;
+        if busy { BUSY_TICK_INTERVAL } else { QUIET_TICK_INTERVAL }
     }
 
     /// Closes the connections that are slow or have long been idle.
     fn sweep_connections(&mut self) {
         let now = self.now;
-        let expired: Vec<ConnectionId> = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| has_expired(connection, now))
-            .map(|(id, _)| *id)
-            .collect();
-        for id in expired {
+        for id in self.connections.matching(|_, connection| connection.has_expired(now)) {
             self.close(id);
         }
-        self.pools.retain(|destination, pool| {
-            let for_worker = matches!(destination, Destination::Worker(_));
-            !for_worker || pool.open > 0 || !pool.queue.is_empty()
-        });
-    }
-}
-
-/// Whether a connection has been slow or idle for too long.
-fn has_expired(connection: &Connection, now: Micros) -> bool {
-    let quiet_for_more_than = |span: Micros| now > connection.active + span;
-    let unread = !connection.inbound.is_empty();
-    let unwritten = !connection.outbound.is_empty();
-    match connection.role {
-        Role::Sender { busy: false, .. } => {
-            let slow_to_send = unread && now > connection.message_began + SLOW_SENDER;
-            let slow_to_read = unwritten && quiet_for_more_than(SLOW_SENDER);
-            slow_to_send || slow_to_read || quiet_for_more_than(IDLE_SENDER)
-        }
-        Role::Outgoing { call: None, destination: Destination::Worker(_) } => {
-            quiet_for_more_than(IDLE_COMMAND)
-        }
-        Role::Outgoing { call: Some(_), .. } => {
-            !connection.connected && quiet_for_more_than(CONNECT_TIMEOUT)
-        }
-        Role::PeerOut { .. } => {
-            connection.connected && unwritten && quiet_for_more_than(STALLED_PEER)
-        }
-        _ => false,
+        self.calls.drop_unused_pools();
     }
 }
