--- a/crates/rehearsal/src/world/services.rs
+++ b/crates/rehearsal/src/world/services.rs
@@ -51,7 +51,7 @@
         controller: usize,
         call: KvRequest,
     ) {
-        let changes = call.puts() > 0;
+        let changes = call.writes() > 0;
         match links::store_behavior(&self.faults, &mut self.rng, self.now, controller, changes) {
             StoreBehavior::Refused => {
                 let trouble = Answer::new(503, &json!({ "error": "trouble" }));
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -128,8 +128,8 @@
     /// urgent is not counted as a request.
     pub(crate) fn call_store(&mut self, purpose: impl Into<PendingCall>, call: KvRequest) {
         self.write_budget.level(self.now);
-        self.write_budget.take(call.puts() as f64);
-        if !call.urgent() {
+        self.write_budget.take(call.writes() as f64);
+        if !call.is_urgent() {
             self.request_budget.level(self.now);
             self.request_budget.take(1.0);
         }
--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -1,4 +1,7 @@
-//! The key-value store: its calls and its answers.
+//! The key-value store: its requests, what each outcome proves, and the rates to keep.
+//!
+//! Nothing here takes an unknown outcome for a failure: what may have been executed is
+//! told apart from what surely was not.
 
 mod rate;
 
@@ -11,18 +14,19 @@
     WatchResponse, path,
 };
 
-/// Keys asked for at once.
-const PAGE: usize = 100;
-/// How long a watch may take beyond the time that it waits.
-const WATCH_GRACE: Micros = Micros::secs(5);
-/// How long the answer to a call for a lease may take.
+/// Keys in a page of a list.
+const PAGE_KEYS: usize = 100;
+/// How long the answer to a watch may take beyond the time for which it waits.
+const WATCH_GRACE_PERIOD: Micros = Micros::secs(5);
+/// How long the answer to a request about a lease may take: short, so that another try
+/// fits before the lease expires.
 const LEASE_TIMEOUT: Micros = Micros::millis(1_200);
 /// How long any other answer may take.
-const CALL_TIMEOUT: Micros = Micros::millis(2_500);
-/// What the service says where a lease does not exist any more.
+const REQUEST_TIMEOUT: Micros = Micros::millis(2_500);
+/// How the store's reason begins where a transaction names a lease that has expired.
 const NO_SUCH_LEASE: &[u8] = b"no such ";
 
-/// A call to the key-value store.
+/// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
     /// Read a key.
@@ -34,105 +38,106 @@
         /// Begin after this key.
         after: Option<String>,
     },
-    /// Compare and change.
+    /// Compare-and-swap: change keys if all conditions hold.
     Txn(Txn),
-    /// Ask for a lease.
+    /// Grant a lease with this time to live.
     GrantLease(Micros),
-    /// Renew a lease.
+    /// Renew the lease of this number.
     RenewLease(u64),
-    /// End a lease.
+    /// End the lease of this number, and remove the keys attached to it.
     RevokeLease(u64),
-    /// Wait for changes.
+    /// Wait for changes of keys.
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Changes after this revision.
+        /// Only changes after this revision.
         after: u64,
-        /// How long to wait.
+        /// How long the store may wait for a change.
         block: Micros,
     },
 }
 
-/// What became of a call.
+/// The outcome of a request, and what it proves.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvResponse {
-    /// The key's value, if it exists.
+    /// The key's value when the store answered; `None` if it had none.
     Value(Option<KeyValue>),
-    /// A page.
+    /// A page of a list.
     Page {
-        /// The values.
+        /// The keys with their values, in order.
         items: Vec<KeyValue>,
         /// Another follows.
         more: bool,
-        /// Revision of the store.
+        /// Revision of the whole store: all changes up to it are in the page.
         revision: u64,
     },
-    /// The transaction was applied at this revision.
+    /// The transaction was applied, at this revision.
     Applied(u64),
-    /// A condition failed; nothing was changed.
+    /// Conditions on these keys failed: nothing was changed. Others may have failed too.
     Conflict(Vec<String>),
-    /// A lease was granted.
+    /// The lease of this number was granted.
     LeaseGranted(u64),
     /// The lease was renewed or ended.
     LeaseRenewed,
-    /// The lease does not exist any more.
+    /// The lease has expired or was revoked: keys attached to it are gone. For a
+    /// transaction: it was not applied.
     LeaseNotFound,
-    /// Changes up to a revision.
+    /// All changes up to this revision, which may be none.
     WatchEvents(u64, Vec<WatchEvent>),
-    /// The watch asked too far back.
+    /// The store does not keep the changes since so early a revision: list the keys anew.
     Compacted,
-    /// Surely not executed: refused, or never sent.
+    /// Surely not executed, and never will be: refused by the store, or not sent.
     NotExecuted,
-    /// May have been executed, or may still be.
+    /// No answer that could be read: it may have been executed, or may still be.
     OutcomeUnknown,
-    /// The service says that the request is wrong; our defect.
+    /// Surely not executed: the store takes no such request, which is a defect here.
     Rejected,
 }
 
 impl KvRequest {
-    /// Renewals come first: without them every shard is lost.
-    pub fn urgent(&self) -> bool {
+    /// Whether it must not wait for the rate: without renewals every shard is lost.
+    pub fn is_urgent(&self) -> bool {
         matches!(
             self,
             KvRequest::GrantLease(_) | KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)
         )
     }
 
-    /// A watch occupies its connection while it waits.
-    pub fn waits(&self) -> bool {
+    /// Whether it is a watch, which occupies its connection while it waits.
+    pub fn is_watch(&self) -> bool {
         matches!(self, KvRequest::Watch { .. })
     }
 
-    /// Puts and deletes that count towards the write rate.
-    pub fn puts(&self) -> usize {
+    /// Changes that it would make, which count towards the rate of changes.
+    pub fn writes(&self) -> usize {
         match self {
-            KvRequest::Txn(t) => t.writes.len(),
+            KvRequest::Txn(txn) => txn.writes.len(),
             _ => 0,
         }
     }
 
-    /// How long an answer may take before the outcome counts as unknown.
+    /// How long its answer may take before its outcome is unknown.
     pub fn timeout(&self) -> Micros {
         match self {
-            KvRequest::Watch { block, .. } => *block + WATCH_GRACE,
-            call if call.urgent() => LEASE_TIMEOUT,
-            _ => CALL_TIMEOUT,
+            KvRequest::Watch { block, .. } => *block + WATCH_GRACE_PERIOD,
+            request if request.is_urgent() => LEASE_TIMEOUT,
+            _ => REQUEST_TIMEOUT,
         }
     }
 
-    /// The request that it is sent as.
+    /// The HTTP request that it is sent as.
     pub fn encode(&self) -> OutgoingRequest {
         match self {
             KvRequest::Get(key) => OutgoingRequest::get(format!("{}/{key}", path::KV)),
             KvRequest::List { prefix, after } => {
                 let after = after.as_ref().map_or(String::new(), |key| format!("&after={key}"));
-                let query = format!("prefix={prefix}{after}&limit={PAGE}");
+                let query = format!("prefix={prefix}{after}&limit={PAGE_KEYS}");
                 OutgoingRequest::get(format!("{}?{query}", path::KV))
             }
             KvRequest::Txn(txn) => OutgoingRequest::post(path::TXN.into(), txn),
             KvRequest::GrantLease(ttl) => {
-                let wanted = LeaseRequest { ttl_ms: ttl.as_millis() };
-                OutgoingRequest::post(path::LEASES.into(), &wanted)
+                let request = LeaseRequest { ttl_ms: ttl.as_millis() };
+                OutgoingRequest::post(path::LEASES.into(), &request)
             }
             KvRequest::RenewLease(id) => {
                 let path = format!("{}/{id}/{}", path::LEASES, path::EXTEND);
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Reads the answer. What cannot be read counts as unknown.
+    /// The outcome by the store's answer; an answer that cannot be read proves nothing.
     pub fn decode(&self, status: u16, body: &[u8]) -> KvResponse {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
             wire::read_answer("state", body)
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! How log lines are written: level, target and text, then `key=value` fields.
+//! The form of log lines: level, target and text, then `key=value` fields.
 
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,8 @@
 //! The program: reads its command line and settings, then runs a controller.
+//!
+//! It exits with status 2 and one line on standard error if a setting cannot be used, and
+//! with status 1 if it cannot run. [`millethold::config`] reads the settings,
+//! [`millethold::runtime`] runs the controller, [`millethold::logging`] writes its log.
 
 use clap::Parser;
 use millethold::config::{Config, Options};
@@ -31,7 +35,7 @@
         Ok((config, options))
     });
     let (config, options) = match loaded {
-        Ok(pair) => pair,
+        Ok(loaded) => loaded,
         Err(e) => {
             eprintln!("millethold: {e}");
             return ExitCode::from(2);
--- a/src/runtime/call.rs
+++ b/src/runtime/call.rs
@@ -58,7 +58,7 @@
     /// for calls elsewhere.
     pub(super) fn store_latency(&self, now: Micros) -> Option<Micros> {
         match &self.kind {
-            CallKind::State(request) if !request.waits() => {
+            CallKind::State(request) if !request.is_watch() => {
                 Some(now.since(self.deadline.since(request.timeout())))
             }
             _ => None,
--- a/src/runtime/destination.rs
+++ b/src/runtime/destination.rs
@@ -27,9 +27,9 @@
     /// The destination of a call to the key-value store: a watch occupies its connection,
     /// and a renewal must not wait behind other calls.
     pub(super) fn of_store_call(call: &KvRequest) -> Destination {
-        if call.waits() {
+        if call.is_watch() {
             Destination::Watch
-        } else if call.urgent() {
+        } else if call.is_urgent() {
             Destination::Lease
         } else {
             Destination::State
--- a/src/runtime/throttle.rs
+++ b/src/runtime/throttle.rs
@@ -38,7 +38,7 @@
     pub(super) const ALL: [ThrottledQueue; 2] = [ThrottledQueue::Reads, ThrottledQueue::Changes];
 
     fn of(call: &KvRequest) -> ThrottledQueue {
-        if call.puts() > 0 { ThrottledQueue::Changes } else { ThrottledQueue::Reads }
+        if call.writes() > 0 { ThrottledQueue::Changes } else { ThrottledQueue::Reads }
     }
 }
 
@@ -58,7 +58,7 @@
     /// Decides about a new call; one that is to wait is added to its queue.
     pub(super) fn admit(&mut self, now: Micros, id: CallId, call: &KvRequest) -> Admission {
         let queue = ThrottledQueue::of(call);
-        let may_go_first = self.queue(queue).is_empty() || call.urgent();
+        let may_go_first = self.queue(queue).is_empty() || call.is_urgent();
         if may_go_first && self.budget.admit(now, call) {
             return Admission::Send;
         }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,9 +1,9 @@
-//! Points in time and spans, in whole microseconds.
+//! Points in time and durations, in whole microseconds. Nothing here reads a clock.
 
 use serde::Serialize;
 use std::ops::{Add, AddAssign, Sub};
 
-/// A span, or a point on this process's steady clock, in microseconds.
+/// A duration, or a point on this process's steady clock, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize)]
 #[serde(transparent)]
 pub struct Micros(pub u64);
@@ -11,23 +11,23 @@
 impl Micros {
     /// No time at all.
     pub const ZERO: Micros = Micros(0);
-    /// Later than every real point in time.
+    /// Later than every point in time that occurs; sums of it do not overflow.
     pub const FAR: Micros = Micros(u64::MAX / 4);
 
     /// Whole seconds.
-    pub const fn secs(s: u64) -> Micros {
-        Micros(s * 1_000_000)
+    pub const fn secs(seconds: u64) -> Micros {
+        Micros(seconds * 1_000_000)
     }
 
     /// Whole milliseconds.
-    pub const fn millis(ms: u64) -> Micros {
-        Micros(ms * 1_000)
+    pub const fn millis(milliseconds: u64) -> Micros {
+        Micros(milliseconds * 1_000)
     }
 
     /// From the decimal seconds of the protocol; negative and non-finite become zero.
-    pub fn from_secs_f64(s: f64) -> Micros {
-        if s.is_finite() && s > 0.0 {
-            Micros((s * 1e6).min(1e18).round() as u64)
+    pub fn from_secs_f64(seconds: f64) -> Micros {
+        if seconds.is_finite() && seconds > 0.0 {
+            Micros((seconds * 1e6).min(1e18).round() as u64)
         } else {
             Micros::ZERO
         }
@@ -43,17 +43,17 @@
         self.0 / 1_000
     }
 
-    /// The time since `earlier`, zero if that lies ahead.
+    /// The duration since `earlier`, zero if that is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Stretched by the parts per thousand that two steady clocks may differ.
+    /// Lengthened by the parts per thousand by which two steady clocks may differ.
     pub fn stretched(self, per_mille: u64) -> Micros {
         Micros(self.0 + self.0 / 1_000 * per_mille + per_mille)
     }
 
-    /// Shortened by the same bound.
+    /// Shortened by the parts per thousand by which two steady clocks may differ.
     pub fn shortened(self, per_mille: u64) -> Micros {
         Micros(self.0.saturating_sub(self.0 / 1_000 * per_mille + per_mille))
     }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machine types, and machines rented, listed and returned.
+//! The cloud: machine types, and requests to scale out, list and scale in.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,13 +13,13 @@
     /// GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Room for images.
+    /// Disk for images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// Nominal fetch rate.
+    /// Nominal rate at which images are fetched.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
@@ -28,7 +28,7 @@
     /// Spot price per hour.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
-    /// Nominal boot time.
+    /// Nominal boot time, in seconds.
     #[serde(rename = "startupS", default)]
     pub boot_s: f64,
     /// Zones that offer it.
@@ -44,10 +44,10 @@
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request to scale out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
-    /// Name, never used again.
+    /// Name of the request, never used again: a repeat of it is idempotent.
     #[serde(rename = "hire")]
     pub request: String,
     /// Type.
@@ -64,7 +64,7 @@
     pub count: u32,
 }
 
-/// Names of machines: rented, or to be returned.
+/// Names of machines: those of a request to scale out, or those to scale in.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -72,7 +72,7 @@
     pub machines: Vec<String>,
 }
 
-/// State of a listed machine.
+/// Stage of a listed machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStage {
@@ -108,7 +108,7 @@
     /// State.
     #[serde(rename = "stage")]
     pub stage: MachineStage,
-    /// Age since the rental request.
+    /// Seconds since it was requested.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
--- a/src/wire/kv_store.rs
+++ b/src/wire/kv_store.rs
@@ -3,18 +3,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction.
+/// A condition of a transaction: compare.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Version that it must have, 0 for none.
+    /// Revision of its last change that it must have, 0 for no value.
     #[serde(rename = "mark")]
     pub revision: u64,
 }
 
-/// A change in a transaction.
+/// A change in a transaction: swap.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -37,13 +37,13 @@
     },
 }
 
-/// A transaction.
+/// A transaction: compare-and-swap of several keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     /// All must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// Then these are made.
+    /// Then all of these are made.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
@@ -75,7 +75,7 @@
     pub revision: u64,
 }
 
-/// A change that a watch tells of.
+/// A change that a watch shows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Key that was set.
@@ -122,14 +122,14 @@
     pub lease: u64,
 }
 
-/// A body that says nothing: `{}`.
+/// A body without content: `{}`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Empty {}
 
 /// Request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live.
+    /// Time to live, in milliseconds.
     #[serde(rename = "ttlMs")]
     pub ttl_ms: u64,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The protocol's JSON, and the only place that knows its odd words.
+//! The protocol's JSON, and the only place with the protocol's own words.
 //!
-//! Field names that users, workers, cloud and key-value store speak are mapped
-//! here by serde; the rest of the program says job, task, machine, session.
+//! Names of fields, verbs and paths that users, workers, the cloud and the key-value
+//! store use are mapped here by serde; the rest of the program says job, task, machine,
+//! heartbeat, incarnation, fencing token, lease, revision. It has no logic.
 
 mod cloud;
 mod kv_store;
--- a/src/wire/path.rs
+++ b/src/wire/path.rs
@@ -1,32 +1,32 @@
-//! Paths of the interfaces: those that this service answers, and those that it calls.
+//! Paths of the protocol: those that this service answers, and those that it calls.
 
 /// Users' jobs.
 pub const JOBS: &str = "/work";
 /// Last part of the path that cancels a job.
 pub const CANCEL: &str = "abort";
-/// Load balancer's probe.
+/// The load balancer's health check.
 pub const HEALTH: &str = "/healthz";
-/// Workers' reports.
+/// Workers' heartbeats.
 pub const HEARTBEAT: &str = "/v1/report";
 /// Direct commands to a worker.
 pub const COMMANDS: &str = "/do";
-/// How a worker stands.
+/// A worker's status, without a command.
 pub const INSPECT: &str = "/inspect";
 /// Cloud: machine types.
 pub const TYPES: &str = "/flavors";
-/// Cloud: machines.
+/// Cloud: list machines, and scale out.
 pub const MACHINES: &str = "/machines";
-/// Cloud: return machines.
+/// Cloud: scale in.
 pub const RETURN: &str = "/machines/return";
-/// State: keys.
+/// Key-value store: keys.
 pub const KV: &str = "/kv";
-/// State: transactions.
+/// Key-value store: transactions.
 pub const TXN: &str = "/txn";
-/// State: leases.
+/// Key-value store: leases.
 pub const LEASES: &str = "/leases";
-/// State: renewal, after the lease's number.
+/// Key-value store: renewal, after the lease's number.
 pub const EXTEND: &str = "extend";
-/// State: changes.
+/// Key-value store: watches.
 pub const FOLLOW: &str = "/follow";
-/// State: how long a watch waits, in its query.
+/// Key-value store: how long a watch waits, in its query.
 pub const WAIT: &str = "blockMs";
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,9 +1,9 @@
-//! Users: the jobs that they submit and what they are told.
+//! Users: the jobs that they submit and the answers to them.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest job id, in bytes.
-const MAX_JOB_ID: usize = 40;
+/// Longest job id, in bytes: ids become keys of the store.
+const MAX_JOB_ID_BYTES: usize = 40;
 /// Every job id starts with this and goes on in digits.
 pub const JOB_PREFIX: &str = "j-";
 
@@ -18,7 +18,7 @@
     /// The usual.
     #[serde(rename = "standard")]
     Normal,
-    /// When there is room.
+    /// When there is capacity left.
     Low,
 }
 
@@ -28,7 +28,7 @@
     /// Unique id chosen by the user.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Class that the objectives name.
+    /// Class that the service-level objectives name.
     #[serde(rename = "grade")]
     pub class: String,
     /// Team whose guarantee and limit apply.
@@ -45,13 +45,13 @@
     /// GPUs of each task.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory of each task, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
     /// Image that the machine needs first.
     #[serde(rename = "pattern")]
     pub image: String,
-    /// Size of the image.
+    /// Size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
     /// Allowed machine types.
@@ -69,16 +69,16 @@
     /// May use spot machines.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "expectedS", default)]
     pub estimate_s: f64,
-    /// Interval between checkpoints, 0 for none.
+    /// Seconds between checkpoints, 0 for none.
     #[serde(rename = "notchS", default)]
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stackS", default)]
     pub save_s: f64,
-    /// Deadline after submission.
+    /// Deadline, in seconds after submission.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts. They are stored
@@ -89,13 +89,13 @@
 
 /// True for ids of the protocol's form. Bounded, since ids become keys.
 pub fn valid_job_id(id: &str) -> bool {
-    id.len() <= MAX_JOB_ID
+    id.len() <= MAX_JOB_ID_BYTES
         && id
             .strip_prefix(JOB_PREFIX)
             .is_some_and(|d| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// What users are told of a job.
+/// A job's stage as users know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStage {
@@ -109,7 +109,7 @@
     Cancelled,
 }
 
-/// What a user is told of a job.
+/// Answer to a request about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct JobAnswer<'a> {
     /// Id.
@@ -123,7 +123,7 @@
     pub running: u32,
 }
 
-/// Why a request is not taken.
+/// Answer to a request that is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusal<'a> {
     /// The reason.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,8 +1,8 @@
-//! Workers: their reports and the commands to them.
+//! Workers: their heartbeats and the commands to them.
 
 use serde::{Deserialize, Serialize};
 
-/// A task's state on a machine, as reported.
+/// A task's state on a machine, by its heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
@@ -11,7 +11,7 @@
     Fetching,
     /// Running.
     Running,
-    /// Was told to stop and saves.
+    /// Was commanded to stop and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
     /// Over; see the cause.
@@ -29,7 +29,7 @@
     Stopped,
     /// Failed.
     Error,
-    /// Start refused for want of room.
+    /// Start refused for want of capacity.
     #[serde(rename = "full")]
     NoRoom,
     /// Start refused: there with another attempt.
@@ -42,7 +42,7 @@
     Other,
 }
 
-/// One task in a worker's report.
+/// One task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// `job/index`.
@@ -59,7 +59,7 @@
     pub cause: Option<Cause>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat with its status.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Machine's name.
@@ -76,16 +76,16 @@
     /// Spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Session.
+    /// Incarnation of the worker.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Order of messages in a session.
+    /// Order of its heartbeats within an incarnation.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest token seen.
+    /// Highest fencing token that it was shown.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes it.
+    /// Seconds until the cloud takes a spot machine back.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     /// Everything on the machine.
@@ -116,11 +116,11 @@
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds it may take to save.
+        /// Seconds that it may take to save a checkpoint.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Leave an exited task out of further heartbeats.
     #[serde(rename = "clear")]
     Forget {
         /// `job/index`.
@@ -132,18 +132,18 @@
     },
 }
 
-/// Answer to a worker whose machine another node commands.
+/// Answer to a worker whose machine another member commands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct HeartbeatRedirect<'a> {
-    /// That node.
+    /// That member.
     #[serde(rename = "foreman")]
     pub member: &'a str,
 }
 
-/// Answer to a report.
+/// Answer to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Token of the shard that answers.
+    /// Fencing token of the shard's leader that answers.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands, executed in order.
@@ -151,13 +151,13 @@
     pub commands: Vec<Command>,
 }
 
-/// Direct commands.
+/// Commands that are sent to a worker without waiting for its heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Token of the shard.
+    /// Fencing token of the shard's leader.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Session they are meant for.
+    /// Incarnation of the worker that they are meant for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
     /// Commands, executed in order.
--- a/tests/cluster/simulation/state_service.rs
+++ b/tests/cluster/simulation/state_service.rs
@@ -39,7 +39,7 @@
             event: Event::Reply { id, reply: Reply::KvStore(reply) },
         };
         if self.refused(node) {
-            let at = if call.waits() { reply_at + Micros::secs(1) } else { reply_at };
+            let at = if call.is_watch() { reply_at + Micros::secs(1) } else { reply_at };
             return self.at(at, reply(KvResponse::NotExecuted));
         }
         if let KvRequest::Watch { prefix, after, block } = call {
--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -84,7 +84,7 @@
 #[test]
 fn undecidable_submissions() {
     let gets = |call: &KvRequest| matches!(call, KvRequest::Get(_));
-    let all = |call: &KvRequest| !call.waits();
+    let all = |call: &KvRequest| !call.is_watch();
     // What becomes of which calls, how long the key-value store is away, the longest wait.
     type Calls = fn(&KvRequest) -> bool;
     let table: [(&str, Outcome, Calls, u64, u64); 5] = [
@@ -197,7 +197,8 @@
             assert!(tries < TRIES, "{count}: not accepted after {tries} tries");
             harness.run(AGAIN);
         }
-        let reads = harness.calls[calls..].iter().filter(|c| !c.waits() && !c.urgent()).count();
+        let reads =
+            harness.calls[calls..].iter().filter(|c| !c.is_watch() && !c.is_urgent()).count();
         assert!(reads <= 200 + 50 * tries, "{count}: {reads} calls in {tries} tries");
         // All of it is stored, in values that are small enough.
         let most = if state.is_empty() { 8 * 1024 } else { 2 * 1024 };
