--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -167,10 +167,8 @@
             return;
         };
         match link.connection {
-            Some(id) => {
-                if self.connections.get(id).is_some_and(|c| c.is_connecting_slowly(now)) {
-                    self.close(id);
-                }
+            Some(id) if self.connections.get(id).is_some_and(|c| c.is_connecting_slowly(now)) => {
+                self.close(id);
             }
             None if now >= link.connect_at => {
                 let opened = begin_connect(link.address)
@@ -181,7 +179,7 @@
                     link.connect_at = now + PEER_RETRY_INTERVAL;
                 }
             }
-            None => {}
+            _ => {}
         }
     }
 }
