--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -140,7 +140,7 @@
     ListMachines { requested_at: Micros, term: u64 },
 }
 
-/// What a call in flight is for, by the component that takes its reply.
+/// What a call in flight is for, by the component that handles its reply.
 #[derive(Debug, Clone)]
 pub(crate) enum PendingCall {
     Leadership(LeadershipCall),
--- a/src/controller/jobs/job/chunk.rs
+++ b/src/controller/jobs/job/chunk.rs
@@ -3,6 +3,7 @@
 use super::names::split_name;
 use super::{EndedAttempt, Placement};
 use crate::wire::JobSpec;
+use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -39,6 +40,15 @@
     pub(crate) version: u64,
 }
 
+/// Value of a stored chunk's key, not decoded.
+#[derive(Debug, Clone, PartialEq)]
+pub struct StoredChunkValue {
+    /// The value.
+    pub value: Value,
+    /// Revision of its key, 0 if it has none of its own yet.
+    pub revision: u64,
+}
+
 /// A chunk as the store has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReadChunk {
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -16,7 +16,7 @@
 mod urgency;
 mod zones;
 
-pub use chunk::{ChunkLayout, MAX_SPEC_BYTES, TaskChunk};
+pub use chunk::{ChunkLayout, MAX_SPEC_BYTES, StoredChunkValue, TaskChunk};
 pub(crate) use chunk::{ChunkVersion, ReadChunk};
 pub use keys::*;
 pub use placement::{EndedAttempt, Placement, TaskEnd};
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -4,7 +4,7 @@
 
 use super::chunk::stored_bytes;
 use super::names::{join_name, split_name};
-use super::{ChunkLayout, Job, Placement, TaskChunk};
+use super::{ChunkLayout, Job, Placement, StoredChunkValue, TaskChunk};
 use crate::time::Micros;
 use crate::wire::{JobSpec, MAX_TASKS};
 use serde::{Deserialize, Serialize, Serializer};
@@ -294,16 +294,16 @@
         shard: usize,
         revision: u64,
         layout: ChunkLayout,
-        stored: &BTreeMap<usize, (Value, u64)>,
+        stored: &BTreeMap<usize, StoredChunkValue>,
     ) -> Option<Job> {
-        let first: StoredChunk = serde_json::from_value(stored.get(&0)?.0.clone()).ok()?;
+        let first: StoredChunk = serde_json::from_value(stored.get(&0)?.value.clone()).ok()?;
         // What is stored of more tasks than can be submitted is damaged.
         let spec = Rc::new(first.spec.filter(|spec| u64::from(spec.tasks) <= MAX_TASKS)?);
         let tasks = first.chunk_size.unwrap_or(layout.tasks).max(1);
         let layout = ChunkLayout { tasks, ..layout };
         let accepted = Micros(first.accepted.unwrap_or(0));
         let mut job = Job::new(spec, shard, revision, accepted, layout);
-        for (number, (value, revision)) in stored {
+        for (number, StoredChunkValue { value, revision }) in stored {
             let stored: StoredChunk = serde_json::from_value(value.clone()).ok()?;
             let chunk = job.chunks.get_mut(*number)?;
             chunk.restore(*number as u32 * layout.tasks, &stored, *revision)?;
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -20,6 +20,7 @@
 mod further_dependencies;
 mod inherited_urgency;
 mod read_back;
+mod recovery;
 mod replies;
 mod spot_notices;
 mod stopping;
@@ -85,20 +86,4 @@
             writes_in_flight: 0,
         }
     }
-    /// Runs a job that was read from the store.
-    pub(crate) fn insert_recovered(&mut self, id: &str, job: Job) {
-        for (index, placement) in job.chunks.iter().flat_map(|chunk| &chunk.placed) {
-            self.task_index.add(job.shard, placement.machine.clone(), id, *index);
-        }
-        self.by_id.insert(id.to_string(), job);
-    }
-
-    /// Forgets the jobs of a shard that this process does not lead any more.
-    pub(crate) fn forget_shard(&mut self, shard: usize) {
-        // What cannot be read is tried once more under the next term.
-        self.unreadable.clear();
-        self.by_id.retain(|_, job| job.shard != shard);
-        self.task_index.remove_shard(shard);
-        self.batches.forget_shard(shard);
-    }
 }
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -134,7 +134,7 @@
     fn compare_lease(&self, shard: usize, context: &Context) -> LeaseComparison {
         let known = &self.shards[shard];
         match (&known.lease, &known.leadership) {
-            // A watch may tell of what was before the acquisition.
+            // A watch may deliver what was before the acquisition.
             (Some(stored), Some(leadership)) if stored.revision <= leadership.revision => {
                 LeaseComparison::Consistent
             }
@@ -153,7 +153,7 @@
     }
 }
 
-/// How a shard's lease in the store compares with what this process takes it to be.
+/// How a shard's lease in the store compares with what this process knows.
 enum LeaseComparison {
     /// Nothing follows from it.
     Consistent,
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -30,7 +30,8 @@
 /// After an acquisition the shard's machines are on their way here; misdirected heartbeats are
 /// no sign yet.
 const REDIRECTION_TIME: Micros = Micros::secs(8);
-/// A longer gap in this node's own time: it stood still, and its silence proves nothing.
+/// Longest gap between two checks: after a longer one this process was paused, and the
+/// silence of workers proves nothing.
 const MAX_CHECK_GAP: Micros = Micros::secs(1);
 /// Between checks.
 const CHECK_INTERVAL: Micros = Micros::millis(250);
@@ -128,7 +129,7 @@
 }
 
 /// How long the signs of a partition must last, if they are there: of `machines` that a shard
-/// knows, so many are `misdirected` to a peer; `silent` if none is heard here.
+/// knows, so many are `misdirected` to a peer; `silent` if no heartbeat arrives here.
 fn required_duration(machines: usize, misdirected: usize, silent: bool) -> Option<Micros> {
     if machines == 0 {
         None
--- a/src/controller/leadership/lease_renewal.rs
+++ b/src/controller/leadership/lease_renewal.rs
@@ -14,7 +14,7 @@
 /// What a renewal's answer says of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// It stands, as far as known.
+    /// It is valid for longer, or as long as it was.
     Unchanged,
     /// The store does not have it any more.
     Expired,
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use crate::controller::calls::{ApiCall, PendingCall};
-use crate::controller::jobs::job::{Job, JobRecord, StoredStage};
+use crate::controller::jobs::job::JobRecord;
 use crate::controller::jobs::stage_cache::CachedStage;
 use crate::controller::leadership::Leadership;
 use crate::controller::leadership::recovery::{
@@ -190,28 +190,12 @@
             id,
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
         );
-        let Some(mut job) = Job::restore(shard, revision, self.jobs.chunk_layout, chunks) else {
+        if !self.jobs.restore(shard, id, record, revision, chunks) {
             self.leave_unreadable(id, "stored tasks cannot be read");
             return false;
-        };
-        job.set_layout(self.jobs.chunk_layout, self.jobs.previous_chunk_layout);
-        // What was said since its record was read came by the watch.
-        let stage = self.jobs.stage_cache.stage(id).unwrap_or(record.stage);
-        job.cancelled = stage == StoredStage::Cancelled;
-        job.finished_in_store = stage == StoredStage::Done;
-        job.dependencies = record.dependencies.as_slice().into();
-        job.awaits_dependencies = !job.dependencies.is_empty() && stage == StoredStage::Accepted;
-        if job.awaits_dependencies {
-            self.jobs.dependents.wait(id);
-        }
-        if job.finished_in_store {
-            // What its chunks still name has completed; it must not be
-            // desired, and so started, again.
-            job.chunks.iter_mut().for_each(|p| p.placed.clear());
         }
         self.changes.jobs.insert(id.to_string());
         self.changes.progress.insert(id.to_string());
-        self.jobs.insert_recovered(id, job);
         true
     }
 
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -5,7 +5,7 @@
 
 use crate::controller::calls::LeadershipCall;
 use crate::controller::context::Context;
-use crate::controller::jobs::job::{self, JobRecord};
+use crate::controller::jobs::job::{self, JobRecord, StoredChunkValue};
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 use crate::wire::KeyValue;
@@ -20,8 +20,8 @@
 /// Until the next call after a record could not be read.
 const RECORD_RETRY_DELAY: Micros = Micros::millis(150);
 
-/// Values and revisions of a job's stored chunks, by number.
-pub(crate) type StoredChunks = BTreeMap<usize, (Value, u64)>;
+/// A job's stored chunks, by number.
+pub(crate) type StoredChunks = BTreeMap<usize, StoredChunkValue>;
 
 /// A job's record as it was read.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     pub(crate) revision: u64,
 }
 
-/// A job that was accepted in a batch, which stands for its chunk 0 until that is stored.
+/// A job that was accepted in a batch, which holds its chunk 0 until that has a key of its own.
 #[derive(Debug, Clone)]
 struct BatchedJob {
     batch: StoredBatch,
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct RecoveryPage {
     chunks: Vec<ListedChunk>,
-    batched: Vec<(String, BatchedJob)>,
+    batched: BTreeMap<String, BatchedJob>,
     /// Keys of batches of which some jobs cannot be read.
     pub(crate) unreadable: Vec<String>,
 }
@@ -202,7 +202,10 @@
         self.after = last;
         for ListedChunk { job, number, value, revision } in page.chunks {
             self.unread.insert(job.clone());
-            self.chunks.entry(job).or_default().insert(number, (value, revision));
+            self.chunks
+                .entry(job)
+                .or_default()
+                .insert(number, StoredChunkValue { value, revision });
         }
         for (job, batched) in page.batched {
             self.unread.insert(job.clone());
@@ -232,16 +235,16 @@
         }
     }
 
-    /// All has been read: what each job is made of. Jobs that were listed in a batch alone get
-    /// the chunk 0 that stands there, and are named beside that batch. A job's own chunk 0 is
-    /// newer than what it was accepted with.
+    /// All has been read: what each job is made of. Jobs that have no key for chunk 0 get the
+    /// chunk 0 from their batch, and are named beside that batch. A job's own key for chunk 0 is
+    /// newer than its batch.
     pub(crate) fn finish(mut self) -> RecoveredShard {
         let mut batches: BTreeMap<StoredBatch, BTreeSet<String>> = BTreeMap::new();
         for (id, BatchedJob { batch, first_chunk }) in self.batched {
             let jobs = batches.entry(batch).or_default();
             let chunks = self.chunks.entry(id.clone()).or_default();
             if let Entry::Vacant(first) = chunks.entry(0) {
-                first.insert((first_chunk, 0));
+                first.insert(StoredChunkValue { value: first_chunk, revision: 0 });
                 jobs.insert(id);
             }
         }
@@ -255,7 +258,7 @@
 pub(crate) struct RecoveredShard {
     /// The term under which the shard is led.
     pub(crate) term: u64,
-    /// The jobs of each batch that have no chunk 0 of their own.
+    /// The jobs of each batch that have no key for chunk 0.
     pub(crate) batches: BTreeMap<StoredBatch, BTreeSet<String>>,
     /// Chunks of each job.
     pub(crate) chunks: BTreeMap<String, StoredChunks>,
--- a/src/controller/leadership/replies.rs
+++ b/src/controller/leadership/replies.rs
@@ -30,7 +30,7 @@
             LeadershipCall::StartWatch(watch) => self.watch_start_reply(watch, &reply),
             LeadershipCall::Watch(watch) => self.watch_reply(watch, reply),
             LeadershipCall::PollChanges { sent } => {
-                // The watch itself will tell why a poll failed.
+                // If polls fail, so does the watch, which is called again.
                 if let KvResponse::WatchEvents(revision, events) = reply {
                     self.apply_events(Watch::Jobs, events);
                     self.leadership.watches.jobs_polled(revision, sent);
--- a/src/controller/leadership/shard_lease.rs
+++ b/src/controller/leadership/shard_lease.rs
@@ -17,7 +17,7 @@
 pub struct ShardLease {
     /// Name of the member that leads.
     pub member: String,
-    /// Its incarnation: tells an earlier process of the same name from this one.
+    /// Its incarnation, which differs between processes of the same member.
     #[serde(rename = "run")]
     pub incarnation: u64,
     /// The term under which it leads.
@@ -34,7 +34,7 @@
     pub term: u64,
 }
 
-/// A shard lease as it stands in the key-value store.
+/// A shard lease as it is in the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredShardLease {
     /// The record.
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -1,4 +1,4 @@
-//! Changes that watches of the key-value store tell of, decoded and handed on.
+//! Changes that watches of the key-value store deliver, decoded and passed on to components.
 
 use crate::controller::Controller;
 use crate::controller::calls::Watch;
@@ -21,7 +21,8 @@
 }
 
 impl Change {
-    /// What a watch tells of; `None` if it concerns nothing that is known, or cannot be read.
+    /// What an event of a watch says; `None` if it concerns nothing that is known, or cannot be
+    /// read.
     fn decode(watch: Watch, event: WatchEvent, shards: usize) -> Option<Change> {
         let WatchEvent { put, delete, value, revision } = event;
         let is_put = put.is_some();
@@ -62,13 +63,13 @@
         }
     }
 
-    /// Hands on what a watch, or a poll beside it, tells of.
+    /// Applies the events of a watch, or of a poll beside it.
     pub(crate) fn apply_events(&mut self, watch: Watch, events: Vec<WatchEvent>) {
         for event in events {
             match Change::decode(watch, event, self.leadership.shard_count()) {
                 None => {}
                 Some(Change::ShardLease { shard, item, revision }) => {
-                    // Older than the own acquisition: the shard has been acquired since.
+                    // Older than this process's acquisition of the shard.
                     let led = self.leadership.led_shard(shard);
                     if led.is_none_or(|leadership| revision > leadership.revision) {
                         self.observe_lease(shard, item.as_ref());
--- a/src/controller/leadership/watches.rs
+++ b/src/controller/leadership/watches.rs
@@ -70,7 +70,7 @@
                 LeadershipCall::Watch(watch),
                 KvRequest::Watch { prefix, after, block },
             ),
-            // The jobs' own list grows without end; any list tells the
+            // The jobs' own list grows without end; any list says the
             // present revision, and the shard leases are few.
             None => context.call_store(
                 LeadershipCall::StartWatch(watch),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -122,7 +122,7 @@
         self.context.take_effects(effects);
     }
 
-    /// Hands a reply to the component whose call it answers.
+    /// Passes a reply to the component whose call it answers.
     fn route_reply(&mut self, call: PendingCall, reply: Reply) {
         match (call, reply) {
             (PendingCall::Leadership(call), Reply::KvStore(reply)) => {
--- a/src/controller/peers/full_sync.rs
+++ b/src/controller/peers/full_sync.rs
@@ -10,7 +10,7 @@
 const MAX_TERMINATED_NAMED: usize = 500;
 
 impl Controller {
-    /// A frame that, beside what `frame` says, tells everything.
+    /// A frame that says everything, beside what `frame` says.
     pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         let shards = 0..self.leadership.shard_count();
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns what is known of each peer and the numbers of the frames and messages sent. Frames
 //! carry whole state, so any one of them may be lost. What a peer says of jobs and machines is
-//! handed on to their components; nothing here decides about them.
+//! passed on to their components; nothing here decides about them.
 
 mod full_sync;
 mod peer_state;
--- a/src/controller/peers/peer_state.rs
+++ b/src/controller/peers/peer_state.rs
@@ -10,7 +10,7 @@
 /// Whether frames of a peer have been lost before the one that has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FrameContinuity {
-    /// It follows the last one, or tells everything.
+    /// It follows the last one, or says everything.
     Unbroken,
     /// Something was lost, and is not known.
     FramesLost,
@@ -35,11 +35,11 @@
     /// Machines of others' shards that send their heartbeats to it, by shard.
     pub(crate) misdirected: BTreeMap<usize, u32>,
     last_frame_number: u64,
-    /// A frame of it was lost, and it has not told everything since.
+    /// A frame of it was lost, and it has not sent everything since.
     pub(crate) missed_frames: bool,
     /// Revision of the key-value store up to which it has followed the jobs.
     pub(crate) followed_revision: u64,
-    /// Format of what it stores and sends; 0 in versions that do not tell it.
+    /// Format of what it stores and sends; 0 in versions that do not send it.
     pub(crate) format: u32,
 }
 
@@ -54,7 +54,7 @@
         self.is_alive(now) && self.holds_lease && !self.partitioned
     }
 
-    /// Records what a frame says of its sender, and takes the sender's demand out of it.
+    /// Records what a frame says of its sender, and moves the sender's demand out of it.
     pub(crate) fn record(&mut self, frame: &mut Frame, now: Micros) -> FrameContinuity {
         let continuity = self.record_number(frame);
         if self.incarnation != frame.incarnation {
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -1,4 +1,4 @@
-//! Frames from the other controllers: what they say is handed on to the components.
+//! Frames from the other controllers: what they say is passed on to the components.
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::{Progress, Urgency};
@@ -74,7 +74,7 @@
     }
 
     /// A peer says which shards it leads. A higher term that has not come by the watch yet is
-    /// taken over; the lease itself comes with the watch.
+    /// recorded at once; the lease itself comes with the watch.
     fn observe_claims(&mut self, claims: &[ShardClaim]) {
         for claim in claims {
             let shard = claim.shard as usize;
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -43,7 +43,7 @@
         self.due_at = now + self.interval;
     }
 
-    /// Whether the work is due; if so, it is taken to be done now.
+    /// Whether the work is due; if so, it is due again after the interval.
     pub(crate) fn restart_if_due(&mut self, now: Micros) -> bool {
         let due = self.is_due(now);
         if due {
--- a/tests/components/jobs.rs
+++ b/tests/components/jobs.rs
@@ -2,12 +2,13 @@
 
 use super::submission;
 use millethold::controller::jobs::job::{
-    self, ChunkLayout, Job, TaskEnd, batch_key, decode_batch, encode_batch, is_batch,
+    self, ChunkLayout, Job, StoredChunkValue, TaskEnd, batch_key, decode_batch, encode_batch,
+    is_batch,
 };
 use millethold::peer::ObservedState;
 use millethold::time::Micros;
 use millethold::wire;
-use serde_json::{Value, json};
+use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -29,8 +30,10 @@
         j.place(now, i, "vm-3", 1, "a");
         j.end(i, TaskEnd::certain(ObservedState::Done));
     }
-    let stored: BTreeMap<usize, (Value, u64)> =
-        [0, 1].into_iter().map(|n| (n, (j.encode_chunk(n), 20 + n as u64))).collect();
+    let stored: BTreeMap<usize, StoredChunkValue> = [0, 1]
+        .into_iter()
+        .map(|n| (n, StoredChunkValue { value: j.encode_chunk(n), revision: 20 + n as u64 }))
+        .collect();
     // Read with other settings: the stored size of the parts holds.
     let other = ChunkLayout { tasks: 100, bytes: 1_000, first_chunk_shares_with_spec: false };
     let back = Job::restore(2, 9, other, &stored).expect("stored parts");
@@ -140,7 +143,7 @@
         ["j-000001", "j-000002"]
     );
     for (j, (_, chunk)) in jobs.iter().zip(&back) {
-        let stored = [(0, (chunk.clone(), 0))].into();
+        let stored = [(0, StoredChunkValue { value: chunk.clone(), revision: 0 })].into();
         let restored = Job::restore(1, 9, size, &stored).expect("a job from a bundle");
         assert_eq!(restored.spec, j.spec);
         let first = &restored.chunks[0];
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -2,7 +2,8 @@
 //! wrote it: this one reads it, and writes the same where no job needs another.
 
 use millethold::controller::jobs::job::{
-    self, ChunkLayout, Job, JobRecord, StoredStage, TaskEnd, decode_batch, encode_batch,
+    self, ChunkLayout, Job, JobRecord, StoredChunkValue, StoredStage, TaskEnd, decode_batch,
+    encode_batch,
 };
 use millethold::peer::{self, InheritedUrgency, ObservedState, ReadFrame};
 use millethold::time::Micros;
@@ -40,7 +41,7 @@
 fn stored_jobs_of_production() {
     // Read, also by nodes that keep to smaller values, and written back unchanged.
     for value_kb in [8.0, 2.0] {
-        let stored = BTreeMap::from([(0, (chunk(), 5))]);
+        let stored = BTreeMap::from([(0, StoredChunkValue { value: chunk(), revision: 5 })]);
         let job = Job::restore(2, 9, ChunkLayout::new(value_kb), &stored).expect("a stored job");
         assert_eq!((job.done(), job.reserved_tasks(), job.pending()), (1, 2, 13), "{value_kb} KiB");
         assert!(!job.awaits_dependencies && job.dependencies.is_empty());
--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -7,7 +7,8 @@
 
 use crate::harness::{Harness, settings, warnings};
 use millethold::controller::jobs::job::{
-    ChunkLayout, Job, JobRecord, decode_batch, encode_batch, is_batch, parse_chunk_key,
+    ChunkLayout, Job, JobRecord, StoredChunkValue, decode_batch, encode_batch, is_batch,
+    parse_chunk_key,
 };
 use millethold::controller::leadership::shard_lease::{ShardLease, TermRecord};
 use millethold::controller::quota::team_quota::TeamQuota;
@@ -68,7 +69,7 @@
 }
 
 /// A job's part, read with all parts of the job and written again.
-fn part_again(chunks: &BTreeMap<usize, (Value, u64)>, n: usize, value_kb: f64) -> Value {
+fn part_again(chunks: &BTreeMap<usize, StoredChunkValue>, n: usize, value_kb: f64) -> Value {
     let job = Job::restore(0, 9, ChunkLayout::new(value_kb), chunks).expect("a stored job");
     job.encode_chunk(n)
 }
@@ -92,13 +93,16 @@
                     "w" => {
                         let (name, n) = parse_chunk_key(key).expect("a part's key");
                         if is_batch(name) {
-                            let one =
-                                |(_, chunk)| part_again(&[(0, (chunk, 5))].into(), 0, value_kb);
+                            let one = |(_, value)| {
+                                let stored = StoredChunkValue { value, revision: 5 };
+                                part_again(&[(0, stored)].into(), 0, value_kb)
+                            };
                             encode_batch(decode_batch(value).into_iter().map(one).collect())
                         } else {
                             let prefix = key.trim_end_matches(|c| c != '/');
                             let chunks = left.stored.iter().filter_map(|(k, v)| {
-                                Some((k.strip_prefix(prefix)?.parse().ok()?, (v.clone(), 5)))
+                                let value = StoredChunkValue { value: v.clone(), revision: 5 };
+                                Some((k.strip_prefix(prefix)?.parse().ok()?, value))
                             });
                             part_again(&chunks.collect(), n, value_kb)
                         }
