--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -89,7 +89,7 @@
     /// Everything that waits, here and at the peers.
     fn all_demand(&self) -> Vec<Demand> {
         let mut all = self.scheduler.demand(&self.scheduling_inputs());
-        all.extend(self.peers_demand().cloned());
+        all.extend(self.peers.live_demand(self.context.now).cloned());
         all
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -237,11 +237,6 @@
         self.leadership.shard_of_machine(machine)
     }
 
-    /// Whether a frame of a member has come lately.
-    fn peer_alive(&self, member: usize) -> bool {
-        self.peers.is_alive(member, self.context.now)
-    }
-
     /// The member that leads a shard, as far as known.
     fn shard_leader(&self, shard: usize) -> Option<usize> {
         self.context.member_number(self.leadership.leader_name(shard)?)
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -88,16 +88,6 @@
 }
 
 impl Controller {
-    /// What live peers' shards lack of teams' limits.
-    fn peers_quota_demand(&self) -> impl Iterator<Item = &QuotaDemand> {
-        self.peers.live_quota_demand(self.context.now)
-    }
-
-    /// The most urgent rank that lacks some of a team's limit, on any shard.
-    pub(crate) fn most_urgent_unmet_rank(&self, team: &str) -> Option<u32> {
-        self.quota.most_urgent_unmet_rank(team, self.peers_quota_demand())
-    }
-
     /// Adapts the grants of own shards to what they use and lack, team by team.
     pub(crate) fn maintain_quotas(&mut self) {
         if !self.holds_lease() {
@@ -144,8 +134,9 @@
     }
 
     fn shard_demand(&self, team: &str, shard: usize, own: &[QuotaDemand]) -> ShardDemand {
-        let of_team: Vec<&QuotaDemand> =
-            self.peers_quota_demand().chain(own).filter(|demand| demand.team == team).collect();
+        let now = self.context.now;
+        let all = self.peers.live_quota_demand(now).chain(own);
+        let of_team: Vec<&QuotaDemand> = all.filter(|demand| demand.team == team).collect();
         let ranked = |demand: &&QuotaDemand| RankedDemand {
             rank: demand.rank,
             amount: QuotaAmount::new(demand.cpus, demand.gpus),
@@ -153,7 +144,7 @@
         let elsewhere = of_team.iter().filter(|demand| demand.shard as usize != shard);
         ShardDemand {
             used: shard_usage(&self.jobs, shard, team),
-            pending: pending_demand(&self.jobs, self.context.now, shard, team),
+            pending: pending_demand(&self.jobs, now, shard, team),
             unmet_elsewhere: elsewhere.map(ranked).collect(),
             unmet: of_team.iter().map(ranked).collect(),
         }
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -38,13 +38,32 @@
         let leadership = self.leadership.led_shard(shard);
         leadership.is_some_and(|leadership| leadership.recovered)
     }
+
+    /// Whether another member leads a shard and is alive, as far as known.
+    fn led_by_live_peer(&self, shard: usize) -> bool {
+        let leader = self.leadership.leader_name(shard);
+        let member = leader.and_then(|name| self.context.member_number(name));
+        member.is_some_and(|member| {
+            member != self.context.me && self.peers.is_alive(member, self.context.now)
+        })
+    }
+
+    fn shard_source(&self, shard: usize) -> ShardSource {
+        let leading_term = self.leading_term(shard);
+        ShardSource {
+            has_live_leader: leading_term.is_some() || self.led_by_live_peer(shard),
+            jobs_known: self.jobs_known(shard),
+            leading_term,
+            term: self.leadership.term(shard),
+        }
+    }
 }
 
 impl Controller {
     /// Brings the capacity index up to date: only what has changed is computed anew.
     pub(crate) fn refresh_capacity(&mut self) {
         for shard in 0..self.leadership.shard_count() {
-            let source = self.shard_source(shard);
+            let source = self.scheduling_inputs().shard_source(shard);
             let previous = self.scheduler.shard_sources.insert(shard, source);
             // The shard has changed its leader, or its leader has fallen silent.
             if previous != Some(source) {
@@ -58,19 +77,6 @@
         }
     }
 
-    fn shard_source(&self, shard: usize) -> ShardSource {
-        let inputs = self.scheduling_inputs();
-        let leading_term = inputs.leading_term(shard);
-        let live_peer = |member| member != self.context.me && self.peer_alive(member);
-        ShardSource {
-            has_live_leader: leading_term.is_some()
-                || self.shard_leader(shard).is_some_and(live_peer),
-            jobs_known: inputs.jobs_known(shard),
-            leading_term,
-            term: self.leadership.term(shard),
-        }
-    }
-
     /// Marks as stale a shard's machines, and those that its tasks are desired on: these are
     /// read from another source from now on.
     fn mark_shard_stale(&mut self, shard: usize) {
--- a/src/controller/scheduler/inputs.rs
+++ b/src/controller/scheduler/inputs.rs
@@ -6,6 +6,7 @@
 use crate::controller::jobs::Jobs;
 use crate::controller::leadership::Leadership;
 use crate::controller::machines::Machines;
+use crate::controller::peers::Peers;
 use crate::controller::quota::Quotas;
 
 /// The components that the scheduler reads, and never changes, while it decides.
@@ -15,6 +16,8 @@
     pub(crate) context: &'a Context,
     /// Terms and leaders of the shards.
     pub(crate) leadership: &'a Leadership,
+    /// What waits at the other controllers, and which of them are alive.
+    pub(crate) peers: &'a Peers,
     /// Jobs of own shards.
     pub(crate) jobs: &'a Jobs,
     /// Views of machines, and what all shards desire there.
@@ -31,6 +34,7 @@
         SchedulingInputs {
             context: &self.context,
             leadership: &self.leadership,
+            peers: &self.peers,
             jobs: &self.jobs,
             machines: &self.machines,
             autoscaler: &self.autoscaler,
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -84,7 +84,8 @@
         if order.is_empty() {
             return;
         }
-        let mut peers_demand: Vec<Demand> = self.peers_demand().cloned().collect();
+        let mut peers_demand: Vec<Demand> =
+            self.peers.live_demand(self.context.now).cloned().collect();
         let mut pass = self.scheduler.begin_pass(&self.scheduling_inputs(), &peers_demand);
         peers_demand.sort_by_key(QueueClass::of_demand);
         for queued in order {
@@ -109,9 +110,4 @@
         }
         self.scheduler.capacity.release_holds();
     }
-
-    /// What waits on live peers' shards.
-    pub(crate) fn peers_demand(&self) -> impl Iterator<Item = &Demand> {
-        self.peers.live_demand(self.context.now)
-    }
 }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -88,10 +88,10 @@
         if !self.serves_shard(job.shard) || job.awaits_dependencies {
             return;
         }
-        let reason = match self.placement_barrier(job) {
+        let inputs = self.scheduling_inputs();
+        let reason = match placement_barrier(&inputs, job) {
             Some(reason) => reason,
             None => {
-                let inputs = self.scheduling_inputs();
                 let mut placement = self.scheduler.begin_placement(&inputs, id, job, pass);
                 let reason = loop {
                     if let Err(reason) = self.place_next_task(&mut placement, pass) {
@@ -108,18 +108,6 @@
         }
     }
 
-    /// Why nothing of a job may be placed now, whatever capacity there is.
-    fn placement_barrier(&self, job: &Job) -> Option<PendingReason> {
-        if job.backoff.is_paused(self.context.now) {
-            return Some(PendingReason::BackedOff);
-        }
-        // Placed now, it would be stopped again for those that lack the grant, and so
-        // without end, before the grant can change hands.
-        self.most_urgent_unmet_rank(&job.spec.team)
-            .is_some_and(|rank| rank < job.rank())
-            .then_some(PendingReason::UrgentTasksLackLimit)
-    }
-
     /// Places the next task of a job, or says why none is placed.
     fn place_next_task(
         &mut self,
@@ -138,6 +126,22 @@
     }
 }
 
+/// Why nothing of a job may be placed now, whatever capacity there is.
+fn placement_barrier(inputs: &SchedulingInputs<'_>, job: &Job) -> Option<PendingReason> {
+    let now = inputs.context.now;
+    if job.backoff.is_paused(now) {
+        return Some(PendingReason::BackedOff);
+    }
+    // Placed now, it would be stopped again for those that lack the grant, and so
+    // without end, before the grant can change hands.
+    let peers_demand = inputs.peers.live_quota_demand(now);
+    inputs
+        .quotas
+        .most_urgent_unmet_rank(&job.spec.team, peers_demand)
+        .is_some_and(|rank| rank < job.rank())
+        .then_some(PendingReason::UrgentTasksLackLimit)
+}
+
 impl Scheduler {
     fn begin_placement(
         &self,
