--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -84,7 +84,7 @@
     /// Its heartbeats arrive, but nothing shows that it receives commands.
     pub unresponsive: bool,
     /// Whether it reported in time when its view was last made.
-    pub(crate) in_time_in_view: bool,
+    pub(crate) in_time_at_last_view: bool,
     /// Number of its last view under this term.
     pub(crate) view_seq: u64,
     /// Failures, and quarantine because of them.
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -79,6 +79,21 @@
     stages: &'a StageCache,
 }
 
+/// A start that is permitted, of an attempt that is not on the machine.
+struct PermittedStart<'a> {
+    attempt: AttemptId,
+    permit: &'a StartPermit<'a>,
+    task: &'a DesiredTask,
+}
+
+/// How and why an attempt on the machine is stopped.
+#[derive(Debug, Clone, Copy)]
+struct StopDecision {
+    /// How much time it has to save a checkpoint.
+    grace: Micros,
+    reason: StopReason,
+}
+
 /// Why an attempt on the machine is stopped.
 #[derive(Debug, Clone, Copy)]
 enum StopReason {
@@ -90,6 +105,13 @@
     Cancelled,
 }
 
+impl StopDecision {
+    /// Without time to save a checkpoint.
+    fn at_once(reason: StopReason) -> StopDecision {
+        StopDecision { grace: Micros::ZERO, reason }
+    }
+}
+
 impl<'a> Reconciler<'a> {
     /// Gathers what is desired on a machine. It has few tasks, and this is computed at
     /// every heartbeat.
@@ -180,30 +202,29 @@
                 }
                 continue;
             }
-            let Some((grace, reason)) = self.stop_reason(attempt, *observed, route) else {
+            let Some(stop) = self.stop_decision(attempt, *observed, route) else {
                 continue;
             };
             // Direct commands say it once; responses to heartbeats repeat it.
             if in_response || managed.stops_sent.insert(attempt.clone()) {
-                self.log_stop(attempt, reason);
+                self.log_stop(attempt, stop.reason);
                 commands.push(Command::Stop {
                     task: attempt.task_name(),
                     attempt: attempt.attempt,
-                    grace_s: grace.as_secs_f64(),
+                    grace_s: stop.grace.as_secs_f64(),
                 });
             }
         }
         commands
     }
 
-    /// Whether an attempt that is on the machine is to be stopped, with how much time to
-    /// save a checkpoint and why.
-    fn stop_reason(
+    /// Whether and how an attempt that is on the machine is to be stopped.
+    fn stop_decision(
         &self,
         attempt: &AttemptId,
         observed: ObservedState,
         route: CommandRoute,
-    ) -> Option<(Micros, StopReason)> {
+    ) -> Option<StopDecision> {
         if let Some(desired) = self.find(attempt) {
             // Its owner may be disconnected, or not know of the cancellation yet.
             let (stop_ms, reason) = match self.is_cancelled(&attempt.job) {
@@ -211,14 +232,15 @@
                 false => (desired.task.stop_ms, StopReason::OwnerRequested),
             };
             let repeat = observed != ObservedState::Saving || stop_ms == Some(0);
-            return stop_ms.filter(|_| repeat).map(|ms| (Micros::millis(ms), reason));
+            let stop_ms = stop_ms.filter(|_| repeat)?;
+            return Some(StopDecision { grace: Micros::millis(stop_ms), reason });
         }
         if self.undesired.contains(attempt) {
             // Not urgent: it waits for the response to a heartbeat.
             return (route == CommandRoute::HeartbeatResponse)
-                .then_some((Micros::ZERO, StopReason::DesiredByNoShard));
+                .then_some(StopDecision::at_once(StopReason::DesiredByNoShard));
         }
-        self.is_cancelled(&attempt.job).then_some((Micros::ZERO, StopReason::Cancelled))
+        self.is_cancelled(&attempt.job).then_some(StopDecision::at_once(StopReason::Cancelled))
     }
 
     /// Forgets starts that are not desired any more, or are to be stopped before they began,
@@ -242,7 +264,7 @@
         outcome: &mut ReconcileOutcome,
     ) {
         let mut capacity = self.free_capacity(managed);
-        for (attempt, permit, task) in &self.permitted_starts(managed) {
+        for PermittedStart { attempt, permit, task } in &self.permitted_starts(managed) {
             let in_flight = &managed.starts.in_flight;
             if !in_flight.contains_key(attempt)
                 && !self.reserve(managed, &mut capacity, attempt, task)
@@ -273,22 +295,22 @@
     }
 
     /// What may be started, is not there and was not refused, the most urgent first.
-    fn permitted_starts(
-        &self,
-        managed: &ManagedMachine,
-    ) -> Vec<(AttemptId, &StartPermit<'a>, &DesiredTask)> {
-        let mut starts: Vec<(AttemptId, &StartPermit<'a>, &DesiredTask)> = self
+    fn permitted_starts(&self, managed: &ManagedMachine) -> Vec<PermittedStart<'_>> {
+        let mut starts: Vec<PermittedStart<'_>> = self
             .desired
             .iter()
             .filter_map(|desired| {
                 let permit = desired.permit.as_ref().ok()?;
-                Some((AttemptId::of(desired.task), permit, desired.task))
+                let attempt = AttemptId::of(desired.task);
+                Some(PermittedStart { attempt, permit, task: desired.task })
             })
-            .filter(|(attempt, ..)| {
-                !managed.tasks.contains_key(attempt) && !managed.starts.refused.contains(attempt)
+            .filter(|start| {
+                !managed.tasks.contains_key(&start.attempt)
+                    && !managed.starts.refused.contains(&start.attempt)
             })
             .collect();
-        starts.sort_by(|a, b| a.2.rank.cmp(&b.2.rank).then_with(|| a.0.cmp(&b.0)));
+        starts
+            .sort_by(|a, b| a.task.rank.cmp(&b.task.rank).then_with(|| a.attempt.cmp(&b.attempt)));
         starts
     }
 
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -16,7 +16,7 @@
 
 /// What has come of time alone.
 #[derive(Default)]
-struct TimeEffects {
+struct ExpiryOutcome {
     /// Machines whose view or commands may have changed.
     changed: Vec<String>,
     /// Machines that must show whether they receive commands.
@@ -37,9 +37,9 @@
             .map(|shard| shard.leadership.as_ref().map(|leadership| leadership.acquired_at))
             .collect();
         let workers = &self.context.settings.workers;
-        let effects = self.machines.expire_incarnations(self.context.now, workers, &acquired_at);
-        self.changes.machines.extend(effects.changed);
-        for target in effects.to_probe {
+        let outcome = self.machines.expire_incarnations(self.context.now, workers, &acquired_at);
+        self.changes.machines.extend(outcome.changed);
+        for target in outcome.to_probe {
             self.send_probe(&target.machine, target.last_known);
         }
     }
@@ -56,7 +56,7 @@
                 self.send_direct_commands(&machine);
             }
             let leadership = self.leadership.led_shard(shard);
-            let at = ViewedAt {
+            let inputs = ViewInputs {
                 now: self.context.now,
                 term,
                 shard_acquired_at: leadership.map_or(Micros::ZERO, |l| l.acquired_at),
@@ -64,7 +64,7 @@
             };
             let progress = &self.jobs.progress;
             let completes = |job: &str| progress.get(job).is_some_and(|progress| progress.done > 0);
-            if let Some(view) = self.machines.changed_view(&machine, at, completes) {
+            if let Some(view) = self.machines.changed_view(&machine, inputs, completes) {
                 frame.views.push(view.clone());
                 self.apply_view(view);
             }
@@ -74,7 +74,7 @@
 
 /// What a view depends on beside the machine.
 #[derive(Clone, Copy)]
-struct ViewedAt {
+struct ViewInputs {
     now: Micros,
     /// Term of the machine's shard.
     term: u64,
@@ -91,10 +91,10 @@
         now: Micros,
         workers: &Workers,
         acquired_at: &[Option<Micros>],
-    ) -> TimeEffects {
+    ) -> ExpiryOutcome {
         let worker_lease = timeouts::longest_worker_lease(workers);
         let heartbeat_timeout = timeouts::heartbeat_timeout(workers);
-        let mut effects = TimeEffects::default();
+        let mut outcome = ExpiryOutcome::default();
         for (name, managed) in &mut self.managed {
             let shard = shard::shard_of_machine(name, acquired_at.len());
             let Some(Some(shard_acquired_at)) = acquired_at.get(shard) else {
@@ -103,24 +103,25 @@
             let last_answered_at = managed.last_answered_at(*shard_acquired_at);
             if managed.expire_incarnation(now, last_answered_at, worker_lease) {
                 info!("machine {name} has been silent for a whole lease");
-                effects.changed.push(name.clone());
+                outcome.changed.push(name.clone());
                 continue;
             }
             // Health depends on time, and starts may wait for their next try.
             let in_time = managed.reports_in_time(now, last_answered_at, heartbeat_timeout);
             let may_send = now >= managed.direct_not_before;
-            if in_time != managed.in_time_in_view || (managed.starts.any_unsent() && may_send) {
-                effects.changed.push(name.clone());
+            if in_time != managed.in_time_at_last_view || (managed.starts.any_unsent() && may_send)
+            {
+                outcome.changed.push(name.clone());
             }
             if managed.unresponsive
                 && in_time
                 && may_send
                 && let Some(target) = managed.probe_target(name)
             {
-                effects.to_probe.push(target);
+                outcome.to_probe.push(target);
             }
         }
-        effects
+        outcome
     }
 
     /// The view of a machine, numbered, if it differs from the one before. `completes` tells
@@ -128,10 +129,10 @@
     fn changed_view(
         &mut self,
         machine: &str,
-        at: ViewedAt,
+        inputs: ViewInputs,
         completes: impl Fn(&str) -> bool,
     ) -> Option<MachineView> {
-        let mut view = self.view_of(machine, at, completes)?;
+        let mut view = self.view_of(machine, inputs, completes)?;
         if let Some(old) = self.views.get(machine) {
             view.seq = old.seq;
             // A notice runs down by itself; only its coming is news.
@@ -154,22 +155,23 @@
     fn view_of(
         &mut self,
         machine: &str,
-        at: ViewedAt,
+        inputs: ViewInputs,
         completes: impl Fn(&str) -> bool,
     ) -> Option<MachineView> {
         let managed = self.managed.get_mut(machine)?;
-        let last_answered_at = managed.last_answered_at(at.shard_acquired_at);
-        let in_time = managed.reports_in_time(at.now, last_answered_at, at.heartbeat_timeout);
-        managed.in_time_in_view = in_time;
+        let last_answered_at = managed.last_answered_at(inputs.shard_acquired_at);
+        let in_time =
+            managed.reports_in_time(inputs.now, last_answered_at, inputs.heartbeat_timeout);
+        managed.in_time_at_last_view = in_time;
         let in_quarantine = self.failing_jobs.demand_quarantine(&managed.failures, completes);
-        if managed.failures.set_quarantine(at.now, in_quarantine) {
+        if managed.failures.set_quarantine(inputs.now, in_quarantine) {
             warn!("machine {machine} fails what it starts: in quarantine");
         }
         let shards = self.desired.iter().enumerate();
         let description = &managed.description;
         Some(MachineView {
             machine: machine.to_string(),
-            term: at.term,
+            term: inputs.term,
             seq: 0,
             known: managed.heartbeat_under_term,
             incarnation: managed.incarnation,
@@ -179,13 +181,13 @@
             zone: description.zone.clone(),
             spot: description.spot,
             address: description.address.map(|address| address.to_string()).unwrap_or_default(),
-            notice_ms: description.reclaimed_at.map(|moment| moment.since(at.now).as_millis()),
+            notice_ms: description.reclaimed_at.map(|moment| moment.since(inputs.now).as_millis()),
             healthy: in_time && !in_quarantine && !managed.unresponsive,
             tasks: managed.observed_tasks(),
             applied: shards.filter_map(|(shard, state)| state.applied(shard, machine)).collect(),
             faulty: managed
                 .failures
-                .quarantined_longer_than(at.now, MIN_QUARANTINE_BEFORE_SCALE_IN),
+                .quarantined_longer_than(inputs.now, MIN_QUARANTINE_BEFORE_SCALE_IN),
         })
     }
 }
