--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -167,7 +167,7 @@
     }
 
     fn machine_statuses(&self) -> Vec<MachineStatus<'_>> {
-        self.machines.views.values().map(MachineStatus::of).collect()
+        self.machines.views().values().map(MachineStatus::of).collect()
     }
 
     /// Number of shards that this process leads, whether or not they have been recovered.
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -104,7 +104,7 @@
         }
         self.refresh_capacity();
         let mut free = self.scheduler.free_capacity();
-        let views = &self.machines.views;
+        let views = self.machines.views();
         let is_up = |machine: &str| views.get(machine).is_some_and(|view| view.known);
         let fleet = &self.autoscaler.fleet;
         let machine_types = &self.autoscaler.machine_types;
@@ -148,7 +148,7 @@
             tasks_wait: !self.all_demand().is_empty(),
             catalogue: &self.autoscaler.machine_types,
         };
-        let (views, scheduler) = (&self.machines.views, &self.scheduler);
+        let (views, scheduler) = (self.machines.views(), &self.scheduler);
         let activity = |machine: &str| {
             let capacity = scheduler.machine_capacity(machine);
             let has_placed_tasks = capacity.is_some_and(|capacity| !capacity.tasks.is_empty());
@@ -186,7 +186,7 @@
         self.counts.decisions.machines_scaled_in += machines.len() as u64;
         let term = self.leading_term(AUTOSCALER_SHARD);
         for machine in &machines {
-            let tasks = self.machines.views.get(machine).map_or(0, |view| view.tasks.len());
+            let tasks = self.machines.view(machine).map_or(0, |view| view.tasks.len());
             decision_log::scale_in(machine, AUTOSCALER_SHARD, term, tasks);
         }
         let purpose = AutoscalerCall::ScaleIn { machines: machines.clone() };
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -114,7 +114,7 @@
     fn apply_machine_types(&mut self, types: Vec<MachineType>) {
         self.autoscaler.machine_types.replace(types);
         self.scheduler.request_pass();
-        self.changes.machines.extend(self.machines.managed.keys().cloned());
+        self.changes.machines.extend(self.machines.managed().keys().cloned());
     }
 
     fn scale_out_reply(&mut self, reply: CloudReply) {
@@ -144,16 +144,15 @@
 
     /// Takes in a complete list of the machines.
     fn apply_machine_list(&mut self, requested_at: Micros, mut list: Vec<ListedMachine>) {
-        let known_terminated = &self.machines.terminated;
         let has_failed = |machine: &ListedMachine| machine.stage == MachineStage::Failed;
         // Failed machines stay listed until they are removed.
-        list.retain(|machine| has_failed(machine) || !known_terminated.contains(&machine.name));
+        list.retain(|listed| has_failed(listed) || !self.machines.is_terminated(&listed.name));
         let lag = Micros::from_secs_f64(self.context.settings.cloud.list_lag_s);
         let now = self.context.now;
         let mut terminated = self.autoscaler.fleet.apply_list(now, requested_at, &list, lag);
         terminated.extend(list.iter().filter(|m| has_failed(m)).map(|m| m.name.clone()));
         for name in terminated {
-            if !self.machines.terminated.contains(&name) {
+            if !self.machines.is_terminated(&name) {
                 self.changes.terminated.push(name.clone());
                 self.machine_terminated(&name);
             }
--- a/src/controller/jobs/evaluation.rs
+++ b/src/controller/jobs/evaluation.rs
@@ -136,13 +136,13 @@
         let term = self.leading_term(shard)?;
         let placement = job.placement(index)?;
         let machine = &placement.machine;
-        if self.machines.terminated.contains(&**machine) {
+        if self.machines.is_terminated(machine) {
             return Some(Verdict::Lost);
         }
         // A view of an earlier leader proves nothing any more: the present one
         // may start what that one had refused.
         let present_term = self.leadership.term(self.leadership.shard_of_machine(machine));
-        let view = self.machines.views.get(&**machine).filter(|view| view.term == present_term)?;
+        let view = self.machines.view(machine).filter(|view| view.term == present_term)?;
         Some(Attempt { job: id, index, shard, term, placement }.verdict(view))
     }
 }
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -96,7 +96,7 @@
     /// they are many by pages.
     pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
         if unknown.len() <= MAX_SINGLE_READS {
-            return self.machines.cancellations.add_unknown(unknown);
+            return self.machines.add_unknown_jobs(unknown);
         }
         self.jobs.record_pages.request(unknown);
     }
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -43,7 +43,7 @@
         }
         let noticed: Vec<String> = self
             .machines
-            .views
+            .views()
             .iter()
             .filter(|(_, view)| view.notice_ms.is_some())
             .map(|(machine, _)| machine.clone())
@@ -66,8 +66,7 @@
         if placement.stop_grace.is_some() {
             return;
         }
-        let Some(left_ms) = self.machines.views.get(&*placement.machine).and_then(|v| v.notice_ms)
-        else {
+        let Some(left_ms) = self.machines.view(&placement.machine).and_then(|v| v.notice_ms) else {
             return;
         };
         let left = Micros::millis(left_ms);
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -119,7 +119,7 @@
             return;
         }
         self.next_probe_at = context.now + PROBE_INTERVAL;
-        let healthy = machines.views.values().filter(|view| view.healthy);
+        let healthy = machines.views().values().filter(|view| view.healthy);
         let addresses = healthy.filter_map(|view| view.address.parse().ok());
         for address in addresses.sample(&mut context.rng, PROBED_WORKERS) {
             let id = context.register_call(MachinesCall::Inspect);
@@ -208,7 +208,7 @@
             return None;
         }
         let mut known = vec![0_usize; self.shard_count()];
-        for (machine, managed) in &machines.managed {
+        for (machine, managed) in machines.managed() {
             if managed.has_live_incarnation() {
                 known[shard_of_machine(machine, self.shard_count())] += 1;
             }
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -117,12 +117,12 @@
     /// Cancellations may have been missed: all that was concluded from jobs' records is read
     /// again.
     fn job_changes_missed(&mut self) {
-        self.invalidate_unfinished();
+        self.jobs.stage_cache.forget_unfinished();
         for recovery in self.leadership.recoveries.values_mut() {
             recovery.read_records_again();
         }
         let busy = self.jobs.by_id.iter().filter(|(_, j)| j.store_call_in_flight);
-        self.machines.cancellations.add_unknown(busy.map(|(id, _)| id.clone()).collect());
+        self.machines.add_unknown_jobs(busy.map(|(id, _)| id.clone()).collect());
         let ids: Vec<String> = self.jobs.by_id.keys().cloned().collect();
         for id in ids {
             self.read_back(&id);
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -158,11 +158,6 @@
         self.changes.machines.extend(self.machines.with_tasks_of(id));
     }
 
-    /// Forgets which jobs are known to be unfinished: changes may have been missed.
-    pub(crate) fn invalidate_unfinished(&mut self) {
-        self.jobs.stage_cache.forget_unfinished();
-    }
-
     /// Reads unknown jobs, a few at a time.
     pub(crate) fn read_unknown_jobs(&mut self) {
         if !self.holds_lease() {
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -38,13 +38,13 @@
 #[derive(Debug)]
 pub(crate) struct Machines {
     /// What each shard desires on machines, by shard.
-    pub(crate) desired: Vec<DesiredState>,
+    desired: Vec<DesiredState>,
     /// All machines as their shards' leaders last described them.
-    pub(crate) views: BTreeMap<String, MachineView>,
+    views: BTreeMap<String, MachineView>,
     /// Machines of the shards that this process leads.
-    pub(crate) managed: BTreeMap<String, ManagedMachine>,
+    managed: BTreeMap<String, ManagedMachine>,
     /// Machines that the cloud has no more.
-    pub(crate) terminated: BTreeSet<String>,
+    terminated: BTreeSet<String>,
     /// Jobs that failed on managed machines.
     failing_jobs: FailingJobs,
     /// Where machines were that have sent no heartbeat here.
@@ -52,7 +52,7 @@
     /// Managed machines to be probed.
     pending_probes: BTreeSet<String>,
     /// Unknown jobs on managed machines, and cancellations that peers may not know.
-    pub(crate) cancellations: Cancellations,
+    cancellations: Cancellations,
 }
 
 impl Machines {
@@ -70,6 +70,47 @@
         }
     }
 
+    /// What each shard desires on machines, by shard.
+    pub(crate) fn desired(&self) -> &[DesiredState] {
+        &self.desired
+    }
+
+    /// Messages of a shard's desired state may have been lost: what is absent may be desired.
+    pub(crate) fn mark_desired_incomplete(&mut self, shard: usize) {
+        self.desired[shard].mark_incomplete();
+    }
+
+    /// All machines as their shards' leaders last described them, by name.
+    pub(crate) fn views(&self) -> &BTreeMap<String, MachineView> {
+        &self.views
+    }
+
+    /// A machine as its shard's leader last described it.
+    pub(crate) fn view(&self, machine: &str) -> Option<&MachineView> {
+        self.views.get(machine)
+    }
+
+    /// Machines of the shards that this process leads, by name.
+    pub(crate) fn managed(&self) -> &BTreeMap<String, ManagedMachine> {
+        &self.managed
+    }
+
+    /// Whether a machine is known to be terminated.
+    pub(crate) fn is_terminated(&self, machine: &str) -> bool {
+        self.terminated.contains(machine)
+    }
+
+    /// So many terminated machines, the last in the order of their names first.
+    pub(crate) fn last_terminated(&self, count: usize) -> Vec<String> {
+        self.terminated.iter().rev().take(count).cloned().collect()
+    }
+
+    /// Nothing is known of these jobs, which may run on managed machines: their records are
+    /// to be read.
+    pub(crate) fn add_unknown_jobs(&mut self, jobs: Vec<String>) {
+        self.cancellations.add_unknown(jobs);
+    }
+
     /// Forgets the machines of a shard, one of `shards`, that this process does not lead any
     /// more.
     pub(crate) fn forget_shard(&mut self, shard: usize, shards: usize) {
--- a/src/controller/machines/view_updates.rs
+++ b/src/controller/machines/view_updates.rs
@@ -42,7 +42,7 @@
 }
 
 impl Controller {
-    /// Takes in a view of a machine, unless a newer one is known.
+    /// Applies a view of a machine, unless a newer one is known.
     pub(crate) fn apply_view(&mut self, view: MachineView) {
         let shard = self.shard_of_machine(&view.machine);
         if !self.machines.is_newer_view(&view, self.leadership.term(shard)) {
--- a/src/controller/peers/full_sync.rs
+++ b/src/controller/peers/full_sync.rs
@@ -15,8 +15,8 @@
         frame.full = true;
         let shards = 0..self.leadership.shard_count();
         frame.desired = shards.filter_map(|shard| self.full_desired_state(shard)).collect();
-        let managed = self.machines.managed.keys();
-        let views = managed.filter_map(|machine| self.machines.views.get(machine));
+        let managed = self.machines.managed().keys();
+        let views = managed.filter_map(|machine| self.machines.view(machine));
         frame.views = views.cloned().collect();
         frame.progress = self
             .jobs
@@ -25,14 +25,13 @@
             .map(|(id, j)| Progress { job: id.clone(), done: j.done(), running: j.running() })
             .collect();
         frame.address_hints = self.address_hints();
-        frame.terminated =
-            self.machines.terminated.iter().rev().take(MAX_TERMINATED_NAMED).cloned().collect();
+        frame.terminated = self.machines.last_terminated(MAX_TERMINATED_NAMED);
         frame
     }
 
     /// The desired state of a shard that this process serves, for all machines.
     fn full_desired_state(&self, shard: usize) -> Option<DesiredStateMessage> {
-        let desired = &self.machines.desired[shard];
+        let desired = &self.machines.desired()[shard];
         if !self.serves_shard(shard)
             || self.leading_term(shard) != Some(desired.term)
             || !desired.is_complete()
@@ -62,9 +61,9 @@
 
     /// Where machines of other shards were, for a peer that may acquire their shards.
     fn address_hints(&self) -> Vec<AddressHint> {
-        let views = self.machines.views.values();
+        let views = self.machines.views().values();
         views
-            .filter(|v| !self.machines.managed.contains_key(&v.machine) && !v.address.is_empty())
+            .filter(|v| !self.machines.managed().contains_key(&v.machine) && !v.address.is_empty())
             .map(|v| AddressHint {
                 machine: v.machine.clone(),
                 incarnation: v.incarnation,
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -68,7 +68,7 @@
     fn desired_state_incomplete(&mut self, from: usize) {
         for shard in 0..self.leadership.shard_count() {
             if self.shard_leader(shard) == Some(from) {
-                self.machines.desired[shard].mark_incomplete();
+                self.machines.mark_desired_incomplete(shard);
             }
         }
     }
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -113,7 +113,7 @@
         }
         let demand = self.shard_demand(team, shard, own);
         if let Some(quota) = self.quota.team(team) {
-            let (desired, wall) = (&self.machines.desired, self.context.wall());
+            let (desired, wall) = (self.machines.desired(), self.context.wall());
             let preemptions =
                 quota.preemptions_over_limit(team, shard, &demand.unmet, desired, wall);
             for task in preemptions {
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -80,12 +80,12 @@
     /// Marks as stale a shard's machines, and those that its tasks are desired on: these are
     /// read from another source from now on.
     fn mark_shard_stale(&mut self, shard: usize) {
-        for machine in self.machines.views.keys() {
+        for machine in self.machines.views().keys() {
             if self.leadership.shard_of_machine(machine) == shard {
                 self.scheduler.mark_stale(machine);
             }
         }
-        for machine in self.machines.desired[shard].machines.keys() {
+        for machine in self.machines.desired()[shard].machines.keys() {
             self.scheduler.mark_stale(machine);
         }
     }
@@ -117,7 +117,7 @@
         inputs: &SchedulingInputs<'_>,
         name: &str,
     ) -> Option<(PoolKey, MachineCapacity)> {
-        let view = inputs.machines.views.get(name)?;
+        let view = inputs.machines.view(name)?;
         let shard = inputs.leadership.shard_of_machine(name);
         if !self.accepts_tasks(inputs, view, shard) {
             return None;
@@ -156,7 +156,7 @@
             && view.notice_ms.is_none()
             && view.term == inputs.leadership.term(shard)
             && !inputs.autoscaler.draining.contains(&view.machine)
-            && !inputs.machines.terminated.contains(&view.machine)
+            && !inputs.machines.is_terminated(&view.machine)
     }
 
     /// Reserves what shards desire on a machine whose jobs are not known here.
@@ -166,7 +166,7 @@
         view: &MachineView,
         capacity: &mut MachineCapacity,
     ) {
-        for (shard, desired) in inputs.machines.desired.iter().enumerate() {
+        for (shard, desired) in inputs.machines.desired().iter().enumerate() {
             if inputs.jobs_known(shard) {
                 continue;
             }
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -208,7 +208,6 @@
 fn lists_attempt(inputs: &SchedulingInputs<'_>, machine: &str, job: &str, index: u32) -> bool {
     inputs
         .machines
-        .views
-        .get(machine)
+        .view(machine)
         .is_some_and(|view| view.tasks.iter().any(|task| task.index == index && task.job == job))
 }
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -19,7 +19,7 @@
 impl Scheduler {
     /// Whether the placements of a rank that no machine has reported are as many as may be.
     pub(super) fn unobserved_at_limit(&self, inputs: &SchedulingInputs<'_>, rank: u32) -> bool {
-        self.unobserved_placements >= unobserved_limit(rank, inputs.machines.views.len())
+        self.unobserved_placements >= unobserved_limit(rank, inputs.machines.views().len())
     }
 
     /// Counts the placements that their machines have not reported yet.
