--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -169,15 +169,15 @@
             Observation::Requested { job, request_kind } => {
                 write!(f, "user: {request_kind:?} of {job} begins")
             }
-            Observation::Answer(a) => write!(
+            Observation::Answer(answer) => write!(
                 f,
                 "user: {:?} of {} at n{}, sent {:.3} -> {} {:?}",
-                a.request_kind,
-                a.job,
-                a.controller,
-                a.sent.as_secs_f64(),
-                a.status,
-                a.stage
+                answer.request_kind,
+                answer.job,
+                answer.controller,
+                answer.sent.as_secs_f64(),
+                answer.status,
+                answer.stage
             ),
             Observation::NoAnswer { job, request_kind } => {
                 write!(f, "user: {request_kind:?} of {job} unanswered")
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -115,13 +115,8 @@
     Micros(rng.random_range(0..=most.0))
 }
 
+/// What one fault does to a message on a link.
 fn effect(rng: &mut StdRng, fault: &Fault, link: Link, direction: Direction) -> Effect {
-    let worker_link = match link {
-        Link::Heartbeat { worker, controller } | Link::Command { worker, controller } => {
-            Some((worker, controller))
-        }
-        _ => None,
-    };
     match *fault {
         Fault::SlowLinks { by } => Effect::Later(up_to(rng, by)),
         Fault::SlowKvStore { by } if matches!(link, Link::KvStore { .. }) => {
@@ -140,33 +135,38 @@
         Fault::CutUsers { controller } if link == (Link::User { controller }) => {
             Effect::Cut(Cut::Reset)
         }
-        Fault::CutWorkers { controller, cut } => match worker_link {
-            Some((_, of)) if of == controller => Effect::Cut(cut),
-            _ => Effect::None,
-        },
-        Fault::CutSome { workers, cut } => match worker_link {
-            Some((worker, _)) if workers.has(worker) => Effect::Cut(cut),
-            _ => Effect::None,
-        },
-        Fault::Deaf { workers } => match (link, direction) {
-            (Link::Heartbeat { worker, .. }, Direction::Answer)
-            | (Link::Command { worker, .. }, Direction::Request)
-                if workers.has(worker) =>
-            {
-                Effect::Lost
-            }
-            _ => Effect::None,
-        },
-        Fault::Mute { workers } => match link {
-            Link::Heartbeat { worker, .. } if workers.has(worker) => Effect::Cut(Cut::Reset),
-            _ => Effect::None,
-        },
-        Fault::DelayedCommands { percent, least, most } => match (link, direction) {
-            (Link::Command { .. }, Direction::Request) if rng.random_range(0..100) < percent => {
-                Effect::Later(Micros(rng.random_range(least.0..=most.0)))
+        _ => match link {
+            Link::Heartbeat { .. } | Link::Command { .. } => {
+                worker_link_effect(rng, fault, link, direction)
             }
             _ => Effect::None,
         },
+    }
+}
+
+/// What a fault of workers does to a message between a worker and a controller.
+fn worker_link_effect(rng: &mut StdRng, fault: &Fault, link: Link, direction: Direction) -> Effect {
+    let (Link::Heartbeat { worker, controller } | Link::Command { worker, controller }) = link
+    else {
+        return Effect::None;
+    };
+    let is_heartbeat = matches!(link, Link::Heartbeat { .. });
+    let is_command = !is_heartbeat && direction == Direction::Request;
+    match *fault {
+        Fault::CutWorkers { controller: cut_off, cut } if cut_off == controller => Effect::Cut(cut),
+        Fault::CutSome { workers, cut } if workers.has(worker) => Effect::Cut(cut),
+        // Neither the answers to its heartbeats nor commands arrive.
+        Fault::Deaf { workers }
+            if workers.has(worker) && is_heartbeat == (direction == Direction::Answer) =>
+        {
+            Effect::Lost
+        }
+        Fault::Mute { workers } if is_heartbeat && workers.has(worker) => Effect::Cut(Cut::Reset),
+        Fault::DelayedCommands { percent, least, most }
+            if is_command && rng.random_range(0..100) < percent =>
+        {
+            Effect::Later(Micros(rng.random_range(least.0..=most.0)))
+        }
         _ => Effect::None,
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,13 +1,14 @@
 //! The program: `millethold-rehearsal soak`.
 
 use clap::{Args, Parser, Subcommand};
-use millethold_rehearsal::options::SoakOptions;
+use millethold_rehearsal::options::{BadOption, SoakOptions};
 use millethold_rehearsal::report::SoakReport;
-use millethold_rehearsal::soak;
+use millethold_rehearsal::soak::{self, SoakError};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use thiserror::Error;
 
 /// Name of the service's program, beside this one.
 const SERVICE: &str = "millethold";
@@ -16,10 +17,12 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
+    /// What is to be done.
     #[command(subcommand)]
     verb: Verb,
 }
 
+/// What is to be done.
 #[derive(Subcommand)]
 enum Verb {
     /// Plays runs with faults drawn by their seeds, and checks the protocol's rules by what
@@ -27,6 +30,7 @@
     Soak(SoakArguments),
 }
 
+/// Options of a soak.
 #[derive(Args)]
 struct SoakArguments {
     /// Number of runs.
@@ -63,6 +67,7 @@
 }
 
 impl SoakArguments {
+    /// The options, with the program beside this one where none is named.
     fn options(self) -> SoakOptions {
         let beside = || {
             let here = std::env::current_exe().ok();
@@ -105,16 +110,32 @@
     }
 }
 
-fn run_soak(options: &SoakOptions) -> Result<SoakReport, String> {
-    options.check().map_err(|e| e.to_string())?;
+/// Why a soak has no verdict.
+#[derive(Debug, Error)]
+enum Failure {
+    #[error(transparent)]
+    Option(#[from] BadOption),
+    #[error(transparent)]
+    Signal(#[from] ctrlc::Error),
+    #[error(transparent)]
+    Soak(#[from] SoakError),
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("{}: {source}", file.display())]
+    Report { file: PathBuf, source: std::io::Error },
+}
+
+/// Checks the options, plays the soak and writes its report.
+fn run_soak(options: &SoakOptions) -> Result<SoakReport, Failure> {
+    options.check()?;
     let stop = Arc::new(AtomicBool::new(false));
-    let known_to_users = Arc::clone(&stop);
-    ctrlc::set_handler(move || known_to_users.store(true, Ordering::Relaxed))
-        .map_err(|e| e.to_string())?;
-    let report = soak::soak(options, &stop, |run| print!("{run}")).map_err(|e| e.to_string())?;
+    let interrupted = Arc::clone(&stop);
+    ctrlc::set_handler(move || interrupted.store(true, Ordering::Relaxed))?;
+    let report = soak::soak(options, &stop, |run| print!("{run}"))?;
     if let Some(file) = &options.report {
-        let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
-        std::fs::write(file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))?;
+        let text = serde_json::to_string_pretty(&report)? + "\n";
+        std::fs::write(file, text)
+            .map_err(|source| Failure::Report { file: file.clone(), source })?;
     }
     Ok(report)
 }
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -242,7 +242,7 @@
             match (&*connection.stream).write(&connection.outbound[connection.written..]) {
                 Ok(0) => break,
                 Ok(length) => connection.written += length,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // Not connected yet, or full: the event loop tells of it. A connection
                 // that is gone shows when it is read.
                 Err(_) => return,
@@ -265,8 +265,8 @@
             match (&*connection.stream).read(&mut self.buffer) {
                 Ok(0) => break false,
                 Ok(length) => connection.inbound.extend_from_slice(&self.buffer[..length]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break true,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break true,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => break false,
             }
         };
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -20,8 +20,8 @@
     pub from: usize,
     /// To whom.
     pub to: usize,
-    from_initiator: ConnectionId,
-    far: ConnectionId,
+    initiator: ConnectionId,
+    target: ConnectionId,
     forward: RelayDirection,
     back: RelayDirection,
 }
@@ -38,41 +38,41 @@
 impl RelayedConnection {
     fn direction_from(&mut self, from_initiator: bool) -> (&mut RelayDirection, ConnectionId) {
         match from_initiator {
-            true => (&mut self.forward, self.far),
-            false => (&mut self.back, self.from_initiator),
+            true => (&mut self.forward, self.target),
+            false => (&mut self.back, self.initiator),
         }
     }
 
     /// Both of its connections.
     pub fn connections(&self) -> [ConnectionId; 2] {
-        [self.from_initiator, self.far]
+        [self.initiator, self.target]
     }
 
     /// Bytes came from one side, and may go on at a time; never before earlier ones.
     pub fn push(&mut self, from_initiator: bool, at: Micros, bytes: Vec<u8>) -> Micros {
-        let (direction_from, _) = self.direction_from(from_initiator);
-        let at = direction_from.waiting.back().map_or(at, |(last, _)| at.max(*last));
-        direction_from.waiting.push_back((at, bytes));
+        let (direction, _) = self.direction_from(from_initiator);
+        let at = direction.waiting.back().map_or(at, |(last, _)| at.max(*last));
+        direction.waiting.push_back((at, bytes));
         at
     }
 
     /// One side has closed; true if nothing of it waits any more.
     pub fn end(&mut self, from_initiator: bool) -> bool {
-        let (direction_from, _) = self.direction_from(from_initiator);
-        direction_from.ends = true;
-        direction_from.waiting.is_empty()
+        let (direction, _) = self.direction_from(from_initiator);
+        direction.ends = true;
+        direction.waiting.is_empty()
     }
 
     /// What may go on by now, from one side.
     pub fn take(&mut self, from_initiator: bool, now: Micros) -> Vec<Step> {
-        let (direction_from, target) = self.direction_from(from_initiator);
+        let (direction, target) = self.direction_from(from_initiator);
         let mut steps = Vec::new();
-        while direction_from.waiting.front().is_some_and(|(at, _)| *at <= now) {
-            if let Some((_, bytes)) = direction_from.waiting.pop_front() {
+        while direction.waiting.front().is_some_and(|(at, _)| *at <= now) {
+            if let Some((_, bytes)) = direction.waiting.pop_front() {
                 steps.push(Step::Send(target, bytes));
             }
         }
-        if direction_from.ends && direction_from.waiting.is_empty() {
+        if direction.ends && direction.waiting.is_empty() {
             steps.push(Step::Close(target));
         }
         steps
@@ -98,13 +98,13 @@
         &mut self,
         relayed: u64,
         ends: (usize, usize),
-        from_initiator: ConnectionId,
-        far: ConnectionId,
+        initiator: ConnectionId,
+        target: ConnectionId,
     ) {
         let (from, to) = ends;
         let (forward, back) = (RelayDirection::default(), RelayDirection::default());
         self.connections
-            .insert(relayed, RelayedConnection { from, to, from_initiator, far, forward, back });
+            .insert(relayed, RelayedConnection { from, to, initiator, target, forward, back });
     }
 
     /// One of them.
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -52,8 +52,9 @@
 pub struct Evidence {
     /// The broken rule.
     #[serde(flatten)]
-    pub broken: Violation,
+    pub violation: Violation,
     /// The last entries about its job.
+    #[serde(rename = "seen")]
     pub observations: Vec<String>,
 }
 
@@ -90,6 +91,7 @@
     /// How often things happened.
     pub counts: Counts,
     /// Broken rules.
+    #[serde(rename = "breaks")]
     pub violations: Vec<Evidence>,
     /// What else went wrong.
     pub failures: Vec<Failure>,
@@ -112,9 +114,9 @@
         if counts.starts == 0 {
             failures.push(Failure::NothingRan);
         }
-        let evidence = |broken: Violation| {
-            let observations = history.about(&broken.job, EVIDENCE_LINES);
-            Evidence { broken, observations }
+        let evidence = |violation: Violation| {
+            let observations = history.about(&violation.job, EVIDENCE_LINES);
+            Evidence { violation, observations }
         };
         RunReport {
             seed,
@@ -165,21 +167,21 @@
 impl fmt::Display for RunReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = if self.passed() { "passed" } else { "FAILED" };
-        let c = &self.counts;
+        let counts = &self.counts;
         writeln!(
             f,
             "seed {}: {verdict}; {} workers, {} starts, {} completed, {} lost, {} cancelled jobs, \
              {} answers, {} unanswered, {} late commands ({} executed), stalled {:.1} s",
             self.seed,
             self.workers,
-            c.starts,
-            c.completed,
-            c.lost,
-            c.cancelled_jobs,
-            c.answers,
-            c.unanswered,
-            c.late_commands,
-            c.late_executed,
+            counts.starts,
+            counts.completed,
+            counts.lost,
+            counts.cancelled_jobs,
+            counts.answers,
+            counts.unanswered,
+            counts.late_commands,
+            counts.late_executed,
             self.stalled.as_secs_f64()
         )?;
         if self.passed() {
@@ -189,8 +191,14 @@
             writeln!(f, "  {fault}")?;
         }
         for evidence in self.violations.iter().take(SHOWN_BREAKS) {
-            let b = &evidence.broken;
-            writeln!(f, "  broken: {:?} at {:.3}: {}", b.rule, b.at.as_secs_f64(), b.what)?;
+            let violation = &evidence.violation;
+            writeln!(
+                f,
+                "  broken: {:?} at {:.3}: {}",
+                violation.rule,
+                violation.at.as_secs_f64(),
+                violation.what
+            )?;
             for line in &evidence.observations {
                 writeln!(f, "    {line}")?;
             }
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -113,7 +113,7 @@
 
 /// What users were told of a job so far.
 #[derive(Debug, Clone, Default)]
-struct KnownToUsers {
+struct JobAnswers {
     submitted: bool,
     cancel_requested: bool,
     accepted: Option<Micros>,
@@ -133,7 +133,7 @@
 /// The rules at work: what was seen so far.
 struct Checker<'a> {
     facts: &'a Facts,
-    known_to_users: BTreeMap<String, KnownToUsers>,
+    answers_by_job: BTreeMap<String, JobAnswers>,
     present: BTreeSet<Present>,
     completed: BTreeMap<String, BTreeSet<u32>>,
     violations: Vec<Violation>,
@@ -143,7 +143,7 @@
 pub fn check(facts: &Facts, history: &History) -> Vec<Violation> {
     let mut checker = Checker {
         facts,
-        known_to_users: BTreeMap::new(),
+        answers_by_job: BTreeMap::new(),
         present: BTreeSet::new(),
         completed: BTreeMap::new(),
         violations: Vec::new(),
@@ -170,9 +170,9 @@
                 self.goes_off(at, &present, *how);
             }
             Observation::Requested { job, request_kind } => {
-                let known_to_users = self.known_to_users.entry(job.clone()).or_default();
-                known_to_users.submitted |= *request_kind == RequestKind::Submit;
-                known_to_users.cancel_requested |= *request_kind == RequestKind::Cancel;
+                let answers = self.answers_by_job.entry(job.clone()).or_default();
+                answers.submitted |= *request_kind == RequestKind::Submit;
+                answers.cancel_requested |= *request_kind == RequestKind::Cancel;
             }
             Observation::Answer(answer) => self.answered(at, answer),
             Observation::NoAnswer { job, .. } => self.unanswered(at, job),
@@ -186,7 +186,7 @@
 
     /// When users were first told that a job is cancelled.
     fn cancelled_at(&self, job: &str) -> Option<Micros> {
-        let (stage, at) = self.known_to_users.get(job)?.ended?;
+        let (stage, at) = self.answers_by_job.get(job)?.ended?;
         (stage == JobStage::Cancelled).then_some(at)
     }
 
@@ -217,10 +217,10 @@
             let what = format!("{name} while attempt {} is on {}", other.attempt, other.machine);
             self.broken(Rule::RanTwice, at, &job, what);
         }
-        if let Some(known_to_users) = self.cancelled_at(&job)
-            && at > known_to_users + self.facts.cancel
+        if let Some(cancelled_at) = self.cancelled_at(&job)
+            && at > cancelled_at + self.facts.cancel
         {
-            let late = at.since(known_to_users).as_secs_f64();
+            let late = at.since(cancelled_at).as_secs_f64();
             self.broken(Rule::RanCancelled, at, &job, format!("{name} began {late:.1} s after"));
         }
         let Some(facts) = self.facts.jobs.get(&job).cloned() else {
@@ -250,10 +250,10 @@
     /// Whether a task that is on its machine until now has stayed for too long.
     fn check_overstay(&mut self, at: Micros, present: &Present) {
         let job = &present.task.job;
-        if let Some(known_to_users) = self.cancelled_at(job)
-            && at > known_to_users + self.facts.cancel
+        if let Some(cancelled_at) = self.cancelled_at(job)
+            && at > cancelled_at + self.facts.cancel
         {
-            let late = at.since(known_to_users).as_secs_f64();
+            let late = at.since(cancelled_at).as_secs_f64();
             let what = format!(
                 "{job}/{} attempt {} was on {} until {late:.1} s after",
                 present.task.index, present.attempt, present.machine
@@ -270,7 +270,7 @@
         if machine.spot && !job.spot {
             return Some("a spot machine".to_string());
         }
-        let of_job = self.present.iter().filter(|p| p.task.job == new.task.job);
+        let of_job = self.present.iter().filter(|present| present.task.job == new.task.job);
         let zones: Vec<&str> = of_job
             .filter_map(|p| self.facts.machines.get(&p.machine))
             .map(|m| m.zone.as_str())
@@ -298,17 +298,16 @@
 
     fn answered(&mut self, at: Micros, answer: &UserAnswer) {
         let job = answer.job.as_str();
-        let known_to_users = self.known_to_users.get(job).cloned().unwrap_or_default();
+        let answers = self.answers_by_job.get(job).cloned().unwrap_or_default();
         let known = matches!(answer.status, 200 | 201);
-        if !known_to_users.submitted {
+        if !answers.submitted {
             if known {
                 let what = format!("{:?} answered {}", answer.request_kind, answer.status);
                 self.broken(Rule::Invented, at, job, what);
             }
             return;
         }
-        let accepted_before =
-            known_to_users.accepted.is_some_and(|accepted| accepted < answer.sent);
+        let accepted_before = answers.accepted.is_some_and(|accepted| accepted < answer.sent);
         let refused = answer.status == 404
             || (answer.request_kind == RequestKind::Submit && matches!(answer.status, 400 | 422));
         if accepted_before && refused {
@@ -318,9 +317,9 @@
         if !known {
             return;
         }
-        let known_to_users = self.known_to_users.entry(job.to_string()).or_default();
-        known_to_users.accepted.get_or_insert(at);
-        known_to_users.last_answer = Some(at);
+        let answers = self.answers_by_job.entry(job.to_string()).or_default();
+        answers.accepted.get_or_insert(at);
+        answers.last_answer = Some(at);
         if let Some(stage) = answer.stage {
             self.check_stage(at, answer, stage);
         }
@@ -329,13 +328,13 @@
     fn check_stage(&mut self, at: Micros, answer: &UserAnswer, stage: JobStage) {
         let job = answer.job.as_str();
         let is_final = matches!(stage, JobStage::Done | JobStage::Cancelled);
-        let before = self.known_to_users.get(job).and_then(|known_to_users| known_to_users.ended);
-        if let Some((known_to_users, when)) = before
-            && known_to_users != stage
+        let before = self.answers_by_job.get(job).and_then(|answers| answers.ended);
+        if let Some((stage_before, when)) = before
+            && stage_before != stage
             && (is_final || answer.sent > when)
         {
             let what = format!(
-                "told {known_to_users:?} at {:.3}, then {stage:?} by n{}",
+                "told {stage_before:?} at {:.3}, then {stage:?} by n{}",
                 when.as_secs_f64(),
                 answer.controller
             );
@@ -348,9 +347,7 @@
         if stage == JobStage::Cancelled && before.is_none() {
             let family = self.with_ancestors(job);
             let request_kind = |id: &String| {
-                self.known_to_users
-                    .get(id)
-                    .is_some_and(|known_to_users| known_to_users.cancel_requested)
+                self.answers_by_job.get(id).is_some_and(|answers| answers.cancel_requested)
             };
             if !family.iter().any(request_kind) {
                 let what = "called cancelled, though nobody asked for that".to_string();
@@ -360,8 +357,8 @@
         if !is_final {
             self.check_orphan(at, answer, stage);
         }
-        if is_final && let Some(known_to_users) = self.known_to_users.get_mut(job) {
-            known_to_users.ended.get_or_insert((stage, at));
+        if is_final && let Some(answers) = self.answers_by_job.get_mut(job) {
+            answers.ended.get_or_insert((stage, at));
         }
     }
 
@@ -369,10 +366,10 @@
         let mut family = self.with_ancestors(&answer.job);
         family.remove(&answer.job);
         let called_off = family.iter().filter_map(|up| self.cancelled_at(up)).min();
-        if let Some(known_to_users) = called_off
-            && answer.sent > known_to_users + self.facts.cancel
+        if let Some(cancelled_at) = called_off
+            && answer.sent > cancelled_at + self.facts.cancel
         {
-            let late = answer.sent.since(known_to_users).as_secs_f64();
+            let late = answer.sent.since(cancelled_at).as_secs_f64();
             let what = format!("{stage:?} {late:.1} s after one before it was cancelled");
             self.broken(Rule::Orphaned, at, &answer.job, what);
         }
@@ -380,18 +377,16 @@
 
     fn unanswered(&mut self, at: Micros, job: &str) {
         let faults_over_at = self.facts.faults_over_at;
-        let Some(known_to_users) =
-            self.known_to_users.get_mut(job).filter(|known_to_users| !known_to_users.forgotten)
+        let Some(answers) = self.answers_by_job.get_mut(job).filter(|answers| !answers.forgotten)
         else {
             return;
         };
-        let Some(accepted) = known_to_users.accepted.filter(|_| known_to_users.ended.is_none())
-        else {
+        let Some(accepted) = answers.accepted.filter(|_| answers.ended.is_none()) else {
             return;
         };
-        let since = known_to_users.last_answer.unwrap_or(accepted).max(faults_over_at);
+        let since = answers.last_answer.unwrap_or(accepted).max(faults_over_at);
         if at > since + FORGOTTEN_AFTER {
-            known_to_users.forgotten = true;
+            answers.forgotten = true;
             let what = format!("no answer for {:.0} s", at.since(since).as_secs_f64());
             self.broken(Rule::Forgotten, at, job, what);
         }
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -60,10 +60,10 @@
                                 runs.insert(seed, run);
                             }
                         }
-                        Err(e) => {
+                        Err(failure) => {
                             halted.store(true, Ordering::Relaxed);
                             if let Ok(mut error) = error.lock() {
-                                error.get_or_insert(e);
+                                error.get_or_insert(failure);
                             }
                         }
                     }
@@ -71,8 +71,8 @@
             });
         }
     });
-    if let Some(e) = error.into_inner().ok().flatten() {
-        return Err(e);
+    if let Some(error) = error.into_inner().ok().flatten() {
+        return Err(error);
     }
     let runs = runs.into_inner().unwrap_or_default();
     Ok(SoakReport { runs: runs.into_values().collect() })
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -178,14 +178,14 @@
                 .min();
             match first {
                 Some((due, key)) if due < lease_over => observations.extend(self.change(due, &key)),
-                _ => observations.extend(self.end_session(lease_over)),
+                _ => observations.extend(self.end_incarnation(lease_over)),
             }
         }
         observations
     }
 
     /// The lease ran out: all tasks are killed and forgotten, and a incarnation begins.
-    fn end_session(&mut self, at: Micros) -> Vec<TimedObservation> {
+    fn end_incarnation(&mut self, at: Micros) -> Vec<TimedObservation> {
         let observations = self.end_all(at, TaskEnd::LeaseExpired);
         self.incarnation += 1;
         self.sequence = 0;
--- a/crates/rehearsal/src/world/fault_injection.rs
+++ b/crates/rehearsal/src/world/fault_injection.rs
@@ -53,8 +53,8 @@
     }
 
     pub(super) fn start_controller(&mut self, controller: usize) {
-        if let Err(e) = self.controllers[controller].start() {
-            let what = format!("controller n{controller} does not start: {e}");
+        if let Err(error) = self.controllers[controller].start() {
+            let what = format!("controller n{controller} does not start: {error}");
             self.failures.push(Failure::Setup { what });
         }
     }
--- a/crates/rehearsal/src/world/machines.rs
+++ b/crates/rehearsal/src/world/machines.rs
@@ -41,8 +41,8 @@
 
 impl World {
     fn record_all(&mut self, observations: Vec<TimedObservation>) {
-        for (at, observations) in observations {
-            self.record(at, observations);
+        for (at, observation) in observations {
+            self.record(at, observation);
         }
     }
 
@@ -100,9 +100,11 @@
     /// Perhaps a copy of a heartbeat comes later, at any controller.
     fn copy_heartbeat(&mut self, body: &[u8]) {
         let percent =
-            self.faults.iter().filter(|f| f.active(self.now)).find_map(|f| match f.fault {
-                Fault::LateHeartbeats { percent } => Some(percent),
-                _ => None,
+            self.faults.iter().filter(|planned| planned.active(self.now)).find_map(|planned| {
+                match planned.fault {
+                    Fault::LateHeartbeats { percent } => Some(percent),
+                    _ => None,
+                }
             });
         if percent.is_some_and(|percent| self.rng.random_range(0..100) < percent) {
             let controller = self.rng.random_range(0..self.controllers.len());
@@ -124,10 +126,9 @@
         let host = self.controller_address(controller);
         let request =
             OutgoingRequest { method: "POST", path: path::HEARTBEAT.to_string(), body: Some(body) };
-        let usable = self
-            .heartbeat_connections
-            .get(&worker)
-            .is_some_and(|c| c.controller == controller && c.heartbeat.is_none());
+        let usable = self.heartbeat_connections.get(&worker).is_some_and(|connection| {
+            connection.controller == controller && connection.heartbeat.is_none()
+        });
         if !usable {
             if let Some(old) = self.heartbeat_connections.remove(&worker) {
                 self.net.close(old.id);
@@ -351,8 +352,8 @@
 
     /// A rented machine is up.
     pub(super) fn machine_up(&mut self, name: String) {
-        if let Err(e) = self.add_worker(name) {
-            let what = format!("no further worker: {e}");
+        if let Err(error) = self.add_worker(name) {
+            let what = format!("no further worker: {error}");
             self.failures.push(crate::report::Failure::Setup { what });
         }
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -246,11 +246,11 @@
         self.actions.insert((at.max(self.now), self.next_action), action);
     }
 
-    fn record(&mut self, at: Micros, observations: Observation) {
-        if matches!(observations, Observation::TaskStarted { .. } | Observation::TaskEnded { .. }) {
+    fn record(&mut self, at: Micros, observation: Observation) {
+        if matches!(observation, Observation::TaskStarted { .. } | Observation::TaskEnded { .. }) {
             self.last_progress = self.last_progress.max(at);
         }
-        self.history.add(at, observations);
+        self.history.add(at, observation);
     }
 
     /// What becomes of a message that is sent now.
--- a/crates/rehearsal/src/world/peers.rs
+++ b/crates/rehearsal/src/world/peers.rs
@@ -12,17 +12,17 @@
         number: u64,
         from: usize,
         to: usize,
-        from_initiator: ConnectionId,
+        initiator: ConnectionId,
     ) {
         if self.transmit(Link::Peer { from, to }, Direction::Request) == Delivery::Reset {
-            return self.net.close(from_initiator);
+            return self.net.close(initiator);
         }
         match self.net.connect(
             self.addresses.peers(to),
             Role::Relay { relayed: number, from_initiator: false },
         ) {
-            Ok(far) => self.relays.add(number, (from, to), from_initiator, far),
-            Err(_) => self.net.close(from_initiator),
+            Ok(target) => self.relays.add(number, (from, to), initiator, target),
+            Err(_) => self.net.close(initiator),
         }
     }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What waited on a connection connection may go on.
+    /// What waited on a relayed connection may go on.
     pub(super) fn forward_relayed(&mut self, number: u64, from_initiator: bool) {
         let now = self.now;
         let Some(connection) = self.relays.get_mut(number) else {
@@ -69,8 +69,8 @@
 
     /// One side of a connection connection has closed: the other does once all has arrived.
     pub(super) fn relay_closed(&mut self, number: u64, from_initiator: bool) {
-        let settled = self.relays.get_mut(number).map(|connection| connection.end(from_initiator));
-        if settled == Some(true) {
+        let drained = self.relays.get_mut(number).map(|connection| connection.end(from_initiator));
+        if drained == Some(true) {
             self.reset_relayed(number);
         }
     }
--- a/crates/rehearsal/src/world/services.rs
+++ b/crates/rehearsal/src/world/services.rs
@@ -26,13 +26,8 @@
 
 impl World {
     /// A controller sends a call to the key-value store.
-    pub(super) fn kv_request(
-        &mut self,
-        id: ConnectionId,
-        controller: usize,
-        request_kind: &Request,
-    ) {
-        let Some(call) = kv_store_http::read(request_kind) else {
+    pub(super) fn kv_request(&mut self, id: ConnectionId, controller: usize, request: &Request) {
+        let Some(call) = kv_store_http::read(request) else {
             return self.net.answer(id, 400, b"{\"error\":\"malformed\"}");
         };
         match self.transmit(Link::KvStore { controller }, Direction::Request) {
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -48,13 +48,7 @@
         let controllers = (0..options.controllers)
             .map(|number| controller(options, addresses, number, directory.path()))
             .collect::<io::Result<Vec<Controller>>>()?;
-        let count = match options.workers {
-            Some(count) => count,
-            None if rng.random_range(0..MANY_WORKERS_ONE_IN) == 0 => {
-                rng.random_range(MANY_WORKERS.0..MANY_WORKERS.1)
-            }
-            None => rng.random_range(FEW_WORKERS.0..FEW_WORKERS.1),
-        };
+        let count = options.workers.unwrap_or_else(|| draw_worker_count(&mut rng));
         let mut world = World {
             started: Instant::now(),
             now: Micros::ZERO,
@@ -212,6 +206,14 @@
     }
 }
 
+/// How many workers a run has that does not say.
+fn draw_worker_count(rng: &mut StdRng) -> usize {
+    match rng.random_range(0..MANY_WORKERS_ONE_IN) {
+        0 => rng.random_range(MANY_WORKERS.0..MANY_WORKERS.1),
+        _ => rng.random_range(FEW_WORKERS.0..FEW_WORKERS.1),
+    }
+}
+
 /// A controller's files, and its process that is not started yet.
 fn controller(
     options: &SoakOptions,
