--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/own_shards.rs
@@ -11,15 +11,6 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Seconds that a job's tasks are expected to run: what its completed ones
-/// took, or its owner's estimate, corrected.
-pub(crate) fn expected_s(job: &Job, estimates: &Estimates) -> f64 {
-    match job.usual_run_time() {
-        Some(run) => run.as_secs_f64(),
-        None => job.spec.estimate_s * estimates.correction(&job.spec.class),
-    }
-}
-
 /// The machines whose desired tasks one shard sends.
 #[derive(Default)]
 struct ChangedMachines {
@@ -125,7 +116,7 @@
     let mut list = Vec::new();
     for task in tasks {
         if let Some(job) = jobs.by_id.get_mut(&task.job) {
-            let expected_s = expected_s(job, estimates);
+            let expected_s = estimates.expected_s(job);
             job.push_desired(&mut list, task.index, machine, expected_s, seq);
         }
     }
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -3,7 +3,6 @@
 
 use crate::controller::Controller;
 use crate::controller::jobs::task_index::TaskId;
-use crate::controller::machines::desired_state::own_shards::expected_s;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
 use crate::controller::scheduler::inputs::SchedulingInputs;
@@ -221,7 +220,7 @@
                     stopping: placement.stop_grace.is_some(),
                     placed: placement.placed_at,
                     checkpoint_s: job.spec.checkpoint_s,
-                    expected_s: expected_s(job, &self.estimates),
+                    expected_s: self.estimates.expected_s(job),
                 });
             }
         }
--- a/src/controller/scheduler/estimate.rs
+++ b/src/controller/scheduler/estimate.rs
@@ -3,6 +3,7 @@
 //! Estimates are often wrong, for a class mostly in one direction, so they are
 //! corrected by what the class's completed tasks took.
 
+use crate::controller::jobs::job::Job;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
@@ -44,6 +45,15 @@
         }
     }
 
+    /// Seconds that a job's tasks are expected to run: what its completed ones took, or its
+    /// owner's estimate, corrected.
+    pub fn expected_s(&self, job: &Job) -> f64 {
+        match job.usual_run_time() {
+            Some(run_time) => run_time.as_secs_f64(),
+            None => job.spec.estimate_s * self.correction(&job.spec.class),
+        }
+    }
+
     /// What an owner's estimate of a class is to be multiplied by: the median,
     /// which a few slow machines do not move.
     pub fn correction(&self, class: &str) -> f64 {
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -2,7 +2,6 @@
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::Job;
-use crate::controller::machines::desired_state::own_shards::expected_s;
 use crate::controller::quota::amount::{QuotaAmount, QuotaResource};
 use crate::controller::quota::job_demand::shard_usage;
 use crate::controller::scheduler::Scheduler;
@@ -180,7 +179,7 @@
                 && !spec.spread
                 && !excluded_from_held_machines,
             time_for_checkpoints: inputs.time_for_checkpoints(job),
-            expected_s: expected_s(job, &self.estimates),
+            expected_s: self.estimates.expected_s(job),
             pools: self.capacity.pools(|pool| pool.admits_job(&spec)),
             tasks_by_zone: job.zones(),
             cached_machines: None,
