--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -117,10 +117,7 @@
         let spec = Rc::clone(&submission.spec);
         let layout = self.jobs.chunk_layout;
         let mut job = Job::new(spec, shard, revision, submission.submitted_at, layout);
-        let chunk = &mut job.chunks[0];
-        (chunk.version, chunk.stored_version) = (1, 1);
-        // In a batch it has no key of its own yet.
-        chunk.revision = if batched { 0 } else { revision };
+        job.acceptance_stored(if batched { 0 } else { revision });
         job.cancelled = cancelled;
         if job.awaits_dependencies {
             self.jobs.dependents.wait(id);
--- a/src/controller/api/admission/transaction.rs
+++ b/src/controller/api/admission/transaction.rs
@@ -50,8 +50,6 @@
     fn first_chunk(&self, shard: usize, submission: &Submission) -> Value {
         let spec = Rc::clone(&submission.spec);
         let layout = self.jobs.chunk_layout;
-        let mut job = Job::new(spec, shard, 0, submission.submitted_at, layout);
-        job.chunks[0].version = 1;
-        job.encode_chunk(0)
+        Job::new(spec, shard, 0, submission.submitted_at, layout).encode_accepted()
     }
 }
--- a/src/controller/jobs/batch_writer.rs
+++ b/src/controller/jobs/batch_writer.rs
@@ -1,4 +1,4 @@
-//! Writes, read-backs and deletes of batches; what a batch is says [`super::batches`].
+//! Writes, read-backs and deletes of the batches of [`super::batches`].
 
 use super::Jobs;
 use super::batches::BatchedChange;
@@ -32,7 +32,7 @@
     fn encode_batch<'a>(&self, jobs: impl Iterator<Item = &'a String>) -> EncodedBatch {
         let (mut values, mut changes, mut conditions) = (Vec::new(), Vec::new(), Vec::new());
         let present = jobs.filter_map(|id| Some((id, self.by_id.get(id)?)));
-        // Of what is finished the record says all.
+        // The record holds all that matters of finished jobs.
         for (id, job) in present.filter(|(_, job)| !job.finished_in_store) {
             let chunk = &job.chunks[0];
             let as_stored = job.store_call_in_flight
@@ -52,8 +52,8 @@
     }
 
     /// Ends a call to the store about a batch, and returns the batch's shard; `None` if the
-    /// batch is gone, or the call belongs to an earlier term of its shard, whose reply says
-    /// nothing about this one.
+    /// batch is gone, or the call belongs to an earlier term of its shard, whose reply
+    /// means nothing for this one.
     fn finish_batch_call(
         &mut self,
         leadership: &Leadership,
@@ -109,7 +109,7 @@
             return false;
         };
         // Rewritten, it would lose what cannot be read of it.
-        if self.jobs.unreadable.contains(&key) {
+        if self.jobs.is_unreadable(&key) {
             return false;
         }
         if batch.call_in_flight {
--- a/src/controller/jobs/dependents.rs
+++ b/src/controller/jobs/dependents.rs
@@ -4,8 +4,8 @@
 //! shard's leader releases it once each dependency is stored as done, which is
 //! final, and cancels it once one, directly or through others, is stored
 //! as cancelled. Only jobs without tasks on machines still wait, so this is a change of
-//! stage and nothing has to be stopped. A user is told so by any node, also before it is
-//! written: from the stages of all that the job depends on.
+//! stage and nothing has to be stopped. Any node answers users so before that is
+//! written, from the stages of all that the job depends on.
 
 use super::dependency_graph::DependencyOutcome;
 use super::inherited_urgency::UrgencyInheritance;
@@ -35,7 +35,9 @@
     waiting: BTreeSet<String>,
     /// Those whose cancellation is being written.
     cancelling: BTreeSet<String>,
+    /// When all waiting jobs are checked again.
     next_check: Micros,
+    /// What the waiting jobs pass on to their dependencies.
     pub(crate) urgency: UrgencyInheritance,
 }
 
--- a/src/controller/jobs/evaluation.rs
+++ b/src/controller/jobs/evaluation.rs
@@ -5,7 +5,7 @@
 use crate::peer::{MachineView, ObservedState};
 use std::rc::Rc;
 
-/// What a machine's view says of an attempt.
+/// What became of an attempt, by the view of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     /// It ended with the incarnation of its machine, or with the machine.
--- a/src/controller/jobs/further_dependencies.rs
+++ b/src/controller/jobs/further_dependencies.rs
@@ -34,7 +34,7 @@
             Some(names) => self.jobs.dependency_graph.add_further(further, names),
             None => {
                 let key = job::dependency_key(&further.job, further.number);
-                self.note_unreadable(&key, "no list of jobs that can be read");
+                self.jobs.note_unreadable(&key, "no list of jobs that can be read");
             }
         }
     }
--- a/src/controller/jobs/job/keys.rs
+++ b/src/controller/jobs/job/keys.rs
@@ -61,14 +61,14 @@
     /// All tasks have completed.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by its user, or with a job that it depends on.
     #[serde(rename = "c")]
     Cancelled,
 }
 
 impl From<StoredStage> for JobStage {
-    /// The word of the users' pages for a stage; a job with tasks on machines is shown as
-    /// running instead of queued.
+    /// The stage that users are shown; an accepted job of which tasks run is shown as running
+    /// instead.
     fn from(stage: StoredStage) -> JobStage {
         match stage {
             StoredStage::Accepted => JobStage::Queued,
@@ -104,8 +104,8 @@
     name.starts_with('_')
 }
 
-/// Jobs of so few tasks stay in their batch: rewritten whole, it says more with
-/// one change than a key for each.
+/// Jobs of at most so many tasks stay in their batch: rewritten whole, it stores changes of
+/// many jobs with one write.
 pub const BATCHED_TASKS: u32 = 2;
 
 /// Job, or name of a batch, and number of the chunk of a key under `w/S/`.
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -31,8 +31,12 @@
 use backoff::Backoff;
 use chunk::PLACEMENT_BYTES;
 use run_times::RunTimes;
+use serde_json::Value;
 use std::rc::Rc;
 
+/// Version of chunk 0 as it is stored with the acceptance.
+const FIRST_VERSION: u64 = 1;
+
 /// How far a job is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
@@ -127,6 +131,21 @@
         }
     }
 
+    /// Chunk 0 was stored with the acceptance; its key has this revision, or 0 if the chunk
+    /// is in a batch.
+    pub(crate) fn acceptance_stored(&mut self, revision: u64) {
+        let chunk = &mut self.chunks[0];
+        chunk.version = FIRST_VERSION;
+        chunk.stored_version = FIRST_VERSION;
+        chunk.revision = revision;
+    }
+
+    /// The value of chunk 0 as it is stored with the acceptance.
+    pub(crate) fn encode_accepted(&mut self) -> Value {
+        self.chunks[0].version = FIRST_VERSION;
+        self.encode_chunk(0)
+    }
+
     /// Sets how many bytes its chunks may take. A job that was divided for larger values
     /// keeps its chunks, and their `previous` layout while the store takes such values.
     pub fn set_layout(&mut self, layout: ChunkLayout, previous: Option<ChunkLayout>) {
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -57,7 +57,7 @@
     pub(crate) batches: Batches,
     pub(crate) record_pages: RecordPages,
     /// Jobs and keys that cannot be read, and are left as they are.
-    pub(crate) unreadable: BTreeSet<String>,
+    unreadable: BTreeSet<String>,
     /// How the tasks of new jobs are divided.
     pub(crate) chunk_layout: ChunkLayout,
     /// How an earlier version divided jobs, as long as the key-value store takes values
--- a/src/controller/jobs/write_replies.rs
+++ b/src/controller/jobs/write_replies.rs
@@ -17,8 +17,8 @@
 
 impl Controller {
     /// Ends a call to the store about a job, and returns the job's shard; `None` if the job
-    /// is gone, or the call belongs to an earlier term of its shard, whose reply says
-    /// nothing about this one.
+    /// is gone, or the call belongs to an earlier term of its shard, whose reply
+    /// means nothing for this one.
     pub(super) fn finish_store_call(&mut self, id: &str, term: u64) -> Option<usize> {
         let job = self.jobs.by_id.get_mut(id)?;
         let shard = job.shard;
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -9,7 +9,7 @@
     ReadRecord, RecoveryPage, RecoveryProgress, ShardRecovery, StoredChunks,
 };
 use crate::kv_store::KvResponse;
-use log::{info, warn};
+use log::info;
 
 /// What the end of a recovery means for the leadership of its shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
             return;
         }
         // Read again and again it would be no more readable.
-        if self.jobs.unreadable.contains(id) {
+        if self.jobs.is_unreadable(id) {
             return;
         }
         let being_admitted = |call: &PendingCall| match call {
@@ -105,7 +105,7 @@
         let last = items.last().map(|item| item.key.clone());
         let page = RecoveryPage::decode(items, |id| self.jobs.by_id.contains_key(id));
         for batch in &page.unreadable {
-            self.note_unreadable(batch, "some of its jobs cannot be read");
+            self.jobs.note_unreadable(batch, "some of its jobs cannot be read");
         }
         if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
             recovery.add_page(page, last, more);
@@ -128,22 +128,6 @@
         }
     }
 
-    /// Something stored cannot be read, which is logged once: it stays as it is.
-    pub(crate) fn note_unreadable(&mut self, name: &str, what: &str) {
-        if self.jobs.unreadable.insert(name.to_string()) {
-            warn!("{name}: {what}");
-        }
-    }
-
-    /// A job cannot be read, and its batch, if it is in one, is kept for it.
-    fn leave_unreadable(&mut self, id: &str, what: &str) {
-        self.note_unreadable(id, what);
-        if let Some(batch) = self.jobs.batches.key_of(id).cloned() {
-            self.jobs.unreadable.insert(batch);
-        }
-        self.jobs.batches.remove_job(id);
-    }
-
     fn finish_recovery(&mut self, shard: usize) {
         let Some(recovery) = self.leadership.recoveries.remove(&shard) else {
             return;
@@ -159,7 +143,7 @@
             }
             let Some(ReadRecord { record: Some(record), revision }) = read.records.remove(&id)
             else {
-                self.leave_unreadable(&id, "no record that can be read");
+                self.jobs.leave_unreadable(&id, "no record that can be read");
                 continue;
             };
             if self.restore_job(shard, &id, &record, revision, &chunks) {
@@ -191,7 +175,7 @@
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
         );
         if !self.jobs.restore(shard, id, record, revision, chunks) {
-            self.leave_unreadable(id, "stored tasks cannot be read");
+            self.jobs.leave_unreadable(id, "stored tasks cannot be read");
             return false;
         }
         self.changes.jobs.insert(id.to_string());
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -88,7 +88,7 @@
     /// A job's record was written at a revision, by this process or another.
     fn job_record_changed(&mut self, id: &str, record: &JobRecord, revision: u64) {
         self.jobs.dependency_graph.note(id, record);
-        self.jobs.unreadable.remove(id);
+        self.jobs.forget_unreadable(id);
         self.cache_stage(
             id,
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
