--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -289,11 +289,13 @@
         let (event, used) = match self.role {
             Role::Relay { .. } => return Some(NetEvent::Bytes(std::mem::take(&mut self.inbound))),
             Role::KvStore { .. } | Role::Cloud { .. } | Role::Commands { .. } => {
-                let (request, used) = http::parse_request(&self.inbound).ok()??;
+                let http::Received { message: request, length: used } =
+                    http::parse_request(&self.inbound).ok()??;
                 (NetEvent::Request(request), used)
             }
             Role::Heartbeat { .. } | Role::User { .. } => {
-                let (answer, used) = http::parse_answer(&self.inbound).ok()??;
+                let http::Received { message: answer, length: used } =
+                    http::parse_answer(&self.inbound).ok()??;
                 (NetEvent::Answer(answer), used)
             }
         };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,8 +8,8 @@
 pub use error::{ConfigError, OptionProblem, SettingProblem};
 pub use options::Options;
 pub use platform::{
-    CloudLimits, Config, Endpoints, MachineLimits, NextLimits, Peer, ServiceLevelObjective,
-    Settings, StateLimits, Team, Workers,
+    CloudLimits, Config, Endpoints, KvStoreLimits, MachineLimits, Peer, ServiceLevelObjective,
+    Settings, Team, UpcomingKvStoreLimits, Workers,
 };
 
 use std::path::Path;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -49,7 +49,8 @@
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
     /// The key-value store.
-    pub state: SocketAddrV4,
+    #[serde(rename = "state")]
+    pub kv_store: SocketAddrV4,
 }
 
 /// A team's guarantee and limit; 0 means none.
@@ -111,7 +112,7 @@
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct KvStoreLimits {
     /// Requests per second, of all members together.
     pub rps: f64,
     /// Changes per second, of all members together.
@@ -122,7 +123,7 @@
     pub txn_ops: usize,
     /// Limits that will hold from some moment on, without notice; what is absent stays.
     #[serde(default)]
-    pub next: Option<NextLimits>,
+    pub next: Option<UpcomingKvStoreLimits>,
     /// Largest value until then, in KiB.
     #[serde(skip)]
     pub value_kb_now: f64,
@@ -130,7 +131,7 @@
 
 /// Limits that the key-value store will have later.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct NextLimits {
+pub struct UpcomingKvStoreLimits {
     /// Requests per second, of all members together.
     pub rps: Option<f64>,
     /// Changes per second, of all members together.
@@ -141,7 +142,7 @@
     pub txn_ops: Option<usize>,
 }
 
-impl NextLimits {
+impl UpcomingKvStoreLimits {
     fn check(&self) -> Result<(), ConfigError> {
         let amounts = [
             ("settings.state.next.rps", self.rps),
@@ -156,13 +157,13 @@
     }
 }
 
-impl StateLimits {
+impl KvStoreLimits {
     /// The limits to keep: the smaller of those of now and of later, since the change
     /// comes unannounced, and what is larger is refused from then on.
-    fn kept(&self) -> StateLimits {
+    fn kept(&self) -> KvStoreLimits {
         let next = self.next.clone().unwrap_or_default();
         let least = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
-        StateLimits {
+        KvStoreLimits {
             rps: least(self.rps, next.rps),
             write_rps: least(self.write_rps, next.write_rps),
             value_kb: least(self.value_kb, next.value_kb),
@@ -207,7 +208,8 @@
     /// Intervals and time limits of workers.
     pub workers: Workers,
     /// Limits of the key-value store.
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub kv_store: KvStoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of a controller's process.
@@ -219,19 +221,19 @@
         check_positive("settings.workers.report_s", self.workers.heartbeat_interval_s)?;
         check_positive("settings.workers.lease_s", self.workers.lease_s)?;
         check_positive("settings.workers.cancel_s", self.workers.cancel_s)?;
-        check_positive("settings.state.rps", self.state.rps)?;
-        check_positive("settings.state.write_rps", self.state.write_rps)?;
-        check_positive("settings.state.value_kb", self.state.value_kb)?;
+        check_positive("settings.state.rps", self.kv_store.rps)?;
+        check_positive("settings.state.write_rps", self.kv_store.write_rps)?;
+        check_positive("settings.state.value_kb", self.kv_store.value_kb)?;
         check_positive("settings.cloud.rps", self.cloud.rps)?;
         check_positive("settings.machine_limits.cores", self.machine_limits.cores)?;
         check_positive("settings.machine_limits.mem_mb", self.machine_limits.mem_mb)?;
-        if let Some(next) = &self.state.next {
+        if let Some(next) = &self.kv_store.next {
             next.check()?;
         }
         if !(self.cloud.list_lag_s.is_finite() && self.cloud.list_lag_s >= 0.0) {
             return fail("settings.cloud.list_lag_s", SettingProblem::Negative);
         }
-        check_min("settings.state.txn_ops", self.state.txn_ops, MIN_TXN_OPS)?;
+        check_min("settings.state.txn_ops", self.kv_store.txn_ops, MIN_TXN_OPS)?;
         let sockets = self.machine_limits.fd_limit;
         check_min("settings.machine_limits.fd_limit", sockets, MIN_SOCKETS)?;
         for (number, team) in self.teams.iter().enumerate() {
@@ -284,7 +286,7 @@
             }
         })?;
         config.check()?;
-        config.settings.state = config.settings.state.kept();
+        config.settings.kv_store = config.settings.kv_store.kept();
         Ok(config)
     }
 
--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -1,11 +1,11 @@
 //! Accepting jobs: one transaction of `j/REF` and `w/S/REF/0` for each.
 //!
-//! Where more come than this node's share of changes can take one by one, those
+//! Where more come than this node's share of changes allows one by one, those
 //! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
 //! all their descriptions. What is written of them later: see [`crate::controller::jobs::batches`].
 //!
 //! Owns the submissions that wait. Nothing here
-//! tells a user that a job is accepted before the store has applied its transaction.
+//! answers that a job is accepted before the store has applied its transaction.
 
 pub(crate) mod outcome;
 pub(crate) mod transaction;
@@ -112,7 +112,7 @@
 
     /// How many of those that wait fit in one transaction and one value.
     fn group_size(&self, context: &Context) -> usize {
-        let limits = &context.settings.state;
+        let limits = &context.settings.kv_store;
         let mut left_bytes = limits.value_kb * 1024.0 * BATCH_FILL_SHARE;
         let share = (context.write_budget.burst() / 2.0) as usize;
         let max = limits.txn_ops.saturating_sub(1).min(share).clamp(1, self.waiting.len());
@@ -147,7 +147,7 @@
 
 impl Api {
     /// Refuses submissions that have waited for too long, or all of them where nothing
-    /// can be accepted: their users are told when to come back.
+    /// can be accepted: the answer says when to come back.
     pub(crate) fn expire_submissions(
         &mut self,
         context: &mut Context,
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -29,7 +29,7 @@
             KvResponse::Applied(revision) => self.group_accepted(group, revision),
             KvResponse::Conflict(failed_keys) => self.group_refused(group, &failed_keys),
             // They may still be applied; the watch then shows the jobs, or has done
-            // so already, when it could not be told from the acceptance in flight.
+            // so already, when it could not be distinguished from the acceptance in flight.
             _ => {
                 for submission in group.submissions {
                     let id = &submission.spec.id;
@@ -98,7 +98,7 @@
         if cached.stage == StoredStage::Accepted
             && self.dependency_outcome_of(id) == DependencyOutcome::Pending
         {
-            // No user can have been told more of it: it was accepted just now.
+            // No user can have had a later stage as answer: it was accepted just now.
             let answer = self.job_answer(id, cached);
             return self.context.respond(submission.ticket, 201, None, &answer);
         }
--- a/src/controller/api/dependency_comparison.rs
+++ b/src/controller/api/dependency_comparison.rs
@@ -27,7 +27,7 @@
         if !self.cancellations_up_to_date() {
             return self.respond_retry_later(ticket, 503, "cancellations are not heard");
         }
-        let most = (self.context.settings.state.txn_ops * CONDITIONS_PER_CHANGE).max(2) - 1;
+        let most = (self.context.settings.kv_store.txn_ops * CONDITIONS_PER_CHANGE).max(2) - 1;
         let graph = &self.jobs.dependency_graph;
         let mut unfinished = graph.unfinished_before(id, &self.jobs.stage_cache);
         unfinished.truncate(most);
@@ -41,7 +41,7 @@
             ticket,
             status,
             job: id.to_string(),
-            sent: self.context.now,
+            sent_at: self.context.now,
         };
         self.context.call_store(call, KvRequest::Txn(txn));
     }
@@ -52,7 +52,7 @@
         ticket: Ticket,
         status: u16,
         id: &str,
-        sent: Micros,
+        sent_at: Micros,
         reply: &KvResponse,
     ) {
         let Some(cached) = self.jobs.stage_cache.get(id) else {
@@ -65,7 +65,7 @@
             return self.answer_with_stage(ticket, status, id, cached);
         }
         match reply {
-            KvResponse::Applied(_) if self.fresh(sent) => {
+            KvResponse::Applied(_) if self.fresh(sent_at) => {
                 let answer = self.job_answer(id, cached);
                 self.context.respond(ticket, status, None, &answer);
             }
--- a/src/controller/api/dependency_lookup.rs
+++ b/src/controller/api/dependency_lookup.rs
@@ -21,8 +21,8 @@
 struct DependencyLookup {
     ticket: Ticket,
     spec: Rc<JobSpec>,
-    /// Bytes of the description.
-    size: usize,
+    /// Size of the encoded description.
+    spec_bytes: usize,
     /// Reads that have not been answered.
     reads_in_flight: usize,
     /// Some dependency does not exist.
@@ -56,7 +56,12 @@
 impl Controller {
     /// Looks up the dependencies of a submitted job, and goes on with the submission once
     /// all of them are known to be accepted.
-    pub(crate) fn look_up_dependencies(&mut self, ticket: Ticket, spec: Rc<JobSpec>, size: usize) {
+    pub(crate) fn look_up_dependencies(
+        &mut self,
+        ticket: Ticket,
+        spec: Rc<JobSpec>,
+        spec_bytes: usize,
+    ) {
         if spec.dependencies.contains(&spec.id) {
             return self.read_job_or_answer(
                 ticket,
@@ -68,7 +73,7 @@
         let mut unknown: Vec<String> =
             spec.dependencies.iter().filter(|id| !known(id)).cloned().collect();
         if unknown.is_empty() {
-            return self.store_dependencies(ticket, spec, size, 0);
+            return self.store_dependencies(ticket, spec, spec_bytes, 0);
         }
         if unknown.len() > MAX_SINGLE_READS {
             let absent: Vec<String> = unknown
@@ -87,7 +92,7 @@
         let number = self.api.dependency_lookups.add(DependencyLookup {
             ticket,
             spec,
-            size,
+            spec_bytes,
             reads_in_flight: unknown.len(),
             missing: false,
             failed: false,
@@ -116,7 +121,7 @@
         let Some(lookup) = lookups.take_finished(number) else {
             return;
         };
-        let DependencyLookup { ticket, spec, size, missing, failed, .. } = lookup;
+        let DependencyLookup { ticket, spec, spec_bytes, missing, failed, .. } = lookup;
         if failed {
             return self.respond_retry_later(ticket, 503, "state service away");
         }
@@ -130,6 +135,6 @@
         if !spec.dependencies.iter().all(|id| self.jobs.stage_cache.contains(id)) {
             return self.respond_retry_later(ticket, 503, BEING_READ);
         }
-        self.store_dependencies(ticket, spec, size, 0);
+        self.store_dependencies(ticket, spec, spec_bytes, 0);
     }
 }
--- a/src/controller/api/dependency_records.rs
+++ b/src/controller/api/dependency_records.rs
@@ -42,7 +42,7 @@
     /// Dependencies divided into lists that a value has room for: the first one goes into
     /// the job's record, the others into further keys, numbered from 1.
     fn dependency_lists(&self, dependencies: &[String]) -> Vec<Vec<String>> {
-        let bytes = (self.context.settings.state.value_kb * 1024.0 * VALUE_FILL_RATIO) as usize;
+        let bytes = (self.context.settings.kv_store.value_kb * 1024.0 * VALUE_FILL_RATIO) as usize;
         divide(dependencies, bytes.saturating_sub(RECORD_BYTES))
     }
 
@@ -62,12 +62,12 @@
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
-        size: usize,
+        spec_bytes: usize,
         from: usize,
     ) {
         let lists = self.dependency_lists(&spec.dependencies);
         if from + 1 >= lists.len() {
-            return self.queue_submission(ticket, spec, size);
+            return self.queue_submission(ticket, spec, spec_bytes);
         }
         let leadership = self
             .admitting_shard()
@@ -75,7 +75,7 @@
         let Some((shard, revision)) = leadership else {
             return self.respond_retry_later(ticket, 503, "no seat is held");
         };
-        let limits = &self.context.settings.state;
+        let limits = &self.context.settings.kv_store;
         let lists_per_txn = MAX_TXN_BYTES / (limits.value_kb * 1024.0) as usize;
         let most = limits.txn_ops.min(lists_per_txn).max(1);
         let write = |number: usize| Write::Put {
@@ -89,21 +89,21 @@
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
         let txn = Txn { conditions, writes: (from + 1..end).map(write).collect() };
-        let call = ApiCall::StoreDependencies { ticket, spec, size, to: end - 1 };
+        let call = ApiCall::StoreDependencies { ticket, spec, spec_bytes, last_list: end - 1 };
         self.context.call_store(call, KvRequest::Txn(txn));
     }
 
-    /// Takes in the reply to a write of lists up to number `to`.
+    /// Takes in the reply to a write of lists up to number `last_list`.
     pub(crate) fn dependencies_stored(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
-        size: usize,
-        to: usize,
+        spec_bytes: usize,
+        last_list: usize,
         reply: &KvResponse,
     ) {
         match reply {
-            KvResponse::Applied(_) => self.store_dependencies(ticket, spec, size, to),
+            KvResponse::Applied(_) => self.store_dependencies(ticket, spec, spec_bytes, last_list),
             KvResponse::Conflict(_) => {
                 self.read_job_or_answer(ticket, &spec.id, PreparedAnswer::undecided());
             }
--- a/src/controller/api/health.rs
+++ b/src/controller/api/health.rs
@@ -36,7 +36,7 @@
 impl Controller {
     /// Whether users should be sent here. In an outage of the key-value store
     /// all nodes stay in, so that service resumes the moment that it returns;
-    /// a node that alone lost it steps back, which its peers' frames tell.
+    /// a node that alone lost it steps back, which its peers' frames show.
     fn check_health(&self) -> Result<(), UnhealthyReason> {
         if self.autoscaler.machine_types.is_empty() {
             return Err(UnhealthyReason::MachineTypesUnknown);
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -1,4 +1,4 @@
-//! What users are told of a job.
+//! Answers to users about a job's stage.
 
 use crate::controller::decision_log;
 use crate::controller::jobs::dependency_graph::DependencyOutcome;
@@ -62,7 +62,7 @@
         self.context.respond(ticket, status, None, &answer);
     }
 
-    /// A user is told that a job is done or cancelled.
+    /// Counts and logs an answer with a terminal state.
     fn note_final_answer(&mut self, job: &str, cached: CachedStage) {
         if cached.stage == StoredStage::Accepted {
             return;
--- a/src/controller/api/replies.rs
+++ b/src/controller/api/replies.rs
@@ -28,11 +28,11 @@
             ApiCall::LookUpDependency { number, job } => {
                 self.dependency_looked_up(number, &job, &reply);
             }
-            ApiCall::StoreDependencies { ticket, spec, size, to } => {
-                self.dependencies_stored(ticket, spec, size, to, &reply);
+            ApiCall::StoreDependencies { ticket, spec, spec_bytes, last_list } => {
+                self.dependencies_stored(ticket, spec, spec_bytes, last_list, &reply);
             }
-            ApiCall::CompareDependencies { ticket, status, job, sent } => {
-                self.dependencies_compared(ticket, status, &job, sent, &reply);
+            ApiCall::CompareDependencies { ticket, status, job, sent_at } => {
+                self.dependencies_compared(ticket, status, &job, sent_at, &reply);
             }
         }
     }
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -146,7 +146,7 @@
     }
 
     fn state_limits_status(&self) -> StateLimitsStatus {
-        let limits = &self.context.settings.state;
+        let limits = &self.context.settings.kv_store;
         let lowered = self.jobs.previous_chunk_layout.is_none();
         StateLimitsStatus {
             rps: limits.rps,
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -94,7 +94,7 @@
             && self.comparisons_in_flight < MAX_COMPARISONS_IN_FLIGHT
             && context.request_budget.level(context.now) >= 1.0
         {
-            let max_jobs = (context.settings.state.txn_ops * CONDITIONS_PER_WRITE).max(1);
+            let max_jobs = (context.settings.kv_store.txn_ops * CONDITIONS_PER_WRITE).max(1);
             let jobs = self.next_comparison(max_jobs);
             let condition = |(id, query): (&String, &StatusQuery)| Condition {
                 key: job::job_key(id),
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -28,9 +28,9 @@
 /// Why a submission is not taken now. The texts go to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum NotAdmittedNow {
-    /// No shard is led here that could take the job.
+    /// No shard is served here that could accept the job.
     #[error("no seat is held")]
-    NoShardLed,
+    NoShardServed,
     /// An earlier submission of the same job is on its way to the store.
     #[error("undecided")]
     AlreadyWaiting,
@@ -44,7 +44,7 @@
     /// HTTP status of its answer.
     fn status(self) -> u16 {
         match self {
-            NotAdmittedNow::NoShardLed | NotAdmittedNow::AlreadyWaiting => 503,
+            NotAdmittedNow::NoShardServed | NotAdmittedNow::AlreadyWaiting => 503,
             NotAdmittedNow::TooManySubmissions | NotAdmittedNow::TooManyTasks => 429,
         }
     }
@@ -126,10 +126,10 @@
         self.queue_submission(ticket, Rc::new(spec), spec_bytes);
     }
 
-    /// Whether this node can take a further submission.
+    /// Whether this node can accept a further submission now.
     fn check_admissible_now(&self, spec: &JobSpec) -> Result<(), NotAdmittedNow> {
         if self.admitting_shard().is_none() {
-            return Err(NotAdmittedNow::NoShardLed);
+            return Err(NotAdmittedNow::NoShardServed);
         }
         if self.api.admission.has_waiting(&spec.id) {
             return Err(NotAdmittedNow::AlreadyWaiting);
@@ -144,8 +144,8 @@
         Ok(())
     }
 
-    /// Submissions that may wait for the store: no more than it can take while
-    /// their users still wait.
+    /// Submissions that may wait for the store: no more than it can accept
+    /// while their users still wait.
     fn max_undecided_submissions(&self) -> usize {
         let writes_per_s = self.context.write_budget.burst();
         let in_time = writes_per_s * WRITTEN_WITHIN_S / ADMISSION_WRITES as f64;
--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -1,4 +1,4 @@
-//! When a user is told that a job is done or cancelled.
+//! When a user is answered that a job is done or cancelled.
 //!
 //! Users may ask all nodes at the same moment. A node that has read a job's key just
 //! before its last change would answer with an older stage after another node has
@@ -40,7 +40,7 @@
     unacknowledged: BTreeMap<String, UnacknowledgedState>,
     /// Answers that wait for one of them.
     waiting: Vec<WaitingAnswer>,
-    /// Peers are to be told that this process has followed the jobs further.
+    /// Peers are to be notified that this process has followed the jobs further.
     notify_peers: bool,
 }
 
@@ -59,7 +59,7 @@
         !self.unacknowledged.contains_key(job)
     }
 
-    /// The revision of a terminal state that a peer had told without it.
+    /// Learns the revision of a terminal state of which a peer had notified without it.
     pub(crate) fn correct(&mut self, job: &str, revision: u64) {
         if let Some(state) = self.unacknowledged.get_mut(job)
             && state.revision == UNKNOWN_REVISION
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether peers are to be told how far this process has followed the jobs; asked
+    /// Whether peers are to be notified how far this process has followed the jobs; true
     /// once for each change.
     pub(crate) fn take_peer_notification(&mut self) -> bool {
         std::mem::take(&mut self.notify_peers)
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -79,7 +79,7 @@
             return;
         };
         let (term, revision) = (leadership.term, leadership.revision);
-        let max_value_bytes = self.context.settings.state.value_kb * 1024.0;
+        let max_value_bytes = self.context.settings.kv_store.value_kb * 1024.0;
         let types = &mut self.autoscaler.machine_types;
         if let Some(txn) = types.storing_txn(AUTOSCALER_SHARD, term, revision, max_value_bytes) {
             self.context.call_store(AutoscalerCall::StoreMachineTypes, KvRequest::Txn(txn));
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -58,12 +58,13 @@
 pub(crate) enum ApiCall {
     /// Accept jobs.
     Admit(AdmissionGroup),
-    /// Read the record of a job that another one, being submitted, depends on.
+    /// Read the record of a job on which a submitted one depends, for the lookup of this
+    /// number.
     LookUpDependency { number: u64, job: String },
-    /// Write the dependencies that do not fit in the job's record.
-    StoreDependencies { ticket: Ticket, spec: Rc<JobSpec>, size: usize, to: usize },
+    /// Write lists of dependencies that do not fit in the job's record, up to this one.
+    StoreDependencies { ticket: Ticket, spec: Rc<JobSpec>, spec_bytes: usize, last_list: usize },
     /// Compare the revisions of all unfinished jobs that a job depends on.
-    CompareDependencies { ticket: Ticket, status: u16, job: String, sent: Micros },
+    CompareDependencies { ticket: Ticket, status: u16, job: String, sent_at: Micros },
     /// Read the record of a submitted job that may be known to the store.
     ReadSubmitted { ticket: Ticket, job: String, sent_at: Micros, if_absent: PreparedAnswer },
     /// Read the record of a job whose status is queried.
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -52,7 +52,7 @@
     pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
         let members = config.members();
         let me = members.iter().position(|member| *member == config.member).unwrap_or(0);
-        let limits = &config.settings.state;
+        let limits = &config.settings.kv_store;
         let write_rate = limits.write_rps * WRITE_RATE_SHARE / members.len() as f64;
         let request_rate = limits.rps * REQUEST_RATE_SHARE / members.len() as f64;
         Context {
--- a/src/controller/jobs/batch_writer.rs
+++ b/src/controller/jobs/batch_writer.rs
@@ -125,7 +125,7 @@
         ];
         let encoded = self.jobs.encode_batch(batch.jobs.iter());
         conditions.extend(encoded.conditions);
-        let limits = &self.context.settings.state;
+        let limits = &self.context.settings.kv_store;
         // It may be of a time with larger limits.
         let conditions_fit = conditions.len() <= 4 * limits.txn_ops;
         if encoded.changes.is_empty()
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -28,7 +28,7 @@
 mod write_replies;
 mod writer;
 
-use crate::config::StateLimits;
+use crate::config::KvStoreLimits;
 use batches::Batches;
 use dependency_graph::DependencyGraph;
 use dependents::Dependents;
@@ -69,7 +69,7 @@
 
 impl Jobs {
     /// No jobs yet; tasks are divided as the store's limits allow.
-    pub(crate) fn new(limits: &StateLimits) -> Jobs {
+    pub(crate) fn new(limits: &KvStoreLimits) -> Jobs {
         Jobs {
             by_id: BTreeMap::new(),
             task_index: TaskIndex::default(),
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -6,7 +6,7 @@
 use super::Jobs;
 use super::job::TaskEnd;
 use super::write_plan::{WriteLimits, WritePlan, WriteUrgency};
-use crate::config::StateLimits;
+use crate::config::KvStoreLimits;
 use crate::controller::Controller;
 use crate::controller::calls::JobsCall;
 use crate::controller::leadership::shard_lease;
@@ -67,7 +67,7 @@
     }
 
     /// Limits of a transaction, by those of the store.
-    fn write_limits(&self, limits: &StateLimits) -> WriteLimits {
+    fn write_limits(&self, limits: &KvStoreLimits) -> WriteLimits {
         // What is larger is refused once the key-value store has its new limits.
         let value_kb = match self.previous_chunk_layout {
             Some(_) => limits.value_kb_now,
@@ -155,7 +155,7 @@
         if !self.finish_cancelled(id) {
             return;
         }
-        let limits = self.jobs.write_limits(&self.context.settings.state);
+        let limits = self.jobs.write_limits(&self.context.settings.kv_store);
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
--- a/src/controller/leadership/replies.rs
+++ b/src/controller/leadership/replies.rs
@@ -31,7 +31,7 @@
             LeadershipCall::Watch(watch) => self.watch_reply(watch, reply),
             LeadershipCall::PollChanges { sent } => {
                 // If polls fail, so does the watch, which is called again.
-                if let KvResponse::WatchEvents(revision, events) = reply {
+                if let KvResponse::WatchEvents { revision, events } = reply {
                     self.apply_events(Watch::Jobs, events);
                     self.leadership.watches.jobs_polled(revision, sent);
                 }
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -54,7 +54,7 @@
     /// A call of a watch was answered.
     pub(crate) fn watch_reply(&mut self, watch: Watch, reply: KvResponse) {
         match reply {
-            KvResponse::WatchEvents(revision, events) => {
+            KvResponse::WatchEvents { revision, events } => {
                 self.apply_events(watch, events);
                 self.leadership.watches.state_mut(watch).answered(revision);
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -81,7 +81,7 @@
         Controller {
             leadership: Leadership::new(members),
             peers: Peers::new(members, context.me),
-            jobs: Jobs::new(&settings.state),
+            jobs: Jobs::new(&settings.kv_store),
             api: Api::default(),
             scheduler: Scheduler::new(&context.options),
             machines: Machines::new(members),
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -46,7 +46,7 @@
 /// later decision knows more.
 fn max_unstored_chunks(inputs: &SchedulingInputs<'_>) -> usize {
     let shards = inputs.leadership.shard_count().max(1);
-    let writes_per_s = inputs.context.settings.state.write_rps / shards as f64;
+    let writes_per_s = inputs.context.settings.kv_store.write_rps / shards as f64;
     (writes_per_s as usize).max(MIN_UNSTORED_CHUNKS)
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -36,10 +36,19 @@
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// The sender asked to close.
+    /// The sender requests that the connection is closed.
     pub close: bool,
 }
 
+/// A message that was read from the front of a buffer.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Received<M> {
+    /// The message.
+    pub message: M,
+    /// Bytes of the buffer that it took.
+    pub length: usize,
+}
+
 /// An answer that has arrived in full.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
@@ -131,9 +140,12 @@
     Ok(buffer.get(head..head + framing.length))
 }
 
-/// Reads a request from the front of `buffer`: the request and its length, or
-/// `None` while it has not arrived in full.
-pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+/// Reads a request from the front of `buffer`; `None` while it has not arrived in full.
+///
+/// # Errors
+///
+/// If it cannot be read, however it goes on.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<Received<Request>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
@@ -149,11 +161,15 @@
         body: body.to_vec(),
         close: framing.close || head.version == Some(0),
     };
-    Ok(Some((request, head_length + body.len())))
+    Ok(Some(Received { message: request, length: head_length + body.len() }))
 }
 
 /// Reads an answer from the front of `buffer`, as [`parse_request`] reads a request.
-pub fn parse_answer(buffer: &[u8]) -> Result<Option<(Answer, usize)>, HttpError> {
+///
+/// # Errors
+///
+/// If it cannot be read, however it goes on.
+pub fn parse_answer(buffer: &[u8]) -> Result<Option<Received<Answer>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
@@ -165,7 +181,7 @@
     };
     let status = head.code.ok_or(HttpError::Malformed)?;
     let answer = Answer { status, body: body.to_vec(), close: framing.close };
-    Ok(Some((answer, head_length + body.len())))
+    Ok(Some(Received { message: answer, length: head_length + body.len() }))
 }
 
 fn reason(status: u16) -> &'static str {
--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -82,8 +82,13 @@
     /// The lease has expired or was revoked: keys attached to it are gone. For a
     /// transaction: it was not applied.
     LeaseNotFound,
-    /// All changes up to this revision, which may be none.
-    WatchEvents(u64, Vec<WatchEvent>),
+    /// Changes, which may be none.
+    WatchEvents {
+        /// The events are complete up to here.
+        revision: u64,
+        /// In order of their revisions.
+        events: Vec<WatchEvent>,
+    },
     /// The store does not keep the changes since so early a revision: list the keys anew.
     Compacted,
     /// Surely not executed, and never will be: refused by the store, or not sent.
@@ -157,37 +162,41 @@
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
             wire::read_answer("state", body)
         }
+        let unknown = KvResponse::OutcomeUnknown;
         match (status, self) {
             (429 | 503, _) => KvResponse::NotExecuted,
-            (200, KvRequest::Get(_)) => read::<KeyValue>(body)
-                .map_or(KvResponse::OutcomeUnknown, |i| KvResponse::Value(Some(i))),
+            (200, KvRequest::Get(_)) => {
+                read::<KeyValue>(body).map_or(unknown, |item| KvResponse::Value(Some(item)))
+            }
             (404, KvRequest::Get(_)) => KvResponse::Value(None),
-            (200, KvRequest::List { .. }) => {
-                read::<KeyValuePage>(body).map_or(KvResponse::OutcomeUnknown, |p| {
-                    KvResponse::Page { items: p.items, more: p.more, revision: p.revision }
-                })
+            (200, KvRequest::List { .. }) => read::<KeyValuePage>(body).map_or(unknown, |page| {
+                KvResponse::Page { items: page.items, more: page.more, revision: page.revision }
+            }),
+            (200, KvRequest::Txn(_)) => {
+                read::<Revision>(body).map_or(unknown, |txn| KvResponse::Applied(txn.revision))
+            }
+            (409, KvRequest::Txn(_)) => {
+                read::<Revision>(body).map_or(unknown, |txn| KvResponse::Conflict(txn.failed))
             }
-            (200, KvRequest::Txn(_)) => read::<Revision>(body)
-                .map_or(KvResponse::OutcomeUnknown, |r| KvResponse::Applied(r.revision)),
-            (409, KvRequest::Txn(_)) => read::<Revision>(body)
-                .map_or(KvResponse::OutcomeUnknown, |r| KvResponse::Conflict(r.failed)),
             (400, KvRequest::Txn(_)) if contains(body, NO_SUCH_LEASE) => KvResponse::LeaseNotFound,
             (200, KvRequest::GrantLease(_)) => read::<LeaseGranted>(body)
-                .map_or(KvResponse::OutcomeUnknown, |g| KvResponse::LeaseGranted(g.lease)),
+                .map_or(unknown, |granted| KvResponse::LeaseGranted(granted.lease)),
             (200, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => KvResponse::LeaseRenewed,
             (404, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => {
                 KvResponse::LeaseNotFound
             }
-            (200, KvRequest::Watch { .. }) => read::<WatchResponse>(body)
-                .map_or(KvResponse::OutcomeUnknown, |c| {
-                    KvResponse::WatchEvents(c.revision, c.events)
-                }),
+            (200, KvRequest::Watch { .. }) => {
+                read::<WatchResponse>(body).map_or(unknown, |watch| KvResponse::WatchEvents {
+                    revision: watch.revision,
+                    events: watch.events,
+                })
+            }
             (410, KvRequest::Watch { .. }) => KvResponse::Compacted,
             (400..=499, _) => {
                 log::error!("state: {status} for {self:?}: {}", String::from_utf8_lossy(body));
                 KvResponse::Rejected
             }
-            _ => KvResponse::OutcomeUnknown,
+            _ => unknown,
         }
     }
 }
--- a/src/runtime/call.rs
+++ b/src/runtime/call.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) enum CallKind {
     /// The key-value store.
-    State(KvRequest),
+    KvStore(KvRequest),
     /// The cloud.
     Cloud(CloudCall),
     /// A worker, without going through the cloud.
@@ -58,7 +58,7 @@
     /// for calls elsewhere.
     pub(super) fn store_latency(&self, now: Micros) -> Option<Micros> {
         match &self.kind {
-            CallKind::State(request) if !request.is_watch() => {
+            CallKind::KvStore(request) if !request.is_watch() => {
                 Some(now.since(self.deadline.since(request.timeout())))
             }
             _ => None,
@@ -68,7 +68,7 @@
     /// What its end proves, for the controller.
     pub(super) fn into_reply(self, end: CallEnd) -> Reply {
         match self.kind {
-            CallKind::State(request) => Reply::KvStore(match end {
+            CallKind::KvStore(request) => Reply::KvStore(match end {
                 CallEnd::Answered(answer) => request.decode(answer.status, &answer.body),
                 CallEnd::NotSent => KvResponse::NotExecuted,
                 CallEnd::Unanswered => KvResponse::OutcomeUnknown,
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -69,7 +69,7 @@
         while let Some(id) = self.throttle.front(queue) {
             let mut destination = None;
             if let Some(call) = self.in_flight.get(&id)
-                && let CallKind::State(request) = &call.kind
+                && let CallKind::KvStore(request) = &call.kind
             {
                 if !self.throttle.take_cost(now, request) {
                     return None;
--- a/src/runtime/destination.rs
+++ b/src/runtime/destination.rs
@@ -1,7 +1,7 @@
 //! Where outgoing calls go, and how many connections each destination may have.
 
 use super::limits::{
-    MAX_CLOUD_CONNECTIONS, MAX_LEASE_CONNECTIONS, MAX_STATE_CONNECTIONS, MAX_WATCH_CONNECTIONS,
+    MAX_CLOUD_CONNECTIONS, MAX_KV_STORE_CONNECTIONS, MAX_LEASE_CONNECTIONS, MAX_WATCH_CONNECTIONS,
     MAX_WORKER_CONNECTIONS,
 };
 use crate::config::Endpoints;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Destination {
     /// The key-value store, for calls that are answered at once.
-    State,
+    KvStore,
     /// The key-value store, for calls that wait for changes.
     Watch,
     /// The key-value store, for leases.
@@ -32,14 +32,14 @@
         } else if call.is_urgent() {
             Destination::Lease
         } else {
-            Destination::State
+            Destination::KvStore
         }
     }
 
     /// Connections that may be open at once.
     pub(super) fn max_connections(self) -> usize {
         match self {
-            Destination::State => MAX_STATE_CONNECTIONS,
+            Destination::KvStore => MAX_KV_STORE_CONNECTIONS,
             Destination::Watch => MAX_WATCH_CONNECTIONS,
             Destination::Lease => MAX_LEASE_CONNECTIONS,
             Destination::Cloud => MAX_CLOUD_CONNECTIONS,
@@ -50,7 +50,7 @@
     /// The address to connect to.
     pub(super) fn address(self, endpoints: &Endpoints) -> SocketAddrV4 {
         match self {
-            Destination::State | Destination::Watch | Destination::Lease => endpoints.state,
+            Destination::KvStore | Destination::Watch | Destination::Lease => endpoints.kv_store,
             Destination::Cloud => endpoints.cloud,
             Destination::Worker(address) => address,
         }
--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -25,7 +25,7 @@
 const PEER_BACKLOG_SHARE: f64 = 1.0 / 16.0;
 
 /// Connections to the key-value store for calls that do not wait.
-pub(super) const MAX_STATE_CONNECTIONS: usize = 8;
+pub(super) const MAX_KV_STORE_CONNECTIONS: usize = 8;
 /// Connections to the key-value store for watches.
 pub(super) const MAX_WATCH_CONNECTIONS: usize = 8;
 /// Connections to the key-value store for leases.
@@ -46,7 +46,7 @@
 /// Sockets kept for listening, the key-value store, the cloud and peers.
 const RESERVED_SOCKETS: usize = 24;
 /// Commands to workers may take one part in this many of the sockets. A
-/// connection for reports and one for commands for every machine would not fit
+/// connection for heartbeats and one for commands for every machine would not fit
 /// on one node that runs the whole fleet.
 const COMMAND_SOCKETS_DIVISOR: usize = 3;
 /// Commands leave one part in this many of the sockets free for senders.
@@ -81,7 +81,7 @@
     senders + commanding + RESERVED_SOCKETS < limit
 }
 
-/// Whether one more connection for commands fits: some room stays for senders.
+/// Whether one more connection for commands fits: some sockets stay free for senders.
 pub fn command_fits(limit: usize, senders: usize, commanding: usize) -> bool {
     let spare = limit / SENDER_SPARE_DIVISOR;
     commanding < limit / COMMAND_SOCKETS_DIVISOR && sender_fits(limit, senders + spare, commanding)
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -151,14 +151,14 @@
         options: Options,
         seed: u64,
     ) -> Runtime {
-        let state = &config.settings.state;
+        let limits = &config.settings.kv_store;
         Runtime {
             handle,
             controller: Controller::new(&config, options, seed, time_of_day()),
             started: Instant::now(),
             now: CLOCK_START,
             connections: Connections::new(config.settings.machine_limits.fd_limit),
-            calls: Calls::new(Budget::new(state.rps, state.write_rps, config.members().len())),
+            calls: Calls::new(Budget::new(limits.rps, limits.write_rps, config.members().len())),
             peers: peer_links(&config),
             max_peer_backlog_bytes: peer_backlog(config.settings.machine_limits.mem_mb),
             last_tick: CLOCK_START,
@@ -178,7 +178,7 @@
         self.now = Micros(elapsed) + CLOCK_START;
     }
 
-    /// Hands an event to the controller and carries out what it decides.
+    /// Passes an event to the controller and carries out what it decides.
     fn dispatch(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
         self.controller.handle(self.now, event, &mut effects);
@@ -200,7 +200,7 @@
                     };
                     self.answer(ticket.0, answer);
                 }
-                Effect::KvStore { id, call } => self.start_state(id, call),
+                Effect::KvStore { id, call } => self.start_kv_store(id, call),
                 Effect::Cloud { id, call } => self.start_cloud(id, call),
                 Effect::Direct { id, address, body } => self.start_commands(id, address, body),
                 Effect::Inspect { id, address } => self.start_inspect(id, address),
--- a/src/runtime/outgoing.rs
+++ b/src/runtime/outgoing.rs
@@ -18,12 +18,12 @@
 
 impl Runtime {
     /// Starts a call to the key-value store, or lets it wait for the rate.
-    pub(super) fn start_state(&mut self, id: CallId, request: KvRequest) {
-        let bytes = request.encode().to_bytes(self.config.endpoints.state);
+    pub(super) fn start_kv_store(&mut self, id: CallId, request: KvRequest) {
+        let bytes = request.encode().to_bytes(self.config.endpoints.kv_store);
         let destination = Destination::of_store_call(&request);
         let deadline = self.now + request.timeout();
         let admission = self.calls.admit(self.now, id, &request);
-        let call = Call::new(CallKind::State(request), destination, bytes, deadline);
+        let call = Call::new(CallKind::KvStore(request), destination, bytes, deadline);
         match admission {
             Admission::Send => self.start_call(id, call),
             Admission::Wait => self.calls.register(id, call),
@@ -147,7 +147,7 @@
     }
 
     /// Whether a further connection with commands may be made; one that has been
-    /// idle for long makes room for it. Senders always find some room.
+    /// idle for long is closed for it. Some sockets are always left for senders.
     fn make_room_for_command(&mut self) -> bool {
         self.connections.command_fits() || self.close_idle_command()
     }
@@ -172,8 +172,8 @@
         };
         match http::parse_answer(&connection.inbound) {
             Ok(None) => false,
-            Ok(Some((answer, used))) => {
-                take_front(&mut connection.inbound, used);
+            Ok(Some(http::Received { message: answer, length })) => {
+                take_front(&mut connection.inbound, length);
                 let Some(call_id) = call else {
                     // An answer to nothing: the connection is out of step.
                     self.close(id);
@@ -205,13 +205,13 @@
         self.calls.pool(destination).idle.push(id);
     }
 
-    /// Ends a call and hands what that proves to the controller.
+    /// Ends a call and passes what that proves to the controller.
     pub(super) fn finish_call(&mut self, id: CallId, end: CallEnd) {
         let Some(call) = self.calls.remove(id) else {
             return;
         };
         if let (CallEnd::Answered(_), Some(latency)) = (&end, call.store_latency(self.now)) {
-            self.stats.record_state_call(latency);
+            self.stats.record_kv_store_call(latency);
         }
         self.dispatch(Event::Reply { id, reply: call.into_reply(end) });
     }
--- a/src/runtime/pages.rs
+++ b/src/runtime/pages.rs
@@ -68,7 +68,8 @@
     answers: LatencySummary,
     #[serde(rename = "reports")]
     heartbeats: LatencySummary,
-    state_calls: LatencySummary,
+    #[serde(rename = "state_calls")]
+    kv_store_calls: LatencySummary,
 }
 
 /// Connections and what went wrong on them.
@@ -79,7 +80,8 @@
     commands: usize,
     refused: u64,
     bad_requests: u64,
-    state_calls_waiting: usize,
+    #[serde(rename = "state_calls_waiting")]
+    throttled_calls: usize,
 }
 
 impl Runtime {
@@ -102,7 +104,7 @@
         let latency = LatencyPage {
             answers: LatencySummary::of(&self.stats.answers),
             heartbeats: LatencySummary::of(&self.stats.heartbeats),
-            state_calls: LatencySummary::of(&self.stats.state_calls),
+            kv_store_calls: LatencySummary::of(&self.stats.kv_store_calls),
         };
         let connections = ConnectionsPage {
             open: self.connections.len(),
@@ -110,7 +112,7 @@
             commands: self.connections.commands(),
             refused: self.stats.refused_connections,
             bad_requests: self.stats.bad_requests,
-            state_calls_waiting: self.calls.throttled(),
+            throttled_calls: self.calls.throttled(),
         };
         page["latency"] = json!(latency);
         page["connections"] = json!(connections);
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Hands a frame to the controller. False, with the connection closed, if it
+    /// Passes a frame to the controller. False, with the connection closed, if it
     /// comes from nobody who may send on it: `member` is the peer that sent the
     /// earlier ones.
     fn accept_frame(&mut self, id: ConnectionId, member: Option<usize>, frame: Frame) -> bool {
@@ -171,9 +171,10 @@
                 self.close(id);
             }
             None if now >= link.connect_at => {
-                let opened = begin_connect(link.address)
-                    .map_err(RuntimeError::from)
-                    .and_then(|s| self.add_connection(s, Role::PeerOut { member }, false));
+                let opened =
+                    begin_connect(link.address).map_err(RuntimeError::from).and_then(|stream| {
+                        self.add_connection(stream, Role::PeerOut { member }, false)
+                    });
                 if let Some(link) = self.peers.get_mut(&member) {
                     link.connection = opened.ok();
                     link.connect_at = now + PEER_RETRY_INTERVAL;
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -20,8 +20,8 @@
         };
         match http::parse_request(&connection.inbound) {
             Ok(None) => false,
-            Ok(Some((request, used))) => {
-                take_front(&mut connection.inbound, used);
+            Ok(Some(http::Received { message: request, length })) => {
+                take_front(&mut connection.inbound, length);
                 connection.close_after |= request.close;
                 let heartbeats = request.path == wire::path::HEARTBEAT;
                 connection.role = Role::Sender { busy: true, since: self.now, heartbeats };
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Answers a request for a page, or hands the request to the controller.
+    /// Answers a request for a page, or passes it to the controller.
     fn handle_request(&mut self, id: ConnectionId, request: http::Request) {
         let (page, content_type) = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/status") => (Page::Status, JSON),
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Reads all that there is, since the event loop tells of it only once.
+    /// Reads all that there is, since the event loop signals it only once.
     fn read(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(id) else {
--- a/src/runtime/stats.rs
+++ b/src/runtime/stats.rs
@@ -3,7 +3,7 @@
 use crate::time::Micros;
 use hdrhistogram::Histogram;
 
-/// Longest latency that a histogram tells apart, in microseconds.
+/// Longest latency that a histogram resolves, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Latencies and counters since the start of this process.
@@ -13,7 +13,7 @@
     /// Of answers to workers' heartbeats.
     pub(super) heartbeats: Histogram<u64>,
     /// Of the key-value store's answers.
-    pub(super) state_calls: Histogram<u64>,
+    pub(super) kv_store_calls: Histogram<u64>,
     /// Connections that were closed at once, for want of sockets.
     pub(super) refused_connections: u64,
     /// Requests that could not be read.
@@ -26,7 +26,7 @@
         Stats {
             answers: latency_histogram(),
             heartbeats: latency_histogram(),
-            state_calls: latency_histogram(),
+            kv_store_calls: latency_histogram(),
             refused_connections: 0,
             bad_requests: 0,
         }
@@ -39,8 +39,8 @@
     }
 
     /// Counts an answer of the key-value store.
-    pub(super) fn record_state_call(&mut self, took: Micros) {
-        self.state_calls.saturating_record(took.0.max(1));
+    pub(super) fn record_kv_store_call(&mut self, took: Micros) {
+        self.kv_store_calls.saturating_record(took.0.max(1));
     }
 }
 
--- a/tests/cluster/simulation/state_service.rs
+++ b/tests/cluster/simulation/state_service.rs
@@ -153,7 +153,7 @@
             if changes.is_empty() && now < watch.until {
                 return true;
             }
-            answer(KvResponse::WatchEvents(store.ledger, changes));
+            answer(KvResponse::WatchEvents { revision: store.ledger, events: changes });
             false
         });
         for (node, incarnation, event) in ready {
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -30,7 +30,7 @@
         ("\u{1}\u{2}\r\n\r\n", Err(HttpError::Malformed)),
     ];
     for (text, want) in table {
-        let got = http::parse_request(text.as_bytes()).map(|r| r.map(|(r, _)| r.body.len()));
+        let got = http::parse_request(text.as_bytes()).map(|r| r.map(|r| r.message.body.len()));
         assert_eq!(got, want, "{:.60}", text);
     }
     let mut out = Vec::new();
@@ -47,7 +47,8 @@
     let head = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n\
                 Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\n";
     assert_eq!(text, format!("{head}{{}}"));
-    let (answer, used) = http::parse_answer(&out).expect("HTTP").expect("whole");
+    let http::Received { message: answer, length: used } =
+        http::parse_answer(&out).expect("HTTP").expect("whole");
     assert_eq!((answer.status, answer.close, used), (503, true, out.len()));
 }
 
--- a/tests/components/kv_store.rs
+++ b/tests/components/kv_store.rs
@@ -34,7 +34,7 @@
     }
     let changes = br#"{"ledger":433,"events":[{"set":"j/9","value":{},"mark":433},{"drop":"j/1","mark":432}]}"#;
     match watches.decode(200, changes) {
-        KvResponse::WatchEvents(433, list) => {
+        KvResponse::WatchEvents { revision: 433, events: list } => {
             assert_eq!(
                 (list[0].put.as_deref(), list[1].delete.as_deref()),
                 (Some("j/9"), Some("j/1"))
--- a/tests/components/settings.rs
+++ b/tests/components/settings.rs
@@ -58,10 +58,10 @@
         ("name = \"red\"", "name = \"red\"\ncpus = -1.0", "teams"),
     ];
     // The smaller of the limits of now and later are kept; what is absent stays.
-    let state = &config.settings.state;
+    let state = &config.settings.kv_store;
     let later = |next: &str| {
         let text = SETTINGS.replace("txn_ops = 8", &format!("txn_ops = 8\nnext = {next}"));
-        Config::parse(&text).expect("good settings").settings.state
+        Config::parse(&text).expect("good settings").settings.kv_store
     };
     let table_of_limits = [
         ("{}", state.value_kb, state.txn_ops, state.write_rps),
--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -229,7 +229,7 @@
         |body: &str| format!("POST /work HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
     let read = |text: &str| http::parse_request(text.as_bytes());
     let whole = head(&fits) + &fits;
-    let request = read(&whole).expect("HTTP").expect("all of it").0;
+    let request = read(&whole).expect("HTTP").expect("all of it").message;
     assert_eq!(request.body, fits.as_bytes());
     assert_eq!(read(&whole[..whole.len() - 1]), Ok(None));
     for sent in [0, 1, http::MAX_BODY, over.len()] {
@@ -257,7 +257,7 @@
         assert!(!error.contains('\n') && error.contains("next"), "{next}: {error}");
     }
     let limits = |state: &str| {
-        let state = Config::parse(&settings(0, 3, state)).expect(state).settings.state;
+        let state = Config::parse(&settings(0, 3, state)).expect(state).settings.kv_store;
         (state.rps, state.write_rps, state.value_kb, state.txn_ops, state.value_kb_now)
     };
     let now = (1_000.0, 1_000.0, 8.0, 8, 8.0);
--- a/tests/controller/harness/mod.rs
+++ b/tests/controller/harness/mod.rs
@@ -438,7 +438,8 @@
             if changes.is_empty() && self.now < watch.until {
                 self.watches.push(watch);
             } else {
-                let reply = KvResponse::WatchEvents(self.store.ledger, changes);
+                let reply =
+                    KvResponse::WatchEvents { revision: self.store.ledger, events: changes };
                 self.reply_at(self.now + DELAY, watch.id, reply);
             }
         }
