--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -128,7 +128,7 @@
                 .count(),
             tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
-            rented: self.autoscaler.fleet.count_by_stage(),
+            rented: self.autoscaler.machines_by_stage(),
             image_entries: self.scheduler.image_entries(),
             counts: &self.counts,
         };
--- a/src/controller/autoscaler/fleet.rs
+++ b/src/controller/autoscaler/fleet.rs
@@ -96,13 +96,13 @@
     exhausted_until: BTreeMap<MachineOffer, Micros>,
     /// Machines on which nothing is placed any more since they are to be removed, and since
     /// when.
-    pub(crate) draining_since: BTreeMap<String, Micros>,
+    pub(super) draining_since: BTreeMap<String, Micros>,
     /// Machines whose removal has been requested.
     removing: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// Takes in a complete list that was requested at `requested_at`. Returns the
+    /// Applies a complete list that was requested at `requested_at`. Returns the
     /// machines that are surely terminated: listed before, and missing from a list
     /// that is newer for certain, the lag being at most twice its nominal value.
     pub fn apply_list(
@@ -153,7 +153,7 @@
         self.listing = None;
     }
 
-    /// Takes in a page of the list that is being read. Returns all its machines if this was
+    /// Applies a page of the list that is being read. Returns all its machines if this was
     /// the last page.
     pub(super) fn apply_page(
         &mut self,
@@ -169,7 +169,7 @@
         None
     }
 
-    /// Takes in the machines that the cloud has created for a request.
+    /// Adds the machines that the cloud has created for a request.
     pub(super) fn add_requested(
         &mut self,
         now: Micros,
@@ -221,7 +221,7 @@
     }
 
     /// What the machines will offer that have been created and are not up yet, as `is_up`
-    /// tells. Some whose boot is late are left out, so that others take their place.
+    /// says. Some whose boot is late are left out, so that others take their place.
     pub(super) fn expected_capacity(
         &self,
         now: Micros,
@@ -255,7 +255,7 @@
     }
 
     /// Machines by stage, for the status page.
-    pub(crate) fn count_by_stage(&self) -> BTreeMap<&'static str, usize> {
+    pub(super) fn count_by_stage(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
         for machine in self.machines.values() {
             let word = match machine.stage {
--- a/src/controller/autoscaler/machine_types.rs
+++ b/src/controller/autoscaler/machine_types.rs
@@ -82,7 +82,7 @@
         is_due
     }
 
-    /// Takes in that the cloud did not answer. Returns whether the stored types are to be
+    /// Records that the cloud did not answer. Returns whether the stored types are to be
     /// read: only where none are known, and one read at a time.
     pub(super) fn request_failed(&mut self, now: Micros) -> bool {
         self.next_request_at = now + RETRY_INTERVAL;
@@ -91,7 +91,7 @@
         read
     }
 
-    /// Takes in that the read of the stored types has ended. Returns them if they are to
+    /// Records that the read of the stored types has ended. Returns them if they are to
     /// replace the known ones: what the cloud itself said meanwhile is newer.
     pub(super) fn stored_read(&mut self, item: Option<KeyValue>) -> Option<Vec<MachineType>> {
         self.is_reading_stored = false;
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Takes in that they were not stored: that is tried again.
+    /// Records that they were not stored: that is tried again.
     pub(super) fn storing_failed(&mut self) {
         self.stored_under_term = 0;
     }
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -21,7 +21,7 @@
 use fleet::Fleet;
 use machine_types::MachineTypeCatalogue;
 use scale_out::ScaleOutPlan;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// The shard whose leader scales.
 pub const AUTOSCALER_SHARD: usize = 0;
@@ -30,12 +30,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Autoscaler {
     /// The machines of the cloud; empty where another process scales.
-    pub(crate) fleet: Fleet,
+    fleet: Fleet,
     /// Machine types and prices, which every process needs.
     pub(crate) machine_types: MachineTypeCatalogue,
     /// Machines about to be removed, by the word of whoever scales: nothing is placed on them
     /// any more.
-    pub(crate) draining: BTreeSet<String>,
+    draining: BTreeSet<String>,
     /// The scale-out request whose outcome is not known.
     scale_out: Option<PendingScaleOut>,
     /// Scale-out requests of this term so far.
@@ -67,6 +67,33 @@
         self.machine_types.request_soon();
     }
 
+    /// Whether a machine is about to be removed, so that nothing may be placed on it.
+    pub(crate) fn is_draining(&self, machine: &str) -> bool {
+        self.draining.contains(machine)
+    }
+
+    /// The machines that this process drains, if it scales.
+    pub(crate) fn drained_here(&self) -> Vec<String> {
+        self.fleet.draining_since.keys().cloned().collect()
+    }
+
+    /// Replaces the machines that are about to be removed, by the word of whoever scales.
+    /// Returns those that were added or removed.
+    pub(crate) fn replace_draining(&mut self, draining: BTreeSet<String>) -> Vec<String> {
+        let before = std::mem::replace(&mut self.draining, draining);
+        before.symmetric_difference(&self.draining).cloned().collect()
+    }
+
+    /// Forgets a machine that is terminated.
+    pub(crate) fn forget_machine(&mut self, machine: &str) {
+        self.fleet.forget(machine);
+    }
+
+    /// The machines of the fleet by stage, for the status page.
+    pub(crate) fn machines_by_stage(&self) -> BTreeMap<&'static str, usize> {
+        self.fleet.count_by_stage()
+    }
+
     /// Names a request for the planned machines under a term; it is pending from now on.
     fn begin_scale_out(&mut self, term: u64, plan: ScaleOutPlan) -> &ScaleOutRequest {
         self.requests_of_term += 1;
--- a/src/controller/autoscaler/offer.rs
+++ b/src/controller/autoscaler/offer.rs
@@ -17,7 +17,7 @@
 }
 
 impl MachineOffer {
-    /// The offer of which a request wants machines.
+    /// The offer that a request is for.
     pub(super) fn of_request(request: &ScaleOutRequest) -> MachineOffer {
         MachineOffer {
             machine_type: request.machine_type.clone(),
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -27,7 +27,7 @@
 }
 
 impl Autoscaler {
-    /// Takes in the reply to the pending scale-out request.
+    /// Applies the reply to the pending scale-out request.
     fn scale_out_reply(&mut self, reply: CloudReply, times: ScaleOutTimes) {
         let Some(pending) = &mut self.scale_out else {
             return;
@@ -56,7 +56,7 @@
 }
 
 impl Controller {
-    /// Takes in a reply of the cloud.
+    /// Applies a reply of the cloud.
     pub(crate) fn cloud_reply(&mut self, call: AutoscalerCall, reply: CloudReply) {
         let leads_under = |term: u64| self.leading_term(AUTOSCALER_SHARD) == Some(term);
         match (call, reply) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes in a reply of the key-value store about machine types.
+    /// Applies a reply of the key-value store about machine types.
     pub(crate) fn stored_machine_types_reply(&mut self, call: AutoscalerCall, reply: KvResponse) {
         let machine_types = &mut self.autoscaler.machine_types;
         match (call, reply) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes in a complete list of the machines.
+    /// Applies a complete list of the machines.
     fn apply_machine_list(&mut self, requested_at: Micros, mut list: Vec<ListedMachine>) {
         let has_failed = |machine: &ListedMachine| machine.stage == MachineStage::Failed;
         // Failed machines stay listed until they are removed.
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -43,7 +43,7 @@
 }
 
 impl FleetMachine {
-    /// Takes in whether it is idle. Returns whether it has been for long enough.
+    /// Records whether it is idle. Returns whether it has been for long enough.
     fn update_idle(
         &mut self,
         activity: MachineActivity,
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -25,8 +25,9 @@
         })
     }
 
-    /// Computes the commands for a machine, and reserves the capacity for what they start.
-    pub(crate) fn commands(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
+    /// Reconciles a machine: computes the commands for it, and reserves the capacity for what they
+    /// start.
+    pub(crate) fn reconcile_machine(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
         };
@@ -91,7 +92,7 @@
 
     /// Records a violation if a start of a job that is over may still arrive at a machine
     /// whose heartbeat is about to be answered: the answer renews the worker's lease.
-    pub(crate) fn check_answer(&mut self, machine: &str, authority: CommandAuthority) {
+    pub(crate) fn check_before_answer(&mut self, machine: &str, authority: CommandAuthority) {
         let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -119,7 +119,7 @@
         let Some(address) = managed.direct_address(self.context.now, heartbeat_timeout) else {
             return;
         };
-        let commands = self.commands(machine, CommandRoute::Direct);
+        let commands = self.reconcile_machine(machine, CommandRoute::Direct);
         if commands.is_empty() {
             return;
         }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -50,7 +50,7 @@
             return self.redirect_heartbeat(ticket, shard, &heartbeat.machine);
         };
         if !self.cancellations_up_to_date() {
-            // Its answer would keep tasks alive whose users were told that they
+            // Its answer would keep tasks alive whose users were answered that they
             // are cancelled.
             return self.refuse_heartbeat(ticket, "cancellations are not heard");
         }
@@ -70,7 +70,7 @@
         self.record_outcomes(&machine, intake.outcomes);
         self.revoke_starts(&machine);
         let commands = if intake.under_term {
-            self.commands(&machine, CommandRoute::HeartbeatResponse)
+            self.reconcile_machine(&machine, CommandRoute::HeartbeatResponse)
         } else {
             Vec::new()
         };
@@ -78,7 +78,7 @@
             // Its incarnation ends, and with it what may still arrive.
             return self.refuse_heartbeat(ticket, "no token is left");
         };
-        self.check_answer(&machine, authority);
+        self.check_before_answer(&machine, authority);
         self.changes.machines.insert(machine);
         let reply = HeartbeatResponse { fencing_token: authority.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -19,8 +19,8 @@
 pub(crate) mod quarantine;
 pub(crate) mod views;
 
-mod free_capacity;
 mod reconciler;
+mod remaining_capacity;
 mod terminations;
 mod timeouts;
 mod view_updates;
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -8,9 +8,9 @@
 use crate::controller::leadership::shard::Shard;
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::desired_state::received::DesiredState;
-use crate::controller::machines::free_capacity::FreeCapacity;
 use crate::controller::machines::machine::ManagedMachine;
 use crate::controller::machines::machine::starts::StartInFlight;
+use crate::controller::machines::remaining_capacity::RemainingCapacity;
 use crate::controller::machines::start_gate::{
     CommandAuthority, CommandRoute, JobEvidence, RevocationReason, StartPermit, StartRefusal,
     StartViolation,
@@ -263,7 +263,7 @@
         route: CommandRoute,
         outcome: &mut ReconcileOutcome,
     ) {
-        let mut capacity = self.free_capacity(managed);
+        let mut capacity = self.remaining_capacity(managed);
         for PermittedStart { attempt, permit, task } in &self.permitted_starts(managed) {
             let in_flight = &managed.starts.in_flight;
             if !in_flight.contains_key(attempt)
@@ -318,7 +318,7 @@
     fn reserve(
         &self,
         managed: &mut ManagedMachine,
-        capacity: &mut FreeCapacity,
+        capacity: &mut RemainingCapacity,
         attempt: &AttemptId,
         task: &DesiredTask,
     ) -> bool {
@@ -339,8 +339,8 @@
     }
 
     /// What is free beside what is there and what was sent.
-    fn free_capacity(&self, managed: &ManagedMachine) -> FreeCapacity {
-        let mut capacity = FreeCapacity::of_empty_machine(self.size);
+    fn remaining_capacity(&self, managed: &ManagedMachine) -> RemainingCapacity {
+        let mut capacity = RemainingCapacity::of_empty_machine(self.size);
         for attempt in managed.present_tasks().chain(managed.starts.in_flight.keys()) {
             match self.find(attempt) {
                 Some(desired) => {
--- a/src/controller/machines/free_capacity.rs
+++ b/src/controller/machines/remaining_capacity.rs
@@ -4,7 +4,7 @@
 use crate::resources::{Resources, TOLERANCE};
 
 /// What is free on a machine beside the tasks that it has or was sent.
-pub(crate) struct FreeCapacity {
+pub(crate) struct RemainingCapacity {
     free: Resources,
     /// Tasks that are being stopped will free more.
     pub(crate) more_to_come: bool,
@@ -12,10 +12,10 @@
     pub(crate) unknown: bool,
 }
 
-impl FreeCapacity {
+impl RemainingCapacity {
     /// All of a machine of this size; `None` if its type is not known.
-    pub(crate) fn of_empty_machine(size: Option<Resources>) -> FreeCapacity {
-        FreeCapacity {
+    pub(crate) fn of_empty_machine(size: Option<Resources>) -> RemainingCapacity {
+        RemainingCapacity {
             free: size.unwrap_or_default(),
             more_to_come: false,
             unknown: size.is_none(),
--- a/src/controller/machines/terminations.rs
+++ b/src/controller/machines/terminations.rs
@@ -33,7 +33,7 @@
         info!("machine {machine} is terminated");
         self.scheduler.mark_stale(machine);
         self.changes.machines.remove(machine);
-        self.autoscaler.fleet.forget(machine);
+        self.autoscaler.forget_machine(machine);
         self.evaluate_on_all_shards(machine);
         self.scheduler.request_pass();
     }
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -124,7 +124,7 @@
         outcome
     }
 
-    /// The view of a machine, numbered, if it differs from the one before. `completes` tells
+    /// The view of a machine, numbered, if it differs from the one before. `completes` says
     /// whether any task of a job has completed.
     fn changed_view(
         &mut self,
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -117,7 +117,7 @@
         }
         if self.leading_term(AUTOSCALER_SHARD).is_some() {
             frame.is_autoscaler = true;
-            frame.draining = self.autoscaler.fleet.draining_since.keys().cloned().collect();
+            frame.draining = self.autoscaler.drained_here();
             self.set_draining(frame.draining.iter().cloned().collect());
         }
     }
@@ -142,11 +142,10 @@
         }
     }
 
-    /// The machines about to be returned are known anew: nothing is placed on them.
+    /// The machines about to be removed are known anew: nothing is placed on them.
     pub(crate) fn set_draining(&mut self, draining: BTreeSet<String>) {
-        let old = std::mem::replace(&mut self.autoscaler.draining, draining);
-        for machine in old.symmetric_difference(&self.autoscaler.draining) {
-            self.scheduler.mark_stale(machine);
+        for machine in self.autoscaler.replace_draining(draining) {
+            self.scheduler.mark_stale(&machine);
         }
     }
 
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -154,7 +154,7 @@
             && self.shard_sources.get(&shard).is_some_and(|source| source.has_live_leader)
             && view.notice_ms.is_none()
             && view.term == inputs.leadership.term(shard)
-            && !inputs.autoscaler.draining.contains(&view.machine)
+            && !inputs.autoscaler.is_draining(&view.machine)
             && !inputs.machines.is_terminated(&view.machine)
     }
 
