--- a/src/controller/api/health.rs
+++ b/src/controller/api/health.rs
@@ -49,7 +49,7 @@
         // they renew apart: for so long another's being well proves nothing.
         let store_reached_by_peers = self.peers.live(self.context.now).any(|peer| peer.holds_lease);
         if store_reached_by_peers
-            && self.context.now.since(self.leadership.lease_held_at())
+            && self.context.now.since(self.leadership.lease_last_held_at())
                 > controller_lease::renewal_interval(self.context.options.controller_lease)
         {
             return Err(UnhealthyReason::StoreUnreachableHereOnly);
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -43,9 +43,8 @@
     recoveries: BTreeMap<usize, ShardRecovery>,
     watches: Watches,
     /// When this process last held its lease, by its ticks.
-    lease_held_at: Micros,
-    /// It held its lease at the last tick.
-    held_lease: bool,
+    lease_last_held_at: Micros,
+    held_lease_at_last_tick: bool,
     connectivity: Connectivity,
 }
 
@@ -59,8 +58,8 @@
             shard_list_in_flight: false,
             recoveries: BTreeMap::new(),
             watches: Watches::default(),
-            lease_held_at: Micros::ZERO,
-            held_lease: false,
+            lease_last_held_at: Micros::ZERO,
+            held_lease_at_last_tick: false,
             connectivity: Connectivity::default(),
         }
     }
@@ -77,18 +76,18 @@
     }
 
     /// When this process last held its lease, by its ticks; zero if it never did.
-    pub(crate) fn lease_held_at(&self) -> Micros {
-        self.lease_held_at
+    pub(crate) fn lease_last_held_at(&self) -> Micros {
+        self.lease_last_held_at
     }
 
     /// Records at a tick whether the lease is held. Whether it is, and was not at the last one.
     pub(crate) fn regained_lease(&mut self, now: Micros) -> bool {
         let holds_lease = self.holds_lease(now);
         if holds_lease {
-            self.lease_held_at = now;
+            self.lease_last_held_at = now;
         }
-        let held_lease = std::mem::replace(&mut self.held_lease, holds_lease);
-        holds_lease && !held_lease
+        let held_before = std::mem::replace(&mut self.held_lease_at_last_tick, holds_lease);
+        holds_lease && !held_before
     }
 
     /// Whether a lease was granted, perhaps long ago, that the store has not been seen to end,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -163,17 +163,7 @@
         self.maintain_dependencies();
         self.send_probes();
         if self.timers.upkeep.restart_if_due(now) {
-            self.expire_machine_incarnations();
-            self.check_spot_notices();
-            self.repeat_unobserved();
-            self.scheduler.expire_preemption_requests(now);
-            if self.timers.guarantees.restart_if_due(now) {
-                self.refresh_guarantee_budget();
-                self.raise_starved_jobs();
-                self.hold_machines_for_large_tasks();
-            }
-            self.scheduler.count_unobserved_placements(&self.jobs);
-            self.scheduler.request_pass();
+            self.upkeep();
         }
         if self.timers.quotas.restart_if_due(now) {
             self.maintain_quotas();
@@ -185,6 +175,22 @@
         self.maintain_autoscaler();
     }
 
+    /// What time alone changes about machines and jobs.
+    fn upkeep(&mut self) {
+        let now = self.context.now;
+        self.expire_machine_incarnations();
+        self.check_spot_notices();
+        self.repeat_unobserved();
+        self.scheduler.expire_preemption_requests(now);
+        if self.timers.guarantees.restart_if_due(now) {
+            self.refresh_guarantee_budget();
+            self.raise_starved_jobs();
+            self.hold_machines_for_large_tasks();
+        }
+        self.scheduler.count_unobserved_placements(&self.jobs);
+        self.scheduler.request_pass();
+    }
+
     /// Works off what has changed since the last call, in this order: placements, writes,
     /// desired state, views, one frame for each peer, and the answers that waited for peers.
     pub fn flush(&mut self, now: Micros, effects: &mut Vec<Effect>) {
@@ -195,14 +201,7 @@
             self.announce_terms();
             self.run_scheduling_pass();
             self.store_dirty();
-            let mut frame = Frame::default();
-            for _ in 0..MAX_FLUSH_ROUNDS {
-                if !self.changes.concern_machines() {
-                    break;
-                }
-                self.send_desired_state(&mut frame);
-                self.send_views(&mut frame);
-            }
+            let frame = self.reconcile_machines();
             self.store_dirty();
             self.send_frames(frame);
         } else if self.timers.peer_heartbeat.is_due(now) || !self.changes.cancelled.is_empty() {
@@ -212,6 +211,19 @@
         self.context.take_effects(effects);
     }
 
+    /// Brings machines and desired state in line; what peers must know of it is in the frame.
+    fn reconcile_machines(&mut self) -> Frame {
+        let mut frame = Frame::default();
+        for _ in 0..MAX_FLUSH_ROUNDS {
+            if !self.changes.concern_machines() {
+                break;
+            }
+            self.send_desired_state(&mut frame);
+            self.send_views(&mut frame);
+        }
+        frame
+    }
+
     /// Refuses a request for now; it says after how many seconds to repeat it.
     fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
         self.api.respond_retry_later(&mut self.context, &mut self.counts, ticket, status, reason);
