--- a/tests/controller/status_page.rs
+++ b/tests/controller/status_page.rs
@@ -1,7 +1,10 @@
 //! What the status page tells operators during an upgrade and of pipelines.
 
 use crate::harness::{Harness, body, body_after, settings};
+use millethold::config::{Config, Options};
+use millethold::controller::Controller;
 use millethold::peer::{FORMAT, Frame};
+use millethold::time::Micros;
 use serde_json::{Value, json};
 
 /// Which members run an earlier version, and which have not been heard at all.
@@ -64,3 +67,39 @@
     assert_eq!(counts["cancelled_with_upstream"], json!(1));
     assert_eq!(counts["released"], json!(0));
 }
+
+/// Operators' tools read the page by these names, whatever the code calls the same.
+#[test]
+fn names_on_the_page() {
+    let config = Config::parse(&settings(1, 2, "")).expect("good settings");
+    let now = Micros::secs(1);
+    let status = Controller::new(&config, Options::default(), 1, now).status(now);
+    let names = |value: &Value| -> Vec<String> {
+        value.as_object().expect("an object").keys().cloned().collect()
+    };
+    let table = [
+        (
+            &status,
+            "counts format image_entries jobs jobs_that_need_others lease_valid machines member \
+             peers rented shards state_limits tasks_waiting",
+        ),
+        (&status["peers"][0], "alive format member state_ok"),
+        (&status["state_limits"], "largest_value_kb rps txn_ops value_kb write_rps"),
+        (&status["shards"][0], "holder loaded owned revision shard term"),
+        (
+            &status["counts"],
+            "accepted bad_reports cancelled cancelled_with_upstream decisions done failed \
+             image_hits lost placed preempted refused released reports",
+        ),
+        (
+            &status["counts"]["decisions"],
+            "answered_starts direct_starts final_answers forgets raised_tokens rent_requests \
+             returned_machines stops tasks_beside_raises unanswered_starts violations",
+        ),
+    ];
+    for (value, expected) in table {
+        let mut names = names(value);
+        names.sort();
+        assert_eq!(names.join(" "), expected);
+    }
+}
