--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -126,7 +126,7 @@
     pub next: Option<UpcomingKvStoreLimits>,
     /// Largest value until then, in KiB.
     #[serde(skip)]
-    pub value_kb_now: f64,
+    pub current_value_kb: f64,
 }
 
 /// Limits that the key-value store will have later.
@@ -169,7 +169,7 @@
             value_kb: least(self.value_kb, next.value_kb),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
             next: self.next.clone(),
-            value_kb_now: self.value_kb,
+            current_value_kb: self.value_kb,
         }
     }
 }
--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -42,7 +42,7 @@
     undecided: usize,
     /// Until when further submissions are expected, and writes leave them a share.
     expect_more_until: Micros,
-    /// Batches that this process has begun, which numbers them.
+    /// Batches that this process has written; numbers them.
     batch_count: u64,
 }
 
@@ -182,8 +182,8 @@
         self.api.admission.enqueue(&self.context, ticket, spec, spec_bytes);
     }
 
-    /// True while submissions wait for their share of changes.
-    pub fn accepting(&self) -> bool {
+    /// Whether submissions wait for their share of changes, so that time matters.
+    pub fn has_waiting_submissions(&self) -> bool {
         self.api.admission.is_waiting()
     }
 
--- a/src/controller/api/pending.rs
+++ b/src/controller/api/pending.rs
@@ -9,7 +9,9 @@
 /// A submission on its way to the key-value store.
 #[derive(Debug, Clone)]
 pub(crate) struct Submission {
+    /// The request to answer.
     pub(crate) ticket: Ticket,
+    /// The job as its user describes it.
     pub(crate) spec: Rc<JobSpec>,
     /// Time of day at which it arrived; deadlines count from here.
     pub(crate) submitted_at: Micros,
@@ -22,6 +24,7 @@
 /// Submissions that were sent to the key-value store in one transaction.
 #[derive(Debug, Clone)]
 pub(crate) struct AdmissionGroup {
+    /// In order of arrival.
     pub(crate) submissions: Vec<Submission>,
     /// The shard that accepts the jobs.
     pub(crate) shard: usize,
@@ -35,7 +38,9 @@
 /// A job whose cancellation is being written.
 #[derive(Debug, Clone)]
 pub(crate) struct CancelledJob {
+    /// Its id.
     pub(crate) id: String,
+    /// The shard that accepted it.
     pub(crate) shard: usize,
     /// Number of its tasks.
     pub(crate) tasks: u32,
@@ -44,6 +49,7 @@
 /// A user who awaits the answer to a status query.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WaitingUser {
+    /// The request to answer.
     pub(crate) ticket: Ticket,
     /// When the query arrived.
     pub(crate) since: Micros,
@@ -54,6 +60,7 @@
 pub(crate) struct StatusQuery {
     /// Revision of the job's record that is known here.
     pub(crate) revision: u64,
+    /// Who awaits the answer.
     pub(crate) users: Vec<WaitingUser>,
 }
 
@@ -64,6 +71,7 @@
 /// before it.
 #[derive(Debug, Clone)]
 pub(crate) struct PreparedAnswer {
+    /// HTTP status.
     pub(crate) status: u16,
     /// Seconds after which to repeat the request.
     pub(crate) retry_after_s: Option<u64>,
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -153,7 +153,7 @@
             write_rps: limits.write_rps,
             txn_ops: limits.txn_ops,
             value_kb: limits.value_kb,
-            largest_value_kb: if lowered { limits.value_kb } else { limits.value_kb_now },
+            largest_value_kb: if lowered { limits.value_kb } else { limits.current_value_kb },
         }
     }
 
--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -29,6 +29,7 @@
 /// An answer that waits until a terminal state is acknowledged.
 #[derive(Debug)]
 pub(crate) struct WaitingAnswer {
+    /// The request to answer.
     pub(crate) ticket: Ticket,
     /// The job that is answered about.
     pub(crate) job: String,
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -81,8 +81,8 @@
             record_pages: RecordPages::default(),
             unreadable: BTreeSet::new(),
             chunk_layout: ChunkLayout::new(limits.value_kb),
-            previous_chunk_layout: (limits.value_kb_now > limits.value_kb)
-                .then(|| ChunkLayout::new(limits.value_kb_now)),
+            previous_chunk_layout: (limits.current_value_kb > limits.value_kb)
+                .then(|| ChunkLayout::new(limits.current_value_kb)),
             writes_in_flight: 0,
         }
     }
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -70,7 +70,7 @@
     fn write_limits(&self, limits: &KvStoreLimits) -> WriteLimits {
         // What is larger is refused once the key-value store has its new limits.
         let value_kb = match self.previous_chunk_layout {
-            Some(_) => limits.value_kb_now,
+            Some(_) => limits.current_value_kb,
             None => limits.value_kb,
         };
         WriteLimits {
--- a/src/kv_store/rate.rs
+++ b/src/kv_store/rate.rs
@@ -44,13 +44,6 @@
         self.level -= amount;
     }
 
-    /// How long until it holds `amount` tokens.
-    pub fn wait(&self, amount: f64) -> Micros {
-        // More than the burst can never be there at once; a full bucket then does.
-        let missing = amount.min(self.burst) - self.level;
-        Micros::from_secs_f64(missing / self.rate)
-    }
-
     /// Whether `amount` tokens may be taken now.
     pub fn allows(&mut self, now: Micros, amount: f64) -> bool {
         self.level(now) + ROUNDING_TOKENS >= amount.min(self.burst)
@@ -94,9 +87,4 @@
         }
         allowed
     }
-
-    /// How long until a request of this cost could be sent.
-    pub fn wait(&self, request: &KvRequest) -> Micros {
-        self.requests.wait(1.0).max(self.writes.wait(request.writes() as f64))
-    }
 }
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -29,7 +29,7 @@
             self.sweep_connections();
         }
         self.dispatch(Event::Tick);
-        let busy = self.controller.accepting() || self.calls.throttled() > 0;
+        let busy = self.controller.has_waiting_submissions() || self.calls.throttled() > 0;
         if busy { BUSY_TICK_INTERVAL } else { QUIET_TICK_INTERVAL }
     }
 
--- a/tests/components/settings.rs
+++ b/tests/components/settings.rs
@@ -71,7 +71,7 @@
     for (next, value_kb, txn_ops, write_rps) in table_of_limits {
         let kept = later(next);
         assert_eq!((kept.value_kb, kept.txn_ops, kept.write_rps), (value_kb, txn_ops, write_rps));
-        assert_eq!(kept.value_kb_now, state.value_kb, "{next}");
+        assert_eq!(kept.current_value_kb, state.value_kb, "{next}");
     }
     for (from, to, named) in table {
         assert!(SETTINGS.contains(from), "{from}");
--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -258,7 +258,7 @@
     }
     let limits = |state: &str| {
         let state = Config::parse(&settings(0, 3, state)).expect(state).settings.kv_store;
-        (state.rps, state.write_rps, state.value_kb, state.txn_ops, state.value_kb_now)
+        (state.rps, state.write_rps, state.value_kb, state.txn_ops, state.current_value_kb)
     };
     let now = (1_000.0, 1_000.0, 8.0, 8, 8.0);
     let table = [
