--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -113,16 +113,26 @@
 /// Why a soak has no verdict.
 #[derive(Debug, Error)]
 enum Failure {
+    /// An option has no meaning.
     #[error(transparent)]
     Option(#[from] BadOption),
+    /// The handler of signals was not set.
     #[error(transparent)]
     Signal(#[from] ctrlc::Error),
+    /// The soak did not run.
     #[error(transparent)]
     Soak(#[from] SoakError),
+    /// The report has no JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     #[error("{}: {source}", file.display())]
-    Report { file: PathBuf, source: std::io::Error },
+    /// The report was not written.
+    Report {
+        /// Where it was to go.
+        file: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
 }
 
 /// Checks the options, plays the soak and writes its report.
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -1,5 +1,7 @@
 //! Each rule's check tells of a history that breaks it, and says nothing a moment before.
 
+#![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
+
 use millethold::time::Micros;
 use millethold::wire::JobStage;
 use millethold_rehearsal::history::{
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -1,5 +1,7 @@
 //! The stand-ins keep to the protocol's text, and faults do to messages what they say.
 
+#![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
+
 use millethold::time::Micros;
 use millethold::wire::{Cause, Command, Condition, DirectCommands, TaskState, Txn, Write};
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,6 +1,11 @@
 //! What the calls in flight to the key-value store, the cloud and workers are for: an enum a
 //! component, which the router wraps.
 
+#![allow(
+    clippy::missing_docs_in_private_items,
+    reason = "the doc of a variant names what its fields carry"
+)]
+
 use crate::controller::api::pending::{AdmissionGroup, CancelledJob, PreparedAnswer, QueriedJobs};
 use crate::controller::event::Ticket;
 use crate::controller::jobs::batches::BatchedChange;
--- a/src/controller/jobs/batches.rs
+++ b/src/controller/jobs/batches.rs
@@ -23,6 +23,7 @@
 /// A change of a batched job that is being written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct BatchedChange {
+    /// The job's id.
     pub(crate) job: String,
     /// Version of its chunk 0.
     pub(crate) version: u64,
--- a/src/controller/jobs/dependency_graph.rs
+++ b/src/controller/jobs/dependency_graph.rs
@@ -18,8 +18,11 @@
     Satisfied,
     /// Something that it depends on is not over.
     Pending,
-    /// Something that it depends on is cancelled; `acknowledged` once every peer knows that.
-    Cancelled { acknowledged: bool },
+    /// Something that it depends on is cancelled.
+    Cancelled {
+        /// Whether every peer knows that.
+        acknowledged: bool,
+    },
     /// Nothing is known here of these.
     Unknown(Vec<String>),
 }
@@ -27,13 +30,16 @@
 /// A job that is not over, with the revision of its record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UnfinishedJob {
+    /// The job's id.
     pub(crate) id: String,
+    /// Revision of its record.
     pub(crate) revision: u64,
 }
 
 /// A further key with dependencies of a job that is to be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct FurtherList {
+    /// The job's id.
     pub(crate) job: String,
     /// Number of the key, from 1.
     pub(crate) number: u32,
--- a/src/controller/jobs/job/chunk.rs
+++ b/src/controller/jobs/job/chunk.rs
@@ -37,6 +37,7 @@
 pub(crate) struct ChunkVersion {
     /// Number of the chunk.
     pub(crate) number: usize,
+    /// Its version.
     pub(crate) version: u64,
 }
 
@@ -52,6 +53,7 @@
 /// A chunk as the store has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReadChunk {
+    /// Its version.
     pub(crate) version: u64,
     /// Revision of its key.
     pub(crate) revision: u64,
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -55,6 +55,7 @@
     pub(crate) dependents: Dependents,
     /// Batches in the store with own jobs.
     pub(crate) batches: Batches,
+    /// Pages of jobs' records that are still to be read.
     pub(crate) record_pages: RecordPages,
     /// Jobs and keys that cannot be read, and are left as they are.
     unreadable: BTreeSet<String>,
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -11,6 +11,7 @@
 /// A job's stage, as the key-value store had it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CachedStage {
+    /// The stage.
     pub(crate) stage: StoredStage,
     /// Shard that runs the job.
     pub(crate) shard: usize,
--- a/src/controller/jobs/task_index.rs
+++ b/src/controller/jobs/task_index.rs
@@ -6,7 +6,9 @@
 /// A task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TaskId {
+    /// The job's id.
     pub(crate) job: String,
+    /// Number of the task in its job.
     pub(crate) index: u32,
 }
 
--- a/src/controller/jobs/write_plan.rs
+++ b/src/controller/jobs/write_plan.rs
@@ -47,7 +47,9 @@
 pub(crate) enum WritePlan {
     /// A transaction is to be sent.
     Send {
+        /// What it stores, for its reply.
         write: JobWrite,
+        /// The transaction.
         txn: Txn,
         /// Changes remain for a later one.
         has_more: bool,
--- a/tests/components/main.rs
+++ b/tests/components/main.rs
@@ -1,5 +1,7 @@
 //! Tables of cases for the pure parts, a file for each subject.
 
+#![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
+
 mod autoscaler;
 mod http;
 mod jobs;
--- a/tests/controller/main.rs
+++ b/tests/controller/main.rs
@@ -3,6 +3,8 @@
 //! Nothing is drawn by chance: a test refuses, loses or holds exactly the calls that it is
 //! about.
 
+#![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
+
 mod damaged_data;
 mod dependency_submissions;
 mod harness;
