--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -47,12 +47,12 @@
 }
 
 impl Cloud {
-    /// A cloud with room for so many machines.
+    /// A cloud with capacity for so many machines.
     pub fn new(capacity: usize) -> Cloud {
         Cloud { machines: BTreeMap::new(), requests: BTreeMap::new(), capacity }
     }
 
-    /// Rents a machine.
+    /// Adds a machine.
     pub fn add(&mut self, now: Micros, zone: &str, spot: bool) -> String {
         let name = format!("vm-{:06}", self.machines.len());
         let machine = Machine { zone: zone.to_string(), spot, since: now, until: None };
@@ -121,10 +121,10 @@
     fn list(&self, now: Micros, after: Option<&str>) -> Vec<ListedMachine> {
         let then = now.since(CLOUD_LIST_LAG);
         let there = |m: &Machine| m.since <= then && m.until.is_none_or(|until| until > then);
-        let wanted = self.machines.iter().filter(|(name, machine)| {
+        let matching = self.machines.iter().filter(|(name, machine)| {
             there(machine) && after.is_none_or(|after| name.as_str() > after)
         });
-        let listed = wanted.map(|(name, machine)| ListedMachine {
+        let listed = matching.map(|(name, machine)| ListedMachine {
             name: name.clone(),
             address: String::new(),
             machine_type: MACHINE_TYPE.to_string(),
--- a/crates/rehearsal/src/faults.rs
+++ b/crates/rehearsal/src/faults.rs
@@ -137,7 +137,7 @@
         /// Which.
         workers: SomeWorkers,
     },
-    /// heartbeats of these workers do not arrive.
+    /// Heartbeats of these workers do not arrive.
     Mute {
         /// Which.
         workers: SomeWorkers,
@@ -205,8 +205,8 @@
         self.at <= now && now < self.until
     }
 
-    /// When its last consequence is over: what it held has arrived, who was killed is back.
-    pub fn settled(&self, controllers: usize) -> Micros {
+    /// When its last effect is over: what it delayed has arrived, and what it killed is back.
+    pub fn effects_over_at(&self, controllers: usize) -> Micros {
         match self.fault {
             Fault::Kill { back, .. } | Fault::KillAll { back } => self.until + back,
             Fault::KillInTurn { pause, back } => {
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -29,7 +29,7 @@
     MachineGone,
 }
 
-/// What a user asked.
+/// What a user requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
@@ -46,7 +46,7 @@
 pub struct UserAnswer {
     /// Job.
     pub job: String,
-    /// What was asked.
+    /// What was requested.
     #[serde(rename = "asked")]
     pub request_kind: RequestKind,
     /// The controller.
@@ -100,7 +100,7 @@
     NoAnswer {
         /// Job.
         job: String,
-        /// What was asked.
+        /// What was requested.
         #[serde(rename = "asked")]
         request_kind: RequestKind,
     },
--- a/crates/rehearsal/src/jobs.rs
+++ b/crates/rehearsal/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The users' jobs: what they are, when they are handed in and when they are called off.
+//! The users' jobs: what they are, when they are submitted and when they are cancelled.
 
 use crate::settings::{TEAMS, ZONES};
 use millethold::time::Micros;
@@ -57,9 +57,9 @@
     pub mistake: bool,
     /// Jobs that have to be done first.
     pub dependencies: Vec<String>,
-    /// When it is handed in.
+    /// When it is submitted.
     pub submit_at: Micros,
-    /// When its user calls it off.
+    /// When its user cancels it.
     pub cancel_at: Option<Micros>,
 }
 
@@ -152,7 +152,7 @@
     };
     let runs = if small { runs.min(MAX_RUN_OF_TIGHT_TEAM) } else { runs };
     let mistake = chance(rng, WITH_MISTAKE_PERCENT);
-    // Most are called off soon, while their first starts are on their way.
+    // Most are cancelled soon, while their first starts are on their way.
     let soon = rng.random_range(0..3) > 0;
     let wait = Micros::millis(if soon {
         rng.random_range(50..2_500)
--- a/crates/rehearsal/src/kv_store.rs
+++ b/crates/rehearsal/src/kv_store.rs
@@ -114,12 +114,12 @@
     /// A page of the keys that begin like this, in their order.
     pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> KeyValuePage {
         let limit = limit.clamp(1, MOST_OF_A_PAGE);
-        let wanted = |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
+        let is_listed = |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
         let mut items: Vec<KeyValue> = self
             .keys
             .range(prefix.to_string()..)
             .take_while(|(key, _)| key.starts_with(prefix))
-            .filter(|(key, _)| wanted(key))
+            .filter(|(key, _)| is_listed(key))
             .take(limit + 1)
             .map(|(key, stored)| item(key, stored))
             .collect();
@@ -196,8 +196,9 @@
         }
         let first = self.changes.partition_point(|change| change.revision <= after);
         let key = |change: &WatchEvent| change.put.clone().or(change.delete.clone());
-        let wanted = |change: &&WatchEvent| key(change).is_some_and(|key| key.starts_with(prefix));
-        Some(self.changes[first..].iter().filter(wanted).cloned().collect())
+        let has_prefix =
+            |change: &&WatchEvent| key(change).is_some_and(|key| key.starts_with(prefix));
+        Some(self.changes[first..].iter().filter(has_prefix).cloned().collect())
     }
 }
 
--- a/crates/rehearsal/src/kv_store_http.rs
+++ b/crates/rehearsal/src/kv_store_http.rs
@@ -55,8 +55,8 @@
             serde_json::from_slice(&request.body).ok().map(KvRequest::Txn)
         }
         "POST" if leases == Some("") => {
-            let wanted: LeaseRequest = serde_json::from_slice(&request.body).ok()?;
-            Some(KvRequest::GrantLease(Micros::millis(wanted.ttl_ms)))
+            let lease: LeaseRequest = serde_json::from_slice(&request.body).ok()?;
+            Some(KvRequest::GrantLease(Micros::millis(lease.ttl_ms)))
         }
         "POST" => {
             let (number, last) = leases?.strip_prefix('/')?.split_once('/')?;
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -45,7 +45,7 @@
         /// Number of the controller.
         controller: usize,
     },
-    /// A user asks a controller.
+    /// A request of a user to a controller.
     User {
         /// Number of the request.
         request: u64,
@@ -64,7 +64,7 @@
 pub enum NetEvent {
     /// A request of a controller.
     Request(http::Request),
-    /// An answer to what this process asked.
+    /// An answer to a request of this process.
     Answer(http::Answer),
     /// Bytes of a relayed connection.
     Bytes(Vec<u8>),
--- a/crates/rehearsal/src/options.rs
+++ b/crates/rehearsal/src/options.rs
@@ -1,4 +1,4 @@
-//! What a soak is asked for, checked.
+//! Options of a soak, checked.
 
 use std::path::PathBuf;
 use thiserror::Error;
@@ -37,7 +37,7 @@
     pub keep: Option<PathBuf>,
 }
 
-/// Why a soak cannot be played as it is asked for.
+/// Why the options of a soak have no meaning.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BadOption {
     /// A number is 0 or too large.
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Lines of evidence that are told of a broken rule.
+/// Lines of evidence that are listed for a violation.
 const EVIDENCE_LINES: usize = 40;
-/// Broken rules of a run that are told with their evidence.
+/// Violations of a run that are listed with their evidence.
 const SHOWN_BREAKS: usize = 5;
 
 /// Something that went wrong beside the protocol's rules.
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -15,7 +15,7 @@
 /// Why a soak ended early.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// It was asked to stop.
+    /// It was requested to stop.
     #[error("interrupted")]
     Interrupted,
     /// A run could not be played.
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -9,7 +9,7 @@
 use millethold::wire::{Cause, Command, DirectCommands, Heartbeat, ReportedTask, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// heartbeats about changes come at most this often.
+/// Heartbeats about changes come at most this often.
 const MIN_HEARTBEAT_INTERVAL: Micros = Micros::millis(500);
 /// How long an image takes to fetch.
 const IMAGE_FETCH_TIME: Micros = Micros::millis(300);
@@ -57,7 +57,7 @@
     pub number: u64,
     /// When it was sent.
     pub sent: Micros,
-    /// The incarnation that it told of.
+    /// The incarnation that it reports.
     pub incarnation: u64,
 }
 
--- a/crates/rehearsal/src/world/machines.rs
+++ b/crates/rehearsal/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: their heartbeats, what they are told, and how they come and go.
+//! Machines: their heartbeats, commands to them, and how they come and go.
 
 use super::{Action, World};
 use crate::faults::{Fault, LATE_HEARTBEATS_MS};
@@ -19,7 +19,7 @@
 const HEARTBEAT_TIMEOUT: Micros = Micros::secs(4);
 /// After a failure it tries the next controller this much later.
 const NEXT_CONTROLLER_DELAY: Micros = Micros::secs(1);
-/// Commands that are later than this are told of.
+/// Commands that are later than this are logged.
 const LATE_COMMAND_AGE: Micros = Micros::secs(5);
 /// Number of a request whose answer nobody awaits.
 pub(super) const NO_REQUEST: u64 = u64::MAX;
@@ -66,7 +66,7 @@
             Some(_) => Micros::FAR,
             None => machine.heartbeat_due().max(now + Micros::millis(1)),
         };
-        // heartbeats of a machine that hangs come afterwards; it is looked at meanwhile.
+        // Heartbeats of a machine that hangs come afterwards; it is observed meanwhile.
         let pause = if machine.is_hanging(now) { Micros::millis(50) } else { Micros::ZERO };
         let next = machine.next_change().min(heartbeat.max(now + pause)).max(now + Micros(1));
         self.at(next, Action::Worker { worker });
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -4,7 +4,7 @@
 //! - `setup`: files, sockets and processes;
 //! - `services`: calls to the key-value store and the cloud;
 //! - `machines`: heartbeats and commands;
-//! - `users`: what users ask and are told;
+//! - `users`: requests of users and their answers;
 //! - `peers`: links between controllers;
 //! - `fault_injection`: faults begin and end.
 
@@ -147,7 +147,7 @@
 /// Why a run could not be played.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// It was asked to stop.
+    /// It was requested to stop.
     #[error("interrupted")]
     Interrupted,
     /// The event loop failed.
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -136,8 +136,8 @@
             fault.at += begins;
             fault.until += begins;
         }
-        let settled = faults.iter().map(|fault| fault.settled(controllers)).max();
-        self.faults_over_at = settled.unwrap_or(begins).max(begins + over);
+        let last_effect = faults.iter().map(|fault| fault.effects_over_at(controllers)).max();
+        self.faults_over_at = last_effect.unwrap_or(begins).max(begins + over);
         for (number, fault) in faults.iter().enumerate() {
             let (at, until) = (fault.at, fault.until);
             self.at(at, Action::FaultBegins(number));
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they hand in, ask and call off, at all controllers, and what they are told.
+//! Users: what they submit, query and cancel, at all controllers, and which answers they get.
 
 use super::machines::{NO_REQUEST, empty};
 use super::{Action, World};
@@ -23,7 +23,7 @@
 const REQUEST_TIMEOUT: Micros = Micros::secs(5);
 /// Questions about a job after its end.
 const POLLS_AFTER_END: u32 = 3;
-/// One in so many users looks closely: asks all controllers at once.
+/// One in so many users queries all controllers at once.
 const CONCURRENT_POLL_ONE_IN: u32 = 4;
 /// A job that nobody submits begins like this; those of users have six digits.
 const UNKNOWN_JOB_PREFIX: &str = "j-9";
@@ -311,7 +311,7 @@
         self.try_again(request, again);
     }
 
-    /// The user asks the same again, some time later.
+    /// The user repeats the request some time later.
     fn try_again(&mut self, request: &UserRequest, wait: (u64, u64)) {
         if request.detached {
             return;
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -68,7 +68,7 @@
     at(s, Observation::TaskEnded { task, attempt, machine: machine.into(), how })
 }
 
-fn request_kind(s: u64, job: &str, request_kind: RequestKind) -> Entry {
+fn requested(s: u64, job: &str, request_kind: RequestKind) -> Entry {
     at(s, Observation::Requested { job: job.into(), request_kind })
 }
 
@@ -98,16 +98,13 @@
 
 fn submitted(job: &str) -> Vec<Entry> {
     let queued = Some(JobStage::Queued);
-    vec![
-        request_kind(1, job, RequestKind::Submit),
-        answer(2, job, RequestKind::Submit, 201, queued),
-    ]
+    vec![requested(1, job, RequestKind::Submit), answer(2, job, RequestKind::Submit, 201, queued)]
 }
 
 /// The job is answered as cancelled at second 10.
 fn cancelled(job: &str) -> Vec<Entry> {
     let mut entries = submitted(job);
-    entries.push(request_kind(9, job, RequestKind::Cancel));
+    entries.push(requested(9, job, RequestKind::Cancel));
     entries.push(answer(10, job, RequestKind::Cancel, 200, Some(JobStage::Cancelled)));
     entries
 }
@@ -312,7 +309,7 @@
         let facts = Facts { end: then.at, ..facts };
         history.entries.push(then);
         let violations = check(&facts, &history);
-        let rules: BTreeSet<Rule> = violations.iter().map(|b| b.rule).collect();
+        let rules: BTreeSet<Rule> = violations.iter().map(|violation| violation.rule).collect();
         assert_eq!(rules, BTreeSet::from([rule]), "{name}: {violations:?}");
         assert!(!history.about(&violations[0].job, 10).is_empty(), "{name}: no evidence");
         shown.insert(rule);
--- a/crates/rehearsal/tests/soak.rs
+++ b/crates/rehearsal/tests/soak.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Patience with the program, also on a machine that is busy otherwise.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
+const PROGRAM_TIMEOUT: Duration = Duration::from_secs(600);
 /// Runs of the program beside each other would share its addresses.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
@@ -60,7 +60,7 @@
             child.stderr.take().expect("piped").read_to_end(&mut stderr).expect("its errors");
             return Output { status, stdout, stderr };
         }
-        assert!(begun.elapsed() < REQUEST_TIMEOUT, "the program does not end");
+        assert!(begun.elapsed() < PROGRAM_TIMEOUT, "the program does not end");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -161,12 +161,12 @@
     let begun = Instant::now();
     // The program itself names the binary, too.
     while processes_with("interrupted-service") < 4 {
-        assert!(begun.elapsed() < REQUEST_TIMEOUT, "the controllers do not start");
+        assert!(begun.elapsed() < PROGRAM_TIMEOUT, "the controllers do not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     let id = child.id().to_string();
-    let known_to_users = Command::new("kill").args(["-INT", &id]).status().expect("kill");
-    assert!(known_to_users.success());
+    let signalled = Command::new("kill").args(["-INT", &id]).status().expect("kill");
+    assert!(signalled.success());
     let output = wait(child);
     assert!(!output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -70,16 +70,16 @@
     DirectCommands { fencing_token, incarnation, commands }
 }
 
-/// What the worker heartbeats: task, attempt, state, cause.
+/// What the worker reports: task, attempt, state, cause.
 fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<Cause>)> {
     let heartbeat = worker.body("10.1.0.1:1".into());
     heartbeat.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
 }
 
-fn ons(observations: &[TimedObservation]) -> usize {
+fn started_tasks(observations: &[TimedObservation]) -> usize {
     observations
         .iter()
-        .filter(|(_, observations)| matches!(observations, Observation::TaskStarted { .. }))
+        .filter(|(_, observation)| matches!(observation, Observation::TaskStarted { .. }))
         .count()
 }
 
@@ -139,7 +139,7 @@
         let mut saving = worker();
         saving.direct(NOW, direct(1, 1, vec![start("j-3/0", 1)]), &jobs());
         let on = NOW + Micros::millis(300);
-        assert_eq!(ons(&saving.advance(on)), 1, "the image is there");
+        assert_eq!(started_tasks(&saving.advance(on)), 1, "the image is there");
         assert_eq!(reported(&mut saving)[0].2, Running);
         saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, 2.0)]), &jobs());
         let mut observations = Vec::new();
@@ -153,7 +153,7 @@
     }
 }
 
-/// Tokens, sessions and leases.
+/// Fencing tokens, incarnations and leases.
 #[test]
 fn who_may_command() {
     // Token and incarnation of the commands, whether a worker in its first incarnation that has
@@ -172,7 +172,7 @@
     // to a heartbeat of an earlier incarnation, does not.
     let mut worker = worker();
     worker.make_heartbeat(NOW + Micros::secs(4), Micros::ZERO, String::new());
-    let heartbeat = worker.heartbeat_in_flight.expect("a report");
+    let heartbeat = worker.heartbeat_in_flight.expect("a heartbeat");
     worker.answered(NOW + Micros::secs(7), heartbeat, 5, vec![start("j-1/0", 1)], &jobs());
     let low =
         worker.answered(NOW + Micros::secs(7), heartbeat, 4, vec![start("j-1/1", 1)], &jobs());
@@ -196,17 +196,17 @@
         (Micros::secs(2), image + Micros::secs(7), TaskEnd::Done),
         (Micros::secs(20), WORKER_LEASE + Micros(1), TaskEnd::LeaseExpired),
     ];
-    for (is_hanging, after, want) in table {
+    for (hanging_time, after, want) in table {
         let mut worker = worker();
         worker.direct(NOW, direct(1, 1, vec![start("j-1/0", 1)]), &jobs());
         worker.advance(NOW + image);
-        worker.hang(NOW + image, NOW + image + is_hanging);
+        worker.hang(NOW + image, NOW + image + hanging_time);
         let observations = worker.advance(NOW + Micros::secs(30));
-        let off = observations.iter().find_map(|(at, observations)| match observations {
+        let off = observations.iter().find_map(|(at, observation)| match observation {
             Observation::TaskEnded { how, .. } => Some((*at, *how)),
             _ => None,
         });
-        assert_eq!(off, Some((NOW + after, want)), "{is_hanging:?}");
+        assert_eq!(off, Some((NOW + after, want)), "{hanging_time:?}");
     }
 }
 
@@ -284,7 +284,7 @@
         (Fault::Deaf { workers: some }, command, request, Delivery::Lost),
         (Fault::Mute { workers: some }, heartbeat, request, Delivery::Reset),
         (Fault::Mute { workers: some }, command, request, Delivery::At(NOW)),
-        // heartbeats go on while commands are held.
+        // Heartbeats go on while commands are held.
         (all_held, command, request, Delivery::At(NOW + held)),
         (all_held, command, answer, Delivery::At(NOW)),
         (all_held, heartbeat, request, Delivery::At(NOW)),
@@ -339,7 +339,7 @@
         let (faults, jobs) = draw(seed);
         let overlap = |f: &PlannedFault| faults.iter().filter(|g| g.active(f.at)).count() > 1;
         assert!(faults.iter().any(overlap), "seed {seed}");
-        let of_controllers = |f: &PlannedFault| f.settled(3) >= f.until || f.at < f.until;
+        let of_controllers = |f: &PlannedFault| f.effects_over_at(3) >= f.until || f.at < f.until;
         assert!(faults.iter().all(of_controllers), "seed {seed}");
         for fault in &faults {
             let json = serde_json::to_value(fault).expect("JSON");
--- a/tests/cluster/simulation/mod.rs
+++ b/tests/cluster/simulation/mod.rs
@@ -9,7 +9,7 @@
 //! - `earlier`: jobs that an earlier version had stored, and members replaced;
 //! - `faults`: what goes wrong; `chance`: faults drawn by a seed;
 //! - `network`: delays, and who reaches whom at present;
-//! - `controllers`, `state_service`, `machines`: the messages of each party;
+//! - `controllers`, `kv_store`, `machines`: the messages of each party;
 //! - `store`, `cloud`, `worker`: the stand-ins themselves;
 //! - `jobs`, `users`, `answers`, `odd_requests`: what users hand in and are told;
 //! - `checks`: the rules; `forge`: facts that must break them;
@@ -30,13 +30,13 @@
 mod faults;
 mod forge;
 mod jobs;
+mod kv_store;
 mod machines;
 mod network;
 mod odd_requests;
 mod outcome;
 pub mod row;
 mod settings;
-mod state_service;
 #[path = "../../stand_ins/store.rs"]
 mod store;
 mod users;
