--- a/crates/rehearsal/src/kv_store.rs
+++ b/crates/rehearsal/src/kv_store.rs
@@ -114,7 +114,8 @@
     /// A page of the keys that begin like this, in their order.
     pub fn list(&self, prefix: &str, after: Option<&str>, limit: usize) -> KeyValuePage {
         let limit = limit.clamp(1, MOST_OF_A_PAGE);
-        let is_listed = |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
+        let is_listed =
+            |key: &str| key.starts_with(prefix) && after.is_none_or(|after| key > after);
         let mut items: Vec<KeyValue> = self
             .keys
             .range(prefix.to_string()..)
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -6,7 +6,9 @@
 use crate::jobs::{JobPlan, Jobs};
 use crate::settings::{HEARTBEAT_INTERVAL, WORKER_LEASE};
 use millethold::time::Micros;
-use millethold::wire::{Cause, Command, DirectCommands, Heartbeat, ReportedTask, TaskState};
+use millethold::wire::{
+    Cause, Command, DirectCommands, FencingToken, Heartbeat, ReportedTask, TaskState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Heartbeats about changes come at most this often.
@@ -75,7 +77,7 @@
     pub gone: bool,
     incarnation: u64,
     sequence: u64,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
     images: BTreeSet<String>,
     fetching: BTreeMap<TaskId, String>,
@@ -102,7 +104,7 @@
             gone: false,
             incarnation: 1,
             sequence: 0,
-            fencing_token: 0,
+            fencing_token: FencingToken(0),
             attempts: BTreeMap::new(),
             images: BTreeSet::new(),
             fetching: BTreeMap::new(),
@@ -276,7 +278,7 @@
         &mut self,
         now: Micros,
         heartbeat: HeartbeatInFlight,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         commands: Vec<Command>,
         jobs: &Jobs,
     ) -> Vec<TimedObservation> {
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -3,7 +3,9 @@
 #![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
 
 use millethold::time::Micros;
-use millethold::wire::{Cause, Command, Condition, DirectCommands, TaskState, Txn, Write};
+use millethold::wire::{
+    Cause, Command, Condition, DirectCommands, FencingToken, TaskState, Txn, Write,
+};
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
 use millethold_rehearsal::history::{Observation, TaskEnd};
 use millethold_rehearsal::jobs::{JobPlan, Jobs, draw_jobs};
@@ -67,7 +69,7 @@
 }
 
 fn direct(fencing_token: u64, incarnation: u64, commands: Vec<Command>) -> DirectCommands {
-    DirectCommands { fencing_token, incarnation, commands }
+    DirectCommands { fencing_token: FencingToken(fencing_token), incarnation, commands }
 }
 
 /// What the worker reports: task, attempt, state, cause.
@@ -173,16 +175,33 @@
     let mut worker = worker();
     worker.make_heartbeat(NOW + Micros::secs(4), Micros::ZERO, String::new());
     let heartbeat = worker.heartbeat_in_flight.expect("a heartbeat");
-    worker.answered(NOW + Micros::secs(7), heartbeat, 5, vec![start("j-1/0", 1)], &jobs());
-    let low =
-        worker.answered(NOW + Micros::secs(7), heartbeat, 4, vec![start("j-1/1", 1)], &jobs());
+    worker.answered(
+        NOW + Micros::secs(7),
+        heartbeat,
+        FencingToken(5),
+        vec![start("j-1/0", 1)],
+        &jobs(),
+    );
+    let low = worker.answered(
+        NOW + Micros::secs(7),
+        heartbeat,
+        FencingToken(4),
+        vec![start("j-1/1", 1)],
+        &jobs(),
+    );
     assert_eq!((low.len(), reported(&mut worker).len()), (0, 1));
     let over = NOW + Micros::secs(4) + WORKER_LEASE;
     let observations = worker.advance(over);
     assert_eq!(worker.body(String::new()).incarnation, 1, "{observations:?}");
     worker.advance(over + Micros(1));
     assert_eq!((worker.body(String::new()).incarnation, reported(&mut worker).len()), (2, 0));
-    let late = worker.answered(over + Micros(2), heartbeat, 5, vec![start("j-1/2", 1)], &jobs());
+    let late = worker.answered(
+        over + Micros(2),
+        heartbeat,
+        FencingToken(5),
+        vec![start("j-1/2", 1)],
+        &jobs(),
+    );
     assert_eq!((late.len(), reported(&mut worker).len()), (0, 0), "an earlier session's");
 }
 
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -7,6 +7,7 @@
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
+use crate::wire::FencingToken;
 use serde::Serialize;
 use std::fmt::Debug;
 
@@ -57,7 +58,7 @@
     /// Term of the shard.
     pub(crate) term: u64,
     /// Fencing token of the commands.
-    pub(crate) fencing_token: u64,
+    pub(crate) fencing_token: FencingToken,
 }
 
 /// A lease on a shard, at the beginning or the end of this process's leadership.
@@ -138,7 +139,7 @@
         target: TARGET,
         job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
         machine = evidence.machine, incarnation = evidence.incarnation,
-        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
         reason:? = reason;
         "stop"
     );
@@ -150,7 +151,7 @@
         target: TARGET,
         job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
         machine = evidence.machine, incarnation = evidence.incarnation,
-        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token;
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0;
         "forget"
     );
 }
@@ -160,7 +161,7 @@
 pub(crate) fn raise_fencing_token(
     evidence: CommandEvidence<'_>,
     revoked: &AttemptId,
-    revoked_fencing_token: u64,
+    revoked_fencing_token: FencingToken,
     tasks_beside: usize,
     reason: impl Debug,
 ) {
@@ -168,8 +169,8 @@
         target: TARGET,
         job = revoked.job.as_str(), task = revoked.index, attempt = revoked.attempt,
         machine = evidence.machine, incarnation = evidence.incarnation,
-        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
-        revoked_fencing_token = revoked_fencing_token, tasks_beside = tasks_beside,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
+        revoked_fencing_token = revoked_fencing_token.0, tasks_beside = tasks_beside,
         reason:? = reason;
         "raise_fencing_token"
     );
@@ -184,7 +185,7 @@
     log::error!(
         target: TARGET,
         machine = evidence.machine, incarnation = evidence.incarnation,
-        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token,
+        shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
         authority:? = authority, violation:? = violation;
         "violation"
     );
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::controller::machines::timeouts;
 use crate::controller::{Controller, Effect, Ticket};
 use crate::time::Micros;
-use crate::wire::{Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
+use crate::wire::{FencingToken, Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
 use log::{debug, info};
 
 /// Longest names of machines and zones, in bytes, that fit a stored placement.
@@ -107,7 +107,8 @@
     /// than this process commands.
     fn is_superseded(&self, heartbeat: &Heartbeat, term: u64) -> bool {
         let managed = self.managed.get(&heartbeat.machine);
-        let shown = managed.map_or(Some(term), |managed| managed.fencing_token(term));
+        let shown = managed
+            .map_or(Some(FencingToken::of_term(term)), |managed| managed.fencing_token(term));
         shown.is_none_or(|shown| heartbeat.fencing_token > shown)
             || self.terminated.contains(&heartbeat.machine)
     }
--- a/src/controller/machines/machine/heartbeat_intake.rs
+++ b/src/controller/machines/machine/heartbeat_intake.rs
@@ -4,7 +4,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::ObservedState;
 use crate::time::Micros;
-use crate::wire::{Cause, Heartbeat, ReportedTask, TaskState};
+use crate::wire::{Cause, FencingToken, Heartbeat, ReportedTask, TaskState};
 use std::collections::BTreeMap;
 
 /// How a heartbeat has arrived.
@@ -55,7 +55,7 @@
         self.description.update(now, heartbeat);
         // A heartbeat that does not carry this term's fencing token may be followed by
         // commands of an earlier leader: its list proves no absence.
-        if heartbeat.fencing_token < term {
+        if heartbeat.fencing_token < FencingToken::of_term(term) {
             return Some(Vec::new());
         }
         self.heartbeat_under_term = true;
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -15,7 +15,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::{ObservedState, ObservedTask};
 use crate::time::Micros;
-use crate::wire::Heartbeat;
+use crate::wire::{FencingToken, Heartbeat};
 use health::FailureRecord;
 use starts::{CommandOutcome, Starts};
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,7 +74,7 @@
     /// How often the fencing token of its commands was raised above the term.
     fencing_token_raises: u64,
     /// Highest fencing token that it has reported: no command with a lower one is executed.
-    highest_reported_fencing_token: u64,
+    highest_reported_fencing_token: FencingToken,
     /// Type, zone and address.
     pub(crate) description: MachineDescription,
     /// Direct commands were sent and their outcome is not known yet.
@@ -94,7 +94,7 @@
 impl ManagedMachine {
     /// The fencing token of its commands under a term; `None` if the term has no further
     /// ones.
-    pub fn fencing_token(&self, term: u64) -> Option<u64> {
+    pub fn fencing_token(&self, term: u64) -> Option<FencingToken> {
         fencing_token::raised_fencing_token(term, self.fencing_token_raises)
     }
 
--- a/src/controller/machines/machine/starts.rs
+++ b/src/controller/machines/machine/starts.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::start_gate::RevocationReason;
+use crate::wire::FencingToken;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A start that was sent and is in no heartbeat yet.
@@ -15,7 +16,7 @@
     /// long as fencing token and incarnation match.
     pub may_arrive_late: bool,
     /// Fencing token of the last direct command with it.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
 }
 
 impl StartInFlight {
@@ -37,7 +38,7 @@
     /// The attempt that must not be started.
     pub attempt: AttemptId,
     /// Fencing token that the command with it carries.
-    pub revoked_fencing_token: u64,
+    pub revoked_fencing_token: FencingToken,
     /// Why it must not be executed.
     pub reason: RevocationReason,
 }
@@ -60,7 +61,7 @@
     pub in_flight: BTreeMap<AttemptId, StartInFlight>,
     /// Attempts in heartbeats that a direct command of unknown outcome may still start,
     /// with its fencing token: if the worker forgot them, that command would run them again.
-    pub may_start_again: BTreeMap<AttemptId, u64>,
+    pub may_start_again: BTreeMap<AttemptId, FencingToken>,
     /// Attempts for which there was no capacity. They are never sent.
     pub(crate) refused: BTreeSet<AttemptId>,
     /// Attempts that wait for the capacity of a task that is being stopped.
@@ -93,7 +94,11 @@
     /// Records that a worker has made a list of its tasks after it had seen this fencing
     /// token: what the list lacks was not begun before, and commands with a lower token are
     /// not executed any more.
-    pub(super) fn fenced(&mut self, fencing_token: u64, is_listed: impl Fn(&AttemptId) -> bool) {
+    pub(super) fn fenced(
+        &mut self,
+        fencing_token: FencingToken,
+        is_listed: impl Fn(&AttemptId) -> bool,
+    ) {
         self.may_start_again
             .retain(|attempt, of_command| is_listed(attempt) && *of_command >= fencing_token);
         for start in self.in_flight.values_mut().filter(|s| s.fencing_token < fencing_token) {
@@ -114,7 +119,7 @@
         &mut self,
         attempts: &[AttemptId],
         outcome: CommandOutcome,
-        highest_fencing_token: u64,
+        highest_fencing_token: FencingToken,
     ) {
         let unknown = outcome == CommandOutcome::Unknown;
         for attempt in attempts {
@@ -131,7 +136,7 @@
     /// though `reason` says that it must not be executed.
     pub fn to_be_revoked(
         &self,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         reason: impl Fn(&AttemptId) -> Option<RevocationReason>,
     ) -> Option<StartRevocation> {
         self.open_direct(fencing_token).find_map(|(attempt, start)| {
@@ -155,7 +160,7 @@
     /// outrank.
     pub(crate) fn open_direct(
         &self,
-        fencing_token: u64,
+        fencing_token: FencingToken,
     ) -> impl Iterator<Item = (&AttemptId, &StartInFlight)> {
         self.in_flight.iter().filter(move |(_, start)| {
             start.is_open_direct() && start.fencing_token >= fencing_token
--- a/src/controller/machines/start_gate.rs
+++ b/src/controller/machines/start_gate.rs
@@ -10,7 +10,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::{DesiredTask, Phase};
 use crate::time::Micros;
-use crate::wire::Command;
+use crate::wire::{Command, FencingToken};
 
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Term under which this process leads the shard.
     pub term: u64,
     /// Fencing token of the commands to this machine.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Incarnation of the machine's worker.
     pub incarnation: u64,
     /// Until when this process's lease is surely valid, by its own clock.
@@ -173,7 +173,7 @@
     fn violation(&self) -> Option<StartViolation> {
         if self.now >= self.lease_until {
             Some(StartViolation::LeaseExpired)
-        } else if self.fencing_token < self.term {
+        } else if self.fencing_token < FencingToken::of_term(self.term) {
             Some(StartViolation::FencingTokenBelowTerm)
         } else {
             None
@@ -227,7 +227,7 @@
             target: decision_log::TARGET,
             job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
             machine = machine, incarnation = authority.incarnation,
-            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token,
+            shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token.0,
             lease_left_ms = authority.lease_until.since(authority.now).as_millis(),
             owner_known_term = self.owner_known_term,
             job_stage:? = self.job.map(|job| job.stage),
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -2,6 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The number by which a worker refuses commands that are out of date: it executes none
+/// with a lower one than it has been shown.
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct FencingToken(pub u64);
+
 /// A task's state on a machine, by its heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -84,7 +92,7 @@
     pub seq: u64,
     /// Highest fencing token that it was shown.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes a spot machine back.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
@@ -145,7 +153,7 @@
 pub struct HeartbeatResponse {
     /// Fencing token of the shard's leader that answers.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -156,7 +164,7 @@
 pub struct DirectCommands {
     /// Fencing token of the shard's leader.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Incarnation of the worker that they are meant for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
--- a/tests/components/leadership.rs
+++ b/tests/components/leadership.rs
@@ -7,7 +7,7 @@
 use millethold::controller::leadership::shard_lease::ShardLease;
 use millethold::controller::machines::cancellation;
 use millethold::time::Micros;
-use millethold::wire::{KeyValue, Write};
+use millethold::wire::{FencingToken, KeyValue, Write};
 use serde_json::json;
 
 #[test]
@@ -58,11 +58,14 @@
             [0, 1, 2, FIRST_RAISED_OFFSET - 2, FIRST_RAISED_OFFSET, u64::MAX]
         {
             let fencing_token = fencing_token::raised_fencing_token(next, fencing_token_raises);
-            let fits = |t: u64| t >= next && t < fencing_token::next_term(next);
+            let own = FencingToken::of_term(next);
+            let next_leader = FencingToken::of_term(fencing_token::next_term(next));
+            let fits = |token: FencingToken| token >= own && token < next_leader;
             assert!(fencing_token.is_none_or(fits), "{before}: {fencing_token:?}");
             // A few takes by earlier versions do not reach what was raised.
             assert!(
-                fencing_token_raises == 0 || fencing_token.is_none_or(|t| t > next + 1_000),
+                fencing_token_raises == 0
+                    || fencing_token.is_none_or(|token| token > FencingToken(next + 1_000)),
                 "{fencing_token:?}"
             );
         }
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -11,7 +11,7 @@
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
-use millethold::wire::{Cause, Heartbeat, ReportedTask, TaskState};
+use millethold::wire::{Cause, FencingToken, Heartbeat, ReportedTask, TaskState};
 use std::rc::Rc;
 
 fn key(attempt: u64) -> AttemptId {
@@ -32,7 +32,7 @@
         spot: false,
         incarnation,
         seq,
-        fencing_token,
+        fencing_token: FencingToken(fencing_token),
         notice_s: None,
         tasks: tasks
             .iter()
@@ -74,7 +74,11 @@
     // the attempt must not be cleared: the late command would start it anew.
     post.starts.in_flight.insert(
         key(2),
-        StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() },
+        StartInFlight {
+            direct_commands: 1,
+            fencing_token: FencingToken(4),
+            ..StartInFlight::default()
+        },
     );
     post.direct_ended(&[key(2)], CommandOutcome::Unknown);
     post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
@@ -85,7 +89,11 @@
     // An answered one closes it.
     post.starts.in_flight.insert(
         key(3),
-        StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() },
+        StartInFlight {
+            direct_commands: 1,
+            fencing_token: FencingToken(4),
+            ..StartInFlight::default()
+        },
     );
     let running = [(3, TaskState::Running, None)];
     post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, Request);
@@ -181,7 +189,7 @@
         now: Micros::secs(50),
         shard: 0,
         term,
-        fencing_token: term,
+        fencing_token: FencingToken(term),
         incarnation: 1,
         lease_until: Micros::secs(51),
         cancellations_known: true,
@@ -240,7 +248,7 @@
 fn violations_of_a_permit() {
     use StartViolation::*;
     let over = CommandAuthority { now: Micros::secs(51), ..manager(4) };
-    let low = CommandAuthority { fencing_token: 3, ..manager(4) };
+    let low = CommandAuthority { fencing_token: FencingToken(3), ..manager(4) };
     let table = [
         ("as it should be", manager(4), key(2), None),
         ("past the lease", over, key(2), Some(LeaseExpired)),
@@ -260,9 +268,16 @@
     use HeartbeatSource::Request;
     use RevocationReason::*;
     use StartRefusal::*;
-    let direct = StartInFlight { direct_commands: 1, fencing_token: 4, ..StartInFlight::default() };
-    let late =
-        StartInFlight { may_arrive_late: true, fencing_token: 4, ..StartInFlight::default() };
+    let direct = StartInFlight {
+        direct_commands: 1,
+        fencing_token: FencingToken(4),
+        ..StartInFlight::default()
+    };
+    let late = StartInFlight {
+        may_arrive_late: true,
+        fencing_token: FencingToken(4),
+        ..StartInFlight::default()
+    };
     let answered = StartInFlight { in_response: true, ..StartInFlight::default() };
     // How it was sent, why it must not be executed, whether the token is raised.
     let table = [
@@ -276,12 +291,12 @@
         // The worker drops late answers.
         (answered, Some(Refused(JobOver)), false),
         // Commands with this token are refused already.
-        (StartInFlight { fencing_token: 3, ..late }, Some(Refused(JobOver)), false),
+        (StartInFlight { fencing_token: FencingToken(3), ..late }, Some(Refused(JobOver)), false),
     ];
     for (sent, refusal, want) in table {
         let mut post = ManagedMachine::default();
         post.starts.in_flight.insert(key(1), sent);
-        let revoked = post.starts.to_be_revoked(4, |_| refusal);
+        let revoked = post.starts.to_be_revoked(FencingToken(4), |_| refusal);
         assert_eq!(revoked.is_some(), want, "{sent:?} {refusal:?}");
     }
 
@@ -292,30 +307,34 @@
     assert!(post.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, Request).is_some());
     post.starts.in_flight.insert(
         key(1),
-        StartInFlight { may_arrive_late: true, fencing_token: term, ..StartInFlight::default() },
+        StartInFlight {
+            may_arrive_late: true,
+            fencing_token: FencingToken(term),
+            ..StartInFlight::default()
+        },
     );
     post.raise_fencing_token();
     let raised = post.fencing_token(term).expect("the first of many");
-    assert!(raised > term && raised < next_term(term));
+    assert!(raised > FencingToken(term) && raised < FencingToken(next_term(term)));
     post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, Request);
     assert!(post.starts.in_flight[&key(1)].is_open(), "the answer may have been lost");
-    post.apply_heartbeat(now, &heartbeat(1, 3, raised, &[]), term, Request);
+    post.apply_heartbeat(now, &heartbeat(1, 3, raised.0, &[]), term, Request);
     assert!(!post.starts.in_flight[&key(1)].is_open());
     // A command of before that is given up now cannot be late any more, another can.
-    for (number, fencing_token, want) in [(2, term, false), (3, raised, true)] {
+    for (number, fencing_token, want) in [(2, FencingToken(term), false), (3, raised, true)] {
         post.starts.in_flight.insert(
             key(number),
             StartInFlight { direct_commands: 1, fencing_token, ..StartInFlight::default() },
         );
         post.direct_ended(&[key(number)], CommandOutcome::Unknown);
-        assert_eq!(post.starts.in_flight[&key(number)].is_open(), want, "token {fencing_token}");
+        assert_eq!(post.starts.in_flight[&key(number)].is_open(), want, "{fencing_token:?}");
     }
     // An attempt that is listed may be cleared once its late start is harmless.
     let ended = [(3, TaskState::Exited, Some(Cause::Done))];
-    post.apply_heartbeat(now, &heartbeat(1, 4, raised, &ended), term, Request);
+    post.apply_heartbeat(now, &heartbeat(1, 4, raised.0, &ended), term, Request);
     assert!(post.starts.may_start_again.contains_key(&key(3)));
     post.raise_fencing_token();
-    post.apply_heartbeat(now, &heartbeat(1, 5, raised + 1, &ended), term, Request);
+    post.apply_heartbeat(now, &heartbeat(1, 5, raised.0 + 1, &ended), term, Request);
     assert!(!post.starts.may_start_again.contains_key(&key(3)));
     // A term has no tokens without end, and none is another term's.
     for _ in 0..TERM_STRIDE {
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -3,7 +3,8 @@
 use super::LEASE_S;
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, DirectCommands, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
+    Cause, Command, DirectCommands, FencingToken, Heartbeat, HeartbeatResponse, ReportedTask,
+    TaskState,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,7 +25,7 @@
     pub gone: bool,
     incarnation: u64,
     seq: u64,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     tasks: BTreeMap<String, Task>,
     /// When the last answered report was sent, or the session began.
     lease_from: Micros,
@@ -58,7 +59,7 @@
             gone: false,
             incarnation: 1,
             seq: 0,
-            fencing_token: 0,
+            fencing_token: FencingToken(0),
             tasks: BTreeMap::new(),
             lease_from: now,
             node,
