--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -8,6 +8,7 @@
 use millethold::time::Micros;
 use millethold::wire::{
     Cause, Command, DirectCommands, FencingToken, Heartbeat, ReportedTask, TaskState,
+    WorkerIncarnation,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,7 +61,7 @@
     /// When it was sent.
     pub sent: Micros,
     /// The incarnation that it reports.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
 }
 
 /// Something seen on the machine, and when.
@@ -75,7 +76,7 @@
     spot: bool,
     /// The cloud has taken it.
     pub gone: bool,
-    incarnation: u64,
+    incarnation: WorkerIncarnation,
     sequence: u64,
     fencing_token: FencingToken,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
@@ -102,7 +103,7 @@
             zone: zone.to_string(),
             spot,
             gone: false,
-            incarnation: 1,
+            incarnation: WorkerIncarnation(1),
             sequence: 0,
             fencing_token: FencingToken(0),
             attempts: BTreeMap::new(),
@@ -189,7 +190,7 @@
     /// The lease ran out: all tasks are killed and forgotten, and a incarnation begins.
     fn end_incarnation(&mut self, at: Micros) -> Vec<TimedObservation> {
         let observations = self.end_all(at, TaskEnd::LeaseExpired);
-        self.incarnation += 1;
+        self.incarnation.0 += 1;
         self.sequence = 0;
         self.lease_from = at;
         self.heartbeat_in_flight = None;
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -4,7 +4,8 @@
 
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, Condition, DirectCommands, FencingToken, TaskState, Txn, Write,
+    Cause, Command, Condition, DirectCommands, FencingToken, TaskState, Txn, WorkerIncarnation,
+    Write,
 };
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
 use millethold_rehearsal::history::{Observation, TaskEnd};
@@ -69,7 +70,11 @@
 }
 
 fn direct(fencing_token: u64, incarnation: u64, commands: Vec<Command>) -> DirectCommands {
-    DirectCommands { fencing_token: FencingToken(fencing_token), incarnation, commands }
+    DirectCommands {
+        fencing_token: FencingToken(fencing_token),
+        incarnation: WorkerIncarnation(incarnation),
+        commands,
+    }
 }
 
 /// What the worker reports: task, attempt, state, cause.
@@ -192,9 +197,12 @@
     assert_eq!((low.len(), reported(&mut worker).len()), (0, 1));
     let over = NOW + Micros::secs(4) + WORKER_LEASE;
     let observations = worker.advance(over);
-    assert_eq!(worker.body(String::new()).incarnation, 1, "{observations:?}");
+    assert_eq!(worker.body(String::new()).incarnation, WorkerIncarnation(1), "{observations:?}");
     worker.advance(over + Micros(1));
-    assert_eq!((worker.body(String::new()).incarnation, reported(&mut worker).len()), (2, 0));
+    assert_eq!(
+        (worker.body(String::new()).incarnation, reported(&mut worker).len()),
+        (WorkerIncarnation(2), 0)
+    );
     let late = worker.answered(
         over + Micros(2),
         heartbeat,
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -7,7 +7,7 @@
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::machines::attempt::AttemptId;
 use crate::time::Micros;
-use crate::wire::FencingToken;
+use crate::wire::{FencingToken, WorkerIncarnation};
 use serde::Serialize;
 use std::fmt::Debug;
 
@@ -52,7 +52,7 @@
     /// Name of the machine.
     pub(crate) machine: &'a str,
     /// Incarnation of its worker.
-    pub(crate) incarnation: u64,
+    pub(crate) incarnation: WorkerIncarnation,
     /// Its shard.
     pub(crate) shard: usize,
     /// Term of the shard.
@@ -138,7 +138,7 @@
     log::debug!(
         target: TARGET,
         job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
-        machine = evidence.machine, incarnation = evidence.incarnation,
+        machine = evidence.machine, incarnation = evidence.incarnation.0,
         shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
         reason:? = reason;
         "stop"
@@ -150,7 +150,7 @@
     log::debug!(
         target: TARGET,
         job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
-        machine = evidence.machine, incarnation = evidence.incarnation,
+        machine = evidence.machine, incarnation = evidence.incarnation.0,
         shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0;
         "forget"
     );
@@ -168,7 +168,7 @@
     log::info!(
         target: TARGET,
         job = revoked.job.as_str(), task = revoked.index, attempt = revoked.attempt,
-        machine = evidence.machine, incarnation = evidence.incarnation,
+        machine = evidence.machine, incarnation = evidence.incarnation.0,
         shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
         revoked_fencing_token = revoked_fencing_token.0, tasks_beside = tasks_beside,
         reason:? = reason;
@@ -184,7 +184,7 @@
 ) {
     log::error!(
         target: TARGET,
-        machine = evidence.machine, incarnation = evidence.incarnation,
+        machine = evidence.machine, incarnation = evidence.incarnation.0,
         shard = evidence.shard, term = evidence.term, fencing_token = evidence.fencing_token.0,
         authority:? = authority, violation:? = violation;
         "violation"
--- a/src/controller/jobs/evaluation.rs
+++ b/src/controller/jobs/evaluation.rs
@@ -32,14 +32,14 @@
     /// Decides what became of the attempt by the view of its machine.
     fn verdict(&self, view: &MachineView) -> Verdict {
         let incarnation = self.placement.incarnation;
-        if view.over_through >= incarnation
+        if view.has_ended(incarnation)
             || self.has_vanished(view)
-            || view.incarnation > incarnation
+            || view.worker_incarnation() > incarnation
         {
             // Its incarnation is surely over, and everything in it.
             return Verdict::Lost;
         }
-        if !view.known || view.incarnation != incarnation {
+        if !view.known || view.worker_incarnation() != incarnation {
             return Verdict::Undecided;
         }
         let listed = view.tasks.iter().find(|task| {
--- a/src/controller/jobs/job/chunk.rs
+++ b/src/controller/jobs/job/chunk.rs
@@ -2,7 +2,7 @@
 
 use super::names::split_name;
 use super::{EndedAttempt, Placement};
-use crate::wire::JobSpec;
+use crate::wire::{JobSpec, WorkerIncarnation};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -109,12 +109,17 @@
 }
 
 /// Most bytes that a placement takes in its chunk's value.
-pub(crate) fn stored_bytes(machine: &str, incarnation: u64, attempt: u64, zone: &str) -> usize {
+pub(crate) fn stored_bytes(
+    machine: &str,
+    incarnation: WorkerIncarnation,
+    attempt: u64,
+    zone: &str,
+) -> usize {
     let name = split_name(machine);
     // Numbers with their commas; a beginning or a zone that no other placement
     // has needs a line of its own, which for short ones the overhead holds.
     let names = name.head.len().saturating_sub(8) + zone.len().saturating_sub(12);
-    name.width.max(1) + digits(incarnation) + digits(attempt) + 16 + names
+    name.width.max(1) + digits(incarnation.0) + digits(attempt) + 16 + names
 }
 
 /// Bytes of a description as JSON.
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -4,6 +4,7 @@
 use super::chunk::stored_bytes;
 use crate::peer::ObservedState;
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 use std::rc::Rc;
 
 /// Where a task was placed.
@@ -12,7 +13,7 @@
     /// Machine.
     pub machine: Rc<str>,
     /// Incarnation of the machine's worker.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Attempt, unique in the task's chunk.
     pub attempt: u64,
     /// Version of the chunk that first holds it: it is acted on once that is stored.
@@ -85,7 +86,7 @@
         wall: Micros,
         index: u32,
         machine: &str,
-        incarnation: u64,
+        incarnation: WorkerIncarnation,
         zone: &str,
     ) -> Option<u64> {
         let chunk = self.chunk_of(index)?;
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -6,7 +6,7 @@
 use super::names::{join_name, split_name};
 use super::{ChunkLayout, Job, Placement, StoredChunkValue, TaskChunk};
 use crate::time::Micros;
-use crate::wire::{JobSpec, MAX_TASKS};
+use crate::wire::{JobSpec, MAX_TASKS, WorkerIncarnation};
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
     /// Machine's name.
     pub machine: String,
     /// Incarnation of the machine's worker.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Attempt.
     pub attempt: u64,
     /// Zone.
@@ -176,7 +176,7 @@
                 u64::from(*index - previous),
                 position_in(&mut self.name_heads, head),
                 name.number,
-                placement.incarnation,
+                placement.incarnation.0,
                 placement.attempt,
                 position_in(&mut self.zones, placement.zone.to_string()),
                 second(placement) - self.first_second,
@@ -199,7 +199,7 @@
             list.push(StoredPlacement {
                 index: u32::try_from(index).ok()?,
                 machine: join_name(&name.head, name.width.min(MAX_STORED_DIGITS), number),
-                incarnation,
+                incarnation: WorkerIncarnation(incarnation),
                 attempt,
                 zone: self.zones.get(usize::try_from(zone).ok()?)?.clone(),
                 placed_second: second.filter(|second| *second <= MAX_PLACED_SECOND)?,
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -6,7 +6,9 @@
 use crate::controller::machines::timeouts;
 use crate::controller::{Controller, Effect, Ticket};
 use crate::time::Micros;
-use crate::wire::{FencingToken, Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal};
+use crate::wire::{
+    FencingToken, Heartbeat, HeartbeatRedirect, HeartbeatResponse, Refusal, WorkerIncarnation,
+};
 use log::{debug, info};
 
 /// Longest names of machines and zones, in bytes, that fit a stored placement.
@@ -123,7 +125,7 @@
     ) -> Option<HeartbeatIntake> {
         let machine = &heartbeat.machine;
         let managed = self.managed.entry(machine.clone()).or_default();
-        if managed.incarnation == 0 {
+        if managed.incarnation == WorkerIncarnation::NONE {
             info!("machine {machine} reports: {} in {}", heartbeat.machine_type, heartbeat.zone);
         }
         let incarnation_before = managed.incarnation;
@@ -142,7 +144,7 @@
     if heartbeat.machine.len() > MAX_NAME_BYTES || heartbeat.zone.len() > MAX_NAME_BYTES {
         return Err(HeartbeatError::LongName);
     }
-    if heartbeat.incarnation == 0 {
+    if heartbeat.incarnation == WorkerIncarnation::NONE {
         return Err(HeartbeatError::NoIncarnation);
     }
     Ok(heartbeat)
--- a/src/controller/machines/machine/health.rs
+++ b/src/controller/machines/machine/health.rs
@@ -2,6 +2,7 @@
 
 use super::ManagedMachine;
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 use std::collections::BTreeMap;
 
 /// A machine's failures since its last success, and its quarantine because of them.
@@ -51,13 +52,13 @@
     pub fn update_responsiveness(
         &mut self,
         now: Micros,
-        incarnation_before: u64,
+        incarnation_before: WorkerIncarnation,
         worker_lease: Micros,
     ) {
         if self.incarnation > incarnation_before {
             let half_lease = Micros(worker_lease.0 / 2);
             let answered_lately = self.answered_at.is_some_and(|at| now.since(at) < half_lease);
-            self.unresponsive |= incarnation_before > 0 && answered_lately;
+            self.unresponsive |= incarnation_before > WorkerIncarnation::NONE && answered_lately;
         } else if now.since(self.incarnation_since) > Micros(worker_lease.0 * 2) {
             // An incarnation that lasts has received answers. Twice the lease, since
             // what arrives may have been sent long ago.
--- a/src/controller/machines/machine/incarnation.rs
+++ b/src/controller/machines/machine/incarnation.rs
@@ -2,6 +2,7 @@
 
 use super::ManagedMachine;
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 
 impl ManagedMachine {
     /// Whether the newest incarnation that is known may still run tasks.
@@ -10,11 +11,12 @@
     }
 
     /// A heartbeat shows a new incarnation: the earlier ones are over.
-    pub(super) fn begin_incarnation(&mut self, now: Micros, incarnation: u64) {
+    pub(super) fn begin_incarnation(&mut self, now: Micros, incarnation: WorkerIncarnation) {
         self.clear_incarnation();
         self.incarnation = incarnation;
         self.incarnation_since = now;
-        self.last_ended_incarnation = self.last_ended_incarnation.max(incarnation - 1);
+        self.last_ended_incarnation =
+            self.last_ended_incarnation.max(WorkerIncarnation(incarnation.0 - 1));
         self.heartbeat_under_term = false;
     }
 
@@ -51,7 +53,7 @@
             self.clear_incarnation();
             return true;
         }
-        if self.incarnation == 0 && !self.expired_without_heartbeat {
+        if self.incarnation == WorkerIncarnation::NONE && !self.expired_without_heartbeat {
             self.expired_without_heartbeat = true;
             return true;
         }
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -15,7 +15,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::{ObservedState, ObservedTask};
 use crate::time::Micros;
-use crate::wire::{FencingToken, Heartbeat};
+use crate::wire::{FencingToken, Heartbeat, WorkerIncarnation};
 use health::FailureRecord;
 use starts::{CommandOutcome, Starts};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ManagedMachine {
     /// Incarnation of the newest heartbeat, 0 before the first.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// When that incarnation was first heard of.
     incarnation_since: Micros,
     /// Number of the newest message of that incarnation.
@@ -58,7 +58,7 @@
     /// It has sent a heartbeat with this term's fencing token: no older command can reach it.
     pub heartbeat_under_term: bool,
     /// This incarnation and all before it are surely over.
-    pub last_ended_incarnation: u64,
+    pub last_ended_incarnation: WorkerIncarnation,
     /// It was never heard of under this term, and by now every earlier incarnation is over.
     pub expired_without_heartbeat: bool,
     /// When a heartbeat was last answered with 200.
--- a/src/controller/machines/probes.rs
+++ b/src/controller/machines/probes.rs
@@ -8,7 +8,7 @@
 use crate::controller::machines::heartbeats::MAX_NAME_BYTES;
 use crate::controller::machines::machine::ManagedMachine;
 use crate::peer::AddressHint;
-use crate::wire::DirectCommands;
+use crate::wire::{DirectCommands, WorkerIncarnation};
 use std::net::SocketAddrV4;
 
 /// Probes sent in one turn at most: the failover of a large shard must not starve the rest.
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LastKnownWorker {
     /// Its incarnation.
-    pub(crate) incarnation: u64,
+    pub(crate) incarnation: WorkerIncarnation,
     /// Its address for direct commands.
     pub(crate) address: SocketAddrV4,
 }
@@ -61,7 +61,8 @@
             return;
         }
         if let Ok(address) = hint.address.parse() {
-            let last_known = LastKnownWorker { incarnation: hint.incarnation, address };
+            let last_known =
+                LastKnownWorker { incarnation: WorkerIncarnation(hint.incarnation), address };
             self.address_hints.insert(hint.machine.clone(), last_known);
             self.pending_probes.insert(hint.machine);
         }
@@ -74,7 +75,7 @@
             if let Ok(address) = view.address.parse() {
                 self.address_hints
                     .entry(view.machine.clone())
-                    .or_insert(LastKnownWorker { incarnation: view.incarnation, address });
+                    .or_insert(LastKnownWorker { incarnation: view.worker_incarnation(), address });
             }
         }
         let of_shard = self.address_hints.keys().filter(|machine| is_in_shard(machine));
--- a/src/controller/machines/start_gate.rs
+++ b/src/controller/machines/start_gate.rs
@@ -10,7 +10,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::{DesiredTask, Phase};
 use crate::time::Micros;
-use crate::wire::{Command, FencingToken};
+use crate::wire::{Command, FencingToken, WorkerIncarnation};
 
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// Fencing token of the commands to this machine.
     pub fencing_token: FencingToken,
     /// Incarnation of the machine's worker.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Until when this process's lease is surely valid, by its own clock.
     pub lease_until: Micros,
     /// Whether every cancellation that was confirmed long enough ago is known.
@@ -226,7 +226,7 @@
         log::debug!(
             target: decision_log::TARGET,
             job = attempt.job.as_str(), task = attempt.index, attempt = attempt.attempt,
-            machine = machine, incarnation = authority.incarnation,
+            machine = machine, incarnation = authority.incarnation.0,
             shard = authority.shard, term = authority.term, fencing_token = authority.fencing_token.0,
             lease_left_ms = authority.lease_until.since(authority.now).as_millis(),
             owner_known_term = self.owner_known_term,
--- a/src/controller/scheduler/capacity/machine.rs
+++ b/src/controller/scheduler/capacity/machine.rs
@@ -2,6 +2,7 @@
 
 use crate::resources::Resources;
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 use std::rc::Rc;
 
 /// A task whose resources are reserved on a machine.
@@ -43,7 +44,7 @@
     /// Its name.
     pub machine: Rc<str>,
     /// Incarnation of its worker.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Another controller leads its shard.
     pub led_by_peer: bool,
     /// What no task is reserved on.
@@ -61,7 +62,7 @@
     /// A machine of that size with no task reserved.
     pub fn new(
         machine: Rc<str>,
-        incarnation: u64,
+        incarnation: WorkerIncarnation,
         led_by_peer: bool,
         size: Resources,
     ) -> MachineCapacity {
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -124,7 +124,7 @@
         let machine_type = inputs.autoscaler.machine_types.get(&view.machine_type)?;
         let mut capacity = MachineCapacity::new(
             Rc::from(name),
-            view.incarnation,
+            view.worker_incarnation(),
             inputs.leading_term(shard).is_none(),
             Resources::from(machine_type),
         );
@@ -172,7 +172,7 @@
             let tasks = desired.machines.get(&*capacity.machine).map_or(&[][..], |m| &m.tasks[..]);
             // One of another incarnation is gone, and its shard will learn of it.
             let present = |task: &&DesiredTask| {
-                task.incarnation == view.incarnation
+                task.incarnation == view.worker_incarnation()
                     && task.phase() != Phase::Over
                     && !is_over(view, &task.job, task.index, task.attempt)
             };
--- a/src/controller/scheduler/image_cache.rs
+++ b/src/controller/scheduler/image_cache.rs
@@ -4,6 +4,7 @@
 //! machine's worker, so that a machine that began anew stops matching.
 
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 use std::collections::{BTreeMap, HashMap};
 
 /// A younger entry is not renewed: heartbeats repeat themselves every few seconds.
@@ -11,7 +12,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    incarnation: u64,
+    incarnation: WorkerIncarnation,
     noted_at: Micros,
     /// Its place among all entries, the oldest of which has the lowest number.
     sequence: u64,
@@ -30,7 +31,7 @@
     /// The machine.
     pub machine: &'a str,
     /// The incarnation in which it fetched the image.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
 }
 
 /// The index, bounded in entries and in age.
@@ -58,7 +59,13 @@
     }
 
     /// Notes that a machine has, or is about to fetch, an image.
-    pub fn note(&mut self, now: Micros, image: &str, machine: &str, incarnation: u64) {
+    pub fn note(
+        &mut self,
+        now: Micros,
+        image: &str,
+        machine: &str,
+        incarnation: WorkerIncarnation,
+    ) {
         let known = self.images.get(image).and_then(|machines| machines.get(machine));
         if known.is_some_and(|entry| {
             entry.incarnation == incarnation && now.since(entry.noted_at) < MIN_RENEWAL_INTERVAL
@@ -92,7 +99,13 @@
     }
 
     /// True if the machine has the image in its present incarnation.
-    pub fn holds(&self, now: Micros, image: &str, machine: &str, incarnation: u64) -> bool {
+    pub fn holds(
+        &self,
+        now: Micros,
+        image: &str,
+        machine: &str,
+        incarnation: WorkerIncarnation,
+    ) -> bool {
         self.images.get(image).and_then(|machines| machines.get(machine)).is_some_and(|entry| {
             entry.incarnation == incarnation && now.since(entry.noted_at) <= self.max_age
         })
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -30,6 +30,7 @@
 
 use crate::config::Options;
 use crate::time::Micros;
+use crate::wire::WorkerIncarnation;
 use capacity::{ClusterCapacity, MachineCapacity};
 use capacity_updates::ShardSource;
 use estimate::Estimates;
@@ -107,7 +108,13 @@
     }
 
     /// Notes that a machine has, or is about to fetch, an image.
-    pub(crate) fn note_image(&mut self, now: Micros, image: &str, machine: &str, incarnation: u64) {
+    pub(crate) fn note_image(
+        &mut self,
+        now: Micros,
+        image: &str,
+        machine: &str,
+        incarnation: WorkerIncarnation,
+    ) {
         self.images.note(now, image, machine, incarnation);
     }
 
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -1,5 +1,6 @@
 //! What a shard desires on machines: the desired state, as it is sent and as it is kept.
 
+use crate::wire::WorkerIncarnation;
 use prost::Message;
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -79,7 +80,7 @@
             shape: Rc::clone(shape),
             index: self.index,
             attempt: self.attempt,
-            incarnation: self.incarnation,
+            incarnation: WorkerIncarnation(self.incarnation),
             stop_ms: self.stop_ms,
             placed_s: self.placed_s,
             phase: self.phase,
@@ -193,7 +194,7 @@
     /// Number of its attempt.
     pub attempt: u64,
     /// Incarnation of the worker for which it was stored.
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Stop it, with this many milliseconds to save a checkpoint.
     pub stop_ms: Option<u64>,
     /// Time of day at which it was placed, in seconds.
@@ -222,7 +223,7 @@
             shape,
             index: self.index,
             attempt: self.attempt,
-            incarnation: self.incarnation,
+            incarnation: self.incarnation.0,
             stop_ms: self.stop_ms,
             placed_s: self.placed_s,
             phase: self.phase,
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -1,5 +1,6 @@
 //! Machines and their tasks as the leaders of their shards know them: the observed state.
 
+use crate::wire::WorkerIncarnation;
 use prost::Message;
 
 /// A task on a machine, as the leader of the machine's shard knows it.
@@ -123,3 +124,15 @@
     #[prost(bool, tag = "16")]
     pub faulty: bool,
 }
+
+impl MachineView {
+    /// Incarnation of the newest heartbeat.
+    pub fn worker_incarnation(&self) -> WorkerIncarnation {
+        WorkerIncarnation(self.incarnation)
+    }
+
+    /// Whether an incarnation of its worker is surely over.
+    pub fn has_ended(&self, incarnation: WorkerIncarnation) -> bool {
+        self.over_through >= incarnation.0
+    }
+}
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -10,6 +10,19 @@
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
 
+/// Number of a worker's incarnation: it rises when the worker starts anew or its lease
+/// expires, and all tasks of earlier incarnations are gone then.
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct WorkerIncarnation(pub u64);
+
+impl WorkerIncarnation {
+    /// Stands for none: incarnations count from 1.
+    pub const NONE: WorkerIncarnation = WorkerIncarnation(0);
+}
+
 /// A task's state on a machine, by its heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -86,7 +99,7 @@
     pub spot: bool,
     /// Incarnation of the worker.
     #[serde(rename = "shift")]
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Order of its heartbeats within an incarnation.
     #[serde(rename = "tally")]
     pub seq: u64,
@@ -167,7 +180,7 @@
     pub fencing_token: FencingToken,
     /// Incarnation of the worker that they are meant for.
     #[serde(rename = "shift")]
-    pub incarnation: u64,
+    pub incarnation: WorkerIncarnation,
     /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/tests/components/jobs.rs
+++ b/tests/components/jobs.rs
@@ -8,6 +8,7 @@
 use millethold::peer::ObservedState;
 use millethold::time::Micros;
 use millethold::wire;
+use millethold::wire::WorkerIncarnation;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,15 +20,19 @@
     let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
     assert_eq!((j.chunks.len(), j.pending()), (4, 16));
     let now = Micros::secs(3);
-    assert_eq!(j.place(now, 6, "vm-1", 3, "a"), Some(1));
-    assert_eq!(j.place(now, 6, "vm-2", 3, "a"), None, "placed already");
-    assert_eq!(j.place(now, 7, "vm-1", 3, "a"), Some(2));
+    assert_eq!(j.place(now, 6, "vm-1", WorkerIncarnation(3), "a"), Some(1));
+    assert_eq!(j.place(now, 6, "vm-2", WorkerIncarnation(3), "a"), None, "placed already");
+    assert_eq!(j.place(now, 7, "vm-1", WorkerIncarnation(3), "a"), Some(2));
     assert!(j.end(7, TaskEnd::certain(ObservedState::Stopped)).is_some());
-    assert_eq!(j.place(now, 7, "vm-2", 1, "b"), Some(3), "attempts are never given out twice");
+    assert_eq!(
+        j.place(now, 7, "vm-2", WorkerIncarnation(1), "b"),
+        Some(3),
+        "attempts are never given out twice"
+    );
     assert!(j.end(6, TaskEnd::certain(ObservedState::Done)).is_some());
     assert!(j.end(6, TaskEnd::certain(ObservedState::Done)).is_none(), "it has ended already");
     for i in [0, 1, 2, 4] {
-        j.place(now, i, "vm-3", 1, "a");
+        j.place(now, i, "vm-3", WorkerIncarnation(1), "a");
         j.end(i, TaskEnd::certain(ObservedState::Done));
     }
     let stored: BTreeMap<usize, StoredChunkValue> = [0, 1]
@@ -56,7 +61,7 @@
     let spec = Rc::new(wire::parse_job(b.to_string().as_bytes()).expect("a good submission"));
     let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
     for (i, name) in names.into_iter().enumerate() {
-        j.place(now, i as u32, name, 1, "a");
+        j.place(now, i as u32, name, WorkerIncarnation(1), "a");
     }
     let placed = job::stored_placements(&j.encode_chunk(0)).expect("a stored part");
     assert_eq!(placed.iter().map(|p| p.machine.as_str()).collect::<Vec<_>>(), names);
@@ -72,13 +77,19 @@
         let mut j = Job::new(Rc::clone(&spec), 0, 1, now, size);
         // Every other task has completed, which is the longest list.
         for i in (0..size.tasks).step_by(2) {
-            j.place(now, i, "vm-1", 1, "a");
+            j.place(now, i, "vm-1", WorkerIncarnation(1), "a");
             j.end(i, TaskEnd::certain(ObservedState::Done));
         }
         let mut placed = 0;
         while let Some(i) = j.first_pending().filter(|i| *i < size.tasks * 2) {
             let at = Micros::secs(1_800_000_000 + u64::from(i) * 40);
-            j.place(at, i, &format!("{head}{:06}", 999_999 - i), incarnation, zone);
+            j.place(
+                at,
+                i,
+                &format!("{head}{:06}", 999_999 - i),
+                WorkerIncarnation(incarnation),
+                zone,
+            );
             placed += 1;
         }
         for n in [0, 1] {
@@ -197,7 +208,7 @@
         let spec = wire::parse_job(body.to_string().as_bytes()).expect("a good submission");
         let size = ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false };
         let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
-        j.place(Micros::secs(3), 6, "vm-1", 3, "a");
+        j.place(Micros::secs(3), 6, "vm-1", WorkerIncarnation(3), "a");
         assert_eq!((j.limited_tasks(), j.zones().len()), (1, 1), "{name}: placed");
         assert!(j.end(6, end).is_some());
         let still = u32::from(counts);
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -11,7 +11,9 @@
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
-use millethold::wire::{Cause, FencingToken, Heartbeat, ReportedTask, TaskState};
+use millethold::wire::{
+    Cause, FencingToken, Heartbeat, ReportedTask, TaskState, WorkerIncarnation,
+};
 use std::rc::Rc;
 
 fn key(attempt: u64) -> AttemptId {
@@ -30,7 +32,7 @@
         machine_type: "t4".into(),
         zone: "a".into(),
         spot: false,
-        incarnation,
+        incarnation: WorkerIncarnation(incarnation),
         seq,
         fencing_token: FencingToken(fencing_token),
         notice_s: None,
@@ -104,7 +106,7 @@
     post.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, Request);
     assert_eq!(
         (post.last_ended_incarnation, post.tasks.len(), post.starts.may_start_again.len()),
-        (1, 0, 0)
+        (WorkerIncarnation(1), 0, 0)
     );
     assert!(post.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, Request).is_none());
 
@@ -113,7 +115,10 @@
     let lease = Micros::secs(12);
     assert!(!post.expire_incarnation(now + lease, now, lease));
     assert!(post.expire_incarnation(now + lease + Micros(1), now, lease));
-    assert_eq!((post.last_ended_incarnation, post.heartbeat_under_term), (2, false));
+    assert_eq!(
+        (post.last_ended_incarnation, post.heartbeat_under_term),
+        (WorkerIncarnation(2), false)
+    );
     assert!(post.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, Request).is_none());
     // A session that only a direct command's answer told of has a lease of its own,
     // though no report was answered for long: what it was given still runs.
@@ -140,23 +145,23 @@
     // for twice its lease shows that it hears again.
     let mut post = ManagedMachine::default();
     post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now, 0, lease);
+    post.update_responsiveness(now, WorkerIncarnation(0), lease);
     assert!(!post.unresponsive, "the first session says nothing");
     post.answered_at = Some(now);
     post.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now + lease, 1, lease);
+    post.update_responsiveness(now + lease, WorkerIncarnation(1), lease);
     assert!(!post.unresponsive, "nothing was answered for long: it was away");
     post.answered_at = Some(now + lease);
     post.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now + lease + Micros(9), 2, lease);
+    post.update_responsiveness(now + lease + Micros(9), WorkerIncarnation(2), lease);
     assert!(post.unresponsive);
     let later = now + lease + lease;
     post.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, Request);
-    post.update_responsiveness(later, 3, lease);
+    post.update_responsiveness(later, WorkerIncarnation(3), lease);
     assert!(post.unresponsive, "a session that has not lasted yet");
     let lasted = later + lease + lease;
     post.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, Request);
-    post.update_responsiveness(lasted, 3, lease);
+    post.update_responsiveness(lasted, WorkerIncarnation(3), lease);
     assert!(!post.unresponsive);
     post.unresponsive = true;
     post.starts
@@ -190,7 +195,7 @@
         shard: 0,
         term,
         fencing_token: FencingToken(term),
-        incarnation: 1,
+        incarnation: WorkerIncarnation(1),
         lease_until: Micros::secs(51),
         cancellations_known: true,
     }
@@ -202,7 +207,7 @@
     DesiredTask {
         shape: Rc::new(shape),
         attempt: key.attempt,
-        incarnation,
+        incarnation: WorkerIncarnation(incarnation),
         stop_ms,
         phase: phase as i32,
         ..DesiredTask::default()
--- a/tests/components/scheduler.rs
+++ b/tests/components/scheduler.rs
@@ -9,6 +9,7 @@
 use millethold::peer::Demand;
 use millethold::resources::Resources;
 use millethold::time::Micros;
+use millethold::wire::WorkerIncarnation;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
@@ -63,7 +64,7 @@
         } else if rng.random_range(0..3) == 0 || !plain.contains_key(&name) {
             let mut machine_capacity = MachineCapacity::new(
                 name.as_str().into(),
-                1,
+                WorkerIncarnation(1),
                 name.ends_with('5'),
                 Resources::new(4.0, 0.0, 16.0),
             );
@@ -108,8 +109,12 @@
         assert_eq!((capacity.len(), capacity.is_empty()), (plain.len(), plain.is_empty()));
     }
     // A machine has room for a large task once enough of its tasks have ended.
-    let mut machine_capacity =
-        MachineCapacity::new("vm-x".into(), 1, false, Resources::new(4.0, 0.0, 16.0));
+    let mut machine_capacity = MachineCapacity::new(
+        "vm-x".into(),
+        WorkerIncarnation(1),
+        false,
+        Resources::new(4.0, 0.0, 16.0),
+    );
     for (cpus, expected_s) in [(1.0, 50.0), (1.0, 20.0), (1.0, 90.0)] {
         machine_capacity.reserve(ReservedTask { expected_s, ..reserved_tasks(2, cpus, false) });
     }
@@ -142,24 +147,32 @@
     let age = Micros::secs(5_400);
     let mut index = ImageCacheIndex::new(3, age);
     let t = Micros::secs(10);
-    index.note(t, "img", "m1", 1);
-    assert!(index.holds(t, "img", "m1", 1));
-    assert!(index.holds(t + age, "img", "m1", 1));
-    assert!(!index.holds(t + age + Micros(1), "img", "m1", 1), "too old");
-    assert!(!index.holds(t, "img", "m1", 2), "a machine that began anew");
-    assert!(!index.holds(t, "img", "m2", 1) && !index.holds(t, "other", "m1", 1));
+    index.note(t, "img", "m1", WorkerIncarnation(1));
+    assert!(index.holds(t, "img", "m1", WorkerIncarnation(1)));
+    assert!(index.holds(t + age, "img", "m1", WorkerIncarnation(1)));
+    assert!(!index.holds(t + age + Micros(1), "img", "m1", WorkerIncarnation(1)), "too old");
+    assert!(!index.holds(t, "img", "m1", WorkerIncarnation(2)), "a machine that began anew");
+    assert!(
+        !index.holds(t, "img", "m2", WorkerIncarnation(1))
+            && !index.holds(t, "other", "m1", WorkerIncarnation(1))
+    );
     // Noted again, an entry is young again, and the oldest goes first.
-    index.note(t + Micros::secs(1), "img", "m2", 1);
-    index.note(t + Micros::secs(2), "img", "m3", 1);
-    index.note(t + Micros::secs(3), "img", "m1", 1);
-    index.note(t + Micros::secs(4), "img", "m4", 1);
+    index.note(t + Micros::secs(1), "img", "m2", WorkerIncarnation(1));
+    index.note(t + Micros::secs(2), "img", "m3", WorkerIncarnation(1));
+    index.note(t + Micros::secs(3), "img", "m1", WorkerIncarnation(1));
+    index.note(t + Micros::secs(4), "img", "m4", WorkerIncarnation(1));
     assert_eq!(index.len(), 3);
     let now = t + Micros::secs(4);
-    let held: Vec<&str> =
-        ["m1", "m2", "m3", "m4"].into_iter().filter(|m| index.holds(now, "img", m, 1)).collect();
+    let held: Vec<&str> = ["m1", "m2", "m3", "m4"]
+        .into_iter()
+        .filter(|m| index.holds(now, "img", m, WorkerIncarnation(1)))
+        .collect();
     assert_eq!(held, ["m1", "m3", "m4"]);
     let mut listed: Vec<_> = index.machines_with(now, "img").collect();
     listed.sort();
-    assert_eq!(listed, ["m1", "m3", "m4"].map(|machine| CachedOn { machine, incarnation: 1 }));
+    assert_eq!(
+        listed,
+        ["m1", "m3", "m4"].map(|machine| CachedOn { machine, incarnation: WorkerIncarnation(1) })
+    );
     assert_eq!(index.machines_with(now + age, "img").count(), 1, "too old");
 }
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -7,7 +7,7 @@
 };
 use millethold::peer::{self, InheritedUrgency, ObservedState, ReadFrame};
 use millethold::time::Micros;
-use millethold::wire::{self, JobSpec};
+use millethold::wire::{self, JobSpec, WorkerIncarnation};
 use prost::Message;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
     for (task, machine, incarnation, zone) in
         [(0, "vm-000231", 1, "a"), (1, "vm-000232", 3, "b"), (5, "vm-000233", 3, "b")]
     {
-        job.place(wall, task, machine, incarnation, zone);
+        job.place(wall, task, machine, WorkerIncarnation(incarnation), zone);
     }
     job.end(5, TaskEnd::certain(ObservedState::Done));
     assert_eq!(job.encode_chunk(0), chunk());
@@ -106,7 +106,13 @@
         assert_eq!(job.chunks.len(), 3);
         while let Some(task) = job.first_pending() {
             let machine = format!("vm-{:06}", 900_000 + task);
-            job.place(Micros::secs(1_000 + u64::from(task)), task, &machine, 1_234, "a");
+            job.place(
+                Micros::secs(1_000 + u64::from(task)),
+                task,
+                &machine,
+                WorkerIncarnation(1_234),
+                "a",
+            );
             let chunks = (0..3).map(|n| job.encode_chunk(n).to_string().len());
             assert!(chunks.max() <= Some(2_048), "task {task}");
         }
@@ -142,7 +148,7 @@
         for task in free {
             if job.first_pending().is_some() && job.reserved_tasks() < reserved_tasks {
                 let machine = format!("vm-{task:06}");
-                job.place(Micros::secs(1_000), task, &machine, 3, "a");
+                job.place(Micros::secs(1_000), task, &machine, WorkerIncarnation(3), "a");
             }
         }
         assert_eq!(job.reserved_tasks(), reserved_tasks, "{taken:?}");
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -4,7 +4,7 @@
 use millethold::time::Micros;
 use millethold::wire::{
     Cause, Command, DirectCommands, FencingToken, Heartbeat, HeartbeatResponse, ReportedTask,
-    TaskState,
+    TaskState, WorkerIncarnation,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     spot: bool,
     pub sick: bool,
     pub gone: bool,
-    incarnation: u64,
+    incarnation: WorkerIncarnation,
     seq: u64,
     fencing_token: FencingToken,
     tasks: BTreeMap<String, Task>,
@@ -57,7 +57,7 @@
             spot,
             sick,
             gone: false,
-            incarnation: 1,
+            incarnation: WorkerIncarnation(1),
             seq: 0,
             fencing_token: FencingToken(0),
             tasks: BTreeMap::new(),
@@ -107,7 +107,7 @@
         let over = now > self.lease_from + Micros::from_secs_f64(LEASE_S);
         if over {
             self.tasks.clear();
-            self.incarnation += 1;
+            self.incarnation.0 += 1;
             self.lapses += 1;
             self.seq = 0;
             self.lease_from = now;
