--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -185,14 +185,14 @@
             // What is known by now may be newer than the comparison.
             let cached = self.jobs.stage_cache.get(&id);
             match cached {
-                Some(c) if c.stage == StoredStage::Accepted && !self.fresh(sent_at) => {
+                Some(cached) if cached.stage == StoredStage::Accepted && !self.fresh(sent_at) => {
                     for user in users {
                         self.respond_retry_later(user.ticket, 503, "the state service is slow");
                     }
                 }
-                Some(c) if c.stage != StoredStage::Accepted || failed.is_empty() => {
+                Some(cached) if cached.stage != StoredStage::Accepted || failed.is_empty() => {
                     for user in users {
-                        self.answer_with_stage(user.ticket, 200, &id, c);
+                        self.answer_with_stage(user.ticket, 200, &id, cached);
                     }
                 }
                 // Whether all that differ are named is not said: the others are
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -77,14 +77,15 @@
     }
 
     fn add_progress(&mut self, frame: &mut Frame) {
-        for job in std::mem::take(&mut self.changes.progress) {
-            if let Some(j) = self.jobs.by_id.get(&job) {
-                let progress = j.progress();
-                if self.jobs.progress.get(&job) != Some(&progress) {
-                    self.jobs.progress.insert(job.clone(), progress);
-                    let job::Progress { done, running } = progress;
-                    frame.progress.push(Progress { job, done, running });
-                }
+        for id in std::mem::take(&mut self.changes.progress) {
+            let Some(job) = self.jobs.by_id.get(&id) else {
+                continue;
+            };
+            let progress = job.progress();
+            if self.jobs.progress.get(&id) != Some(&progress) {
+                self.jobs.progress.insert(id.clone(), progress);
+                let job::Progress { done, running } = progress;
+                frame.progress.push(Progress { job: id, done, running });
             }
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -36,8 +36,8 @@
     });
     let (config, options) = match loaded {
         Ok(loaded) => loaded,
-        Err(e) => {
-            eprintln!("millethold: {e}");
+        Err(error) => {
+            eprintln!("millethold: {error}");
             return ExitCode::from(2);
         }
     };
@@ -47,8 +47,8 @@
     }
     match millethold::runtime::run(config, options, rand::random()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("millethold: {e}");
+        Err(error) => {
+            eprintln!("millethold: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/runtime/outgoing.rs
+++ b/src/runtime/outgoing.rs
@@ -118,8 +118,8 @@
             .and_then(|stream| self.add_connection(stream, role, false));
         match opened {
             Ok(connection) => Some(connection),
-            Err(e) => {
-                debug!("cannot connect to {address}: {e}");
+            Err(error) => {
+                debug!("cannot connect to {address}: {error}");
                 let pool = self.calls.pool(destination);
                 pool.open -= 1;
                 if let Some(call) = pool.queue.pop_front() {
@@ -189,8 +189,8 @@
                 self.assign_calls(destination);
                 true
             }
-            Err(e) => {
-                warn!("unreadable answer from {destination:?}: {e}");
+            Err(error) => {
+                warn!("unreadable answer from {destination:?}: {error}");
                 self.close(id);
                 true
             }
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -28,8 +28,8 @@
                 self.handle_request(id, request);
                 true
             }
-            Err(e) => {
-                self.refuse_request(id, e);
+            Err(error) => {
+                self.refuse_request(id, error);
                 true
             }
         }
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -45,9 +45,9 @@
     let _ = socket.set_tcp_nodelay(true);
     match socket.connect(&SocketAddr::V4(address).into()) {
         Ok(()) => {}
-        Err(e) if e.raw_os_error() == Some(IN_PROGRESS) => {}
-        Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-        Err(e) => return Err(e),
+        Err(error) if error.raw_os_error() == Some(IN_PROGRESS) => {}
+        Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+        Err(error) => return Err(error),
     }
     Ok(socket.into())
 }
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -36,7 +36,7 @@
                 runtime.socket_ready(id, ready.readable, ready.writable);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| RuntimeError::Register(e.error))?;
+            .map_err(|error| RuntimeError::Register(error.error))?;
         let connection = Connection::new(stream, registration, role, connected, self.now);
         self.connections.insert(id, connection);
         Ok(id)
@@ -63,8 +63,8 @@
                     Role::Sender { busy: false, since: self.now, heartbeats: false }
                 }
             };
-            if let Err(e) = self.add_connection(stream, role, true) {
-                debug!("cannot watch a connection: {e}");
+            if let Err(error) = self.add_connection(stream, role, true) {
+                debug!("cannot watch a connection: {error}");
             }
         }
     }
@@ -118,8 +118,8 @@
                         return;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
                     self.close(id);
                     return;
@@ -172,11 +172,11 @@
                         connection.last_active = self.now;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     drop_written(&mut connection.outbound, &mut connection.written);
                     return;
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
                     self.close(id);
                     return;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -23,8 +23,8 @@
 pub fn read_answer<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
     match serde_json::from_slice(body) {
         Ok(answer) => Some(answer),
-        Err(e) => {
-            log::warn!("{system}: unreadable answer: {e}");
+        Err(error) => {
+            log::warn!("{system}: unreadable answer: {error}");
             None
         }
     }
