--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,6 +13,7 @@
 //! - [`http`]: HTTP messages;
 //! - [`config`]: settings and options;
 //! - [`logging`]: the form of log lines;
+//! - [`resources`]: amounts of CPUs, GPUs and memory;
 //! - [`time`]: points in time and durations.
 
 pub mod cloud;
