--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -17,7 +17,7 @@
 /// Memory of a machine.
 pub const MEMORY_GB: f64 = 16.0;
 
-/// A machine that is or was rented.
+/// A machine that is or was in the cloud.
 #[derive(Debug, Clone)]
 struct Machine {
     zone: String,
@@ -42,7 +42,7 @@
 pub struct Cloud {
     machines: BTreeMap<String, Machine>,
     requests: BTreeMap<String, Vec<String>>,
-    /// Machines that may be rented at once.
+    /// Capacity: machines that may exist at once.
     capacity: usize,
 }
 
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -4,7 +4,7 @@
 //! Nothing is taken from the service's own word: what the protocol forbids is found in the
 //! [`history`] of what workers and users saw, by the [`rules`].
 //!
-//! - [`options`], [`settings`], [`addresses`]: what is asked for, and what the processes are told;
+//! - [`options`], [`settings`], [`addresses`]: what is to be played, and the settings of the processes;
 //! - [`net`], [`relay`]: sockets on one event loop, and the links between controllers;
 //! - [`faults`], [`links`]: what goes wrong when, and what it does to a message;
 //! - [`kv_store`], [`kv_store_http`], [`cloud`], [`worker`], [`jobs`]: the stand-ins, which know no sockets;
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -84,7 +84,7 @@
 pub struct RunReport {
     /// Seed.
     pub seed: u64,
-    /// Workers there were, rented ones included.
+    /// Workers there were, added ones included.
     pub workers: usize,
     /// Faults, as lines.
     pub faults: Vec<String>,
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -84,7 +84,7 @@
     run_numbers: &AtomicUsize,
     stop: &AtomicBool,
 ) -> Result<crate::report::RunReport, SoakError> {
-    // Addresses that were asked for are not exchanged for others.
+    // Addresses that were given as options are not exchanged for others.
     let tries = if options.block.is_some() { 1 } else { SETUP_TRIES };
     for try_number in 1.. {
         let run_number = run_numbers.fetch_add(1, Ordering::Relaxed);
--- a/crates/rehearsal/src/world/machines.rs
+++ b/crates/rehearsal/src/world/machines.rs
@@ -350,7 +350,7 @@
         }
     }
 
-    /// A rented machine is up.
+    /// A machine that was added is up.
     pub(super) fn machine_up(&mut self, name: String) {
         if let Err(error) = self.add_worker(name) {
             let what = format!("no further worker: {error}");
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -88,7 +88,7 @@
     HeartbeatAnswer { worker: usize, heartbeat: HeartbeatInFlight, status: u16, body: Vec<u8> },
     /// A worker has waited long enough for the answer to a heartbeat.
     HeartbeatTimedOut { worker: usize, number: u64 },
-    /// A rented machine is up.
+    /// A machine that was added is up.
     MachineUp { name: String },
     /// Bytes of a relayed connection may go on.
     Relay { relayed: u64, from_initiator: bool },
@@ -393,7 +393,7 @@
     }
 
     /// Whether the run is over: no fault is left, and all jobs have been served and all
-    /// questions asked; or nothing more happens.
+    /// status queries sent; or nothing more happens.
     fn over(&self) -> bool {
         if self.now < self.faults_over_at {
             return false;
--- a/crates/rehearsal/src/world/services.rs
+++ b/crates/rehearsal/src/world/services.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use serde_json::json;
 
-/// A rented machine is up after a time from this range, in milliseconds: at times at once.
+/// A machine that is added is up after a time from this range, in milliseconds: at times at once.
 const BOOT_MS: (u64, u64) = (100, 3_000);
 
 /// A watch that waits for changes.
--- a/crates/rehearsal/src/world/setup.rs
+++ b/crates/rehearsal/src/world/setup.rs
@@ -29,7 +29,7 @@
 const MANY_WORKERS: (usize, usize) = (150, 300);
 /// One run in so many has many workers.
 const MANY_WORKERS_ONE_IN: u32 = 8;
-/// Machines that may be rented beside those of the start, as a part of them.
+/// Machines that may be added beside those of the start, as a part of them.
 const SPARE_MACHINES_DIVISOR: usize = 4;
 /// Between the end of the faults and the end of what users ask on their own.
 const UNKNOWN_JOB_POLL_INTERVAL: Micros = Micros::millis(1_700);
@@ -200,7 +200,7 @@
         let _ = std::fs::write(target.join("history.txt"), lines.join("\n"));
     }
 
-    /// Where a controller is asked by users and workers.
+    /// Where a controller is reached by users and workers.
     pub(super) fn controller_address(&self, controller: usize) -> SocketAddrV4 {
         self.addresses.users(controller)
     }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -348,7 +348,7 @@
         self.at(at, Action::User(UserStep::Poll(job.to_string())));
     }
 
-    /// Whether every job is over and its user has asked about it afterwards.
+    /// Whether every job is over and its user has queried it afterwards.
     pub(super) fn users_are_done(&self) -> bool {
         let done = |job: &UserJob| {
             let cancelled = !job.cancel_requested || job.cancel_answered;
