--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,8 +3,9 @@
 //!
 //! [`Controller`] is a router. It owns the components, hands each event and reply to the one
 //! that it concerns, fixes the order in which they work at a tick and at a flush, and carries
-//! what one concludes to the others. It keeps no state of its own, decides nothing about jobs
-//! or machines, and no component reaches into another's fields but by way of it.
+//! what one concludes to the others. It keeps no state of its own and decides nothing about
+//! jobs or machines. A flow that changes several components is a method of [`Controller`] in
+//! the folder of the component that it serves; a component by itself changes only its own state.
 //!
 //! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards
 //! that it leads ([`jobs`], [`scheduler`], [`quota`]) and commands their machines
