--- a/crates/rehearsal/tests/soak.rs
+++ b/crates/rehearsal/tests/soak.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 use std::net::TcpListener;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -33,19 +33,21 @@
     command
 }
 
-/// Processes whose command line names this program and this file.
-fn processes_with(text: &str) -> usize {
+/// Processes whose command line names this copy of the service. The whole path is compared:
+/// the same test may run elsewhere on the machine at the same time.
+fn processes_with(binary: &Path) -> usize {
+    let binary = binary.to_str().expect("a path");
     let mut count = 0;
     for entry in std::fs::read_dir("/proc").expect("a list of processes").flatten() {
         let line = std::fs::read(entry.path().join("cmdline")).unwrap_or_default();
         let line = String::from_utf8_lossy(&line).replace('\0', " ");
-        count += usize::from(line.contains(text));
+        count += usize::from(line.contains(binary));
     }
     count
 }
 
 /// A copy of the service under a name that no other test's processes have.
-fn own_service(directory: &std::path::Path, name: &str) -> PathBuf {
+fn own_service(directory: &Path, name: &str) -> PathBuf {
     let copy = directory.join(name);
     std::fs::copy(service(), &copy).expect("a copy of the service");
     copy
@@ -98,7 +100,7 @@
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(text.lines().last(), Some("2 passed, 0 failed"), "{text}");
-    assert_eq!(processes_with("soaked-service"), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is left");
 
     let json = std::fs::read_to_string(&report).expect("a report");
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
@@ -117,7 +119,6 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
     let binary = own_service(directory.path(), "unplayed-service");
-    let binary = binary.to_str().expect("a path");
     // Somebody else's: a controller's port, and one of a stand-in.
     let users = TcpListener::bind("127.251.1.1:8080").expect("a port");
     let state = TcpListener::bind("127.252.1.66:2379").expect("a port");
@@ -135,7 +136,7 @@
     for (name, arguments, named) in table {
         let mut command = rehearsal(arguments);
         if !arguments.contains(&"--binary") {
-            command.args(["--binary", binary]);
+            command.arg("--binary").arg(&binary);
         }
         let output = wait(command.spawn().expect("the program"));
         let errors = String::from_utf8_lossy(&output.stderr);
@@ -147,7 +148,7 @@
     let unknown = wait(rehearsal(&["--sseeds", "1"]).spawn().expect("the program"));
     assert!(!unknown.status.success());
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("--sseeds"));
-    assert_eq!(processes_with("unplayed-service"), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is left");
 }
 
 /// Told to stop in the middle of a run it leaves nothing behind.
@@ -156,11 +157,11 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
     let binary = own_service(directory.path(), "interrupted-service");
-    let binary = binary.to_str().expect("a path");
-    let child = rehearsal(&["--seeds", "3", "--binary", binary]).spawn().expect("the program");
+    let child =
+        rehearsal(&["--seeds", "3"]).arg("--binary").arg(&binary).spawn().expect("the program");
     let begun = Instant::now();
     // The program itself names the binary, too.
-    while processes_with("interrupted-service") < 4 {
+    while processes_with(&binary) < 4 {
         assert!(begun.elapsed() < PROGRAM_TIMEOUT, "the controllers do not start");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -170,5 +171,5 @@
     let output = wait(child);
     assert!(!output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
-    assert_eq!(processes_with("interrupted-service"), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is left");
 }
