--- a/tests/simulation/mod.rs
+++ b/tests/cluster/simulation/mod.rs
@@ -20,8 +20,10 @@
 mod answers;
 pub mod chance;
 mod checks;
+#[path = "../../stand_ins/cloud.rs"]
 mod cloud;
 mod controllers;
+#[path = "../../stand_ins/digest.rs"]
 mod digest;
 mod earlier;
 mod event;
@@ -35,8 +37,10 @@
 pub mod row;
 mod settings;
 mod state_service;
+#[path = "../../stand_ins/store.rs"]
 mod store;
 mod users;
+#[path = "../../stand_ins/worker.rs"]
 mod worker;
 mod world;
 
