--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -33,7 +33,7 @@
 
 impl PendingChanges {
     /// Whether desired state or views may have to be sent.
-    pub(crate) fn concern_machines(&self) -> bool {
+    pub(crate) fn affect_machines(&self) -> bool {
         !self.desired.is_empty()
             || !self.complete_desired.is_empty()
             || !self.machines.is_empty()
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -1,4 +1,7 @@
-//! Acquisition of shards: leases that nobody has are acquired, the home's at once.
+//! Acquisition of vacant shards.
+//!
+//! The home member of a shard, the member with the same number, acquires it immediately; the others
+//! give the home member time.
 
 use crate::controller::Controller;
 use crate::controller::calls::LeadershipCall;
@@ -13,21 +16,21 @@
 use crate::time::Micros;
 use crate::wire::KeyValue;
 
-/// What must be left of the controller lease for a shard lease to be acquired or released.
+/// Minimum remaining validity of the controller lease for acquiring or releasing a shard lease.
 const MIN_LEASE_LEFT: Micros = Micros::millis(500);
-/// How long other members leave a vacant shard to its home while the home is healthy.
+/// How long other members leave a vacant shard to its home member while that member is healthy.
 const HEALTHY_HOME_DELAY: Micros = Micros::millis(2_000);
-/// The same while the home is away.
+/// How long other members leave a vacant shard to a home member that is not healthy.
 const ABSENT_HOME_DELAY: Micros = Micros::millis(200);
-/// By how much later each further member acquires: not all at the same moment.
-const DELAY_BY_RANK: Micros = Micros::millis(250);
-/// By how much later a member acquires that cannot reach its workers.
+/// Additional delay per rank of a member, so that members do not all acquire at the same moment.
+const DELAY_PER_RANK: Micros = Micros::millis(250);
+/// Additional delay of a member that cannot reach its workers.
 const PARTITIONED_DELAY: Micros = Micros::secs(5);
 
 impl Leadership {
-    /// Reads all terms and leases of shards, unless they are known.
-    fn list_shards_if_unknown(&mut self, context: &mut Context) {
-        if self.shards_read || self.shard_list_in_flight {
+    /// Reads the terms and leases of all shards, unless they are up to date.
+    fn list_shards_if_outdated(&mut self, context: &mut Context) {
+        if self.shards_up_to_date || self.shard_list_in_flight {
             return;
         }
         self.shard_list_in_flight = true;
@@ -37,7 +40,7 @@
         );
     }
 
-    /// The list of terms was answered; the leases are read next.
+    /// Handles the list of terms and requests the list of leases.
     pub(crate) fn terms_reply(&mut self, reply: &KvResponse, context: &mut Context) {
         let KvResponse::Page { items, .. } = reply else {
             self.shard_list_in_flight = false;
@@ -50,16 +53,16 @@
                 shard.observe_term(item);
             }
         }
-        // Leases after terms: an acquisition in between shows in the leases.
+        // Leases are listed after terms, so that an acquisition in between shows in the leases.
         context.call_store(
             LeadershipCall::ListLeases,
             KvRequest::List { prefix: shard_lease::LEASE_KEY_PREFIX.into(), after: None },
         );
     }
 
-    /// How long a shard's lease must have been vacant before this process acquires it. Its
-    /// home acquires it at once; others leave it time, longer while the home is observed to be
-    /// healthy, and not all at the same moment.
+    /// How long a shard must have been vacant before this process acquires it. Its home member
+    /// acquires it immediately; the others wait, longer while the home member is observed to be
+    /// healthy, and each for a different time.
     fn acquisition_delay(&self, shard: usize, peers: &Peers, context: &Context) -> Micros {
         let delay = if shard == context.me {
             Micros::ZERO
@@ -70,21 +73,23 @@
             } else {
                 ABSENT_HOME_DELAY
             };
-            base + Micros(DELAY_BY_RANK.0 * rank as u64)
+            base + Micros(DELAY_PER_RANK.0 * rank as u64)
         };
-        // One who cannot reach its workers leaves it to anybody else.
+        // A member that cannot reach its workers gives every other member time to acquire first.
         if self.connectivity.partitioned() { delay + PARTITIONED_DELAY } else { delay }
     }
 
-    /// Sends the transaction that acquires a shard, if it may and should be acquired.
+    /// Sends the transaction that acquires a shard, if this process may acquire it and its delay
+    /// has passed.
     fn acquire_if_due(&mut self, shard: usize, peers: &Peers, context: &mut Context) {
-        let known = &self.shards[shard];
-        let Some(revision) = known.acquirable_revision(&context.member, context.incarnation) else {
+        let shard_state = &self.shards[shard];
+        let Some(revision) = shard_state.acquirable_revision(&context.member, context.incarnation)
+        else {
             return;
         };
         if revision == 0 {
             let delay = self.acquisition_delay(shard, peers, context);
-            if context.now.since(known.vacant_since) < delay {
+            if context.now.since(shard_state.vacant_since) < delay {
                 return;
             }
         }
@@ -92,7 +97,7 @@
             return;
         };
         let ShardAcquisition { transaction, term } =
-            known.acquire(shard, revision, &context.member, context.incarnation, lease);
+            shard_state.acquire(shard, revision, &context.member, context.incarnation, lease);
         self.shards[shard].transaction_in_flight = true;
         let epoch = self.controller_lease.epoch;
         context.call_store(
@@ -101,8 +106,8 @@
         );
     }
 
-    /// Records that this process leads a shard under a term, by a lease acquired at a revision.
-    /// Its jobs are read from now on.
+    /// Records that this process leads a shard under `term`, by a lease acquired at `revision`, and
+    /// starts the recovery of its jobs.
     fn begin_leading(&mut self, shard: usize, term: u64, revision: u64, context: &Context) {
         let leadership = ShardLeadership {
             term,
@@ -121,20 +126,20 @@
             term,
             controller_lease: self.controller_lease.id.unwrap_or(0),
         };
-        let known = &mut self.shards[shard];
-        known.term = known.term.max(term);
-        known.term_revision = known.term_revision.max(revision);
-        known.last_led_term = term;
-        known.leadership = Some(leadership);
-        known.lease = Some(StoredShardLease { lease, revision });
+        let shard_state = &mut self.shards[shard];
+        shard_state.term = shard_state.term.max(term);
+        shard_state.term_revision = shard_state.term_revision.max(revision);
+        shard_state.last_led_term = term;
+        shard_state.leadership = Some(leadership);
+        shard_state.lease = Some(StoredShardLease { lease, revision });
         self.recoveries.insert(shard, ShardRecovery::new(term));
     }
 
-    /// What a shard's lease, as just observed, means for this process.
+    /// Compares the lease of a shard, as just observed, with the leadership of this process.
     fn compare_lease(&self, shard: usize, context: &Context) -> LeaseComparison {
-        let known = &self.shards[shard];
-        match (&known.lease, &known.leadership) {
-            // A watch may deliver what was before the acquisition.
+        let shard_state = &self.shards[shard];
+        match (&shard_state.lease, &shard_state.leadership) {
+            // A watch may deliver changes from before the acquisition.
             (Some(stored), Some(leadership)) if stored.revision <= leadership.revision => {
                 LeaseComparison::Consistent
             }
@@ -142,8 +147,8 @@
             (Some(StoredShardLease { lease, revision }), None)
                 if lease.member == context.member
                     && lease.incarnation == context.incarnation
-                    && !known.transaction_in_flight
-                    && lease.term > known.last_led_term
+                    && !shard_state.transaction_in_flight
+                    && lease.term > shard_state.last_led_term
                     && Some(lease.controller_lease) == self.controller_lease.id =>
             {
                 LeaseComparison::Acquired { term: lease.term, revision: *revision }
@@ -153,28 +158,28 @@
     }
 }
 
-/// How a shard's lease in the store compares with what this process knows.
+/// How a shard's lease in the store compares with the leadership of this process.
 enum LeaseComparison {
-    /// Nothing follows from it.
+    /// The leadership does not change.
     Consistent,
-    /// This process does not lead the shard any more.
+    /// This process no longer leads the shard.
     Lost,
-    /// This process leads the shard: the answer to its acquisition was lost.
+    /// This process leads the shard: the reply to its acquisition was lost.
     Acquired { term: u64, revision: u64 },
 }
 
 impl Controller {
-    /// Keeps the lease, the watches and the shards' leases up to date, and goes on with
-    /// recoveries.
+    /// Renews the controller lease, keeps the shard list and the watches up to date, acquires and
+    /// hands over shards, and continues recoveries.
     pub(crate) fn maintain_leadership(&mut self) {
         let now = self.context.now;
         self.leadership.controller_lease.renew_if_due(&mut self.context);
-        self.leadership.list_shards_if_unknown(&mut self.context);
-        self.leadership.watches.call_due(&mut self.context);
+        self.leadership.list_shards_if_outdated(&mut self.context);
+        self.leadership.watches.call_if_due(&mut self.context);
         if self.holds_lease() && !self.cancellations_up_to_date() {
             self.leadership.watches.poll_jobs(&mut self.context);
         }
-        if self.leadership.shards_read && self.leadership.holds_lease(now + MIN_LEASE_LEFT) {
+        if self.leadership.shards_up_to_date && self.leadership.holds_lease(now + MIN_LEASE_LEFT) {
             for shard in 0..self.leadership.shard_count() {
                 self.maintain_shard(shard);
             }
@@ -194,7 +199,8 @@
         }
     }
 
-    /// An attempt to acquire a shard was answered.
+    /// Handles the reply to an acquisition under `term`, requested under the controller lease of
+    /// `epoch`.
     pub(crate) fn acquisition_reply(
         &mut self,
         shard: usize,
@@ -210,8 +216,9 @@
             }
             KvResponse::LeaseNotFound if same_lease => self.controller_lease_expired(),
             KvResponse::NotExecuted => {}
-            // Perhaps applied, or somebody was faster: what is stored decides.
-            _ => self.leadership.shards_read = false,
+            // The transaction may have been applied, or another member may have been faster: the
+            // stored leases decide.
+            _ => self.leadership.shards_up_to_date = false,
         }
     }
 
@@ -222,7 +229,7 @@
         self.changes.machines.extend(self.machines.manage_shard(is_in_shard));
     }
 
-    /// Records what all shard leases are.
+    /// Records the leases of all shards; `items` are all lease keys in the store.
     pub(crate) fn observe_leases(&mut self, items: &[KeyValue]) {
         for shard in 0..self.leadership.shard_count() {
             let key = shard_lease::lease_key(shard);
@@ -230,8 +237,8 @@
         }
     }
 
-    /// Records what a shard's lease is, `None` if nobody has it, and begins or ends leading the
-    /// shard if it follows.
+    /// Records the lease of a shard, `None` if the shard is vacant, and begins or ends leading the
+    /// shard accordingly.
     pub(crate) fn observe_lease(&mut self, shard: usize, item: Option<&KeyValue>) {
         self.leadership.shards[shard].observe_lease(self.context.now, item);
         match self.leadership.compare_lease(shard, &self.context) {
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -1,11 +1,13 @@
-//! Whether the workers and this node can reach each other.
+//! Reachability between this node and its workers.
 //!
-//! A node that a network partition separates from its workers alone keeps its controller lease
-//! and so its shards; its machines' leases would expire with all that runs on them. Silence
-//! observed by a node that nobody reaches is no evidence against machines: if at the same time
-//! machines of its shards turn to a peer and reach it, the node hands its shards over to those
-//! who can be reached. It acquires none until a worker answers it, and later each time, since a
-//! partition may be one-way.
+//! A node that a network partition separates only from its workers keeps its controller lease and
+//! thus its shards, while the leases of its machines would expire and all tasks on them would be
+//! lost. Silence observed by a node that no worker reaches is no evidence against machines: if at
+//! the same time machines of its shards turn to a peer and reach it, the node hands its shards over
+//! to members that can be reached. It then acquires vacant shards later than the other members, and
+//! hands them over while any peer is healthy, until a worker answers a probe. From the second
+//! partition on it also waits for a pause that grows with each one, since a partition may be
+//! one-way.
 
 use crate::controller::calls::MachinesCall;
 use crate::controller::context::Context;
@@ -20,72 +22,75 @@
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 
-/// How long a heartbeat to the wrong node counts as a sign that its own cannot be reached.
+/// How long a misdirected heartbeat counts as a sign that its machine cannot reach the leader of
+/// its shard.
 const MISDIRECTED_MAX_AGE: Micros = Micros::secs(6);
-/// How long the signs of a partition must last: a redirected worker sends a heartbeat sooner.
+/// How long the signs of a partition must last while no heartbeat arrives here. A redirected worker
+/// sends a heartbeat sooner than that.
 const FULL_PARTITION_MIN_DURATION: Micros = Micros::millis(1_200);
-/// The same where some workers' heartbeats still arrive: longer than late heartbeats, which
-/// all come at once when a partition ends, count as signs.
+/// How long the signs of a partition must last while some workers' heartbeats still arrive. Late
+/// heartbeats, which all arrive at once when a partition ends, count as signs for a shorter time.
 const PARTIAL_PARTITION_MIN_DURATION: Micros = Micros::secs(10);
-/// After an acquisition the shard's machines are on their way here; misdirected heartbeats are
-/// no sign yet.
+/// Time after an acquisition during which the shard's machines are still being redirected to this
+/// node: misdirected heartbeats are no sign of a partition yet.
 const REDIRECTION_TIME: Micros = Micros::secs(8);
-/// Longest gap between two checks: after a longer one this process was paused, and the
-/// silence of workers proves nothing.
+/// Maximum gap between two checks. After a longer one this process was paused, and the silence of
+/// workers proves nothing.
 const MAX_CHECK_GAP: Micros = Micros::secs(1);
-/// Between checks.
+/// Interval between checks.
 const CHECK_INTERVAL: Micros = Micros::millis(250);
-/// Between probes of workers during a partition.
+/// Interval between probes of workers during a partition.
 const PROBE_INTERVAL: Micros = Micros::secs(2);
-/// Workers probed at once.
-const PROBED_WORKERS: usize = 4;
-/// Times that the pause before shards come back is doubled at most.
+/// Maximum number of workers probed at once.
+const MAX_PROBED_WORKERS: usize = 4;
+/// Maximum number of times that the pause before shards may come back is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
 
-/// What is known of the network between this node and the workers.
+/// Observed state of the network between this node and the workers.
 #[derive(Debug, Default)]
 pub(crate) struct Connectivity {
-    /// When a worker of an own shard last sent a heartbeat or answered.
+    /// When a worker of a led shard last sent a heartbeat or answered.
     last_contact_at: Micros,
-    /// Machines of others' shards whose heartbeats came here, and when.
+    /// Machines of other members' shards whose heartbeats arrived here, with the time of the last
+    /// one.
     misdirected: BTreeMap<String, Micros>,
-    /// Since when the signs of a partition are there.
+    /// Since when the signs of a partition have been present; `None` while there are none.
     suspected_since: Option<Micros>,
     checked_at: Micros,
-    /// Shards are being handed over, or were, and are not to come back yet.
+    /// Shards are being handed over, or have been and must not come back yet.
     partitioned: bool,
-    /// When a worker answered again.
+    /// When a worker first answered a probe in the current partition.
     contact_regained_at: Option<Micros>,
-    /// Partitions so far.
+    /// Number of partitions detected since the start of the process.
     partitions: u32,
     next_probe_at: Micros,
 }
 
 impl Connectivity {
-    /// Whether this node hands its shards over, since its workers cannot reach it.
+    /// Whether this node counts as partitioned from its workers and hands its shards over.
     pub(crate) fn partitioned(&self) -> bool {
         self.partitioned
     }
 
-    /// A worker of an own shard sent a heartbeat or answered.
+    /// Records that a worker of a led shard sent a heartbeat or answered.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.last_contact_at = now;
     }
 
-    /// A machine of somebody else's shard sent its heartbeat here.
+    /// Records a heartbeat from a machine whose shard another member leads.
     pub(crate) fn note_misdirected(&mut self, now: Micros, machine: &str) {
         self.misdirected.insert(machine.to_string(), now);
     }
 
-    /// A worker that was probed answered, or did not.
+    /// Handles the result of a probe; only a successful answer counts as regained contact.
     pub(crate) fn probe_reply(&mut self, reply: &DirectReply, now: Micros) {
         if matches!(reply, DirectReply::Answered { status: 200, .. }) {
             self.contact_regained_at.get_or_insert(now);
         }
     }
 
-    /// Records whether the signs of a partition are there, with how long they must last. Whether
-    /// this node counts as partitioned from now on.
+    /// Records whether the signs of a partition are present: `required` is how long they must last,
+    /// `None` if there are none. Returns true if this node counts as partitioned from now on.
     fn detect_partition(&mut self, required: Option<Micros>, now: Micros) -> bool {
         let Some(required) = required else {
             self.suspected_since = None;
@@ -101,7 +106,7 @@
         true
     }
 
-    /// Ends the partition once workers have been reached for long enough: longer with each
+    /// Ends the partition once workers have been reachable for long enough: longer after each
     /// partition.
     fn end_partition_if_due(&mut self, regained_at: Micros, context: &Context) {
         let doublings = (self.partitions.max(1) - 1).min(MAX_PAUSE_DOUBLINGS);
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Probes a few workers that are healthy by others' views.
+    /// Probes a few workers whose machines the cached views report as healthy.
     fn probe_workers(&mut self, machines: &Machines, context: &mut Context) {
         if context.now < self.next_probe_at {
             return;
@@ -121,15 +126,16 @@
         self.next_probe_at = context.now + PROBE_INTERVAL;
         let healthy = machines.views().values().filter(|view| view.healthy);
         let addresses = healthy.filter_map(|view| view.address.parse().ok());
-        for address in addresses.sample(&mut context.rng, PROBED_WORKERS) {
+        for address in addresses.sample(&mut context.rng, MAX_PROBED_WORKERS) {
             let id = context.register_call(MachinesCall::Inspect);
             context.emit(Effect::Inspect { id, address });
         }
     }
 }
 
-/// How long the signs of a partition must last, if they are there: of `machines` that a shard
-/// knows, so many are `misdirected` to a peer; `silent` if no heartbeat arrives here.
+/// How long the signs of a partition must last; `None` if there are none. Of the `machines`
+/// observed in a shard, `misdirected` send their heartbeats to a peer; `silent` is true if no
+/// heartbeat arrives here.
 fn required_duration(machines: usize, misdirected: usize, silent: bool) -> Option<Micros> {
     if machines == 0 {
         None
@@ -142,18 +148,18 @@
     }
 }
 
-/// How long all of so many machines must be silent until that means something.
-fn significant_silence(machines: usize, heartbeat_interval_s: f64) -> Micros {
-    // Each sends a heartbeat within a quarter more than its interval; of many, one does
-    // at nearly any moment.
+/// How long all of `machines` must be silent before their silence counts as a sign of a partition.
+fn silence_threshold(machines: usize, heartbeat_interval_s: f64) -> Micros {
+    // A machine sends a heartbeat within 1.25 times its interval. Of many machines, one sends a
+    // heartbeat at nearly any moment.
     let all_s = heartbeat_interval_s * 1.25 + 1.0;
     let any_s = (heartbeat_interval_s / 2.0).max(2.5).min(all_s);
     Micros::from_secs_f64(if machines < 16 { all_s } else { any_s })
 }
 
 impl Leadership {
-    /// How many machines of each other shard send their heartbeats here, for those shards'
-    /// leaders.
+    /// Number of machines of each shard whose heartbeats arrived here although another member leads
+    /// it, for the leaders of those shards.
     pub(crate) fn misdirected_heartbeats(&self) -> Vec<MisdirectedHeartbeats> {
         let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
         for machine in self.connectivity.misdirected.keys() {
@@ -165,8 +171,8 @@
             .collect()
     }
 
-    /// Hands shards over while their machines cannot reach this node, and checks
-    /// whether they can again.
+    /// Hands all shards over while machines cannot reach this node, and checks whether they can
+    /// again.
     pub(crate) fn check_connectivity(
         &mut self,
         machines: &Machines,
@@ -182,22 +188,23 @@
         connectivity.checked_at = now;
         connectivity.misdirected.retain(|_, at| now.since(*at) < MISDIRECTED_MAX_AGE);
         if gap > MAX_CHECK_GAP {
-            // What has come meanwhile is not read yet.
+            // Heartbeats that arrived during the pause have not been read yet.
             connectivity.last_contact_at = now;
             connectivity.suspected_since = None;
         } else if connectivity.partitioned {
             self.maintain_partition(machines, peers, context);
         } else {
-            let signs = self.partition_signs(machines, peers, context);
-            if self.connectivity.detect_partition(signs, now) {
+            let required = self.required_partition_duration(machines, peers, context);
+            if self.connectivity.detect_partition(required, now) {
                 info!("the workers cannot reach this node; its shards are handed over");
                 self.begin_handover_of_all();
             }
         }
     }
 
-    /// How long the signs of a partition must last, if any shard shows them.
-    fn partition_signs(
+    /// The shortest time for which the signs of a partition must last in any led shard; `None` if
+    /// no shard shows them.
+    fn required_partition_duration(
         &self,
         machines: &Machines,
         peers: &Peers,
@@ -207,14 +214,14 @@
         if !self.holds_lease(now) {
             return None;
         }
-        let mut known = vec![0_usize; self.shard_count()];
+        let mut machine_counts = vec![0_usize; self.shard_count()];
         for (machine, managed) in machines.managed() {
             if managed.has_live_incarnation() {
-                known[shard_of_machine(machine, self.shard_count())] += 1;
+                machine_counts[shard_of_machine(machine, self.shard_count())] += 1;
             }
         }
         let heartbeat_interval_s = context.settings.workers.heartbeat_interval_s;
-        let silence = significant_silence(known.iter().sum(), heartbeat_interval_s);
+        let silence = silence_threshold(machine_counts.iter().sum(), heartbeat_interval_s);
         let silent = now.since(self.connectivity.last_contact_at) > silence;
         let redirected = |shard: &usize| {
             self.led_shard(*shard).is_some_and(|leadership| {
@@ -225,16 +232,17 @@
             .filter(redirected)
             .filter_map(|shard| {
                 let misdirected = peers.misdirected_heartbeats(shard, now);
-                required_duration(known[shard], misdirected as usize, silent)
+                required_duration(machine_counts[shard], misdirected as usize, silent)
             })
             .min()
     }
 
-    /// Probes workers; once one answers, and after a pause that grows with every partition,
-    /// shards may come back.
+    /// Probes workers until one answers. After a pause that grows with each partition, shards may
+    /// then come back.
     fn maintain_partition(&mut self, machines: &Machines, peers: &Peers, context: &mut Context) {
         if peers.any_healthy(context.now) {
-            // Also what was acquired meanwhile because nobody else was there.
+            // This includes shards that were acquired meanwhile because no other member was
+            // available.
             self.begin_handover_of_all();
         }
         match self.connectivity.contact_regained_at {
--- a/src/controller/leadership/controller_lease.rs
+++ b/src/controller/leadership/controller_lease.rs
@@ -1,13 +1,14 @@
-//! This process's lease at the key-value store, to which all of its shard leases are attached.
+//! The controller lease: this process's lease at the key-value store, to which all of its shard
+//! leases are attached.
 
 use crate::time::Micros;
 
-/// Parts per thousand that two steady clocks may differ, both ways together.
+/// Maximum drift between two steady clocks, in parts per thousand, both directions together.
 pub const CLOCK_DRIFT_PER_MILLE: u64 = 1;
-/// What the lease counts as shorter than granted, beside the drift of clocks.
+/// Margin by which the validity of the lease is shortened, in addition to clock drift.
 const VALIDITY_MARGIN: Micros = Micros::millis(50);
 
-/// How often a lease of this length is renewed.
+/// Interval between renewals of a lease with this time to live.
 pub fn renewal_interval(ttl: Micros) -> Micros {
     Micros(ttl.0 / 4)
 }
@@ -15,20 +16,21 @@
 /// This process's lease at the key-value store.
 #[derive(Debug, Clone, Default)]
 pub struct ControllerLease {
-    /// Its number at the store, while there is one.
+    /// Number of the lease at the store; `None` while there is no lease.
     pub id: Option<u64>,
-    /// Until when it is surely valid, by this process's clock.
+    /// Time until which the lease is guaranteed to be valid, by this process's clock.
     pub valid_until: Micros,
-    /// When to renew it.
+    /// When to renew the lease, or to request one while there is none.
     pub renew_at: Micros,
     /// A grant or a renewal is in flight.
     pub call_in_flight: bool,
-    /// Counts leases: replies to calls that were sent under an earlier one are ignored.
+    /// Incremented with every grant and every expiry: replies to calls that were sent under an
+    /// earlier epoch are ignored.
     pub epoch: u64,
 }
 
 impl ControllerLease {
-    /// A new lease was granted by a call that was sent at `sent`.
+    /// Records a new lease that was granted by a call sent at `sent`.
     pub fn grant(&mut self, id: u64, sent: Micros, ttl: Micros) {
         self.id = Some(id);
         self.epoch += 1;
@@ -36,16 +38,16 @@
         self.extend(sent, ttl);
     }
 
-    /// A grant or renewal that was *sent* at `sent` succeeded. Counting from
-    /// the answer would overstate it by the time that the answer took.
+    /// Extends the validity after a grant or renewal that was *sent* at `sent` succeeded. Counting
+    /// from the reply would overstate the validity by the time that the reply took.
     pub fn extend(&mut self, sent: Micros, ttl: Micros) {
         let until = sent + ttl.shortened(CLOCK_DRIFT_PER_MILLE).since(VALIDITY_MARGIN);
         self.valid_until = self.valid_until.max(until);
         self.renew_at = sent + renewal_interval(ttl);
     }
 
-    /// The store no longer has the lease, and every shard lease went with it. A new one is
-    /// requested at once.
+    /// Records that the store no longer has the lease nor any shard lease attached to it. A new
+    /// lease is requested immediately.
     pub fn expire(&mut self, now: Micros) {
         self.id = None;
         self.valid_until = Micros::ZERO;
--- a/src/controller/leadership/handover.rs
+++ b/src/controller/leadership/handover.rs
@@ -1,4 +1,4 @@
-//! How a shard leaves this process: failback to its home, release, and what is forgotten.
+//! Handover of shards: failback to the home member, release, and stepping down.
 
 use crate::controller::Controller;
 use crate::controller::autoscaler::AUTOSCALER_SHARD;
@@ -12,7 +12,8 @@
 use log::{info, warn};
 
 impl Leadership {
-    /// Begins to hand a shard back once its home has been healthy for long enough.
+    /// Begins the failback of a shard once its home member has been healthy for longer than
+    /// `failback_delay`.
     pub(crate) fn begin_failback_if_due(&mut self, shard: usize, peers: &Peers, context: &Context) {
         let delay = context.options.failback_delay;
         if shard == context.me || !peers.healthy_for_longer_than(shard, delay, context.now) {
@@ -27,29 +28,31 @@
         }
     }
 
-    /// Begins to hand over all shards.
+    /// Begins the handover of all led shards.
     pub(crate) fn begin_handover_of_all(&mut self) {
         for leadership in self.shards.iter_mut().filter_map(|shard| shard.leadership.as_mut()) {
             leadership.handing_over = true;
         }
     }
 
-    /// Ends leading a shard, if it was led, and gives what was known of its leadership.
+    /// Ends the leadership of a shard and its recovery. Returns the leadership, `None` if the shard
+    /// was not led.
     fn end_leading(&mut self, shard: usize) -> Option<ShardLeadership> {
         let leadership = self.shards[shard].leadership.take()?;
         self.recoveries.remove(&shard);
         Some(leadership)
     }
 
-    /// A release of a shard was answered, whatever its outcome: what is stored decides.
+    /// Handles the reply to the release of a shard. Whatever the outcome, the stored leases are
+    /// read again and decide.
     pub(crate) fn release_reply(&mut self, shard: usize) {
         self.shards[shard].transaction_in_flight = false;
-        self.shards_read = false;
+        self.shards_up_to_date = false;
     }
 }
 
 impl Controller {
-    /// Releases a shard that is handed over once no job of it is being written.
+    /// Releases a shard that is being handed over, once no write of its jobs is in flight.
     pub(crate) fn finish_handover(&mut self, shard: usize) {
         let Some(leadership) = self.leadership.led_shard(shard).filter(|led| led.handing_over)
         else {
@@ -59,22 +62,23 @@
             return;
         }
         let release = Shard::release(shard, leadership.revision);
-        // It stops acting before the release can be applied, and does not
-        // begin again whatever the answer: the outcome may come late.
+        // Stops leading before the release can be applied, and does not resume whatever the reply
+        // is: the release may be applied late.
         self.step_down(shard, "handed over");
         self.leadership.shards[shard].transaction_in_flight = true;
         self.context.call_store(LeadershipCall::Release { shard }, KvRequest::Txn(release));
     }
 
-    /// A transaction under a term failed, since the revision of the shard's lease has changed.
+    /// Handles a transaction that failed because the revision of the shard's lease has changed;
+    /// `term` is the one under which it was sent.
     pub(crate) fn lease_revision_changed(&mut self, shard: usize, term: u64) {
         if self.leadership.leads_under(shard, term) {
             self.step_down(shard, "the revision of its lease has changed");
         }
-        self.leadership.shards_read = false;
+        self.leadership.shards_up_to_date = false;
     }
 
-    /// Stops leading a shard: all that belonged to it is forgotten.
+    /// Stops leading a shard and drops all state that belongs to it.
     pub(crate) fn step_down(&mut self, shard: usize, reason: &str) {
         let Some(leadership) = self.leadership.end_leading(shard) else {
             return;
@@ -89,13 +93,14 @@
         self.changes.forget_shard(shard, shards);
     }
 
-    /// The store does not have the controller lease any more, and so no shard lease of it.
+    /// Handles the expiry of the controller lease: the store no longer has it, nor any shard lease
+    /// attached to it.
     pub(crate) fn controller_lease_expired(&mut self) {
         warn!("the controller lease has expired");
         self.leadership.controller_lease.expire(self.context.now);
         for shard in 0..self.leadership.shard_count() {
             self.step_down(shard, "the controller lease has expired");
         }
-        self.leadership.shards_read = false;
+        self.leadership.shards_up_to_date = false;
     }
 }
--- a/src/controller/leadership/lease_renewal.rs
+++ b/src/controller/leadership/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Grant and renewal of this process's lease at the key-value store.
+//! Grant and renewal of the controller lease.
 
 use crate::controller::calls::LeadershipCall;
 use crate::controller::context::Context;
@@ -6,22 +6,22 @@
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 
-/// Until the next request after a grant failed.
+/// Delay before the next request after a failed grant.
 const GRANT_RETRY_DELAY: Micros = Micros::millis(300);
-/// Until the next request after a renewal failed.
+/// Delay before the next request after a failed renewal.
 const RENEWAL_RETRY_DELAY: Micros = Micros::millis(200);
 
-/// What a renewal's answer says of the lease.
+/// What the reply to a renewal says about the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// It is valid for longer, or as long as it was.
+    /// The lease is valid for longer, or for as long as before.
     Unchanged,
-    /// The store does not have it any more.
+    /// The store no longer has the lease.
     Expired,
 }
 
 impl ControllerLease {
-    /// Requests a lease or its renewal when it is due.
+    /// Requests a lease, or its renewal, if due.
     pub(crate) fn renew_if_due(&mut self, context: &mut Context) {
         let now = context.now;
         if self.call_in_flight || now < self.renew_at {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A grant that was requested at `sent` was answered.
+    /// Handles the reply to a grant that was requested at `sent`.
     pub(crate) fn grant_reply(&mut self, sent: Micros, reply: &KvResponse, context: &Context) {
         self.call_in_flight = false;
         match reply {
@@ -54,8 +54,8 @@
         }
     }
 
-    /// A renewal that was requested at `sent` was answered; `epoch` is that of the lease for
-    /// which it was requested.
+    /// Handles the reply to a renewal that was requested at `sent` for the lease of `epoch`. A
+    /// reply for another epoch changes nothing.
     pub(crate) fn renewal_reply(
         &mut self,
         sent: Micros,
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -1,9 +1,9 @@
-//! Which shards this process leads: its lease at the key-value store, the leases of the
-//! shards, their terms, and what is recovered when a shard changes its leader.
+//! Shard leadership: the controller lease of this process, the leases and terms of all shards, and
+//! the recovery of a shard's jobs after it changes leader.
 //!
-//! Owns the controller lease, every shard's lease and term as known here, the watches of the
-//! store and whether the workers can reach this process. Nothing here decides about jobs
-//! or machines, and nothing acts on a shard whose lease this process may have lost.
+//! Owns the controller lease, the last observed lease and term of every shard, the watches of the
+//! key-value store and the reachability of the workers. Nothing here decides about jobs or
+//! machines, and nothing acts on a shard whose lease this process may have lost.
 
 pub mod connectivity;
 pub mod controller_lease;
@@ -29,32 +29,32 @@
 use std::collections::BTreeMap;
 use watches::Watches;
 
-/// What this process knows of its own and the other members' leadership.
+/// Leadership of this process and, as last observed, of the other members.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     controller_lease: ControllerLease,
     /// All shards, by number.
     shards: Vec<Shard>,
-    /// The shards' leases and terms have been read since they were last in doubt.
-    shards_read: bool,
-    /// The shards' terms or leases are being listed.
+    /// The leases and terms of all shards have been read since they last became uncertain.
+    shards_up_to_date: bool,
+    /// A list of the shards' terms or leases is in flight.
     shard_list_in_flight: bool,
-    /// Shards whose jobs are being read.
+    /// Recoveries in progress, by shard.
     recoveries: BTreeMap<usize, ShardRecovery>,
     watches: Watches,
-    /// When this process last held its lease, by its ticks.
+    /// Time of the last tick at which this process held its controller lease.
     lease_last_held_at: Micros,
     held_lease_at_last_tick: bool,
     connectivity: Connectivity,
 }
 
 impl Leadership {
-    /// No lease is held, and nothing is known of any of `count` shards.
+    /// Creates the state of a process that holds no lease and has observed none of `count` shards.
     pub(crate) fn new(count: usize) -> Leadership {
         Leadership {
             controller_lease: ControllerLease::default(),
             shards: vec![Shard::default(); count],
-            shards_read: false,
+            shards_up_to_date: false,
             shard_list_in_flight: false,
             recoveries: BTreeMap::new(),
             watches: Watches::default(),
@@ -64,24 +64,25 @@
         }
     }
 
-    /// Whether this process may act for the shards that it leads. Past the end of its
-    /// lease another may have acquired them.
+    /// Whether this process may act for the shards that it leads. Once its controller lease has
+    /// expired, another member may have acquired them.
     pub(crate) fn holds_lease(&self, now: Micros) -> bool {
         self.controller_lease.is_valid(now)
     }
 
-    /// Until when the controller lease is surely valid.
+    /// Time until which the controller lease is guaranteed to be valid.
     pub(crate) fn lease_valid_until(&self) -> Micros {
         self.controller_lease.valid_until
     }
 
-    /// When this process last held its lease, by its ticks; zero if it never did.
+    /// Time of the last tick at which this process held its controller lease; zero if it never did.
     pub(crate) fn lease_last_held_at(&self) -> Micros {
         self.lease_last_held_at
     }
 
-    /// Records at a tick whether the lease is held. Whether it is, and was not at the last one.
-    pub(crate) fn regained_lease(&mut self, now: Micros) -> bool {
+    /// Records at a tick whether the controller lease is held. Returns true if it is held now and
+    /// was not at the previous tick.
+    pub(crate) fn check_lease_regained(&mut self, now: Micros) -> bool {
         let holds_lease = self.holds_lease(now);
         if holds_lease {
             self.lease_last_held_at = now;
@@ -90,14 +91,14 @@
         holds_lease && !held_before
     }
 
-    /// Whether a lease was granted, perhaps long ago, that the store has not been seen to end,
-    /// and the shards' leases are known.
+    /// Whether this process has a controller lease that the store has not reported as expired, even
+    /// if its local validity has ended, and has read the leases of all shards.
     pub(crate) fn is_initialized(&self) -> bool {
         let lease = &self.controller_lease;
-        lease.epoch > 0 && self.shards_read && lease.id.is_some()
+        lease.epoch > 0 && self.shards_up_to_date && lease.id.is_some()
     }
 
-    /// How many shards there are: one for each member.
+    /// Number of shards: one for each member.
     pub(crate) fn shard_count(&self) -> usize {
         self.shards.len()
     }
@@ -107,18 +108,18 @@
         &self.shards
     }
 
-    /// Highest known term of a shard.
+    /// Highest observed term of a shard.
     pub(crate) fn term(&self, shard: usize) -> u64 {
         self.shards[shard].term
     }
 
-    /// Highest known terms of all shards, by number.
+    /// Highest observed terms of all shards, by number.
     pub(crate) fn terms(&self) -> Vec<u64> {
         self.shards.iter().map(|shard| shard.term).collect()
     }
 
-    /// This process's leadership of a shard, if it has acquired it; its controller lease may
-    /// have expired since.
+    /// This process's leadership of a shard, if it has acquired it. Its controller lease may have
+    /// expired since.
     pub(crate) fn led_shard(&self, shard: usize) -> Option<&ShardLeadership> {
         self.shards[shard].leadership.as_ref()
     }
@@ -129,70 +130,76 @@
         shards.filter_map(|(number, shard)| Some((number, shard.leadership.as_ref()?.term)))
     }
 
-    /// Whether this process has acquired a shard under this very term.
+    /// Whether this process has acquired a shard under exactly this term.
     pub(crate) fn leads_under(&self, shard: usize, term: u64) -> bool {
         self.led_shard(shard).is_some_and(|leadership| leadership.term == term)
     }
 
-    /// The term under which this process leads a shard, if it does.
+    /// The term under which this process leads a shard; `None` if it does not lead it or does not
+    /// hold its controller lease.
     pub(crate) fn leading_term(&self, shard: usize, now: Micros) -> Option<u64> {
         let leadership = self.shards.get(shard)?.leadership.as_ref()?;
         self.holds_lease(now).then_some(leadership.term)
     }
 
-    /// Whether this process runs the shard's jobs.
+    /// Whether this process runs the shard's jobs: it leads the shard, has read its jobs and is not
+    /// handing it over.
     pub(crate) fn serves_shard(&self, shard: usize, now: Micros) -> bool {
         let runs = |led: &ShardLeadership| led.recovered && !led.handing_over;
         self.holds_lease(now) && self.led_shard(shard).is_some_and(runs)
     }
 
-    /// A peer says that it leads a shard under a term. Whether this process led it under a
-    /// lower one, and must step down.
+    /// Records a peer's claim that it leads a shard under `term`. Returns true if this process
+    /// leads the shard under a lower term and must step down.
     pub(crate) fn observe_claim(&mut self, shard: usize, term: u64) -> bool {
-        let Some(known) = self.shards.get_mut(shard).filter(|known| term > known.term) else {
+        let Some(shard_state) =
+            self.shards.get_mut(shard).filter(|shard_state| term > shard_state.term)
+        else {
             return false;
         };
-        known.term = term;
-        known.leadership.as_ref().is_some_and(|leadership| leadership.term < term)
+        shard_state.term = term;
+        shard_state.leadership.as_ref().is_some_and(|leadership| leadership.term < term)
     }
 
-    /// The shard of a machine.
+    /// The shard to which a machine belongs.
     pub(crate) fn shard_of_machine(&self, machine: &str) -> usize {
         shard::shard_of_machine(machine, self.shards.len())
     }
 
-    /// Name of the member that leads a shard, as far as known.
+    /// Name of the member that leads a shard, by the last observed lease; `None` if the shard is
+    /// vacant.
     pub(crate) fn leader_name(&self, shard: usize) -> Option<&str> {
         let stored = self.shards[shard].lease.as_ref()?;
         Some(&stored.lease.member)
     }
 
-    /// Revision of the store up to which changes of jobs are known, 0 for none.
+    /// Revision of the store up to which all changes of jobs have been received; 0 while there is
+    /// no such revision.
     pub(crate) fn followed_jobs_revision(&self) -> u64 {
         self.watches.jobs_revision()
     }
 
-    /// All changes of jobs that had been made by then are known.
+    /// Time up to which all changes of jobs have been received.
     pub(crate) fn jobs_caught_up_at(&self) -> Micros {
         self.watches.jobs_caught_up_at()
     }
 
-    /// Whether this process hands its shards over, since its workers cannot reach it.
+    /// Whether this node counts as partitioned from its workers and hands its shards over.
     pub(crate) fn is_partitioned(&self) -> bool {
         self.connectivity.partitioned()
     }
 
-    /// A worker of an own shard sent a heartbeat or answered.
+    /// Records that a worker of a led shard sent a heartbeat or answered.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.connectivity.record_contact(now);
     }
 
-    /// A machine of somebody else's shard sent its heartbeat here.
+    /// Records a heartbeat from a machine whose shard another member leads.
     pub(crate) fn note_misdirected(&mut self, now: Micros, machine: &str) {
         self.connectivity.note_misdirected(now, machine);
     }
 
-    /// A worker that was probed during a partition answered, or did not.
+    /// Handles the result of a probe that was sent to a worker during a partition.
     pub(crate) fn probe_reply(&mut self, reply: &DirectReply, now: Micros) {
         self.connectivity.probe_reply(reply, now);
     }
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -1,4 +1,4 @@
-//! From what was read of a shard to jobs that run: the end of a recovery.
+//! End of a recovery: runs the jobs that were read.
 
 use crate::controller::Controller;
 use crate::controller::calls::{ApiCall, PendingCall};
@@ -11,24 +11,24 @@
 use crate::kv_store::KvResponse;
 use log::info;
 
-/// What the end of a recovery means for the leadership of its shard.
+/// Effect of the end of a recovery on the service of its shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ServiceState {
-    /// The shard is not led any more, or under another term.
+    /// The shard is no longer led, or is led under another term.
     NotLed,
-    /// Its jobs run from now on.
+    /// The shard's jobs run from now on.
     Begins,
-    /// They ran before; some were found in the store since.
+    /// The shard's jobs already ran; the recovery added jobs that were found in the store.
     Continues,
 }
 
 impl Leadership {
-    /// The recovery of a shard under a term, if it is still going on.
+    /// The recovery of a shard under `term`, if it is in progress.
     fn recovery_mut(&mut self, shard: usize, term: u64) -> Option<&mut ShardRecovery> {
         self.recoveries.get_mut(&shard).filter(|recovery| recovery.term() == term)
     }
 
-    /// A shard's jobs have been read: it is served from now on.
+    /// Marks a shard as served from now on: its jobs have been read.
     fn begin_serving(&mut self, shard: usize, term: u64) -> ServiceState {
         match &mut self.shards[shard].leadership {
             Some(leadership) if leadership.term == term => {
@@ -44,8 +44,8 @@
 }
 
 impl Controller {
-    /// A job that the store holds and this process does not: its acceptance
-    /// was applied after the answer had been given up.
+    /// Recovers a job that the store contains and this process does not run: its acceptance was
+    /// applied after this process had given up waiting for the reply.
     pub(crate) fn adopt(&mut self, id: &str, shard: usize) {
         if shard >= self.leadership.shard_count()
             || !self.serves_shard(shard)
@@ -53,7 +53,7 @@
         {
             return;
         }
-        // Read again and again it would be no more readable.
+        // Reading a malformed job again does not make it readable.
         if self.jobs.is_unreadable(id) {
             return;
         }
@@ -74,9 +74,9 @@
         recoveries.entry(shard).or_insert_with(|| ShardRecovery::new(term)).list_again();
     }
 
-    /// Goes on with all recoveries.
+    /// Continues all recoveries.
     pub(crate) fn continue_recoveries(&mut self) {
-        // What changes after a record was read comes by the watch, which must stand.
+        // Changes after the read of a record arrive through the watch, which must have started.
         if !self.holds_lease() || !self.leadership.watches.follows_jobs() {
             return;
         }
@@ -88,13 +88,13 @@
 
     fn continue_recovery(&mut self, shard: usize) {
         if let Some(recovery) = self.leadership.recoveries.get_mut(&shard)
-            && recovery.read_on(shard, &mut self.context) == RecoveryProgress::AllRead
+            && recovery.request_next(shard, &mut self.context) == RecoveryProgress::AllRead
         {
             self.finish_recovery(shard);
         }
     }
 
-    /// The request of a page of a shard's keys was answered.
+    /// Handles the reply to a request for a page of a shard's keys.
     pub(crate) fn recovery_page_reply(&mut self, shard: usize, term: u64, reply: KvResponse) {
         let KvResponse::Page { items, more, .. } = reply else {
             if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The read of a job's record was answered.
+    /// Handles the reply to the read of a job's record.
     pub(crate) fn recovery_record_reply(
         &mut self,
         shard: usize,
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Runs a job from its record at a revision and its chunks. Whether they can be read.
+    /// Runs a job from its record at `revision` and its chunks. Returns false if they are
+    /// malformed.
     fn restore_job(
         &mut self,
         shard: usize,
@@ -183,8 +184,8 @@
         true
     }
 
-    /// The whole of a recovered shard's desired state is sent, and its machines compared with
-    /// it: whatever it does not name is not desired.
+    /// Sends the complete desired state of a recovered shard and compares its machines with it: a
+    /// task that it does not name is not desired.
     fn reconcile_recovered(&mut self, shard: usize) {
         self.changes.complete_desired.insert(shard);
         let machines: Vec<String> =
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -1,7 +1,7 @@
-//! Reading the jobs of a shard after it was acquired.
+//! Recovery: reads the jobs of a shard after its acquisition.
 //!
-//! First the chunks of all jobs that the shard has stored are listed, page by page, then the
-//! record of each job is read. What changes after a record was read comes by the watch.
+//! First the chunks of all stored jobs of the shard are listed, page by page, then the record of
+//! each job is read. Changes after the read of a record arrive through the watch.
 
 use crate::controller::calls::LeadershipCall;
 use crate::controller::context::Context;
@@ -13,49 +13,50 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reads of job records in flight at once while a shard is recovered.
+/// Maximum number of reads of job records in flight while a shard is recovered.
 const MAX_RECORD_READS: usize = 12;
-/// Until the next call after a page could not be read.
+/// Delay before the next call after a page could not be read.
 const PAGE_RETRY_DELAY: Micros = Micros::millis(200);
-/// Until the next call after a record could not be read.
+/// Delay before the next call after a record could not be read.
 const RECORD_RETRY_DELAY: Micros = Micros::millis(150);
 
 /// A job's stored chunks, by number.
 pub(crate) type StoredChunks = BTreeMap<usize, StoredChunkValue>;
 
-/// A job's record as it was read.
+/// A job's record as read from the store.
 #[derive(Debug, Clone)]
 pub(crate) struct ReadRecord {
-    /// `None` if there is none, or none that can be read.
+    /// `None` if the record does not exist or is malformed.
     pub(crate) record: Option<JobRecord>,
-    /// Revision of its key, 0 for none.
+    /// Revision of the record's key; 0 if the key does not exist.
     pub(crate) revision: u64,
 }
 
-/// A batch in which jobs were accepted, at a revision.
+/// Key and revision of a batch in which jobs were accepted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StoredBatch {
     pub(crate) key: String,
     pub(crate) revision: u64,
 }
 
-/// A job that was accepted in a batch, which holds its chunk 0 until that has a key of its own.
+/// A job that was accepted in a batch. The batch contains the job's chunk 0 until that chunk has a
+/// key of its own.
 #[derive(Debug, Clone)]
 struct BatchedJob {
     batch: StoredBatch,
     first_chunk: Value,
 }
 
-/// What a page of a shard's keys holds of jobs that this process does not run.
+/// Decoded page of a shard's keys, without the jobs that this process already runs.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveryPage {
     chunks: Vec<ListedChunk>,
     batched: BTreeMap<String, BatchedJob>,
-    /// Keys of batches of which some jobs cannot be read.
+    /// Keys of batches in which some jobs are malformed.
     pub(crate) unreadable: Vec<String>,
 }
 
-/// A chunk of a job, as listed.
+/// A chunk of a job in a page.
 #[derive(Debug)]
 struct ListedChunk {
     job: String,
@@ -65,7 +66,7 @@
 }
 
 impl RecoveryPage {
-    /// Decodes the keys of a page, without the jobs that are known already.
+    /// Decodes the keys of a page, without the jobs for which `is_known` is true.
     pub(crate) fn decode(items: Vec<KeyValue>, is_known: impl Fn(&str) -> bool) -> RecoveryPage {
         let mut page = RecoveryPage::default();
         for KeyValue { key, value, revision } in items {
@@ -95,40 +96,41 @@
 /// Whether a recovery has read everything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecoveryProgress {
-    /// Calls are in flight, or are to be made later.
+    /// Calls are in flight or still to be made.
     Reading,
     /// All chunks and records have been read.
     AllRead,
 }
 
-/// Jobs of a shard that are being read, after its acquisition or since one of them was found
-/// in the store that this process does not run.
+/// Recovery of a shard's jobs, either after the acquisition of the shard or because the store
+/// contains one of its jobs that this process does not run.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardRecovery {
     /// The term under which the shard is led.
     term: u64,
-    /// Key after which the next page begins.
+    /// Key after which the next page begins; `None` for the first page.
     after: Option<String>,
     /// All pages have been read.
     listed: bool,
     page_in_flight: bool,
-    /// Nothing is read before.
+    /// Earliest time of the next read.
     retry_at: Micros,
-    /// Chunks of each job that was listed.
+    /// Listed chunks of each job.
     chunks: BTreeMap<String, StoredChunks>,
-    /// Jobs that were listed in a batch.
+    /// Jobs that are listed in a batch.
     batched: BTreeMap<String, BatchedJob>,
     /// Jobs whose record is still to be read.
     unread: BTreeSet<String>,
     /// Jobs whose record is being read.
     in_flight: BTreeSet<String>,
-    /// Jobs whose record was requested before changes may have been missed: it is read again.
+    /// Jobs whose record was requested before changes may have been missed: the reply is discarded
+    /// and the record is read again.
     stale: BTreeSet<String>,
     records: BTreeMap<String, ReadRecord>,
 }
 
 impl ShardRecovery {
-    /// Nothing has been read yet.
+    /// Creates a recovery that has read nothing yet.
     pub(crate) fn new(term: u64) -> ShardRecovery {
         ShardRecovery {
             term,
@@ -150,20 +152,21 @@
         self.term
     }
 
-    /// Lists all jobs once more: the list is short, and only unknown jobs are recovered.
+    /// Lists all jobs again. The list is short, and only jobs that this process does not run are
+    /// recovered.
     pub(crate) fn list_again(&mut self) {
         self.after = None;
         self.listed = false;
     }
 
-    /// Changes of records may have been missed: all are read again.
+    /// Reads all records again, since changes of them may have been missed.
     pub(crate) fn read_records_again(&mut self) {
         self.unread.extend(std::mem::take(&mut self.records).into_keys());
         self.stale.append(&mut self.in_flight);
     }
 
-    /// Reads the next page, or the next records.
-    pub(crate) fn read_on(&mut self, shard: usize, context: &mut Context) -> RecoveryProgress {
+    /// Requests the next page, or the next records.
+    pub(crate) fn request_next(&mut self, shard: usize, context: &mut Context) -> RecoveryProgress {
         if self.page_in_flight || context.now < self.retry_at {
             return RecoveryProgress::Reading;
         }
@@ -189,13 +192,13 @@
         }
     }
 
-    /// A page could not be read; it is requested again later.
+    /// Schedules another read of a page that could not be read.
     pub(crate) fn page_failed(&mut self, now: Micros) {
         self.page_in_flight = false;
         self.retry_at = now + PAGE_RETRY_DELAY;
     }
 
-    /// A page was read, up to the key `last`; `more` if another follows.
+    /// Adds a page that was read, up to the key `last`; `more` is true if another page follows.
     pub(crate) fn add_page(&mut self, page: RecoveryPage, last: Option<String>, more: bool) {
         self.page_in_flight = false;
         self.listed = !more || last.is_none();
@@ -213,7 +216,8 @@
         }
     }
 
-    /// The read of a job's record was answered. Whether reading goes on at once.
+    /// Handles the reply to the read of a job's record. Returns whether to continue reading
+    /// immediately.
     pub(crate) fn add_record(&mut self, job: &str, reply: KvResponse, now: Micros) -> bool {
         self.in_flight.remove(job);
         match reply {
@@ -235,9 +239,9 @@
         }
     }
 
-    /// All has been read: what each job is made of. Jobs that have no key for chunk 0 get the
-    /// chunk 0 from their batch, and are named beside that batch. A job's own key for chunk 0 is
-    /// newer than its batch.
+    /// Assembles the recovered jobs after everything has been read. A job without a key for chunk 0
+    /// gets its chunk 0 from its batch and is listed with that batch. A job's own key for chunk 0
+    /// is newer than its batch.
     pub(crate) fn finish(mut self) -> RecoveredShard {
         let mut batches: BTreeMap<StoredBatch, BTreeSet<String>> = BTreeMap::new();
         for (id, BatchedJob { batch, first_chunk }) in self.batched {
@@ -253,12 +257,12 @@
     }
 }
 
-/// All that was read of a shard's jobs.
+/// Everything that was read of a shard's jobs.
 #[derive(Debug)]
 pub(crate) struct RecoveredShard {
     /// The term under which the shard is led.
     pub(crate) term: u64,
-    /// The jobs of each batch that have no key for chunk 0.
+    /// The jobs of each batch that have no key of their own for chunk 0.
     pub(crate) batches: BTreeMap<StoredBatch, BTreeSet<String>>,
     /// Chunks of each job.
     pub(crate) chunks: BTreeMap<String, StoredChunks>,
--- a/src/controller/leadership/replies.rs
+++ b/src/controller/leadership/replies.rs
@@ -1,4 +1,4 @@
-//! Which reply of the key-value store goes where.
+//! Routes replies of the key-value store to the handlers of leadership calls.
 
 use crate::controller::Controller;
 use crate::controller::calls::{LeadershipCall, Watch};
@@ -6,7 +6,7 @@
 use crate::kv_store::KvResponse;
 
 impl Controller {
-    /// A call about leases, watches or recoveries was answered.
+    /// Handles the reply to a call about leases, watches or recoveries.
     pub(crate) fn leadership_reply(&mut self, call: LeadershipCall, reply: KvResponse) {
         match call {
             LeadershipCall::GrantLease { sent } => {
@@ -23,14 +23,15 @@
             LeadershipCall::ListLeases => {
                 self.leadership.shard_list_in_flight = false;
                 if let KvResponse::Page { items, .. } = &reply {
-                    self.leadership.shards_read = true;
+                    self.leadership.shards_up_to_date = true;
                     self.observe_leases(items);
                 }
             }
             LeadershipCall::StartWatch(watch) => self.watch_start_reply(watch, &reply),
             LeadershipCall::Watch(watch) => self.watch_reply(watch, reply),
             LeadershipCall::PollChanges { sent } => {
-                // If polls fail, so does the watch, which is called again.
+                // A failed poll is not retried: if polls fail, the watch fails too and is called
+                // again.
                 if let KvResponse::WatchEvents { revision, events } = reply {
                     self.apply_events(Watch::Jobs, events);
                     self.leadership.watches.jobs_polled(revision, sent);
--- a/src/controller/leadership/shard.rs
+++ b/src/controller/leadership/shard.rs
@@ -1,8 +1,8 @@
-//! Shards: who may act for which machines and jobs.
+//! Shards: the parts into which machines and jobs are divided, each with at most one leader.
 //!
 //! A shard's lease and its term change in one transaction, so the revision of the lease's key
-//! identifies a term, and everything that a leader writes is conditional on that revision: a
-//! late transaction of an earlier leader fails.
+//! identifies a term. Every write of a leader is conditional on that revision: a late transaction
+//! of an earlier leader fails.
 
 use crate::controller::decision_log::LeadershipEvidence;
 use crate::controller::leadership::fencing_token::next_term;
@@ -13,71 +13,70 @@
 use crate::wire::{Condition, KeyValue, Txn, Write};
 use serde_json::json;
 
-/// A shard that this process leads: it has the lease.
+/// Leadership of a shard whose lease this process has acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardLeadership {
-    /// Term.
+    /// Term of the leadership.
     pub term: u64,
-    /// Revision of the lease's key: condition of every write.
+    /// Revision of the lease's key: every write is conditional on it.
     pub revision: u64,
-    /// When this process learnt that it leads the shard: no earlier leader
-    /// acted after that.
+    /// When this process received the confirmation that it leads the shard: no earlier leader acted
+    /// after that.
     pub acquired_at: Micros,
     /// The shard's jobs have been read.
     pub recovered: bool,
-    /// The lease is about to be released; nothing new is begun.
+    /// The lease is about to be released; no new work is started.
     pub handing_over: bool,
 }
 
 impl ShardLeadership {
-    /// What the log lines say of its beginning or end at `at`.
+    /// The fields of the log lines about its beginning or end at `at`.
     pub(crate) fn evidence(&self, shard: usize, at: Micros) -> LeadershipEvidence {
         LeadershipEvidence { shard, term: self.term, revision: self.revision, at }
     }
 }
 
-/// A shard as this process knows it.
+/// A shard as last observed by this process.
 #[derive(Debug, Clone, Default)]
 pub struct Shard {
-    /// Its lease in the key-value store, if a member has it.
+    /// Its lease in the key-value store; `None` if the shard is vacant.
     pub lease: Option<StoredShardLease>,
-    /// Revision of the term's key, 0 for none.
+    /// Last observed revision of the term's key; 0 if the key has not been observed.
     pub term_revision: u64,
-    /// Highest term known.
+    /// Highest observed term.
     pub term: u64,
-    /// Since when nobody has its lease.
+    /// When the shard was last observed to become vacant; zero if it never was.
     pub vacant_since: Micros,
-    /// Set while this process leads it.
+    /// Present while this process leads the shard.
     pub leadership: Option<ShardLeadership>,
     /// An acquisition or a release of its lease is in flight.
     pub transaction_in_flight: bool,
-    /// Highest term under which this process has led it.
+    /// Highest term under which this process has led the shard; 0 for none.
     pub last_led_term: u64,
 }
 
 /// A transaction that acquires a shard's lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardAcquisition {
-    /// Applied only if neither the lease nor the term have changed.
+    /// Applied only if neither the lease nor the term has changed.
     pub transaction: Txn,
-    /// The term under which this process leads the shard once it is applied.
+    /// Term under which this process leads the shard once the transaction is applied.
     pub term: u64,
 }
 
-/// The shard of a machine: a fixed function of its name, the same on every
-/// node and in every run. FNV-1a, since the standard library's hasher may
-/// change between releases.
+/// The shard of a machine: a fixed function of its name, the same on every node and in every
+/// process. Uses FNV-1a, since the standard library's hasher may change between releases.
 pub fn shard_of_machine(name: &str, shards: usize) -> usize {
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
     });
-    // The low bits of FNV of names that differ in their last digit run in
-    // step; folding the high half in spreads them.
+    // FNV hashes of names that differ only in their last digit have correlated low bits. Folding
+    // the high half in spreads them.
     ((hash ^ (hash >> 32)) % shards.max(1) as u64) as usize
 }
 
 impl Shard {
-    /// Records what the lease's key holds, `None` if it does not exist.
+    /// Records the content of the lease's key, `None` if the key does not exist.
     pub fn observe_lease(&mut self, now: Micros, item: Option<&KeyValue>) {
         match item.and_then(StoredShardLease::decode) {
             Some(stored) => {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Records what the term's key holds.
+    /// Records the content of the term's key.
     pub fn observe_term(&mut self, item: &KeyValue) {
         if let Ok(record) = serde_json::from_value::<TermRecord>(item.value.clone())
             && item.revision >= self.term_revision
@@ -106,23 +105,24 @@
         }
     }
 
-    /// The revision of the lease's key on which an acquisition by this incarnation of `member`
-    /// may be conditional: 0 if there is no lease, its own if an earlier incarnation left it;
-    /// `None` if another leads. Acquiring a live leader's shard would let two act at once.
+    /// The revision of the lease's key on which an acquisition by this incarnation of `member` is
+    /// conditional: 0 if there is no lease; the revision of the lease if an earlier incarnation of
+    /// `member` left it, or if this one released it; `None` if another process leads. Acquiring a
+    /// live leader's shard would let two processes act at once.
     pub fn acquirable_revision(&self, member: &str, incarnation: u64) -> Option<u64> {
         let Some(StoredShardLease { lease, revision }) = &self.lease else {
             return Some(0);
         };
         let earlier_process = lease.incarnation != incarnation;
-        // Released by this very process, whose release may still be carried out late: only a
-        // new revision makes it fail, and only a new term shows which of its commands are
+        // This process has released the lease, and the release may still be applied late: only a
+        // new revision makes it fail, and only a new term shows which commands of this process are
         // still in flight.
         let released = lease.term <= self.last_led_term;
         (lease.member == member && (earlier_process || released)).then_some(*revision)
     }
 
-    /// The transaction by which a member acquires the lease, which was last at `revision`. The
-    /// lease is attached to the member's controller lease.
+    /// The transaction by which `member` acquires the lease, whose key was last observed at
+    /// `revision`. The lease is attached to the member's controller lease.
     pub fn acquire(
         &self,
         shard: usize,
--- a/src/controller/leadership/shard_lease.rs
+++ b/src/controller/leadership/shard_lease.rs
@@ -1,8 +1,8 @@
-//! Records of shards in the key-value store, and their keys.
+//! Records of shard leases and terms in the key-value store, and their keys.
 //!
-//! `seat/S` keeps a term that only rises, `hold/S` names the leader and is attached to the
-//! leader's controller lease, with which it goes. The words of keys and values stay as they
-//! were stored by earlier versions.
+//! `seat/S` stores a term that only increases. `hold/S` names the leader and is attached to the
+//! leader's controller lease: the store deletes it when that lease ends. Earlier versions stored
+//! the same keys and field names, so they must not change.
 
 use crate::wire::{Condition, KeyValue};
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,12 @@
 /// Prefix of the keys of shards' leases: `hold/S`.
 pub const LEASE_KEY_PREFIX: &str = "hold/";
 
-/// Value of `hold/S`: who leads a shard.
+/// Value of `hold/S`: the leader of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLease {
     /// Name of the member that leads.
     pub member: String,
-    /// Its incarnation, which differs between processes of the same member.
+    /// Incarnation of the leader, which differs between processes of the same member.
     #[serde(rename = "run")]
     pub incarnation: u64,
     /// The term under which it leads.
@@ -34,17 +34,17 @@
     pub term: u64,
 }
 
-/// A shard lease as it is in the key-value store.
+/// A shard lease as stored in the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredShardLease {
-    /// The record.
+    /// Decoded value of the lease's key.
     pub lease: ShardLease,
-    /// Revision of its key.
+    /// Revision at which the key was last written.
     pub revision: u64,
 }
 
 impl StoredShardLease {
-    /// The record that a key holds; `None` if it cannot be read.
+    /// Decodes the value of a lease's key; `None` if it is malformed.
     pub fn decode(item: &KeyValue) -> Option<StoredShardLease> {
         let lease = serde_json::from_value(item.value.clone()).ok()?;
         Some(StoredShardLease { lease, revision: item.revision })
@@ -61,13 +61,13 @@
     format!("{LEASE_KEY_PREFIX}{shard}")
 }
 
-/// Number of the shard in a key.
+/// Number of the shard at the end of a key; `None` if there is none.
 pub fn shard_of_key(key: &str) -> Option<usize> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// What every write for a shard depends on: its lease has not changed since it was acquired at
-/// this revision. A late transaction of an earlier leader fails by it.
+/// The condition of every write for a shard: its lease has not changed since it was acquired at
+/// this revision. It makes a late transaction of an earlier leader fail.
 pub fn lease_condition(shard: usize, revision: u64) -> Condition {
     Condition { key: lease_key(shard), revision }
 }
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -1,4 +1,5 @@
-//! Changes that watches of the key-value store deliver, decoded and passed on to components.
+//! Decodes the changes that watches of the key-value store deliver and passes them to the
+//! components.
 
 use crate::controller::Controller;
 use crate::controller::calls::Watch;
@@ -10,19 +11,18 @@
 use log::warn;
 use serde_json::Value;
 
-/// A change of a key that is watched.
+/// A change of a watched key.
 enum Change {
-    /// Of a shard's lease; `item` is what its key holds now, if it exists.
+    /// Change of a shard's lease; `item` is the new content of its key, `None` if it was deleted.
     ShardLease { shard: usize, item: Option<KeyValue>, revision: u64 },
-    /// Of a job's record.
+    /// Write of a job's record.
     Job { id: String, record: JobRecord, revision: u64 },
-    /// Of a team's quota; the value is null if it was deleted.
+    /// Change of a team's quota; `value` is null if it was deleted.
     Quota { team: String, value: Value, revision: u64 },
 }
 
 impl Change {
-    /// What an event of a watch says; `None` if it concerns nothing that is known, or cannot be
-    /// read.
+    /// Decodes an event of a watch; `None` if it concerns no shard, job or quota, or is malformed.
     fn decode(watch: Watch, event: WatchEvent, shards: usize) -> Option<Change> {
         let WatchEvent { put, delete, value, revision } = event;
         let is_put = put.is_some();
@@ -51,7 +51,7 @@
 }
 
 impl Controller {
-    /// A call of a watch was answered.
+    /// Handles the reply to a call of a watch.
     pub(crate) fn watch_reply(&mut self, watch: Watch, reply: KvResponse) {
         match reply {
             KvResponse::WatchEvents { revision, events } => {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Applies the events of a watch, or of a poll beside it.
+    /// Applies the events that a watch or a poll returned.
     pub(crate) fn apply_events(&mut self, watch: Watch, events: Vec<WatchEvent>) {
         for event in events {
             match Change::decode(watch, event, self.leadership.shard_count()) {
                 None => {}
                 Some(Change::ShardLease { shard, item, revision }) => {
-                    // Older than this process's acquisition of the shard.
+                    // Events from before this process acquired the shard are ignored.
                     let led = self.leadership.led_shard(shard);
                     if led.is_none_or(|leadership| revision > leadership.revision) {
                         self.observe_lease(shard, item.as_ref());
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A job's record was written at a revision, by this process or another.
+    /// Handles a write of a job's record at `revision`, by this process or another.
     fn job_record_changed(&mut self, id: &str, record: &JobRecord, revision: u64) {
         self.jobs.dependency_graph.note(id, record);
         self.jobs.forget_unreadable(id);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The list that begins a watch was answered: changes before its revision may have been
+    /// Handles the reply to the list that starts a watch. Changes before its revision may have been
     /// missed.
     pub(crate) fn watch_start_reply(&mut self, watch: Watch, reply: &KvResponse) {
         let KvResponse::Page { revision, items, .. } = reply else {
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Cancellations may have been missed: all that was concluded from jobs' records is read
-    /// again.
+    /// Reads all jobs again after cancellations may have been missed: every conclusion drawn from
+    /// their records may be outdated.
     fn job_changes_missed(&mut self) {
         self.jobs.stage_cache.forget_unfinished();
         for recovery in self.leadership.recoveries.values_mut() {
--- a/src/controller/leadership/watches.rs
+++ b/src/controller/leadership/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the key-value store: how this process learns of changes.
+//! Watches of the key-value store, by which this process receives changes.
 
 use crate::controller::calls::{LeadershipCall, Watch};
 use crate::controller::context::Context;
@@ -9,7 +9,8 @@
 
 /// How long a watch of shard leases or quotas waits for changes.
 const BLOCK_TIMEOUT: Micros = Micros::secs(20);
-/// Between polls of the jobs' changes beside a watch that has been silent for long.
+/// Minimum interval between polls of the jobs' changes in addition to the watch, while the watch
+/// has been silent for long.
 const POLL_INTERVAL: Micros = Micros::millis(400);
 /// Prefix of the keys of jobs' records.
 const JOB_KEY_PREFIX: &str = "j/";
@@ -25,39 +26,40 @@
     }
 }
 
-/// How far the changes of some keys have been followed.
+/// Progress of a watch.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WatchState {
-    /// Revision of the store up to which changes are known; `None` before the first list, and
-    /// after changes may have been missed.
+    /// Revision of the store up to which changes have been received; `None` before the first list,
+    /// and after changes may have been missed.
     revision: Option<u64>,
-    /// A call of the watch, or the list that begins it, is in flight.
+    /// A call of the watch, or the list that starts it, is in flight.
     call_in_flight: bool,
-    /// Not called again before.
+    /// Earliest time of the next call.
     retry_at: Micros,
-    /// When the call that is in flight was sent.
+    /// When the call in flight was sent.
     sent_at: Micros,
-    /// When the last call that was answered had been sent.
+    /// When the last answered call was sent: all changes made before have been received.
     caught_up_at: Micros,
-    /// When changes are polled beside the watch at the earliest.
+    /// Earliest time of the next poll in addition to the watch.
     next_poll_at: Micros,
 }
 
 impl WatchState {
-    /// Changes up to a revision, requested at a time, are known. The answers of a watch and
-    /// of a poll may cross.
+    /// Records that all changes up to `revision`, requested at `sent`, have been received. Neither
+    /// value decreases, since the replies of a watch and of a poll may arrive in either order.
     fn advance_to(&mut self, revision: u64, sent: Micros) {
         self.revision = Some(self.revision.unwrap_or(0).max(revision));
         self.caught_up_at = self.caught_up_at.max(sent);
     }
 
-    /// The call in flight was answered with all changes up to a revision.
+    /// Records the reply to the call in flight, which contained all changes up to `revision`.
     pub(crate) fn answered(&mut self, revision: u64) {
         self.call_in_flight = false;
         self.advance_to(revision, self.sent_at);
     }
 
-    /// Calls the store if no call is in flight, to go on or to begin.
+    /// Continues the watch, or starts it with a list, unless a call is in flight or a retry delay
+    /// has not passed.
     fn call(&mut self, watch: Watch, block: Micros, context: &mut Context) {
         if self.call_in_flight || context.now < self.retry_at {
             return;
@@ -70,8 +72,8 @@
                 LeadershipCall::Watch(watch),
                 KvRequest::Watch { prefix, after, block },
             ),
-            // The jobs' own list grows without end; any list says the
-            // present revision, and the shard leases are few.
+            // The list of all jobs grows without bound. Any list returns the current revision, and
+            // the list of shard leases is short.
             None => context.call_store(
                 LeadershipCall::StartWatch(watch),
                 KvRequest::List { prefix: shard_lease::LEASE_KEY_PREFIX.into(), after: None },
@@ -80,7 +82,7 @@
     }
 }
 
-/// The watches of this process, and how far each has come.
+/// The watches of this process and their progress.
 #[derive(Debug, Default)]
 pub(crate) struct Watches {
     shard_leases: WatchState,
@@ -98,34 +100,36 @@
         }
     }
 
-    /// Revision up to which the jobs' changes are known, 0 for none.
+    /// Revision of the store up to which all changes of jobs have been received; 0 while there is
+    /// no such revision.
     pub(crate) fn jobs_revision(&self) -> u64 {
         self.jobs.revision.unwrap_or(0)
     }
 
-    /// All changes of jobs that had been made by then are known.
+    /// Time up to which all changes of jobs have been received.
     pub(crate) fn jobs_caught_up_at(&self) -> Micros {
         self.jobs.caught_up_at
     }
 
-    /// Whether every change of a job from now on will be known.
+    /// Whether the watch of jobs has started, so that no further change of a job is missed.
     pub(crate) fn follows_jobs(&self) -> bool {
         self.jobs.revision.is_some()
     }
 
     /// Calls the store for each watch that has no call in flight.
-    pub(crate) fn call_due(&mut self, context: &mut Context) {
-        // What is known of cancellations must never be older than a lease lasts.
+    pub(crate) fn call_if_due(&mut self, context: &mut Context) {
+        // The received cancellations must never be older than the duration of a lease.
         let jobs_block_timeout = Micros(context.options.controller_lease.0 / 4);
         self.shard_leases.call(Watch::ShardLeases, BLOCK_TIMEOUT, context);
         self.jobs.call(Watch::Jobs, jobs_block_timeout, context);
         self.quotas.call(Watch::Quotas, BLOCK_TIMEOUT, context);
     }
 
-    /// Polls the jobs' changes beside the watch, at most every [`POLL_INTERVAL`].
+    /// Polls the jobs' changes in addition to the watch, at most every [`POLL_INTERVAL`].
     ///
-    /// After an outage the lease is valid at once, while the watch that was open waits on:
-    /// heartbeats are answered only once it is known what was cancelled meanwhile.
+    /// After an outage the controller lease is valid immediately, while the call of the watch that
+    /// was open still waits. Heartbeats are answered only once all cancellations made in the
+    /// meantime have been received.
     pub(crate) fn poll_jobs(&mut self, context: &mut Context) {
         let now = context.now;
         let Some(after) = self.jobs.revision.filter(|_| now >= self.jobs.next_poll_at) else {
@@ -137,19 +141,19 @@
         context.call_store(LeadershipCall::PollChanges { sent: now }, call);
     }
 
-    /// A poll of the jobs' changes that was sent at `sent` was answered.
+    /// Records the reply to a poll of the jobs' changes that was sent at `sent`.
     pub(crate) fn jobs_polled(&mut self, revision: u64, sent: Micros) {
         self.jobs.advance_to(revision, sent);
     }
 
-    /// The store has dropped changes that a watch has not seen: it begins anew.
+    /// Restarts a watch after the store has compacted changes that the watch has not received.
     pub(crate) fn compacted(&mut self, watch: Watch) {
         let state = self.state_mut(watch);
         state.call_in_flight = false;
         state.revision = None;
     }
 
-    /// A call of a watch failed: it is made again after a random while.
+    /// Schedules another call of a watch after a random delay, since the last one failed.
     pub(crate) fn failed(&mut self, watch: Watch, context: &mut Context) {
         let delay = Micros::millis(context.rng.random_range(200..400));
         let state = self.state_mut(watch);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -152,7 +152,7 @@
     /// Time has passed: whatever is due is done, in this order.
     fn tick(&mut self) {
         let now = self.context.now;
-        if self.leadership.regained_lease(now) {
+        if self.leadership.check_lease_regained(now) {
             self.evaluate_all();
         }
         self.leadership.check_connectivity(&self.machines, &self.peers, &mut self.context);
@@ -216,7 +216,7 @@
     fn reconcile_machines(&mut self) -> Frame {
         let mut frame = Frame::default();
         for _ in 0..MAX_FLUSH_ROUNDS {
-            if !self.changes.concern_machines() {
+            if !self.changes.affect_machines() {
                 break;
             }
             self.send_desired_state(&mut frame);
--- a/src/controller/peers/full_sync.rs
+++ b/src/controller/peers/full_sync.rs
@@ -1,16 +1,15 @@
-//! Full synchronization: all that a peer must know which has received nothing so far, or has
-//! missed a frame.
+//! Full sync: everything that a peer needs which has received nothing so far or has missed a frame.
 
 use crate::controller::Controller;
 use crate::peer::{
     AddressHint, DesiredStateMessage, DesiredUpdate, Frame, MachineDesired, Progress,
 };
 
-/// Terminated machines that are named, of those last in the order of names.
-const MAX_TERMINATED_NAMED: usize = 500;
+/// Maximum number of terminated machines in a full frame: the last ones in the order of names.
+const MAX_TERMINATED_IN_FRAME: usize = 500;
 
 impl Controller {
-    /// A frame that says everything, beside what `frame` says.
+    /// Builds a full frame, which keeps the remaining content of `frame`.
     pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
         frame.full = true;
         let shards = 0..self.leadership.shard_count();
@@ -25,11 +24,12 @@
             .map(|(id, j)| Progress { job: id.clone(), done: j.done(), running: j.running() })
             .collect();
         frame.address_hints = self.address_hints();
-        frame.terminated = self.machines.last_terminated(MAX_TERMINATED_NAMED);
+        frame.terminated = self.machines.last_terminated(MAX_TERMINATED_IN_FRAME);
         frame
     }
 
-    /// The desired state of a shard that this process serves, for all machines.
+    /// The complete desired state of a shard, for all machines; `None` if this process does not
+    /// serve the shard or its desired state is incomplete.
     fn full_desired_state(&self, shard: usize) -> Option<DesiredStateMessage> {
         let desired = &self.machines.desired()[shard];
         if !self.serves_shard(shard)
@@ -44,8 +44,9 @@
             term: desired.term,
             seq: desired.seq,
             complete: true,
-            // Terms machine by machine: one that nothing has been desired on
-            // since its shard moved would hold up all others of the shard.
+            // Each machine carries its own known term. With one term per shard, a machine on which
+            // nothing has been desired since its shard changed leader would hold back all others of
+            // the shard.
             machines: with_tasks
                 .map(|(name, m)| MachineDesired {
                     machine: name.clone(),
@@ -59,7 +60,8 @@
         Some(update.to_message())
     }
 
-    /// Where machines of other shards were, for a peer that may acquire their shards.
+    /// Last known addresses of machines of other members' shards, for a peer that may acquire those
+    /// shards.
     fn address_hints(&self) -> Vec<AddressHint> {
         let views = self.machines.views().values();
         views
--- a/src/controller/peers/peer_state.rs
+++ b/src/controller/peers/peer_state.rs
@@ -1,60 +1,61 @@
-//! What a peer's frames said of itself.
+//! State of a peer, as reported by its frames.
 
 use crate::peer::{Demand, Frame, QuotaDemand};
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// A peer that has been silent for longer does not count as alive.
+/// A peer that has been silent for longer than this does not count as alive.
 const PEER_TIMEOUT: Micros = Micros::secs(3);
 
-/// Whether frames of a peer have been lost before the one that has come.
+/// Whether frames of a peer were lost before the one that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FrameContinuity {
-    /// It follows the last one, or says everything.
+    /// The frame follows the last one, or is a full frame.
     Unbroken,
-    /// Something was lost, and is not known.
+    /// At least one frame was lost, and its content is unknown.
     FramesLost,
 }
 
-/// Another controller, by what its frames said.
+/// Another controller, as reported by its frames.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerState {
-    /// When its last frame came.
+    /// When its last frame arrived; `None` before the first one.
     pub(crate) last_frame_at: Option<Micros>,
-    /// Since when all its frames said that it is healthy, without a gap.
+    /// Since when all its frames have reported it as healthy, without a gap; `None` while it is not
+    /// healthy.
     pub(crate) healthy_since: Option<Micros>,
     /// Its controller lease is valid.
     pub(crate) holds_lease: bool,
     incarnation: u64,
-    /// Tasks that wait there.
+    /// Its waiting tasks.
     pub(crate) demand: Vec<Demand>,
-    /// What its shards lack of the teams' limits.
+    /// Unmet quota demand of its shards.
     pub(crate) quota_demand: Vec<QuotaDemand>,
     /// It hands its shards over, since it and its workers cannot reach each other.
     pub(crate) partitioned: bool,
-    /// Machines of others' shards that send their heartbeats to it, by shard.
+    /// Number of machines of other members' shards that send their heartbeats to it, by shard.
     pub(crate) misdirected: BTreeMap<usize, u32>,
     last_frame_number: u64,
-    /// A frame of it was lost, and it has not sent everything since.
+    /// A frame from it was lost, and no full frame has arrived since.
     pub(crate) missed_frames: bool,
-    /// Revision of the key-value store up to which it has followed the jobs.
+    /// Revision of the key-value store up to which it has received the changes of jobs.
     pub(crate) followed_revision: u64,
-    /// Format of what it stores and sends; 0 in versions that do not send it.
+    /// Format of the data that it stores and sends; 0 for versions that do not report it.
     pub(crate) format: u32,
 }
 
 impl PeerState {
-    /// Whether a frame has come lately.
+    /// Whether a frame has arrived within [`PEER_TIMEOUT`].
     pub(crate) fn is_alive(&self, now: Micros) -> bool {
         self.last_frame_at.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    /// Whether it is alive, holds its lease and can be reached by its workers.
+    /// Whether it is alive, holds its controller lease and can be reached by its workers.
     pub(crate) fn is_healthy(&self, now: Micros) -> bool {
         self.is_alive(now) && self.holds_lease && !self.partitioned
     }
 
-    /// Records what a frame says of its sender, and moves the sender's demand out of it.
+    /// Records the sender's state from a frame, and moves the sender's demand out of the frame.
     pub(crate) fn record(&mut self, frame: &mut Frame, now: Micros) -> FrameContinuity {
         let continuity = self.record_number(frame);
         if self.incarnation != frame.incarnation {
@@ -71,7 +72,7 @@
         self.last_frame_at = Some(now);
         self.holds_lease = frame.state_ok;
         if !frame.state_ok {
-            // It cannot act: what it said that it needs must hold up nobody.
+            // A peer without a lease cannot act: its demand must not block others.
             self.demand.clear();
             self.quota_demand.clear();
             self.misdirected.clear();
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -1,4 +1,4 @@
-//! Frames from the other controllers: what they say is passed on to the components.
+//! Receives frames from the other controllers and passes their content to the components.
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::{Progress, Urgency};
@@ -9,7 +9,7 @@
 use log::warn;
 
 impl Peers {
-    /// Records what a frame says of its sender; `None` if that is no other member.
+    /// Records the sender's state from a frame; `None` if `from` is not another member.
     fn record_frame(
         &mut self,
         from: usize,
@@ -21,13 +21,13 @@
 }
 
 impl Controller {
-    /// A frame came from a member.
+    /// Handles a frame that arrived from a member.
     pub(crate) fn peer_frame(&mut self, from: usize, mut frame: Frame) {
         let Some(continuity) = self.peers.record_frame(from, &mut frame, self.context.now) else {
             return;
         };
         if continuity == FrameContinuity::FramesLost {
-            self.desired_state_incomplete(from);
+            self.mark_desired_state_incomplete(from);
         }
         self.observe_claims(&frame.shard_claims);
         self.receive_desired_state(from, frame.desired);
@@ -39,7 +39,7 @@
             self.jobs.progress.insert(job, Progress { done, running });
         }
         for job in frame.cancelled {
-            // Answers that were read before the cancellation must not go out now.
+            // Answers that were read before the cancellation must not be sent any more.
             self.apply_peer_cancellation(&job);
         }
         for machine in frame.terminated {
@@ -63,9 +63,9 @@
         }
     }
 
-    /// Frames of a member were lost. What they said is not known, so nothing follows from what
-    /// the rest of its desired state does not name.
-    fn desired_state_incomplete(&mut self, from: usize) {
+    /// Handles the loss of frames from a member. Their content is unknown, so the absence of a task
+    /// from the rest of the member's desired state proves nothing.
+    fn mark_desired_state_incomplete(&mut self, from: usize) {
         for shard in 0..self.leadership.shard_count() {
             if self.shard_leader(shard) == Some(from) {
                 self.machines.mark_desired_incomplete(shard);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// A peer says which shards it leads. A higher term that has not come by the watch yet is
-    /// recorded at once; the lease itself comes with the watch.
+    /// Records which shards a peer claims to lead. A higher term that has not arrived through the
+    /// watch yet takes effect immediately; the lease itself arrives through the watch.
     fn observe_claims(&mut self, claims: &[ShardClaim]) {
         for claim in claims {
             let shard = claim.shard as usize;
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -1,4 +1,4 @@
-//! Frames to the other controllers: what has changed here since the last one.
+//! Sends frames to the other controllers, with the changes since the last one.
 
 use crate::controller::autoscaler::AUTOSCALER_SHARD;
 use crate::controller::jobs::job;
@@ -9,20 +9,20 @@
 use std::rc::Rc;
 
 impl Peers {
-    /// Numbers of the members of whom a frame was missed.
-    fn with_missed_frames(&self) -> Vec<u32> {
+    /// Numbers of the members from which a frame was missed.
+    fn members_with_missed_frames(&self) -> Vec<u32> {
         self.all().filter(|(_, peer)| peer.missed_frames).map(|(member, _)| member as u32).collect()
     }
 
-    /// The number of a frame that is sent now.
+    /// Allocates the number of a frame that is sent now.
     fn next_frame_number(&mut self) -> u64 {
         self.frames_sent += 1;
         self.frames_sent
     }
 
-    /// Whether a shard has a higher term than the desired state of own shards has taken into
-    /// account so far; it does from now on.
-    fn term_is_new(&mut self, shard: usize, term: u64) -> bool {
+    /// Records that the desired state of led shards takes a shard's term into account from now on.
+    /// Returns whether the term is higher than any it took into account before.
+    fn record_announced_term(&mut self, shard: usize, term: u64) -> bool {
         let announced = &mut self.announced_terms[shard];
         let is_new = term > *announced;
         if is_new {
@@ -33,8 +33,9 @@
 }
 
 impl Controller {
-    /// Sends a frame to every peer, with what has changed beside the desired state and views
-    /// that are in `frame` already; nothing if nothing has changed and no heartbeat is due.
+    /// Sends a frame to every peer, with all changes in addition to the desired state and views
+    /// that are already in `frame`. Sends nothing if nothing has changed, no heartbeat is due and
+    /// no peer awaits a full sync.
     pub(crate) fn send_frames(&mut self, mut frame: Frame) {
         let now = self.context.now;
         self.add_changes(&mut frame);
@@ -53,14 +54,15 @@
             let repeated = self.cancellations_to_repeat();
             frame.cancelled.extend(repeated);
         }
-        self.add_sender(&mut frame);
+        self.add_sender_state(&mut frame);
         self.dispatch_frame(frame);
     }
 
-    /// Adds what has changed since the last frame.
+    /// Adds the changes since the last frame.
     fn add_changes(&mut self, frame: &mut Frame) {
         let now = self.context.now;
-        // For display alone, and counted anew for every job: now and then will do.
+        // Progress is only displayed, and is recounted for every job: an update at intervals
+        // suffices.
         if self.timers.progress.restart_if_due(now) {
             self.add_progress(frame);
         }
@@ -69,7 +71,7 @@
         frame.preempt = std::mem::take(&mut self.changes.preemptions);
         frame.inherited_urgency = self.jobs.dependents.urgency.take_outbox();
         if self.timers.missed_frames.is_due(now) {
-            frame.missed = self.peers.with_missed_frames();
+            frame.missed = self.peers.members_with_missed_frames();
             if !frame.missed.is_empty() {
                 self.timers.missed_frames.restart(now);
             }
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Adds what waits here and what it lacks, whole.
+    /// Adds the complete demand of this process: waiting tasks, unmet quota demand and misdirected
+    /// heartbeats.
     fn add_demand(&mut self, frame: &mut Frame) {
         if self.holds_lease() {
             frame.has_demand = true;
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Adds what every frame says of its sender.
-    fn add_sender(&mut self, frame: &mut Frame) {
+    /// Adds the state of the sender, which every frame carries.
+    fn add_sender_state(&mut self, frame: &mut Frame) {
         frame.format = peer::FORMAT;
         frame.watched = self.leadership.followed_jobs_revision();
         frame.number = self.peers.next_frame_number();
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Sends a frame to all peers; those that are to be synchronized are sent everything.
+    /// Sends a frame to all peers; those that await a full sync get a full frame.
     fn dispatch_frame(&mut self, frame: Frame) {
         let holds_lease = frame.state_ok;
         let frame = Rc::new(frame);
@@ -138,23 +141,25 @@
             self.context.emit(Effect::Peer { to, frame });
         }
         if !holds_lease {
-            // Nothing could be said yet; the new connections still need all of it.
+            // Without the controller lease no full frame is sent; the new connections still need
+            // one.
             self.changes.peers_to_sync = to_sync;
         }
     }
 
-    /// The machines about to be removed are known anew: nothing is placed on them.
+    /// Replaces the set of machines that are drained before their removal: nothing is placed on
+    /// them.
     pub(crate) fn set_draining(&mut self, draining: BTreeSet<String>) {
         for machine in self.autoscaler.replace_draining(draining) {
             self.scheduler.mark_stale(&machine);
         }
     }
 
-    /// Shards have new terms: what is desired on their machines is sent anew, with
-    /// all that was concluded under the earlier ones.
+    /// Marks the desired state on machines of shards with a new term to be sent again, with
+    /// everything that was concluded under the earlier terms.
     pub(crate) fn announce_terms(&mut self) {
         for shard in 0..self.leadership.shard_count() {
-            if !self.peers.term_is_new(shard, self.leadership.term(shard)) {
+            if !self.peers.record_announced_term(shard, self.leadership.term(shard)) {
                 continue;
             }
             self.changes.announce_terms = true;
