--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,5 +1,5 @@
-//! What the calls in flight to the key-value store, the cloud and workers are for: an enum a
-//! component, which the router wraps.
+//! Purposes of the calls in flight to the key-value store, the cloud and workers: one enum for each
+//! component, wrapped in [`PendingCall`] for the router.
 
 #![allow(
     clippy::missing_docs_in_private_items,
@@ -19,18 +19,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Which changes a watch follows.
+/// The keys that a watch follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Watch {
-    /// Of jobs' records.
+    /// Jobs' records.
     Jobs,
-    /// Of the shards' leases.
+    /// The shards' leases.
     ShardLeases,
-    /// Of teams' quotas.
+    /// Teams' quotas.
     Quotas,
 }
 
-/// What a call about leases, terms, watches and recoveries is for.
+/// Purpose of a call about leases, terms, watches and recoveries.
 #[derive(Debug, Clone)]
 pub(crate) enum LeadershipCall {
     /// Requests a controller lease.
@@ -41,11 +41,11 @@
     ListTerms,
     /// Lists the leases of all shards, after their terms.
     ListLeases,
-    /// Waits for changes.
+    /// Waits for changes of watched keys.
     Watch(Watch),
-    /// Reads the store's revision, from which a watch begins.
+    /// Reads the store's revision, from which a watch starts.
     StartWatch(Watch),
-    /// Polls the jobs' changes beside the watch that waits for them.
+    /// Polls the jobs' changes while the watch of jobs waits.
     PollChanges { sent: Micros },
     /// Acquires a shard under a term, by the controller lease of an epoch.
     AcquireShard { shard: usize, term: u64, epoch: u64 },
@@ -57,85 +57,85 @@
     ReadRecoveredRecord { shard: usize, term: u64, job: String },
 }
 
-/// What a call that a user awaits is for. `sent_at` is when it was sent: what it shows
+/// Purpose of a call that a user's request waits for. `sent_at` is when it was sent: what it shows
 /// may be older, never newer.
 #[derive(Debug, Clone)]
 pub(crate) enum ApiCall {
-    /// Accept jobs.
+    /// Accepts jobs.
     Admit(AdmissionGroup),
-    /// Read the record of a job on which a submitted one depends, for the lookup of this
-    /// number.
+    /// Reads the record of a job on which a submitted one depends; `number` identifies the lookup.
     LookUpDependency { number: u64, job: String },
-    /// Write lists of dependencies that do not fit in the job's record, up to this one.
+    /// Writes lists of dependencies that do not fit in the job's record, up to `last_list`.
     StoreDependencies { ticket: Ticket, spec: Rc<JobSpec>, spec_bytes: usize, last_list: usize },
-    /// Compare the revisions of all unfinished jobs that a job depends on.
+    /// Compares the revisions of all unfinished jobs that a job depends on.
     CompareDependencies { ticket: Ticket, status: u16, job: String, sent_at: Micros },
-    /// Read the record of a submitted job that may be known to the store.
+    /// Reads the record of a submitted job that the store may already have.
     ReadSubmitted { ticket: Ticket, job: String, sent_at: Micros, if_absent: PreparedAnswer },
-    /// Read the record of a job whose status is queried.
+    /// Reads the record of a job whose status is queried.
     ReadQueried { tickets: Vec<Ticket>, job: String, sent_at: Micros },
-    /// Compare the revisions of jobs whose status is queried.
+    /// Compares the revisions of jobs whose status is queried.
     CompareStages { jobs: QueriedJobs, sent_at: Micros },
-    /// Read the record of a job that its user cancels.
+    /// Reads the record of a job that its user cancels.
     ReadToCancel { ticket: Ticket, job: String, tries_left: u32 },
-    /// Write that a job is cancelled by its user.
+    /// Writes that a job is cancelled by its user.
     WriteCancellation { ticket: Ticket, job: CancelledJob, tries_left: u32 },
 }
 
-/// What a call about the jobs of own shards and what is known of others is for. The term is
-/// that of the shard when the call was made.
+/// Purpose of a call about the jobs of led shards, and about the cached state of other jobs. The
+/// term is that of the shard when the call was made.
 #[derive(Debug, Clone)]
 pub(crate) enum JobsCall {
-    /// Reads a page of records that begins at a job.
+    /// Reads a page of records that begins at the job `first`.
     ReadRecordPage { first: String },
-    /// Reads a further key with dependencies.
+    /// Reads a further key that holds dependencies of a job.
     ReadDependencies(FurtherList),
-    /// Writes that an own job is cancelled with one that it depends on.
+    /// Writes that a local job is cancelled because a job that it depends on was cancelled.
     CancelDependent { job: String, shard: usize, tasks: u32 },
     /// Deletes a batch.
     DropBatch { key: String, term: u64 },
     /// Writes a batch with changes of its jobs.
     StoreBatch { key: String, term: u64, changes: Vec<BatchedChange> },
-    /// Reads a batch back.
+    /// Reads a batch back after a write without a clear outcome.
     ReadBatch { key: String, term: u64 },
     /// Writes changes of a job.
     Store { job: String, term: u64, write: JobWrite },
     /// Reads a job's record back.
     ReadBack { job: String, term: u64 },
-    /// Reads a page of a job's chunks back, after those that have been read.
+    /// Reads a page of a job's chunks back; `read` contains those of the earlier pages.
     ReadBackChunks { job: String, term: u64, read: BTreeMap<usize, ReadChunk> },
 }
 
-/// What a call about the machines of own shards is for.
+/// Purpose of a call about the machines of led shards.
 #[derive(Debug, Clone)]
 pub(crate) enum MachinesCall {
-    /// Reads the record of a job that runs on a machine and of which nothing is known.
+    /// Reads the record of a job that runs on a machine and is unknown to this process.
     ReadUnknownJob { job: String },
-    /// Direct commands, with the starts among them, under a term of the machine's shard.
+    /// Sends direct commands under a term of the machine's shard; `starts` are the starts among
+    /// them.
     Direct { machine: String, starts: Vec<AttemptId>, term: u64 },
-    /// Checks whether a worker can be reached at all.
+    /// Checks whether a worker can be reached.
     Inspect,
 }
 
-/// What a call about the grants of teams' limits is for.
+/// Purpose of a call about the grants of teams' limits.
 #[derive(Debug, Clone)]
 pub(crate) enum QuotaCall {
     /// Lists the grants of all teams.
     List,
     /// Reads a team's grants back after a compare-and-swap without a clear outcome.
     Read { team: String },
-    /// Stores a team's grants by compare-and-swap; `value` is what is stored if it succeeds.
+    /// Stores a team's grants by compare-and-swap; `value` is the stored value if it succeeds.
     CompareAndSwap { team: String, value: Value },
 }
 
-/// What a call about machine types and the fleet is for.
+/// Purpose of a call about machine types and machines of the cloud.
 #[derive(Debug, Clone)]
 pub(crate) enum AutoscalerCall {
     /// Lists the cloud's machine types.
     ListMachineTypes,
-    /// Stores them in the key-value store.
+    /// Stores the machine types in the key-value store.
     StoreMachineTypes,
-    /// Reads them from there.
+    /// Reads the machine types from the key-value store.
     ReadStoredMachineTypes,
     /// Requests machines, under a term of the autoscaler's shard.
     ScaleOut { term: u64 },
@@ -146,7 +146,7 @@
     ListMachines { requested_at: Micros, term: u64 },
 }
 
-/// What a call in flight is for, by the component that handles its reply.
+/// Purpose of a call in flight, by the component that handles its reply.
 #[derive(Debug, Clone)]
 pub(crate) enum PendingCall {
     Leadership(LeadershipCall),
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -1,5 +1,5 @@
-//! What has changed since the last [`flush`](crate::controller::Controller::flush) and is still
-//! to be stored, sent to peers or sent to machines.
+//! Changes since the last [`flush`](crate::controller::Controller::flush) that are still to be
+//! stored, sent to peers or sent to machines.
 
 use crate::controller::leadership::shard::shard_of_machine;
 use crate::peer::Preempt;
@@ -9,25 +9,26 @@
 /// Changes that wait for the next flush.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PendingChanges {
-    /// Jobs of own shards with something to be stored.
+    /// Jobs of led shards with changes to be stored.
     pub(crate) jobs: BTreeSet<String>,
-    /// Shards and machines on which a shard's desired tasks have changed.
+    /// Pairs of a shard and a machine on which the shard's desired tasks have changed.
     pub(crate) desired: BTreeSet<(usize, Rc<str>)>,
-    /// Own shards whose desired tasks are to be sent for all machines.
+    /// Led shards whose desired tasks are to be sent for all machines.
     pub(crate) complete_desired: BTreeSet<usize>,
-    /// Own shards must say which terms they know, if nothing else.
+    /// The led shards must send the terms that they have observed, even if nothing else has
+    /// changed.
     pub(crate) announce_terms: bool,
-    /// Own machines whose view or commands may have changed.
+    /// Machines of led shards whose view or commands may have changed.
     pub(crate) machines: BTreeSet<String>,
-    /// Jobs whose counts of tasks have changed.
+    /// Jobs whose task counts have changed.
     pub(crate) progress: BTreeSet<String>,
-    /// Jobs whose cancellation was confirmed here.
+    /// Jobs whose cancellation this process has confirmed.
     pub(crate) cancelled: Vec<String>,
     /// Machines that were found to be terminated.
     pub(crate) terminated: Vec<String>,
     /// Tasks of other shards whose preemption is requested.
     pub(crate) preemptions: Vec<Preempt>,
-    /// Peers that are to be sent everything.
+    /// Peers that await a full sync.
     pub(crate) peers_to_sync: BTreeSet<usize>,
 }
 
@@ -40,8 +41,8 @@
             || self.announce_terms
     }
 
-    /// Forgets what has changed of a shard, one of `shards`, that this process does not lead
-    /// any more.
+    /// Drops the changes of a shard that this process no longer leads; `shards` is the number of
+    /// all shards.
     pub(crate) fn forget_shard(&mut self, shard: usize, shards: usize) {
         self.desired.retain(|(of, _)| *of != shard);
         self.complete_desired.remove(&shard);
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -1,7 +1,7 @@
-//! What every component is lent: the time, the settings, random numbers, and the outbox of
-//! effects with the calls in flight.
+//! Context that is passed to every component: the time, the settings, random numbers, and the
+//! outbox of effects with the calls in flight.
 //!
-//! It knows no component. Whatever is to be done outside goes through its outbox, in order.
+//! It depends on no component. All effects go through its outbox, in order.
 
 use crate::cloud::CloudCall;
 use crate::config::{Config, Options, Settings};
@@ -19,36 +19,36 @@
 pub(crate) struct Context {
     /// This member's name.
     pub(crate) member: String,
-    /// Its number among the members.
+    /// Number of this member among all members.
     pub(crate) me: usize,
     /// Names of all members, sorted; a member's number is its index.
     pub(crate) members: Vec<String>,
-    /// Tells this process from earlier ones of the same member; never 0.
+    /// Distinguishes this process from earlier ones of the same member; never 0.
     pub(crate) incarnation: u64,
-    /// What all members are given.
+    /// Settings that all members share.
     pub(crate) settings: Settings,
-    /// How this process works.
+    /// Options of this process.
     pub(crate) options: Options,
     /// Seeded, so that a run can be repeated exactly.
     pub(crate) rng: StdRng,
     /// Time of day at the zero of the steady clock.
     wall_at_zero: Micros,
-    /// The steady clock at the event that is being handled.
+    /// Time of the event that is being handled, by the steady clock.
     pub(crate) now: Micros,
-    /// What is to be done, in order.
+    /// The outbox: effects that have not been taken yet, in order.
     effects: Vec<Effect>,
     next_call: u64,
-    /// Calls that have not been answered, with what each is for.
+    /// Calls that have not been answered, each with its purpose.
     calls_in_flight: BTreeMap<CallId, PendingCall>,
-    /// This node's share of the key-value store's rate of changes.
+    /// This node's share of the key-value store's write rate.
     pub(crate) write_budget: Bucket,
-    /// Its share of the rate of requests.
+    /// This node's share of the key-value store's request rate.
     pub(crate) request_budget: Bucket,
 }
 
 impl Context {
-    /// The context of a process that has just started. `seed` makes its random numbers
-    /// and its incarnation, `wall` is the time of day at the zero of the steady clock.
+    /// Creates the context of a process that has just started. `seed` determines its random numbers
+    /// and its incarnation; `wall` is the time of day at the zero of the steady clock.
     pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
         let members = config.members();
         let me = members.iter().position(|member| *member == config.member).unwrap_or(0);
@@ -59,7 +59,7 @@
             member: config.member.clone(),
             me,
             members,
-            // Zero stands for no process.
+            // Zero means that there is no process.
             incarnation: seed.max(1),
             settings: config.settings.clone(),
             options,
@@ -74,12 +74,12 @@
         }
     }
 
-    /// The time of day.
+    /// Current time of day.
     pub(crate) fn wall(&self) -> Micros {
         self.wall_at_zero + self.now
     }
 
-    /// Number of a member.
+    /// Number of a member; `None` if no member has this name.
     pub(crate) fn member_number(&self, name: &str) -> Option<usize> {
         self.members.binary_search_by(|member| member.as_str().cmp(name)).ok()
     }
@@ -94,7 +94,7 @@
         effects.append(&mut self.effects);
     }
 
-    /// Answers a request; `retry_after` is in seconds.
+    /// Answers a request with a JSON body; `retry_after` is in seconds.
     pub(crate) fn respond(
         &mut self,
         ticket: Ticket,
@@ -106,7 +106,7 @@
         self.emit(Effect::Respond { ticket, status, retry_after, body });
     }
 
-    /// Registers what a call is for. Its reply comes under this id, once.
+    /// Registers the purpose of a call. Its reply arrives under the returned id, once.
     pub(crate) fn register_call(&mut self, purpose: impl Into<PendingCall>) -> CallId {
         let id = CallId(self.next_call);
         self.next_call += 1;
@@ -114,18 +114,18 @@
         id
     }
 
-    /// What the call was for that is answered now; `None` if it is unknown.
+    /// Removes an answered call and returns its purpose; `None` if the call is unknown.
     pub(crate) fn take_call(&mut self, id: CallId) -> Option<PendingCall> {
         self.calls_in_flight.remove(&id)
     }
 
-    /// What the calls are for that have not been answered.
+    /// Purposes of the calls that have not been answered.
     pub(crate) fn calls_in_flight(&self) -> impl Iterator<Item = &PendingCall> {
         self.calls_in_flight.values()
     }
 
-    /// Calls the key-value store, at the expense of this node's share of its rates. What is
-    /// urgent is not counted as a request.
+    /// Calls the key-value store and charges the call to this node's share of the store's rates. An
+    /// urgent call does not count as a request.
     pub(crate) fn call_store(&mut self, purpose: impl Into<PendingCall>, call: KvRequest) {
         self.write_budget.level(self.now);
         self.write_budget.take(call.writes() as f64);
@@ -143,7 +143,7 @@
         self.emit(Effect::Cloud { id, call });
     }
 
-    /// Whether more than half of this node's share of requests to the store is left.
+    /// Whether more than half of this node's budget of requests to the store is left.
     pub(crate) fn has_spare_requests(&mut self) -> bool {
         self.request_budget.level(self.now) > self.request_budget.burst() / 2.0
     }
--- a/src/controller/decision_log.rs
+++ b/src/controller/decision_log.rs
@@ -1,8 +1,8 @@
-//! Log lines and counters of the decisions on which the safety rules rest.
+//! Log lines and counters of the decisions that the safety rules depend on.
 //!
-//! All lines have one target and `key=value` fields with the same names everywhere, so
-//! that a log can be searched by `job`, `machine`, `shard`, `term` or `revision`. Takes plain
-//! values only: whoever decides hands over the evidence.
+//! All lines have one target and use the same names of `key=value` fields, so that a log can be
+//! searched by `job`, `machine`, `shard`, `term` or `revision`. The functions take plain values
+//! only: the caller passes the evidence for its decision.
 
 use crate::controller::jobs::job::StoredStage;
 use crate::controller::machines::attempt::AttemptId;
@@ -14,39 +14,39 @@
 /// Target of the log lines about decisions.
 pub const TARGET: &str = "millethold::decision";
 
-/// How many decisions of each kind have been made, for the status page.
+/// Number of decisions of each kind, for the status page.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct DecisionCounts {
-    /// Starts sent straight to workers.
+    /// Starts in direct commands to workers.
     pub(crate) direct_starts: u64,
     /// Starts in responses to heartbeats.
     pub(crate) answered_starts: u64,
-    /// Stops, either way.
+    /// Stops, in direct commands or in responses to heartbeats.
     pub(crate) stops: u64,
     /// Commands to forget a task that has ended.
     pub(crate) forgets: u64,
     /// Starts in direct commands whose outcome is unknown.
     pub(crate) unanswered_starts: u64,
-    /// Workers shown a higher fencing token, so that starts in flight are not executed.
+    /// Raises of a worker's fencing token, so that starts in flight are not executed.
     #[serde(rename = "raised_tokens")]
     pub(crate) raised_fencing_tokens: u64,
-    /// Tasks that were on these workers: ending their incarnations instead would have
-    /// lost them.
+    /// Tasks on these workers at the time of the raise: ending the workers' incarnations instead
+    /// would have lost them.
     pub(crate) tasks_beside_raises: u64,
     /// Requests to the cloud to scale out.
     #[serde(rename = "rent_requests")]
     pub(crate) scale_out_requests: u64,
-    /// Machines that the cloud was to remove.
+    /// Machines that the cloud was requested to remove.
     #[serde(rename = "returned_machines")]
     pub(crate) machines_scaled_in: u64,
-    /// Answers that say that their job is cancelled or done.
+    /// Answers that report their job as cancelled or done.
     pub(crate) final_answers: u64,
-    /// Decisions that were not carried out since they would have broken a rule. Any
-    /// other value than 0 is a fault of this program.
+    /// Decisions that were not carried out since they would have broken a rule. Any value other
+    /// than 0 is a fault of this program.
     pub(crate) violations: u64,
 }
 
-/// What every line about commands to a machine says of the right to command it.
+/// The fields of every log line about commands to a machine, which show the right to command it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CommandEvidence<'a> {
     /// Name of the machine.
@@ -61,7 +61,7 @@
     pub(crate) fencing_token: FencingToken,
 }
 
-/// A lease on a shard, at the beginning or the end of this process's leadership.
+/// A lease of a shard at the beginning or end of this process's leadership.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeadershipEvidence {
     /// The shard.
@@ -70,11 +70,11 @@
     pub(crate) term: u64,
     /// Revision of the shard's lease in the key-value store.
     pub(crate) revision: u64,
-    /// When it begins or ends, by this process's clock.
+    /// When the leadership begins or ends, by this process's clock.
     pub(crate) at: Micros,
 }
 
-/// This process has acquired the lease of a shard; its own lease is valid until
+/// Logs that this process has acquired the lease of a shard; its controller lease is valid until
 /// `lease_until`.
 pub(crate) fn leadership_acquired(evidence: LeadershipEvidence, lease_until: Micros) {
     log::info!(
@@ -85,7 +85,7 @@
     );
 }
 
-/// This process does not act for a shard any more.
+/// Logs that this process no longer acts for a shard.
 pub(crate) fn leadership_lost(evidence: LeadershipEvidence, reason: &str) {
     log::info!(
         target: TARGET,
@@ -95,7 +95,7 @@
     );
 }
 
-/// A job was found to be over; revision 0 if a peer said so.
+/// Logs that a job was found to be terminal; `revision` is 0 if a peer reported it.
 pub(crate) fn job_over(job: &str, stage: StoredStage, revision: u64) {
     log::debug!(
         target: TARGET,
@@ -104,8 +104,8 @@
     );
 }
 
-/// A user is answered that a job is done or cancelled. `followed_revision` is the revision up to
-/// which changes of jobs have been followed here.
+/// Logs that a user receives the answer that a job is done or cancelled. `followed_revision` is the
+/// revision up to which this process has received the changes of jobs.
 pub(crate) fn final_answer(job: &str, stage: StoredStage, revision: u64, followed_revision: u64) {
     log::debug!(
         target: TARGET,
@@ -115,7 +115,8 @@
     );
 }
 
-/// Machines are requested of the cloud.
+/// Logs a request to the cloud for machines; `lease_left` is the remaining validity of the
+/// controller lease.
 pub(crate) fn scale_out(request: &str, shard: usize, term: u64, lease_left: Micros) {
     log::debug!(
         target: TARGET,
@@ -124,7 +125,7 @@
     );
 }
 
-/// The cloud is to remove a machine, on which so many tasks are known.
+/// Logs a request to the cloud to remove a machine with `tasks` observed tasks.
 pub(crate) fn scale_in(machine: &str, shard: usize, term: Option<u64>, tasks: usize) {
     log::debug!(
         target: TARGET,
@@ -133,7 +134,7 @@
     );
 }
 
-/// A task is commanded to stop.
+/// Logs a command to stop a task.
 pub(crate) fn stop(evidence: CommandEvidence<'_>, attempt: &AttemptId, reason: impl Debug) {
     log::debug!(
         target: TARGET,
@@ -145,7 +146,7 @@
     );
 }
 
-/// A worker is commanded to forget a task that has ended.
+/// Logs a command to a worker to forget a task that has ended.
 pub(crate) fn forget(evidence: CommandEvidence<'_>, attempt: &AttemptId) {
     log::debug!(
         target: TARGET,
@@ -156,8 +157,8 @@
     );
 }
 
-/// A worker is shown a higher fencing token from now on, so that a start which may still
-/// arrive is not executed; so many tasks are on the machine.
+/// Logs that a worker is sent a higher fencing token from now on, so that a start which may still
+/// arrive is not executed. `tasks_beside` is the number of tasks on the machine.
 pub(crate) fn raise_fencing_token(
     evidence: CommandEvidence<'_>,
     revoked: &AttemptId,
@@ -176,7 +177,8 @@
     );
 }
 
-/// A decision would have broken a rule of this program. `authority` is all that it rested on.
+/// Logs that a decision would have broken a rule of this program. `authority` is everything that
+/// the decision was based on.
 pub(crate) fn violation(
     evidence: CommandEvidence<'_>,
     authority: impl Debug,
--- a/src/controller/event.rs
+++ b/src/controller/event.rs
@@ -1,7 +1,7 @@
-//! What goes into the controller and what comes out of it.
+//! Inputs and outputs of the controller.
 //!
-//! The controller does no input or output of its own: the runtime turns what
-//! happened into [`Event`]s and carries out the [`Effect`]s that it returns.
+//! The controller does no I/O: the runtime turns occurrences into [`Event`]s and carries out the
+//! [`Effect`]s that the controller returns.
 
 use crate::cloud::{CloudCall, CloudReply};
 use crate::kv_store::{KvRequest, KvResponse};
@@ -9,67 +9,67 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// A request that awaits its answer.
+/// Identifies a request that awaits its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// A call to an outside system.
+/// Identifies a call to an external system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// The end of direct commands to a worker.
+/// Result of direct commands to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectReply {
     /// The worker answered.
     Answered {
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Body.
+        /// Body of the HTTP message.
         body: Vec<u8>,
     },
-    /// Surely not executed: they were never sent.
+    /// The commands were definitely not executed: they were never sent.
     NotSent,
-    /// May have been executed, or may still be.
+    /// The commands may have been executed, or may still be.
     Unknown,
 }
 
-/// The end of a call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The key-value store's.
+    /// Reply of the key-value store.
     KvStore(KvResponse),
-    /// The cloud's.
+    /// Reply of the cloud.
     Cloud(CloudReply),
-    /// A worker's.
+    /// Result of direct commands to a worker, or of a probe.
     Direct(DirectReply),
 }
 
-/// Something that happened.
+/// An input of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request of a user, a worker or the load balancer came.
+    /// A request of a user, a worker or the load balancer arrived.
     Http {
-        /// Names the request in its answer.
+        /// Identifies the request in its answer.
         ticket: Ticket,
         /// HTTP method.
         method: String,
         /// Path of the URL, with its query.
         path: String,
-        /// Body.
+        /// Body of the HTTP message.
         body: Vec<u8>,
     },
     /// A call ended.
     Reply {
-        /// The call.
+        /// Identifies the call.
         id: CallId,
-        /// How it ended.
+        /// Result of the call.
         reply: Reply,
     },
-    /// A peer sent a frame.
+    /// A frame arrived from a peer.
     Peer {
-        /// Number of the member.
+        /// Number of the peer.
         from: usize,
-        /// The frame.
+        /// Content of the frame.
         frame: Box<Frame>,
     },
     /// A new connection to a peer is open: the peer has received nothing on it yet.
@@ -80,55 +80,55 @@
     Tick,
 }
 
-/// Something to be done.
+/// An action that the runtime carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Answer a request.
     Respond {
-        /// The request.
+        /// Identifies the request.
         ticket: Ticket,
         /// HTTP status.
         status: u16,
-        /// Seconds after which the request may be repeated.
+        /// Seconds after which the request may be repeated; `None` if the answer does not say so.
         retry_after: Option<u64>,
-        /// JSON.
+        /// JSON body.
         body: Vec<u8>,
     },
     /// Call the key-value store.
     KvStore {
-        /// Names the call in its reply.
+        /// Identifies the call in its reply.
         id: CallId,
-        /// The call.
+        /// Request to the key-value store.
         call: KvRequest,
     },
     /// Call the cloud.
     Cloud {
-        /// Names the call in its reply.
+        /// Identifies the call in its reply.
         id: CallId,
-        /// The call.
+        /// Request to the cloud.
         call: CloudCall,
     },
     /// Send direct commands to a worker.
     Direct {
-        /// Names the call in its reply.
+        /// Identifies the call in its reply.
         id: CallId,
-        /// The worker.
+        /// Address of the worker.
         address: SocketAddrV4,
-        /// JSON.
+        /// JSON body.
         body: Vec<u8>,
     },
-    /// Request a worker's heartbeat, with no commands and no fencing token.
+    /// Request a worker's heartbeat, without commands and without a fencing token.
     Inspect {
-        /// Names the call in its reply, which is a worker's.
+        /// Identifies the call in its reply, which is a [`DirectReply`].
         id: CallId,
-        /// The worker.
+        /// Address of the worker.
         address: SocketAddrV4,
     },
     /// Send a frame to a peer.
     Peer {
-        /// Number of the member.
+        /// Number of the peer.
         to: usize,
-        /// The frame; one for several peers is encoded only once.
+        /// Content of the frame; a frame to several peers is encoded only once.
         frame: Rc<Frame>,
     },
 }
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -21,7 +21,7 @@
 /// How long other members leave a vacant shard to its home member while that member is healthy.
 const HEALTHY_HOME_DELAY: Micros = Micros::millis(2_000);
 /// How long other members leave a vacant shard to a home member that is not healthy.
-const ABSENT_HOME_DELAY: Micros = Micros::millis(200);
+const UNHEALTHY_HOME_DELAY: Micros = Micros::millis(200);
 /// Additional delay per rank of a member, so that members do not all acquire at the same moment.
 const DELAY_PER_RANK: Micros = Micros::millis(250);
 /// Additional delay of a member that cannot reach its workers.
@@ -71,7 +71,7 @@
             let base = if peers.is_healthy(shard, context.now) {
                 HEALTHY_HOME_DELAY
             } else {
-                ABSENT_HOME_DELAY
+                UNHEALTHY_HOME_DELAY
             };
             base + Micros(DELAY_PER_RANK.0 * rank as u64)
         };
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -4,10 +4,11 @@
 //! thus its shards, while the leases of its machines would expire and all tasks on them would be
 //! lost. Silence observed by a node that no worker reaches is no evidence against machines: if at
 //! the same time machines of its shards turn to a peer and reach it, the node hands its shards over
-//! to members that can be reached. It then acquires vacant shards later than the other members, and
-//! hands them over while any peer is healthy, until a worker answers a probe. From the second
-//! partition on it also waits for a pause that grows with each one, since a partition may be
-//! one-way.
+//! to members that can be reached.
+//!
+//! Until a worker answers a probe, the node acquires vacant shards later than the other members,
+//! and hands them over again while any peer is healthy. From the second partition on, this
+//! continues for a further pause that grows each time, since a partition may be one-way.
 
 use crate::controller::calls::MachinesCall;
 use crate::controller::context::Context;
@@ -29,7 +30,8 @@
 /// sends a heartbeat sooner than that.
 const FULL_PARTITION_MIN_DURATION: Micros = Micros::millis(1_200);
 /// How long the signs of a partition must last while some workers' heartbeats still arrive. Late
-/// heartbeats, which all arrive at once when a partition ends, count as signs for a shorter time.
+/// heartbeats, which all arrive at once when a partition ends, count as signs for a shorter time
+/// ([`MISDIRECTED_MAX_AGE`]).
 const PARTIAL_PARTITION_MIN_DURATION: Micros = Micros::secs(10);
 /// Time after an acquisition during which the shard's machines are still being redirected to this
 /// node: misdirected heartbeats are no sign of a partition yet.
@@ -49,7 +51,8 @@
 /// Observed state of the network between this node and the workers.
 #[derive(Debug, Default)]
 pub(crate) struct Connectivity {
-    /// When a worker of a led shard last sent a heartbeat or answered.
+    /// When this process last accepted a heartbeat of a led shard's worker. Also set after a pause
+    /// of the process and at the end of a partition.
     last_contact_at: Micros,
     /// Machines of other members' shards whose heartbeats arrived here, with the time of the last
     /// one.
@@ -72,7 +75,7 @@
         self.partitioned
     }
 
-    /// Records that a worker of a led shard sent a heartbeat or answered.
+    /// Records that this process accepted a heartbeat of a led shard's worker.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.last_contact_at = now;
     }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -189,7 +189,7 @@
         self.connectivity.partitioned()
     }
 
-    /// Records that a worker of a led shard sent a heartbeat or answered.
+    /// Records that this process accepted a heartbeat of a led shard's worker.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.connectivity.record_contact(now);
     }
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -22,7 +22,8 @@
 }
 
 impl Change {
-    /// Decodes an event of a watch; `None` if it concerns no shard, job or quota, or is malformed.
+    /// Decodes an event of a watch; `None` if it changes nothing that this process follows, or is
+    /// malformed.
     fn decode(watch: Watch, event: WatchEvent, shards: usize) -> Option<Change> {
         let WatchEvent { put, delete, value, revision } = event;
         let is_put = put.is_some();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,15 +1,17 @@
-//! The controller: (now, event) in, effects out. No I/O, no clock, ordered maps and a seeded
-//! generator, so that a run can be repeated exactly.
+//! The controller: takes the time and an event, and returns effects. It does no I/O and reads no
+//! clock; its maps are ordered and its random generator is seeded, so that a run can be repeated
+//! exactly.
 //!
-//! [`Controller`] is a router. It owns the components, hands each event and reply to the one
-//! that it concerns, fixes the order in which they work at a tick and at a flush, and carries
-//! what one concludes to the others. It keeps no state of its own and decides nothing about
-//! jobs or machines. A flow that changes several components is a method of [`Controller`] in
-//! the folder of the component that it serves; a component by itself changes only its own state.
+//! [`Controller`] is a router. It owns the components, passes each event and reply to the component
+//! that it concerns, fixes the order in which the components work at a tick and at a flush, and
+//! carries the conclusions of one component to the others. It keeps no state of its own and decides
+//! nothing about jobs or machines. An operation that changes several components is a method of
+//! [`Controller`] in the folder of the component that it serves; a component by itself changes only
+//! its own state.
 //!
-//! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards
-//! that it leads ([`jobs`], [`scheduler`], [`quota`]) and commands their machines
-//! ([`machines`]). What it desires on machines goes out as whole-state messages that its own
+//! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards that it
+//! leads ([`jobs`], [`scheduler`], [`quota`]) and commands the machines of these shards
+//! ([`machines`]). Its desired state of machines is sent as whole-state messages, which its own
 //! machine manager reads, too.
 
 pub mod api;
@@ -48,11 +50,11 @@
 use scheduler::Scheduler;
 use timers::Timers;
 
-/// How often desired state and views are sent in turn during one flush: desired state may change
-/// views, and views may end tasks. What is left then waits for the next flush.
+/// Maximum number of rounds in one flush that send desired state, then views: desired state may
+/// change views, and views may end tasks. Remaining changes wait for the next flush.
 const MAX_FLUSH_ROUNDS: usize = 3;
 
-/// All of a controller's state, a component a concern.
+/// The whole state of a controller: one component for each concern.
 pub struct Controller {
     context: Context,
     leadership: Leadership,
@@ -69,10 +71,10 @@
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// Creates a controller that has just started.
     ///
-    /// `wall` is the time of day at the zero of the steady clock: deadlines
-    /// must outlive the process that accepted them.
+    /// `wall` is the time of day at the zero of the steady clock: deadlines must outlive the
+    /// process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let settings = &config.settings;
         let controller_lease = cancellation::usable_lease(options.controller_lease, settings);
@@ -95,13 +97,13 @@
         }
     }
 
-    /// Number of a member.
+    /// Number of a member; `None` if no member has this name.
     pub fn member_number(&self, name: &str) -> Option<usize> {
         self.context.member_number(name)
     }
 
-    /// Hands an event to the components that it concerns; what is to be done about it is added
-    /// to `effects`.
+    /// Passes an event to the components that it concerns and appends the resulting effects to
+    /// `effects`.
     pub fn handle(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         self.context.now = now;
         match event {
@@ -123,7 +125,7 @@
         self.context.take_effects(effects);
     }
 
-    /// Passes a reply to the component whose call it answers.
+    /// Passes a reply to the component that made the call.
     fn route_reply(&mut self, call: PendingCall, reply: Reply) {
         match (call, reply) {
             (PendingCall::Leadership(call), Reply::KvStore(reply)) => {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Time has passed: whatever is due is done, in this order.
+    /// Runs all periodic work that is due, in this order.
     fn tick(&mut self) {
         let now = self.context.now;
         if self.leadership.check_lease_regained(now) {
@@ -163,8 +165,8 @@
         self.read_unknown_jobs();
         self.maintain_dependencies();
         self.send_probes();
-        if self.timers.upkeep.restart_if_due(now) {
-            self.upkeep();
+        if self.timers.maintenance.restart_if_due(now) {
+            self.run_maintenance();
         }
         if self.timers.quotas.restart_if_due(now) {
             self.maintain_quotas();
@@ -176,8 +178,8 @@
         self.maintain_autoscaler();
     }
 
-    /// What time alone changes about machines and jobs.
-    fn upkeep(&mut self) {
+    /// Makes the changes to machines and jobs that result from the passage of time alone.
+    fn run_maintenance(&mut self) {
         let now = self.context.now;
         self.expire_machine_incarnations();
         self.check_spot_notices();
@@ -192,8 +194,8 @@
         self.scheduler.request_pass();
     }
 
-    /// Works off what has changed since the last call, in this order: placements, writes,
-    /// desired state, views, one frame for each peer, and the answers that waited for peers.
+    /// Processes all changes since the last call, in this order: placements, writes, desired state,
+    /// views, one frame for each peer, and the answers that waited for peers.
     pub fn flush(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.context.now = now;
         self.api.status_queries.send_comparisons(&mut self.context);
@@ -212,7 +214,8 @@
         self.context.take_effects(effects);
     }
 
-    /// Brings machines and desired state in line; what peers must know of it is in the frame.
+    /// Reconciles machines with the desired state. Returns the frame with the changes that peers
+    /// need.
     fn reconcile_machines(&mut self) -> Frame {
         let mut frame = Frame::default();
         for _ in 0..MAX_FLUSH_ROUNDS {
@@ -225,7 +228,8 @@
         frame
     }
 
-    /// Refuses a request for now; it says after how many seconds to repeat it.
+    /// Refuses a request temporarily. The response contains the number of seconds after which to
+    /// retry.
     fn respond_retry_later(&mut self, ticket: Ticket, status: u16, reason: &str) {
         self.api.respond_retry_later(&mut self.context, &mut self.counts, ticket, status, reason);
     }
@@ -235,22 +239,25 @@
         self.leadership.holds_lease(self.context.now)
     }
 
-    /// The term under which this process leads a shard, if it does.
+    /// The term under which this process leads a shard; `None` if it does not lead it or does not
+    /// hold its controller lease.
     fn leading_term(&self, shard: usize) -> Option<u64> {
         self.leadership.leading_term(shard, self.context.now)
     }
 
-    /// Whether this process runs the shard's jobs.
+    /// Whether this process runs the shard's jobs: it leads the shard, has read its jobs and is not
+    /// handing it over.
     fn serves_shard(&self, shard: usize) -> bool {
         self.leadership.serves_shard(shard, self.context.now)
     }
 
-    /// The shard of a machine.
+    /// The shard to which a machine belongs.
     fn shard_of_machine(&self, machine: &str) -> usize {
         self.leadership.shard_of_machine(machine)
     }
 
-    /// The member that leads a shard, as far as known.
+    /// Number of the member that leads a shard, by the last observed lease; `None` if the shard is
+    /// vacant.
     fn shard_leader(&self, shard: usize) -> Option<usize> {
         self.context.member_number(self.leadership.leader_name(shard)?)
     }
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -79,8 +79,8 @@
         delay: Micros,
         now: Micros,
     ) -> bool {
-        let since = self.by_member.get(&member).filter(|peer| peer.is_alive(now));
-        since.and_then(|peer| peer.healthy_since).is_some_and(|since| now.since(since) > delay)
+        let live_peer = self.by_member.get(&member).filter(|peer| peer.is_alive(now));
+        live_peer.and_then(|peer| peer.healthy_since).is_some_and(|since| now.since(since) > delay)
     }
 
     /// Waiting tasks of live peers.
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -164,8 +164,8 @@
             }
             self.changes.announce_terms = true;
             let with_tasks = self.jobs.task_index.shards_and_machines();
-            let there = with_tasks.filter(|(_, m)| self.leadership.shard_of_machine(m) == shard);
-            self.changes.desired.extend(there.cloned());
+            let in_shard = with_tasks.filter(|(_, m)| self.leadership.shard_of_machine(m) == shard);
+            self.changes.desired.extend(in_shard.cloned());
         }
     }
 }
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -1,27 +1,28 @@
-//! When the controller's periodic work is due, and how often.
+//! Intervals and due times of the controller's periodic work.
 
 use crate::time::Micros;
 
-/// Between frames to peers while nothing changes.
+/// Interval between frames to peers while nothing changes.
 const PEER_HEARTBEAT_INTERVAL: Micros = Micros::millis(800);
-/// Between frames that carry this process's waiting tasks.
+/// Interval between frames that carry this process's waiting tasks.
 const DEMAND_INTERVAL: Micros = Micros::millis(400);
-/// Between frames that carry jobs' progress.
+/// Interval between frames that carry jobs' progress.
 const PROGRESS_INTERVAL: Micros = Micros::millis(400);
-/// Between frames that name peers of whom a frame was missed.
+/// Interval between frames that name peers from which a frame was missed.
 const MISSED_FRAMES_INTERVAL: Micros = Micros::secs(1);
-/// Between rounds of upkeep over machines and jobs.
-const UPKEEP_INTERVAL: Micros = Micros::millis(250);
-/// Between recomputations of what teams may claim within their guarantees.
+/// Interval between rounds of maintenance of machines and jobs.
+const MAINTENANCE_INTERVAL: Micros = Micros::millis(250);
+/// Interval between recomputations of what teams may claim within their guarantees.
 const GUARANTEES_INTERVAL: Micros = Micros::secs(1);
-/// Between reconciliations of the teams' grants.
+/// Interval between reconciliations of the teams' grants.
 const QUOTAS_INTERVAL: Micros = Micros::millis(300);
-/// How often the desired state is repeated for tasks that no machine has observed for as long.
+/// Interval between repetitions of the desired state of tasks that no machine has observed for at
+/// least this long.
 pub(crate) const UNOBSERVED_REPEAT_INTERVAL: Micros = Micros::secs(8);
-/// Between log lines about refused requests.
+/// Interval between log lines about refused requests.
 const REFUSALS_INTERVAL: Micros = Micros::secs(10);
 
-/// Work that is due every so often, at once after the start.
+/// Due time and interval of periodic work, which is first due immediately after the start.
 #[derive(Debug, Clone)]
 pub(crate) struct Timer {
     due_at: Micros,
@@ -38,12 +39,12 @@
         now >= self.due_at
     }
 
-    /// The work is done now: it is due again after the interval.
+    /// Makes the work due again one interval after `now`.
     pub(crate) fn restart(&mut self, now: Micros) {
         self.due_at = now + self.interval;
     }
 
-    /// Whether the work is due; if so, it is due again after the interval.
+    /// Returns whether the work is due; if so, makes it due again one interval after `now`.
     pub(crate) fn restart_if_due(&mut self, now: Micros) -> bool {
         let due = self.is_due(now);
         if due {
@@ -53,19 +54,19 @@
     }
 }
 
-/// When each kind of periodic work is due next.
+/// Timers of each kind of periodic work.
 #[derive(Debug, Clone)]
 pub(crate) struct Timers {
-    /// A frame to every peer, even if nothing has changed.
+    /// Frames to every peer, even if nothing has changed.
     pub(crate) peer_heartbeat: Timer,
     /// Waiting tasks and quota demand, sent to peers.
     pub(crate) demand: Timer,
     /// Jobs' progress, sent to peers.
     pub(crate) progress: Timer,
-    /// Names of peers of whom a frame was missed, sent to them.
+    /// Numbers of peers from which a frame was missed, sent so that they send a full frame.
     pub(crate) missed_frames: Timer,
-    /// Upkeep of machines, jobs and preemption requests.
-    pub(crate) upkeep: Timer,
+    /// Maintenance of machines, jobs and preemption requests.
+    pub(crate) maintenance: Timer,
     /// Claims within the teams' guarantees.
     pub(crate) guarantees: Timer,
     /// Reconciliation of the teams' grants.
@@ -83,7 +84,7 @@
             demand: Timer::new(DEMAND_INTERVAL),
             progress: Timer::new(PROGRESS_INTERVAL),
             missed_frames: Timer::new(MISSED_FRAMES_INTERVAL),
-            upkeep: Timer::new(UPKEEP_INTERVAL),
+            maintenance: Timer::new(MAINTENANCE_INTERVAL),
             guarantees: Timer::new(GUARANTEES_INTERVAL),
             quotas: Timer::new(QUOTAS_INTERVAL),
             refusals: Timer::new(REFUSALS_INTERVAL),
