--- a/src/controller/leadership/handover.rs
+++ b/src/controller/leadership/handover.rs
@@ -62,7 +62,7 @@
             return;
         }
         let release = Shard::release(shard, leadership.revision);
-        // Stops leading before the release can be applied, and does not resume whatever the reply
+        // Stop leading before the release can be applied, and do not resume whatever the reply
         // is: the release may be applied late.
         self.step_down(shard, "handed over");
         self.leadership.shards[shard].transaction_in_flight = true;
--- a/src/controller/leadership/shard_lease.rs
+++ b/src/controller/leadership/shard_lease.rs
@@ -20,14 +20,14 @@
     /// Incarnation of the leader, which differs between processes of the same member.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// The term under which it leads.
+    /// The term under which the member leads.
     pub term: u64,
     /// Controller lease that the record is attached to.
     #[serde(rename = "lease")]
     pub controller_lease: u64,
 }
 
-/// Value of `seat/S`.
+/// Value of `seat/S`: the term of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
     /// Highest term under which the shard was ever acquired.
