--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -1,11 +1,11 @@
-//! Accepting jobs: one transaction of `j/REF` and `w/S/REF/0` for each.
+//! Admission of jobs: a transaction for each that writes `j/REF` and `w/S/REF/0`.
 //!
-//! Where more come than this node's share of changes allows one by one, those
-//! that wait are accepted together: an `j/REF` each, and one key, a *batch*, with
-//! all their descriptions. What is written of them later: see [`crate::controller::jobs::batches`].
+//! When more submissions arrive than the write budget allows one by one, the waiting ones are
+//! admitted together: one transaction writes a `j/REF` for each and one key, a *batch*, with
+//! all their descriptions. [`crate::controller::jobs::batches`] covers their later writes.
 //!
-//! Owns the submissions that wait. Nothing here
-//! answers that a job is accepted before the store has applied its transaction.
+//! Owns the waiting submissions. No job is reported as accepted before the store has applied
+//! its transaction.
 
 pub(crate) mod outcome;
 pub(crate) mod transaction;
@@ -21,51 +21,52 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// How long after a submission others are expected.
-const EXPECT_MORE_FOR: Micros = Micros::millis(500);
-/// Changes that an admission of one job makes: its record and its tasks.
+/// How long after a submission further ones are expected, and writes reserved for them.
+const WRITES_RESERVED_FOR: Micros = Micros::millis(500);
+/// Writes of the admission of a single job: its record and its tasks.
 pub(crate) const ADMISSION_WRITES: usize = 2;
-/// A submission that has waited for longer is refused, to be sent again.
+/// A submission that waits for longer is refused, and its user must retry.
 const MAX_SUBMISSION_WAIT: Micros = Micros::millis(2_500);
-/// Part of a value that descriptions may take: some is left for what surrounds the list.
-const BATCH_FILL_SHARE: f64 = 0.95;
-/// Bytes that a job takes in a batch beside its description, at most.
+/// Share of the maximum value size that descriptions may take; the rest is for the JSON around
+/// the list.
+const BATCH_FILL_RATIO: f64 = 0.95;
+/// Maximum bytes of a job in a batch beside its description.
 const BATCHED_JOB_OVERHEAD_BYTES: f64 = 100.0;
 
-/// Submissions that wait.
+/// Submissions that wait for admission.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     /// Submissions that have not been sent to the store, in order of arrival.
     waiting: Vec<Submission>,
-    /// Submissions that were neither accepted nor refused yet, those that were sent
-    /// to the store among them.
+    /// Number of submissions that are neither accepted nor refused yet, including those
+    /// already sent to the store.
     undecided: usize,
-    /// Until when further submissions are expected, and writes leave them a share.
-    expect_more_until: Micros,
-    /// Batches that this process has written; numbers them.
+    /// Until when further submissions are expected, and writes reserved for them.
+    writes_reserved_until: Micros,
+    /// Number of batches begun by this process; numbers their keys.
     batch_count: u64,
 }
 
 impl Admission {
-    /// Whether submissions wait for their share of changes.
+    /// Whether submissions wait for the write budget.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Whether a submission of the job waits.
+    /// Whether a submission of the job waits to be sent to the store.
     pub(crate) fn has_waiting(&self, id: &str) -> bool {
         self.waiting.iter().any(|submission| submission.spec.id == id)
     }
 
-    /// Submissions that were neither accepted nor refused yet.
+    /// Number of submissions that are neither accepted nor refused yet.
     pub(crate) fn undecided(&self) -> usize {
         self.undecided
     }
 
-    /// Adds a submission that can be accepted; `spec_bytes` is the size of its encoded
+    /// Adds a submission that has passed all checks; `spec_bytes` is the size of its encoded
     /// description.
     fn enqueue(&mut self, context: &Context, ticket: Ticket, spec: Rc<JobSpec>, spec_bytes: usize) {
-        self.expect_more_until = context.now + EXPECT_MORE_FOR;
+        self.writes_reserved_until = context.now + WRITES_RESERVED_FOR;
         self.undecided += 1;
         self.waiting.push(Submission {
             ticket,
@@ -76,44 +77,48 @@
         });
     }
 
-    /// So many submissions were accepted or refused.
+    /// Records that `count` submissions were accepted or refused.
     fn note_decided(&mut self, count: usize) {
         self.undecided = self.undecided.saturating_sub(count);
     }
 
-    /// A submission that was refused with others, and for them, waits again.
+    /// Queues a submission again whose transaction failed only because of others in it.
     fn requeue(&mut self, submission: Submission) {
         self.undecided += 1;
         self.waiting.push(submission);
     }
 
-    /// Changes per second that other writes leave to admissions: while submissions come,
-    /// their users wait for them.
+    /// Writes per second that other writers leave to admissions while submissions arrive, since
+    /// their users wait.
     pub(crate) fn reserved_writes(&self, context: &Context) -> f64 {
-        if context.now < self.expect_more_until { context.write_budget.burst() / 2.0 } else { 0.0 }
+        if context.now < self.writes_reserved_until {
+            context.write_budget.burst() / 2.0
+        } else {
+            0.0
+        }
     }
 
-    /// Takes out the submissions that are to be sent next: one while there is plenty of
-    /// this node's share of changes, else as many as fit together; none while the share
-    /// is used up.
+    /// Removes and returns the submissions to send next: one while the write budget is ample,
+    /// otherwise as many as fit together; `None` while the budget is used up.
     fn next_group(&mut self, context: &mut Context) -> Option<Vec<Submission>> {
         let level = context.write_budget.level(context.now);
         let burst = context.write_budget.burst();
-        let is_plenty = level >= (self.waiting.len() * ADMISSION_WRITES) as f64 + burst / 2.0;
-        let count = if is_plenty { 1 } else { self.group_size(context) };
+        let has_ample_budget =
+            level >= (self.waiting.len() * ADMISSION_WRITES) as f64 + burst / 2.0;
+        let count = if has_ample_budget { 1 } else { self.group_size(context) };
         let writes = if count == 1 { ADMISSION_WRITES } else { count + 1 };
-        // No more than what writes of tasks leave: waiting for more, it would
-        // wait for ever behind them.
+        // Requires no more than the other writers leave: if it waited for more, their writes
+        // could keep it waiting forever.
         if level < (writes as f64).min(1.0 + self.reserved_writes(context)) {
             return None;
         }
         Some(self.waiting.drain(..count).collect())
     }
 
-    /// How many of those that wait fit in one transaction and one value.
+    /// Number of waiting submissions, from the first, that fit in one transaction and one value.
     fn group_size(&self, context: &Context) -> usize {
         let limits = &context.settings.kv_store;
-        let mut left_bytes = limits.value_kb * 1024.0 * BATCH_FILL_SHARE;
+        let mut left_bytes = limits.value_kb * 1024.0 * BATCH_FILL_RATIO;
         let share = (context.write_budget.burst() / 2.0) as usize;
         let max = limits.txn_ops.saturating_sub(1).min(share).clamp(1, self.waiting.len());
         let fits = |submission: &&Submission| {
@@ -123,13 +128,14 @@
         self.waiting[..max].iter().take_while(fits).count().max(1)
     }
 
-    /// Key of a further batch of a shard, led under a term.
+    /// Key of the next batch of a shard that is led under `term`.
     fn next_batch_key(&mut self, shard: usize, term: u64) -> String {
         self.batch_count += 1;
         job::batch_key(shard, term, self.batch_count)
     }
 
-    /// Takes out the submissions that have waited for too long.
+    /// Removes and returns the submissions that waited for longer than
+    /// [`MAX_SUBMISSION_WAIT`].
     fn take_expired(&mut self, now: Micros) -> Vec<Submission> {
         let is_late = |s: &mut Submission| now.since(s.arrived_at) > MAX_SUBMISSION_WAIT;
         let expired: Vec<Submission> = self.waiting.extract_if(.., is_late).collect();
@@ -137,7 +143,7 @@
         expired
     }
 
-    /// Takes out all submissions that wait.
+    /// Removes and returns all waiting submissions.
     fn take_waiting(&mut self) -> Vec<Submission> {
         let waiting = std::mem::take(&mut self.waiting);
         self.note_decided(waiting.len());
@@ -146,8 +152,8 @@
 }
 
 impl Api {
-    /// Refuses submissions that have waited for too long, or all of them where nothing
-    /// can be accepted: the answer says when to come back.
+    /// Refuses the submissions that have waited for too long, or all of them if the controller
+    /// lease is not held, so that nothing can be accepted. The answers have a `Retry-After`.
     pub(crate) fn expire_submissions(
         &mut self,
         context: &mut Context,
@@ -171,8 +177,8 @@
 }
 
 impl Controller {
-    /// Puts a submission that can be accepted among those that wait; `spec_bytes` is the
-    /// size of its encoded description.
+    /// Queues a submission that has passed all checks for admission; `spec_bytes` is the size of
+    /// its encoded description.
     pub(crate) fn queue_submission(
         &mut self,
         ticket: Ticket,
@@ -182,13 +188,13 @@
         self.api.admission.enqueue(&self.context, ticket, spec, spec_bytes);
     }
 
-    /// Whether submissions wait for their share of changes, so that time matters.
+    /// Whether submissions wait for the write budget, so that the passing of time matters.
     pub fn has_waiting_submissions(&self) -> bool {
         self.api.admission.is_waiting()
     }
 
-    /// Sends waiting submissions to the key-value store: one by one while there is
-    /// plenty of this node's share, together where there is not.
+    /// Sends waiting submissions to the key-value store: one by one while the write budget is
+    /// ample, otherwise in groups.
     pub(crate) fn admit_waiting(&mut self) {
         while self.api.admission.is_waiting() {
             let Some((shard, leadership)) = self.admitting_leadership() else {
@@ -202,7 +208,7 @@
         }
     }
 
-    /// The shard that accepts new jobs here, and under what it is led.
+    /// The shard that accepts jobs submitted to this member, with its leadership.
     fn admitting_leadership(&self) -> Option<(usize, ShardLeadership)> {
         let shard = self.admitting_shard()?;
         Some((shard, self.leadership.led_shard(shard).cloned()?))
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows from the reply to a transaction that accepts jobs.
+//! Handling of replies to the transactions that accept jobs.
 
 use crate::controller::api::pending::{AdmissionGroup, PreparedAnswer, Submission};
 use crate::controller::jobs::dependency_graph::DependencyOutcome;
@@ -9,27 +9,28 @@
 use log::info;
 use std::rc::Rc;
 
-/// How jobs were accepted.
+/// How a group of jobs was accepted.
 #[derive(Debug, Clone, Copy)]
 struct Acceptance {
     shard: usize,
     /// Revision of the transaction.
     revision: u64,
-    /// This process still leads the shard under the same term.
+    /// Whether this process still leads the shard under the same term.
     still_led: bool,
-    /// Their descriptions are in a batch.
+    /// Whether the jobs' descriptions are in a batch.
     batched: bool,
 }
 
 impl Controller {
-    /// Takes in the reply to an admission.
+    /// Handles the reply to an admission.
     pub(crate) fn admission_reply(&mut self, group: AdmissionGroup, reply: KvResponse) {
         self.api.admission.note_decided(group.submissions.len());
         match reply {
             KvResponse::Applied(revision) => self.group_accepted(group, revision),
             KvResponse::Conflict(failed_keys) => self.group_refused(group, &failed_keys),
-            // They may still be applied; the watch then shows the jobs, or has done
-            // so already, when it could not be distinguished from the acceptance in flight.
+            // The transaction may still be applied, and the watch then delivers the jobs. If it
+            // has delivered them already, they were not adopted, since this admission was in
+            // flight; so they are adopted now.
             _ => {
                 for submission in group.submissions {
                     let id = &submission.spec.id;
@@ -45,7 +46,7 @@
 
     fn group_accepted(&mut self, group: AdmissionGroup, revision: u64) {
         let AdmissionGroup { submissions, shard, term, batch_key } = group;
-        // The shard may have been lost meanwhile; whoever leads it reads the jobs.
+        // If this process has lost the shard since, its next leader recovers the jobs.
         let leadership = self.leadership.led_shard(shard);
         let still_led = leadership.is_some_and(|leadership| leadership.term == term);
         let batched = batch_key.is_some();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A condition failed: the shard's lease has changed, or a job is known.
+    /// Handles a failed condition: the shard lease has changed, or a job already has a record.
     fn group_refused(&mut self, group: AdmissionGroup, failed_keys: &[String]) {
         let lease_changed = failed_keys.contains(&shard_lease::lease_key(group.shard));
         if lease_changed {
@@ -68,7 +69,7 @@
         for submission in group.submissions {
             let is_known = failed_keys.contains(&job::job_key(&submission.spec.id));
             if !lease_changed && !is_known && group.batch_key.is_some() && self.holds_lease() {
-                // Another of them was known already; this one is not.
+                // Another job of the group made the transaction fail; this one may be sent again.
                 self.api.admission.requeue(submission);
                 continue;
             }
@@ -83,12 +84,12 @@
         let (id, tasks) = (&spec.id, spec.tasks);
         info!("job {id} accepted: {tasks} tasks of {}, team {}", spec.class, spec.team);
         let took = self.context.now.since(submission.arrived_at).as_millis();
-        log::debug!("job {id} was written {took} ms after its submission");
+        log::debug!("job {id} admitted {took} ms after its submission");
         self.counts.accepted += 1;
         self.jobs.dependency_graph.set_dependencies(id, &spec.dependencies);
         let accepted = CachedStage { stage: StoredStage::Accepted, shard, tasks, revision };
         self.cache_stage(id, accepted);
-        // Others may have changed more of it while the answer was on its way here.
+        // Another member may have changed the record while the reply was in flight.
         let cached = self.jobs.stage_cache.get(id);
         if acceptance.still_led && !self.jobs.by_id.contains_key(id) {
             let cancelled = cached.is_some_and(|c| c.stage == StoredStage::Cancelled);
@@ -98,14 +99,15 @@
         if cached.stage == StoredStage::Accepted
             && self.dependency_outcome_of(id) == DependencyOutcome::Pending
         {
-            // No user can have had a later stage as answer: it was accepted just now.
+            // Needs no comparison: the job was accepted just now, so no user can have received a
+            // later stage.
             let answer = self.job_answer(id, cached);
             return self.context.respond(submission.ticket, 201, None, &answer);
         }
         self.answer_with_stage(submission.ticket, 201, id, cached);
     }
 
-    /// A job of an own shard is to be run from now on.
+    /// Adds a job of a led shard, to be run by this process from now on.
     fn add_accepted_job(
         &mut self,
         submission: &Submission,
--- a/src/controller/api/admission/transaction.rs
+++ b/src/controller/api/admission/transaction.rs
@@ -12,8 +12,9 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// Sends submissions to the key-value store: each job's record, and their tasks in
-    /// one key. It fails if a job is known already, or if the shard's lease has changed.
+    /// Sends submissions to the key-value store: a record for each job, and their tasks in one
+    /// key. The transaction fails if a job already has a record, or if the shard lease has
+    /// changed.
     pub(crate) fn admit(
         &mut self,
         shard: usize,
@@ -24,7 +25,7 @@
         let mut txn = Txn { conditions: vec![lease], writes: Vec::new() };
         let mut values: Vec<Value> = Vec::with_capacity(submissions.len());
         for submission in &submissions {
-            let record = self.record_of(shard, &submission.spec);
+            let record = self.accepted_record(shard, &submission.spec);
             let key = job::job_key(&submission.spec.id);
             txn.conditions.push(Condition { key: key.clone(), revision: 0 });
             txn.writes.push(Write::Put { key, value: json!(record), lease: None });
--- a/src/controller/api/cancellation_requests.rs
+++ b/src/controller/api/cancellation_requests.rs
@@ -1,5 +1,5 @@
-//! Users' requests to cancel a job: read its record, and replace it if nothing has come
-//! in between.
+//! Users' requests to cancel a job: reads the job's record and replaces it by
+//! compare-and-swap.
 
 use crate::controller::api::pending::CancelledJob;
 use crate::controller::api::record_reads::RecordRead;
@@ -12,11 +12,11 @@
 use log::info;
 use serde_json::json;
 
-/// Times that a cancellation is tried anew when something came in between.
+/// Reads of a job's record per cancellation; if every write conflicts, the user must retry.
 const MAX_CANCELLATION_TRIES: u32 = 4;
 
 impl Controller {
-    /// A user cancels a job.
+    /// Handles a user's request to cancel a job.
     pub(crate) fn cancel(&mut self, ticket: Ticket, id: &str) {
         if let Some(cached) = self.jobs.stage_cache.get(id)
             && cached.stage != StoredStage::Accepted
@@ -34,7 +34,7 @@
         self.context.call_store(call, KvRequest::Get(job::job_key(id)));
     }
 
-    /// Takes in the record of a job that a user cancels.
+    /// Handles the reply to a read of a job that a user cancels.
     pub(crate) fn read_to_cancel_reply(
         &mut self,
         ticket: Ticket,
@@ -43,7 +43,7 @@
         reply: &KvResponse,
     ) {
         match self.take_record_reply(&job, reply) {
-            // It is cancelled already with one that it depends on.
+            // Already cancelled through one of its dependencies.
             RecordRead::Found { cached, .. }
                 if matches!(
                     self.dependency_outcome_of(&job),
@@ -60,7 +60,7 @@
             RecordRead::NoSuchJob => {
                 self.context.respond(ticket, 404, None, &Refusal::new("no such job"));
             }
-            RecordRead::NotAnswered => {
+            RecordRead::Unknown => {
                 self.respond_retry_later(ticket, 503, "state service away");
             }
         }
@@ -84,8 +84,8 @@
         self.context.call_store(call, KvRequest::Txn(txn));
     }
 
-    /// Takes in the outcome of a cancellation.
-    pub(crate) fn cancellation_written(
+    /// Handles the reply to the write of a cancellation.
+    pub(crate) fn write_cancellation_reply(
         &mut self,
         ticket: Ticket,
         job: CancelledJob,
@@ -102,7 +102,7 @@
                 self.job_cancelled(&id);
                 self.answer_with_stage(ticket, 200, &id, cached);
             }
-            // Changed in between, or perhaps applied: what is stored decides.
+            // The record has changed, or this write may have been applied: reads it again.
             KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => {
                 self.read_to_cancel(ticket, &id, tries_left);
             }
--- a/src/controller/api/counts.rs
+++ b/src/controller/api/counts.rs
@@ -1,38 +1,38 @@
-//! Counters of a controller since its start, for the status page.
+//! Counters for the status page, from the start of the process.
 
 use crate::controller::decision_log::DecisionCounts;
 use serde::Serialize;
 
-/// Counters since the start of this process. Their names are on the status page.
+/// Counters since the start of this process. The serialized names appear on the status page.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct Counts {
-    /// Jobs accepted here.
+    /// Jobs accepted by this process.
     pub(crate) accepted: u64,
-    /// Requests refused.
+    /// Requests refused as malformed, as infeasible, or to be retried later.
     pub(crate) refused: u64,
-    /// Jobs of own shards that are done.
+    /// Jobs of led shards that are done.
     pub(crate) done: u64,
-    /// Jobs of own shards that were cancelled.
+    /// Jobs of led shards that were cancelled.
     pub(crate) cancelled: u64,
     /// Jobs that became ready once all their dependencies were done.
     pub(crate) released: u64,
-    /// Jobs cancelled with one that they depend on.
+    /// Jobs cancelled because one of their dependencies was cancelled.
     #[serde(rename = "cancelled_with_upstream")]
     pub(crate) cancelled_with_dependency: u64,
     /// Tasks placed on a machine.
     pub(crate) placed: u64,
-    /// Tasks placed on a machine that has their image.
+    /// Tasks placed on a machine that already has their image.
     pub(crate) image_hits: u64,
-    /// Tasks that failed.
+    /// Tasks that failed on a machine.
     pub(crate) failed: u64,
-    /// Tasks that ended with their machine or its incarnation.
+    /// Tasks lost because their machine, or its incarnation, ended.
     pub(crate) lost: u64,
     /// Tasks that were preempted.
     pub(crate) preempted: u64,
-    /// Workers' heartbeats.
+    /// Heartbeats received from workers.
     #[serde(rename = "reports")]
     pub(crate) heartbeats: u64,
-    /// Heartbeats that could not be read.
+    /// Heartbeats that could not be parsed.
     #[serde(rename = "bad_reports")]
     pub(crate) bad_heartbeats: u64,
     /// Decisions, by kind.
--- a/src/controller/api/dependency_comparison.rs
+++ b/src/controller/api/dependency_comparison.rs
@@ -1,5 +1,5 @@
-//! Answers about jobs that wait for others: only after the store has confirmed that none of
-//! those is cancelled.
+//! Answers about jobs with pending dependencies, given only after the store has confirmed
+//! that none of the dependencies is cancelled.
 
 use crate::controller::calls::ApiCall;
 use crate::controller::jobs::dependency_graph::{DependencyOutcome, UnfinishedJob};
@@ -10,14 +10,14 @@
 use crate::time::Micros;
 use crate::wire::{Condition, Txn};
 
-/// Conditions that a transaction may have for each change that it might make.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// Conditions that the store accepts in a transaction for each write that it allows.
+const CONDITIONS_PER_WRITE: usize = 4;
 
 impl Controller {
-    /// Answers how a job stands that waits for others: only if, at this moment,
-    /// none of them is cancelled by the store either. Its own stage would say nothing
-    /// of that until its shard's leader has written it.
-    pub(crate) fn answer_blocked(
+    /// Answers with the stage of a job that has pending dependencies, once the store confirms
+    /// that none of them is cancelled. The job's own record does not show such a cancellation
+    /// until the leader of its shard has written it.
+    pub(crate) fn answer_blocked_job(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -27,10 +27,11 @@
         if !self.cancellations_up_to_date() {
             return self.respond_retry_later(ticket, 503, "cancellations are not heard");
         }
-        let most = (self.context.settings.kv_store.txn_ops * CONDITIONS_PER_CHANGE).max(2) - 1;
+        let max_conditions =
+            (self.context.settings.kv_store.txn_ops * CONDITIONS_PER_WRITE).max(2) - 1;
         let graph = &self.jobs.dependency_graph;
         let mut unfinished = graph.unfinished_before(id, &self.jobs.stage_cache);
-        unfinished.truncate(most);
+        unfinished.truncate(max_conditions);
         unfinished.push(UnfinishedJob { id: id.to_string(), revision: cached.revision });
         let conditions = unfinished
             .iter()
@@ -46,8 +47,8 @@
         self.context.call_store(call, KvRequest::Txn(txn));
     }
 
-    /// Takes in the reply to the comparison, and answers with the given HTTP status.
-    pub(crate) fn dependencies_compared(
+    /// Handles the reply to the comparison; `status` is the HTTP status of a positive answer.
+    pub(crate) fn compare_dependencies_reply(
         &mut self,
         ticket: Ticket,
         status: u16,
@@ -58,21 +59,21 @@
         let Some(cached) = self.jobs.stage_cache.get(id) else {
             return self.respond_retry_later(ticket, 503, "undecided");
         };
-        // What was learnt meanwhile is newer than the comparison.
+        // A terminal state cached since the comparison was sent is newer than its result.
         if cached.is_final()
             || matches!(self.dependency_outcome_of(id), DependencyOutcome::Cancelled { .. })
         {
             return self.answer_with_stage(ticket, status, id, cached);
         }
         match reply {
-            KvResponse::Applied(_) if self.fresh(sent_at) => {
+            KvResponse::Applied(_) if self.is_fresh(sent_at) => {
                 let answer = self.job_answer(id, cached);
                 self.context.respond(ticket, status, None, &answer);
             }
             KvResponse::Applied(_) => {
                 self.respond_retry_later(ticket, 503, "the state service is slow")
             }
-            // Another has changed one of them, which is on its way here.
+            // One of the records has changed; the watch will deliver the change.
             KvResponse::Conflict(_) => self.respond_retry_later(ticket, 503, "undecided"),
             _ => self.respond_retry_later(ticket, 503, "state service away"),
         }
--- a/src/controller/api/dependency_lookup.rs
+++ b/src/controller/api/dependency_lookup.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs that depend on others: each of those must have been accepted.
+//! Lookup of a submitted job's dependencies, all of which must have been accepted.
 
 use crate::controller::api::pending::PreparedAnswer;
 use crate::controller::api::record_reads::RecordRead;
@@ -10,28 +10,28 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The answer to a submission that names a job that does not exist.
-const NEVER_ACCEPTED: Refusal<'static> =
+/// The answer to a submission with a dependency that was never accepted.
+const DEPENDENCY_NEVER_ACCEPTED: Refusal<'static> =
     Refusal { error: "a job that was never accepted", field: Some("upstream") };
-/// The answer while many dependencies are read; the submission is to be sent again.
-const BEING_READ: &str = "the jobs that it needs are being read";
+/// The refusal while dependencies are being read; the user must submit the job again.
+const DEPENDENCIES_BEING_READ: &str = "the jobs that it needs are being read";
 
 /// A submission whose dependencies are being read from the store.
 #[derive(Debug)]
 struct DependencyLookup {
     ticket: Ticket,
     spec: Rc<JobSpec>,
-    /// Size of the encoded description.
+    /// Bytes of the encoded description.
     spec_bytes: usize,
-    /// Reads that have not been answered.
+    /// Reads without a reply so far.
     reads_in_flight: usize,
-    /// Some dependency does not exist.
+    /// At least one dependency has no record.
     missing: bool,
-    /// Some read failed.
+    /// At least one read failed.
     failed: bool,
 }
 
-/// Submissions whose dependencies are being read.
+/// Lookups in progress, by number. Numbers are never reused.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyLookups {
     by_number: BTreeMap<u64, DependencyLookup>,
@@ -46,7 +46,7 @@
         self.last_number
     }
 
-    /// The lookup, if that was the last read that it waited for.
+    /// Removes and returns the lookup if no read of it is in flight.
     fn take_finished(&mut self, number: u64) -> Option<DependencyLookup> {
         self.by_number.get(&number).filter(|lookup| lookup.reads_in_flight == 0)?;
         self.by_number.remove(&number)
@@ -54,8 +54,8 @@
 }
 
 impl Controller {
-    /// Looks up the dependencies of a submitted job, and goes on with the submission once
-    /// all of them are known to be accepted.
+    /// Looks up the dependencies of a submitted job, and continues the submission once all of
+    /// them are cached as accepted.
     pub(crate) fn look_up_dependencies(
         &mut self,
         ticket: Ticket,
@@ -66,7 +66,7 @@
             return self.read_job_or_answer(
                 ticket,
                 &spec.id,
-                PreparedAnswer::refusal(422, &NEVER_ACCEPTED),
+                PreparedAnswer::refusal(422, &DEPENDENCY_NEVER_ACCEPTED),
             );
         }
         let known = |id: &&String| self.jobs.stage_cache.contains(id);
@@ -83,9 +83,10 @@
                 .collect();
             if absent.is_empty() {
                 self.read_records(unknown);
-                return self.respond_retry_later(ticket, 503, BEING_READ);
+                return self.respond_retry_later(ticket, 503, DEPENDENCIES_BEING_READ);
             }
-            // Perhaps accepted by now: one that still is not there decides.
+            // Some may have been accepted since, so they are read again. One that is still
+            // missing is enough to refuse the submission.
             unknown = absent;
             unknown.truncate(MAX_SINGLE_READS);
         }
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Takes in the reply with the record of a submission's dependency.
-    pub(crate) fn dependency_looked_up(&mut self, number: u64, id: &str, reply: &KvResponse) {
+    /// Handles the reply to the read of a dependency, for the lookup of this number.
+    pub(crate) fn look_up_dependency_reply(&mut self, number: u64, id: &str, reply: &KvResponse) {
         let read = self.take_record_reply(id, reply);
         let known = self.jobs.stage_cache.contains(id);
         let lookups = &mut self.api.dependency_lookups;
@@ -116,7 +117,7 @@
         match read {
             RecordRead::Found { .. } => {}
             RecordRead::NoSuchJob => lookup.missing |= !known,
-            RecordRead::NotAnswered => lookup.failed = true,
+            RecordRead::Unknown => lookup.failed = true,
         }
         let Some(lookup) = lookups.take_finished(number) else {
             return;
@@ -129,11 +130,11 @@
             return self.read_job_or_answer(
                 ticket,
                 &spec.id,
-                PreparedAnswer::refusal(422, &NEVER_ACCEPTED),
+                PreparedAnswer::refusal(422, &DEPENDENCY_NEVER_ACCEPTED),
             );
         }
         if !spec.dependencies.iter().all(|id| self.jobs.stage_cache.contains(id)) {
-            return self.respond_retry_later(ticket, 503, BEING_READ);
+            return self.respond_retry_later(ticket, 503, DEPENDENCIES_BEING_READ);
         }
         self.store_dependencies(ticket, spec, spec_bytes, 0);
     }
--- a/src/controller/api/dependency_records.rs
+++ b/src/controller/api/dependency_records.rs
@@ -1,5 +1,5 @@
-//! How an accepted job's dependencies are stored: in its record, and where they do not fit
-//! in further keys that are written before it.
+//! Storage of an accepted job's dependencies: in its record, and in further keys, written
+//! before the record, if they do not fit.
 
 use crate::controller::api::pending::PreparedAnswer;
 use crate::controller::calls::ApiCall;
@@ -11,17 +11,18 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// Bytes of a transaction that values may take.
+/// Bytes that the values of one transaction may take.
 const MAX_TXN_BYTES: usize = 48 * 1024;
-/// Part of a value that is filled: some is left for its JSON.
+/// Share of the maximum value size that is used; the rest is for JSON syntax.
 const VALUE_FILL_RATIO: f64 = 0.9;
-/// Bytes that a record takes beside its list of dependencies.
+/// Bytes of a record without its list of dependencies.
 const RECORD_BYTES: usize = 64;
-/// Bytes that a name takes in a list beside its characters.
+/// Bytes of a name in a list beside its characters.
 const NAME_OVERHEAD_BYTES: usize = 3;
 
-/// Divides names into lists that fit in so many bytes each; there is at least one list.
-fn divide(names: &[String], list_bytes: usize) -> Vec<Vec<String>> {
+/// Splits names into lists of at most `list_bytes` bytes each; a longer name has a list of its
+/// own. Returns at least one list.
+fn split_into_lists(names: &[String], list_bytes: usize) -> Vec<Vec<String>> {
     let mut lists: Vec<Vec<String>> = vec![Vec::new()];
     let mut left = list_bytes;
     for name in names {
@@ -39,15 +40,15 @@
 }
 
 impl Controller {
-    /// Dependencies divided into lists that a value has room for: the first one goes into
-    /// the job's record, the others into further keys, numbered from 1.
+    /// Splits dependencies into lists that each fit in a value. The first one belongs in the
+    /// job's record, the others in further keys, numbered from 1.
     fn dependency_lists(&self, dependencies: &[String]) -> Vec<Vec<String>> {
         let bytes = (self.context.settings.kv_store.value_kb * 1024.0 * VALUE_FILL_RATIO) as usize;
-        divide(dependencies, bytes.saturating_sub(RECORD_BYTES))
+        split_into_lists(dependencies, bytes.saturating_sub(RECORD_BYTES))
     }
 
-    /// The record of a job as it is accepted.
-    pub(crate) fn record_of(&self, shard: usize, spec: &JobSpec) -> JobRecord {
+    /// The record with which a job is accepted.
+    pub(crate) fn accepted_record(&self, shard: usize, spec: &JobSpec) -> JobRecord {
         let mut lists = self.dependency_lists(&spec.dependencies);
         let further_keys = lists.len() as u32 - 1;
         let dependencies = lists.swap_remove(0);
@@ -55,9 +56,11 @@
         JobRecord { shard, stage, tasks: spec.tasks, dependencies, further_keys }
     }
 
-    /// Writes the lists after number `from` that do not fit in a job's record, and then
-    /// accepts the job: a record that names further keys must never be read before they are
-    /// there. Written late, or of an earlier try, they fail on the record's revision.
+    /// Writes the lists of dependencies after number `from` that do not fit in the job's
+    /// record, one transaction at a time, and then queues the job for admission. A record that
+    /// names further keys must never be readable before they exist. A write that arrives after
+    /// the job was accepted, or that belongs to an earlier submission, fails because it
+    /// requires that the record does not exist.
     pub(crate) fn store_dependencies(
         &mut self,
         ticket: Ticket,
@@ -77,13 +80,13 @@
         };
         let limits = &self.context.settings.kv_store;
         let lists_per_txn = MAX_TXN_BYTES / (limits.value_kb * 1024.0) as usize;
-        let most = limits.txn_ops.min(lists_per_txn).max(1);
+        let max_lists = limits.txn_ops.min(lists_per_txn).max(1);
         let write = |number: usize| Write::Put {
             key: job::dependency_key(&spec.id, number as u32),
             value: json!({ "u": lists[number] }),
             lease: None,
         };
-        let end = (from + 1 + most).min(lists.len());
+        let end = (from + 1 + max_lists).min(lists.len());
         let conditions = vec![
             shard_lease::lease_condition(shard, revision),
             Condition { key: job::job_key(&spec.id), revision: 0 },
@@ -93,8 +96,8 @@
         self.context.call_store(call, KvRequest::Txn(txn));
     }
 
-    /// Takes in the reply to a write of lists up to number `last_list`.
-    pub(crate) fn dependencies_stored(
+    /// Handles the reply to a write of the lists up to number `last_list`.
+    pub(crate) fn store_dependencies_reply(
         &mut self,
         ticket: Ticket,
         spec: Rc<JobSpec>,
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -7,14 +7,14 @@
 use crate::wire::{JobAnswer, JobStage};
 
 impl Controller {
-    /// A job's stage and the counts of its tasks.
+    /// A job's stage and the numbers of its done and running tasks.
     pub(crate) fn job_answer<'a>(&self, id: &'a str, cached: CachedStage) -> JobAnswer<'a> {
-        let last_known = || self.jobs.progress.get(id).copied().unwrap_or_default();
+        let cached_progress = || self.jobs.progress.get(id).copied().unwrap_or_default();
         let Progress { done, running } = match cached.stage {
             StoredStage::Done => Progress { done: cached.tasks, running: 0 },
-            StoredStage::Cancelled => Progress { running: 0, ..last_known() },
+            StoredStage::Cancelled => Progress { running: 0, ..cached_progress() },
             StoredStage::Accepted => {
-                self.jobs.by_id.get(id).map_or_else(last_known, |job| job.progress())
+                self.jobs.by_id.get(id).map_or_else(cached_progress, |job| job.progress())
             }
         };
         let stage = match JobStage::from(cached.stage) {
@@ -24,8 +24,8 @@
         JobAnswer { id, stage, done, running }
     }
 
-    /// Answers with a job's stage: at once, unless the stage is terminal and a peer
-    /// might still answer with an older one.
+    /// Answers with a job's stage. The answer waits while a peer might still answer with a stage
+    /// older than a terminal one, and while pending dependencies are compared with the store.
     pub(crate) fn answer_with_stage(
         &mut self,
         ticket: Ticket,
@@ -41,7 +41,7 @@
         }
         match self.dependency_outcome_of(id) {
             DependencyOutcome::Satisfied => self.answer_now(ticket, status, id, cached),
-            DependencyOutcome::Pending => self.answer_blocked(ticket, status, id, cached),
+            DependencyOutcome::Pending => self.answer_blocked_job(ticket, status, id, cached),
             DependencyOutcome::Unknown(list) => {
                 self.read_records(list);
                 self.respond_retry_later(ticket, 503, "the jobs that it needs are being read");
@@ -62,7 +62,7 @@
         self.context.respond(ticket, status, None, &answer);
     }
 
-    /// Counts and logs an answer with a terminal state.
+    /// Counts and logs an answer, if it reports a terminal state.
     fn note_final_answer(&mut self, job: &str, cached: CachedStage) {
         if cached.stage == StoredStage::Accepted {
             return;
@@ -72,7 +72,7 @@
         decision_log::final_answer(job, cached.stage, cached.revision, followed);
     }
 
-    /// Answers those who wait for terminal states that every peer knows of by now.
+    /// Gives the answers whose terminal states every peer has acknowledged by now.
     pub(crate) fn answer_acknowledged(&mut self) {
         let followed_by_peers = self.peers.followed_revision();
         let ready = self.api.terminal_states.take_answerable(self.context.now, followed_by_peers);
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -1,10 +1,10 @@
-//! Requests of users, workers and the load balancer, and the pages for people.
+//! HTTP requests of users, workers and the load balancer, and the status and queue pages.
 //!
-//! Owns the submissions and status queries that wait for the key-value store, the
-//! answers that wait until every peer knows of a terminal state, and the counts of
-//! refusals. It never changes a job, a machine or a shard by itself: what it concludes
-//! is carried to their components by the flows of [`Controller`](super::Controller).
-//! No answer says that a job is accepted, done or cancelled before the store has it so.
+//! Owns the submissions and status queries that wait for the key-value store, the answers
+//! that wait until every peer has acknowledged a terminal state, and the counts of refusals.
+//! It never changes a job, a machine or a shard directly: methods of
+//! [`Controller`](super::Controller) pass its results to the components that own them. No
+//! answer reports a job as accepted, done or cancelled before the store has recorded it.
 
 pub(crate) mod admission;
 pub(crate) mod cancellation_requests;
@@ -32,19 +32,19 @@
 use status_queries::StatusQueries;
 use terminal_states::TerminalStates;
 
-/// Requests that have not been answered yet.
+/// State of the requests that have not been answered, and of refusals and health checks.
 #[derive(Debug, Default)]
 pub(crate) struct Api {
-    /// Submissions that wait to be accepted.
+    /// Submissions that wait for admission.
     pub(crate) admission: Admission,
-    /// Submissions whose dependencies are being read.
+    /// Submissions whose dependencies are being read from the store.
     pub(crate) dependency_lookups: DependencyLookups,
-    /// Status queries that wait to be compared with the key-value store.
+    /// Status queries that wait for a comparison with the key-value store.
     pub(crate) status_queries: StatusQueries,
-    /// Terminal states that peers may not know of yet, and who awaits them.
+    /// Terminal states that some peer may not have acknowledged, and the answers that wait.
     pub(crate) terminal_states: TerminalStates,
-    /// Requests refused since the last log lines about them.
+    /// Refusals since the last log summary.
     pub(crate) refusals: Refusals,
-    /// What the last health check was answered with.
+    /// Answer to the last health check, since only changes are logged; `None` before the first.
     last_reported_health: Option<Health>,
 }
--- a/src/controller/api/pending.rs
+++ b/src/controller/api/pending.rs
@@ -1,4 +1,4 @@
-//! What is kept of a request while its answer awaits the key-value store or the peers.
+//! State of requests whose answers wait for the key-value store or the peers.
 
 use crate::controller::event::Ticket;
 use crate::time::Micros;
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A submission on its way to the key-value store.
+/// A submission that waits for admission or is being written to the key-value store.
 #[derive(Debug, Clone)]
 pub(crate) struct Submission {
     /// The request to answer.
     pub(crate) ticket: Ticket,
-    /// The job as its user describes it.
+    /// The job's description from its user.
     pub(crate) spec: Rc<JobSpec>,
-    /// Time of day at which it arrived; deadlines count from here.
+    /// Time of day at which it arrived; the job's deadline is relative to it.
     pub(crate) submitted_at: Micros,
-    /// The same by the steady clock.
+    /// Time of arrival by the monotonic clock.
     pub(crate) arrived_at: Micros,
-    /// Size of its encoded description.
+    /// Bytes of its encoded description.
     pub(crate) spec_bytes: usize,
 }
 
@@ -28,65 +28,64 @@
     pub(crate) submissions: Vec<Submission>,
     /// The shard that accepts the jobs.
     pub(crate) shard: usize,
-    /// Term under which this process led it then.
+    /// Term under which this process led the shard when it sent the transaction.
     pub(crate) term: u64,
-    /// Key of the batch with their descriptions; `None` for a single job, which has a
-    /// key of its own.
+    /// Key of the batch with the jobs' descriptions; `None` for a single job, which has a key
+    /// of its own.
     pub(crate) batch_key: Option<String>,
 }
 
 /// A job whose cancellation is being written.
 #[derive(Debug, Clone)]
 pub(crate) struct CancelledJob {
-    /// Its id.
+    /// Job id, `j-` and digits.
     pub(crate) id: String,
     /// The shard that accepted it.
     pub(crate) shard: usize,
-    /// Number of its tasks.
+    /// Number of tasks, which the record keeps.
     pub(crate) tasks: u32,
 }
 
-/// A user who awaits the answer to a status query.
+/// A user who waits for the answer to a status query.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WaitingUser {
     /// The request to answer.
     pub(crate) ticket: Ticket,
-    /// When the query arrived.
-    pub(crate) since: Micros,
+    /// When the query arrived, by the monotonic clock.
+    pub(crate) arrived_at: Micros,
 }
 
 /// Status queries about one job.
 #[derive(Debug, Clone)]
 pub(crate) struct StatusQuery {
-    /// Revision of the job's record that is known here.
+    /// Cached revision of the job's record.
     pub(crate) revision: u64,
-    /// Who awaits the answer.
+    /// Users who wait for the answer.
     pub(crate) users: Vec<WaitingUser>,
 }
 
 /// Status queries by job, answered together.
 pub(crate) type QueriedJobs = BTreeMap<String, StatusQuery>;
 
-/// An answer that is given if a read of the key-value store shows nothing that comes
-/// before it.
+/// The answer to give if the key-value store turns out to have no record of the job.
 #[derive(Debug, Clone)]
 pub(crate) struct PreparedAnswer {
     /// HTTP status.
     pub(crate) status: u16,
-    /// Seconds after which to repeat the request.
+    /// Seconds for the `Retry-After` header; `None` for a final answer.
     pub(crate) retry_after_s: Option<u64>,
-    /// JSON.
+    /// JSON body.
     pub(crate) body: Vec<u8>,
 }
 
 impl PreparedAnswer {
-    /// A refusal that is final.
+    /// A final refusal, without `Retry-After`.
     pub(crate) fn refusal(status: u16, refusal: &Refusal<'_>) -> PreparedAnswer {
         let body = serde_json::to_vec(refusal).unwrap_or_default();
         PreparedAnswer { status, retry_after_s: None, body }
     }
 
-    /// Nothing is known of the request's outcome: it is to be repeated.
+    /// The outcome of the request is unknown: the client must retry.
     pub(crate) fn undecided() -> PreparedAnswer {
         let refusal = PreparedAnswer::refusal(503, &Refusal::new("undecided"));
         PreparedAnswer { retry_after_s: Some(1), ..refusal }
--- a/src/controller/api/queue_page.rs
+++ b/src/controller/api/queue_page.rs
@@ -1,4 +1,4 @@
-//! The queue page, for people, and the log lines that sum it up.
+//! The queue page for operators, and the debug log lines that summarize it.
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::Job;
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Names of the columns.
+/// Column names.
 const HEADER: &str = "job class team priority waiting running done reason\n";
 
 impl Controller {
-    /// The queue as plain text: in order of scheduling, each job with the reason for
-    /// which its tasks wait.
+    /// The queue as plain text: jobs in scheduling order, each with the reason why its tasks
+    /// wait, then the jobs with unfinished dependencies.
     pub fn queue_page(&self, _now: Micros) -> String {
         let mut page = String::from(HEADER);
         let queued = self.scheduler.queue_order(&self.scheduling_inputs());
@@ -21,7 +21,7 @@
         for (id, job) in queued {
             push_job(&mut page, id, job);
             let (running, done) = (job.running(), job.done());
-            // Writing into a String cannot fail.
+            // Writing to a String cannot fail.
             let _ = writeln!(page, " {running} {done} {}", job.pending_reason);
         }
         let blocked = |job: &Job| job.awaits_dependencies && job.is_active();
@@ -33,7 +33,7 @@
         page
     }
 
-    /// Logs how many tasks wait, by class, team and reason.
+    /// Logs the number of waiting tasks by class, team and reason, at debug level.
     pub(crate) fn log_waiting(&self) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -46,12 +46,12 @@
             *counts.entry(group).or_default() += job.pending();
         }
         for ((class, team, reason), tasks) in counts {
-            log::debug!("{tasks} tasks of {class}, team {team}, wait: {reason}");
+            log::debug!("{tasks} tasks waiting: class {class}, team {team}, reason: {reason}");
         }
     }
 }
 
-/// The columns that all jobs have.
+/// Appends the columns that all jobs have in common.
 fn push_job(page: &mut String, id: &str, job: &Job) {
     let (spec, pending) = (&job.spec, job.pending());
     let _ = write!(page, "{id} {} {} {:?} {pending}", spec.class, spec.team, spec.priority);
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of single jobs' records that a user's answer depends on.
+//! Reads of single jobs' records for answers to users.
 
 use crate::controller::api::pending::PreparedAnswer;
 use crate::controller::calls::ApiCall;
@@ -7,16 +7,16 @@
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 
-/// What a read of a job's record has shown.
+/// Result of a read of a job's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordRead {
-    /// No answer came, or what is stored cannot be read: nothing is known.
-    NotAnswered,
-    /// The store had no such job when it answered.
+    /// The store did not answer, or the stored value cannot be parsed.
+    Unknown,
+    /// The store had no record of the job when it answered.
     NoSuchJob,
     /// The job exists.
     Found {
-        /// What is known of its stage now, perhaps later than the read.
+        /// The cached stage, which may be newer than the read.
         cached: CachedStage,
         /// Revision of the record that was read.
         revision: u64,
@@ -24,8 +24,8 @@
 }
 
 impl Controller {
-    /// Answers with the job's state if the store has the job, and with the
-    /// given answer if not.
+    /// Reads a job's record and answers with its stage, or with `if_absent` if the store has no
+    /// such job.
     pub(crate) fn read_job_or_answer(
         &mut self,
         ticket: Ticket,
@@ -37,7 +37,7 @@
         self.context.call_store(call, KvRequest::Get(job::job_key(id)));
     }
 
-    /// Takes in the record of a job that was submitted.
+    /// Handles the reply to a read of a submitted job.
     pub(crate) fn read_submitted_reply(
         &mut self,
         ticket: Ticket,
@@ -48,7 +48,7 @@
     ) {
         match self.take_record_reply(id, reply) {
             RecordRead::Found { cached, .. }
-                if cached.stage == StoredStage::Accepted && !self.fresh(sent_at) =>
+                if cached.stage == StoredStage::Accepted && !self.is_fresh(sent_at) =>
             {
                 self.respond_retry_later(ticket, 503, "the state service is slow");
             }
@@ -62,35 +62,35 @@
                 let retry_after = retry_after_s;
                 self.context.emit(Effect::Respond { ticket, status, retry_after, body });
             }
-            RecordRead::NotAnswered => {
+            RecordRead::Unknown => {
                 self.respond_retry_later(ticket, 503, "state service away");
             }
         }
     }
 
-    /// Takes in a read of `j/REF`: its stage, its dependencies, and what follows from
-    /// its being accepted or cancelled.
+    /// Applies a read of `j/REF`: caches the job's stage and dependencies, cancels the job or
+    /// adopts it if this process should run it.
     pub(crate) fn take_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
         let item = match reply {
             KvResponse::Value(Some(item)) => item,
             KvResponse::Value(None) => return RecordRead::NoSuchJob,
-            _ => return RecordRead::NotAnswered,
+            _ => return RecordRead::Unknown,
         };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value.clone()) else {
-            return RecordRead::NotAnswered;
+            return RecordRead::Unknown;
         };
         let revision = item.revision;
         let read =
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision };
         self.jobs.dependency_graph.note(job, &record);
         self.cache_stage(job, read);
-        // This answer may have been overtaken by a later one.
+        // A newer stage may have been cached before this reply arrived.
         let cached = self.jobs.stage_cache.get(job).unwrap_or(read);
         match cached.stage {
             StoredStage::Cancelled => self.job_cancelled(job),
-            // Its acceptance may have been applied after it was given
-            // up, while a repeat of the submission was under way or
-            // the shard was being recovered: nobody would run it.
+            // The acceptance may have been applied after its call was given up, while a retry
+            // of the submission was in flight or the shard was being recovered. Unless it is
+            // adopted, no controller runs the job.
             StoredStage::Accepted => self.adopt(job, cached.shard),
             StoredStage::Done => {}
         }
--- a/src/controller/api/refusals.rs
+++ b/src/controller/api/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered with a reason to come back, and the log lines about them.
+//! Refusals that ask the client to retry, and the log lines that count refusals.
 
 use crate::controller::api::Api;
 use crate::controller::api::counts::Counts;
@@ -8,18 +8,18 @@
 use log::info;
 use std::collections::BTreeMap;
 
-/// Seconds after which a request is to be repeated that fails for this node's own state;
-/// overload has an option of its own.
+/// `Retry-After` in seconds for a refusal that results from this member's own state. For
+/// overload (429) it is the option `retry_after_s`.
 const RETRY_AFTER_S: u64 = 1;
 
-/// What was refused, as the log counts it.
+/// Status and reason of a refusal, by which the log counts them.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RefusalCause {
     status: u16,
     reason: String,
 }
 
-/// Requests refused since the last log lines about them.
+/// Number of refusals by cause since the last log summary.
 #[derive(Debug, Default)]
 pub(crate) struct Refusals {
     by_cause: BTreeMap<RefusalCause, u64>,
@@ -31,7 +31,7 @@
         *self.by_cause.entry(cause).or_insert(0) += 1;
     }
 
-    /// Logs each cause with its number, and starts to count anew.
+    /// Logs the number of refusals by cause and resets the counts.
     pub(crate) fn log(&mut self) {
         for (RefusalCause { status, reason }, count) in std::mem::take(&mut self.by_cause) {
             info!("{count} requests answered {status}: {reason}");
@@ -40,7 +40,7 @@
 }
 
 impl Api {
-    /// Refuses a request for now; it says after how many seconds to repeat it.
+    /// Refuses a request, with a `Retry-After` header.
     pub(crate) fn respond_retry_later(
         &mut self,
         context: &mut Context,
@@ -54,8 +54,8 @@
         context.respond(ticket, status, Some(seconds), &Refusal::new(reason));
     }
 
-    /// Counts a refusal. The log has one line a cause once in a while, since an outage
-    /// refuses every request for the same reason.
+    /// Counts a refusal. The log gets a periodic line for each cause instead of one for each
+    /// request, since an outage refuses every request for the same reason.
     pub(crate) fn note_refusal(&mut self, counts: &mut Counts, status: u16, reason: &str) {
         counts.refused += 1;
         self.refusals.note(status, reason);
--- a/src/controller/api/replies.rs
+++ b/src/controller/api/replies.rs
@@ -1,12 +1,11 @@
-//! Replies of the key-value store to calls that a user's answer depends on, routed to
-//! what awaits them.
+//! Dispatch of the key-value store's replies to the requests that wait for them.
 
 use crate::controller::Controller;
 use crate::controller::calls::ApiCall;
 use crate::kv_store::KvResponse;
 
 impl Controller {
-    /// Takes in a reply to a call that a user awaits.
+    /// Handles a reply to a call for which a user waits.
     pub(crate) fn api_reply(&mut self, call: ApiCall, reply: KvResponse) {
         match call {
             ApiCall::Admit(admitted) => self.admission_reply(admitted, reply),
@@ -17,22 +16,22 @@
                 self.read_queried_reply(tickets, &job, sent_at, &reply);
             }
             ApiCall::CompareStages { jobs, sent_at } => {
-                self.stages_compared(jobs, sent_at, reply);
+                self.compare_stages_reply(jobs, sent_at, reply);
             }
             ApiCall::ReadToCancel { ticket, job, tries_left } => {
                 self.read_to_cancel_reply(ticket, job, tries_left, &reply);
             }
             ApiCall::WriteCancellation { ticket, job, tries_left } => {
-                self.cancellation_written(ticket, job, tries_left, &reply);
+                self.write_cancellation_reply(ticket, job, tries_left, &reply);
             }
             ApiCall::LookUpDependency { number, job } => {
-                self.dependency_looked_up(number, &job, &reply);
+                self.look_up_dependency_reply(number, &job, &reply);
             }
             ApiCall::StoreDependencies { ticket, spec, spec_bytes, last_list } => {
-                self.dependencies_stored(ticket, spec, spec_bytes, last_list, &reply);
+                self.store_dependencies_reply(ticket, spec, spec_bytes, last_list, &reply);
             }
             ApiCall::CompareDependencies { ticket, status, job, sent_at } => {
-                self.dependencies_compared(ticket, status, &job, sent_at, &reply);
+                self.compare_dependencies_reply(ticket, status, &job, sent_at, &reply);
             }
         }
     }
--- a/src/controller/api/routing.rs
+++ b/src/controller/api/routing.rs
@@ -1,4 +1,4 @@
-//! Which request is whose: method and path to a [`Route`].
+//! Routing of HTTP requests by method and path.
 
 use crate::controller::{Controller, Ticket};
 use crate::wire::{self, Refusal, path};
@@ -9,13 +9,13 @@
 enum Route<'a> {
     /// A worker's heartbeat.
     Heartbeat,
-    /// A user submits a job.
+    /// A user's submission of a job.
     SubmitJob,
     /// The load balancer's health check.
     Health,
-    /// A user queries a job's status.
+    /// A user's status query about the job with this id.
     QueryJob(&'a str),
-    /// A user cancels a job.
+    /// A user's cancellation of the job with this id.
     CancelJob(&'a str),
 }
 
@@ -26,13 +26,13 @@
     UnknownPath,
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// Not an id that a job could have.
+    /// The path contains something that is not a valid job id.
     #[error("no such job")]
     InvalidJobId,
 }
 
 impl RouteError {
-    /// HTTP status of its answer.
+    /// HTTP status of the answer.
     fn status(self) -> u16 {
         match self {
             RouteError::UnknownPath | RouteError::InvalidJobId => 404,
@@ -42,9 +42,9 @@
 }
 
 impl Route<'_> {
-    /// The route of a request; `target` is its path with its query.
+    /// Parses the route of a request; `target` is the path with the query string.
     fn parse<'a>(method: &str, target: &'a str) -> Result<Route<'a>, RouteError> {
-        let route = Route::of_path(target.split('?').next().unwrap_or(""))?;
+        let route = Route::from_path(target.split('?').next().unwrap_or(""))?;
         if method != route.method() {
             return Err(RouteError::MethodNotAllowed);
         }
@@ -56,23 +56,23 @@
         }
     }
 
-    fn of_path(path: &str) -> Result<Route<'_>, RouteError> {
+    fn from_path(path: &str) -> Result<Route<'_>, RouteError> {
         match path {
             path::HEARTBEAT => return Ok(Route::Heartbeat),
             path::JOBS => return Ok(Route::SubmitJob),
             path::HEALTH => return Ok(Route::Health),
             _ => {}
         }
-        let of_job = path.strip_prefix(path::JOBS).and_then(|rest| rest.strip_prefix('/'));
-        let of_job = of_job.ok_or(RouteError::UnknownPath)?;
-        match of_job.split_once('/') {
-            None => Ok(Route::QueryJob(of_job)),
+        let job_path = path.strip_prefix(path::JOBS).and_then(|rest| rest.strip_prefix('/'));
+        let job_path = job_path.ok_or(RouteError::UnknownPath)?;
+        match job_path.split_once('/') {
+            None => Ok(Route::QueryJob(job_path)),
             Some((id, path::CANCEL)) => Ok(Route::CancelJob(id)),
             Some(_) => Err(RouteError::UnknownPath),
         }
     }
 
-    /// The only method that it allows.
+    /// The only HTTP method that the route allows.
     fn method(&self) -> &'static str {
         match self {
             Route::Heartbeat | Route::SubmitJob | Route::CancelJob(_) => "POST",
@@ -82,7 +82,7 @@
 }
 
 impl Controller {
-    /// Takes in a request; it is answered now or later under its ticket.
+    /// Handles an HTTP request. It is answered now or later, under its ticket.
     pub(crate) fn http(&mut self, ticket: Ticket, method: &str, target: &str, body: &[u8]) {
         match Route::parse(method, target) {
             Ok(Route::Heartbeat) => self.heartbeat(ticket, body),
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -1,5 +1,5 @@
 //! The status page: this controller's leadership, peers, machines and counters, in JSON.
-//! Names of its fields are read by operators' tools and stay.
+//! Operators' tools read the names of its fields, which must not change.
 
 use crate::controller::Controller;
 use crate::controller::api::counts::Counts;
@@ -15,7 +15,7 @@
 #[derive(Serialize)]
 struct StatusPage<'a> {
     member: &'a str,
-    /// Format of what this process stores and sends.
+    /// Version of the format in which this process stores data and sends frames.
     format: u32,
     lease_valid: bool,
     peers: Vec<PeerStatus<'a>>,
@@ -27,30 +27,31 @@
     tasks_waiting: u64,
     machines: Vec<MachineStatus<'a>>,
     rented: BTreeMap<&'static str, usize>,
-    /// Images known to be on machines.
+    /// Cached pairs of an image and a machine that has it.
     image_entries: usize,
     counts: &'a Counts,
 }
 
-/// Another controller.
+/// A peer, as last observed here.
 #[derive(Serialize)]
 struct PeerStatus<'a> {
     member: &'a str,
     alive: bool,
     state_ok: bool,
-    /// 0: a version that does not send its format; absent: no frame of it has arrived.
+    /// 0 for a version that does not send its format; `None` before its first frame.
     format: Option<u32>,
 }
 
-/// The limits of the key-value store that are kept.
+/// The key-value store's limits, as this process observes them.
 #[derive(Serialize)]
 struct StateLimitsStatus {
     rps: f64,
     write_rps: f64,
     txn_ops: usize,
-    /// For chunks that are divided from now on.
+    /// Largest value of a chunk in the current layout.
     value_kb: f64,
-    /// For chunks that earlier versions divided: larger until the store refuses a value.
+    /// Largest value of a chunk in the layout of an earlier version, which is larger until the
+    /// store refuses a value.
     largest_value_kb: f64,
 }
 
@@ -65,7 +66,7 @@
     led: bool,
     #[serde(rename = "loaded")]
     recovered: bool,
-    /// Revision of the lease's key, on which all writes for the shard depend.
+    /// Revision of the shard lease's key, a condition of all writes for the shard.
     revision: Option<u64>,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// A machine as its shard's leader last described it.
+/// A machine, as last described by the leader of its shard.
 #[derive(Serialize)]
 struct MachineStatus<'a> {
     machine: &'a str,
@@ -147,13 +148,13 @@
 
     fn state_limits_status(&self) -> StateLimitsStatus {
         let limits = &self.context.settings.kv_store;
-        let lowered = self.jobs.previous_chunk_layout.is_none();
+        let limit_lowered = self.jobs.previous_chunk_layout.is_none();
         StateLimitsStatus {
             rps: limits.rps,
             write_rps: limits.write_rps,
             txn_ops: limits.txn_ops,
             value_kb: limits.value_kb,
-            largest_value_kb: if lowered { limits.value_kb } else { limits.current_value_kb },
+            largest_value_kb: if limit_lowered { limits.value_kb } else { limits.current_value_kb },
         }
     }
 
@@ -170,7 +171,7 @@
         self.machines.views().values().map(MachineStatus::of).collect()
     }
 
-    /// Number of shards that this process leads, whether or not they have been recovered.
+    /// Number of shards that this process leads, recovered or not.
     pub fn led_shard_count(&self) -> usize {
         self.leadership.shards().iter().filter(|s| s.leadership.is_some()).count()
     }
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,10 +1,10 @@
 //! Status queries about jobs.
 //!
-//! What is final is answered from memory. Otherwise only the key-value store knows
-//! whether some node has changed more by now, so every status query leads to a call to
-//! it. While there is plenty of this node's share of requests each reads its job's
-//! key; in a storm those that wait are put together: one transaction that changes
-//! nothing and compares the revisions of all their keys.
+//! Terminal states are answered from the cache. Any other stage may have been changed by
+//! another member, which only the key-value store knows, so every such query leads to a call
+//! to the store. While the request budget is ample, each query reads its job's record. Under
+//! load, the waiting queries are grouped: one transaction without writes compares the revisions
+//! of all their records.
 
 use crate::controller::api::Api;
 use crate::controller::api::counts::Counts;
@@ -20,35 +20,35 @@
 use crate::wire::{Condition, Refusal, Txn};
 use std::ops::Bound;
 
-/// Comparisons in flight at once.
+/// Maximum number of comparisons in flight.
 const MAX_COMPARISONS_IN_FLIGHT: usize = 2;
-/// Conditions that the store takes in a transaction for each change that it may make.
+/// Conditions that the store accepts in a transaction for each write that it allows.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// Bytes of a transaction that conditions may take.
+/// Bytes that the conditions of one transaction may take.
 const MAX_COMPARISON_BYTES: usize = 48 * 1024;
 /// Bytes of a condition beside the job's id.
 const CONDITION_OVERHEAD_BYTES: usize = 40;
-/// Status queries that may wait; more are refused.
+/// Status queries that may wait at a time; further ones are refused.
 const MAX_WAITING_QUERIES: usize = 2_000;
-/// A stage that is not terminal, or that a job is not there, is answered only if the
-/// call that shows it was sent no longer ago.
+/// Maximum age of a result that may be answered, counted from when its call was sent, unless it
+/// shows a terminal state. An older non-terminal stage, or absence of a job, is refused.
 pub(crate) const MAX_READ_AGE: Micros = Micros::millis(600);
-/// A status query that has waited for longer is refused while its user still waits.
+/// A status query that waits for longer is refused, early enough that its user still waits.
 const MAX_QUERY_WAIT: Micros = Micros::millis(1_600);
 
 /// Status queries that wait for a comparison.
 #[derive(Debug, Default)]
 pub(crate) struct StatusQueries {
     waiting: QueriedJobs,
-    /// Users in `waiting`.
+    /// Number of users in `waiting`.
     waiting_users: usize,
-    /// The job last compared: the next ones have their turn after it.
+    /// Job that was last taken for a comparison; the next one follows it in order of job id.
     last_compared: String,
     comparisons_in_flight: usize,
 }
 
 impl StatusQueries {
-    /// Adds users to those who await a comparison of a job's record with a revision.
+    /// Adds users who wait for a comparison of the revision of a job's record.
     fn enqueue(
         &mut self,
         job: String,
@@ -62,7 +62,7 @@
         self.waiting_users += query.users.len() - earlier;
     }
 
-    /// Takes out the job whose turn it is.
+    /// Removes and returns the next job, round robin in order of job id.
     fn next(&mut self) -> Option<(String, StatusQuery)> {
         let after = (Bound::Excluded(self.last_compared.as_str()), Bound::Unbounded);
         let next = self.waiting.range::<str, _>(after).next().or(self.waiting.iter().next());
@@ -72,7 +72,7 @@
         Some((job, query))
     }
 
-    /// Takes out as many jobs as fit in one comparison.
+    /// Removes and returns up to `max_jobs` jobs that fit in one comparison.
     fn next_comparison(&mut self, max_jobs: usize) -> QueriedJobs {
         let mut left_bytes = MAX_COMPARISON_BYTES;
         let mut jobs = QueriedJobs::new();
@@ -88,7 +88,7 @@
         jobs
     }
 
-    /// Sends comparisons for the status queries that wait.
+    /// Sends comparisons for the waiting status queries, as far as the request budget allows.
     pub(crate) fn send_comparisons(&mut self, context: &mut Context) {
         while self.waiting_users > 0
             && self.comparisons_in_flight < MAX_COMPARISONS_IN_FLIGHT
@@ -107,14 +107,15 @@
         }
     }
 
-    /// Takes out the users who have waited for too long.
+    /// Removes and returns the users who have waited for longer than [`MAX_QUERY_WAIT`].
     fn take_expired(&mut self, now: Micros) -> Vec<WaitingUser> {
         let mut expired = Vec::new();
         if self.waiting_users == 0 {
             return expired;
         }
         self.waiting.retain(|_, StatusQuery { users, .. }| {
-            expired.extend(users.extract_if(.., |user| now.since(user.since) > MAX_QUERY_WAIT));
+            expired
+                .extend(users.extract_if(.., |user| now.since(user.arrived_at) > MAX_QUERY_WAIT));
             !users.is_empty()
         });
         self.waiting_users -= expired.len();
@@ -123,7 +124,7 @@
 }
 
 impl Api {
-    /// Refuses status queries that have waited for as long as their users do.
+    /// Refuses status queries that have waited for longer than [`MAX_QUERY_WAIT`].
     pub(crate) fn expire_status_queries(&mut self, context: &mut Context, counts: &mut Counts) {
         for user in self.status_queries.take_expired(context.now) {
             let reason = "too many questions wait";
@@ -133,7 +134,7 @@
 }
 
 impl Controller {
-    /// A user queries a job's status.
+    /// Handles a user's status query.
     pub(crate) fn query_job(&mut self, ticket: Ticket, id: &str) {
         let now = self.context.now;
         let Some(cached) = self.jobs.stage_cache.get(id) else {
@@ -151,7 +152,7 @@
         if self.api.status_queries.waiting_users >= MAX_WAITING_QUERIES {
             return self.respond_retry_later(ticket, 429, "too many questions wait");
         }
-        let user = WaitingUser { ticket, since: now };
+        let user = WaitingUser { ticket, arrived_at: now };
         self.api.status_queries.enqueue(id.to_string(), cached.revision, [user]);
     }
 
@@ -161,9 +162,9 @@
         self.context.call_store(call, KvRequest::Get(job::job_key(id)));
     }
 
-    /// Takes in the outcome of a comparison: what has not changed is answered, what has
-    /// is read.
-    pub(crate) fn stages_compared(
+    /// Handles the reply to a comparison: answers the queries about unchanged jobs and reads the
+    /// records of the others.
+    pub(crate) fn compare_stages_reply(
         &mut self,
         jobs: QueriedJobs,
         sent_at: Micros,
@@ -182,10 +183,12 @@
             }
         };
         for (id, StatusQuery { revision, users }) in jobs {
-            // What is known by now may be newer than the comparison.
+            // The cached stage may be newer than the comparison.
             let cached = self.jobs.stage_cache.get(&id);
             match cached {
-                Some(cached) if cached.stage == StoredStage::Accepted && !self.fresh(sent_at) => {
+                Some(cached)
+                    if cached.stage == StoredStage::Accepted && !self.is_fresh(sent_at) =>
+                {
                     for user in users {
                         self.respond_retry_later(user.ticket, 503, "the state service is slow");
                     }
@@ -195,8 +198,8 @@
                         self.answer_with_stage(user.ticket, 200, &id, cached);
                     }
                 }
-                // Whether all that differ are named is not said: the others are
-                // compared once more.
+                // The store need not name all keys that differ, so the other jobs are
+                // compared again.
                 Some(_) if !failed.contains(&job::job_key(&id)) => {
                     self.api.status_queries.enqueue(id, revision, users);
                 }
@@ -205,13 +208,13 @@
         }
     }
 
-    /// Whether what a call sent then has shown may still be answered as the present
-    /// state: what took long may have been overtaken by another node's answer.
-    pub(crate) fn fresh(&self, sent_at: Micros) -> bool {
+    /// Whether the result of a call sent at `sent_at` may still be answered as the current
+    /// state: after [`MAX_READ_AGE`] another member may have answered with a newer one.
+    pub(crate) fn is_fresh(&self, sent_at: Micros) -> bool {
         self.context.now.since(sent_at) <= MAX_READ_AGE
     }
 
-    /// Takes in the record of a job whose status is queried.
+    /// Handles the reply to a read of a queried job.
     pub(crate) fn read_queried_reply(
         &mut self,
         tickets: Vec<Ticket>,
@@ -223,7 +226,7 @@
         for ticket in tickets {
             match read {
                 RecordRead::Found { cached, .. }
-                    if cached.stage == StoredStage::Accepted && !self.fresh(sent_at) =>
+                    if cached.stage == StoredStage::Accepted && !self.is_fresh(sent_at) =>
                 {
                     self.respond_retry_later(ticket, 503, "the state service is slow");
                 }
@@ -232,14 +235,14 @@
                 }
                 // Accepted since the read.
                 RecordRead::NoSuchJob
-                    if self.jobs.stage_cache.contains(job) || !self.fresh(sent_at) =>
+                    if self.jobs.stage_cache.contains(job) || !self.is_fresh(sent_at) =>
                 {
                     self.respond_retry_later(ticket, 503, "the state service is slow");
                 }
                 RecordRead::NoSuchJob => {
                     self.context.respond(ticket, 404, None, &Refusal::new("no such job"));
                 }
-                RecordRead::NotAnswered => {
+                RecordRead::Unknown => {
                     self.respond_retry_later(ticket, 503, "state service away");
                 }
             }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs: what is checked before one waits for admission.
+//! Submissions of jobs: the checks before a submission waits for admission.
 
 use crate::controller::api::admission::ADMISSION_WRITES;
 use crate::controller::api::pending::PreparedAnswer;
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Seconds within which a submission should be written: its user waits a little longer,
-/// and the answer needs its time.
-const WRITTEN_WITHIN_S: f64 = 3.0;
-/// Submissions that may always wait, however small this node's share of changes is.
+/// Seconds within which a waiting submission should be written. Its user waits a little longer,
+/// which leaves time for the answer.
+const ADMISSION_TARGET_S: f64 = 3.0;
+/// Submissions that may wait however small this member's write budget is.
 const MIN_WAITING_SUBMISSIONS: usize = 2;
 
-/// Why a job can never run. The texts go to its user, with status 422.
+/// Why a job can never run. The texts are sent to its user, with status 422.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum InfeasibleJob {
     #[error("unknown team")]
@@ -25,13 +25,13 @@
     NoMachineTypeFits,
 }
 
-/// Why a submission is not taken now. The texts go to its user.
+/// Why a submission cannot be accepted now. The texts are sent to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum NotAdmittedNow {
-    /// No shard is served here that could accept the job.
+    /// This member serves no shard that could accept the job.
     #[error("no seat is held")]
     NoShardServed,
-    /// An earlier submission of the same job is on its way to the store.
+    /// An earlier submission of the same job still waits for admission.
     #[error("undecided")]
     AlreadyWaiting,
     #[error("too many submissions wait")]
@@ -41,7 +41,7 @@
 }
 
 impl NotAdmittedNow {
-    /// HTTP status of its answer.
+    /// HTTP status of the answer.
     fn status(self) -> u16 {
         match self {
             NotAdmittedNow::NoShardServed | NotAdmittedNow::AlreadyWaiting => 503,
@@ -51,7 +51,8 @@
 }
 
 impl Controller {
-    /// The shard that accepts new jobs here: the home shard if it is served.
+    /// The shard that accepts jobs submitted to this member: its home shard if served, else the
+    /// first served one; `None` if this member serves no shard.
     pub(crate) fn admitting_shard(&self) -> Option<usize> {
         if self.serves_shard(self.context.me) {
             return Some(self.context.me);
@@ -59,7 +60,7 @@
         (0..self.leadership.shard_count()).find(|s| self.serves_shard(*s))
     }
 
-    /// A user submits a job.
+    /// Handles a user's submission of a job.
     pub(crate) fn submit(&mut self, ticket: Ticket, body: &[u8]) {
         let spec = match wire::parse_job(body) {
             Ok(spec) => spec,
@@ -91,26 +92,27 @@
         let refusal = Refusal { error: &problem, field: Some(malformed.field) };
         match malformed.id {
             None => self.context.respond(ticket, 400, None, &refusal),
-            // A known job's repeat is answered 200 before any other check.
+            // An idempotent retry for an accepted job is answered 200 before any other check.
             Some(id) => {
                 self.read_job_or_answer(ticket, &id, PreparedAnswer::refusal(400, &refusal));
             }
         }
     }
 
-    /// The job is known already: an idempotent request.
+    /// Answers an idempotent retry: the job has been accepted already.
     fn answer_resubmission(&mut self, ticket: Ticket, id: &str, cached: CachedStage) {
         if cached.stage != StoredStage::Accepted {
             return self.answer_with_stage(ticket, 200, id, cached);
         }
-        // Another node may have cancelled it since: only the store knows.
+        // Another member may have cancelled it since, which only the store knows.
         self.read_job_or_answer(ticket, id, PreparedAnswer::undecided());
     }
 
-    /// A job that can run, and that may be admitted now.
+    /// Continues the submission of a job that can run and may be accepted now: looks up its
+    /// dependencies, if any, or queues it for admission.
     fn admit_feasible(&mut self, ticket: Ticket, mut spec: JobSpec) {
-        // Types that the cloud does not offer never matter, and a long list of
-        // them would not fit beside the tasks.
+        // Types that the cloud does not offer have no effect, and a long list of them would
+        // not fit in a value beside the tasks.
         if let Some(types) = &mut spec.types {
             types.retain(|t| self.autoscaler.machine_types.contains_key(t));
         }
@@ -126,7 +128,7 @@
         self.queue_submission(ticket, Rc::new(spec), spec_bytes);
     }
 
-    /// Whether this node can accept a further submission now.
+    /// Checks whether this member can accept a further submission now.
     fn check_admissible_now(&self, spec: &JobSpec) -> Result<(), NotAdmittedNow> {
         if self.admitting_shard().is_none() {
             return Err(NotAdmittedNow::NoShardServed);
@@ -144,16 +146,16 @@
         Ok(())
     }
 
-    /// Submissions that may wait for the store: no more than it can accept
-    /// while their users still wait.
+    /// Maximum number of undecided submissions: no more than the write budget allows to be
+    /// written while their users still wait.
     fn max_undecided_submissions(&self) -> usize {
         let writes_per_s = self.context.write_budget.burst();
-        let in_time = writes_per_s * WRITTEN_WITHIN_S / ADMISSION_WRITES as f64;
+        let in_time = writes_per_s * ADMISSION_TARGET_S / ADMISSION_WRITES as f64;
         let max = (in_time as usize).max(MIN_WAITING_SUBMISSIONS);
         self.context.options.waiting_submissions.min(max)
     }
 
-    /// Whether a job can ever run.
+    /// Checks whether a job can ever run.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), InfeasibleJob> {
         let team = self.quota.team(&spec.team).ok_or(InfeasibleJob::UnknownTeam)?;
         if spec.cpus > team.limit().cpus || spec.gpus > team.limit().gpus {
