--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! When the cloud is called, and for what.
+//! Calls to the cloud: when they are due, and what they request.
 
 use super::scale_in::{MachineActivity, ScaleInConditions};
 use super::scale_out::{self, Offers};
@@ -11,27 +11,28 @@
 use crate::time::Micros;
 use log::info;
 
-/// Between lists of the machines that fit on one page.
+/// Interval between lists of the machines while they fit on one page.
 const LIST_INTERVAL: Micros = Micros::millis(2_000);
-/// Machines on a page of the cloud's list.
+/// Number of machines on a page of the cloud's list.
 const MACHINES_PER_PAGE: u64 = 500;
-/// Between plans.
+/// Interval between scaling plans.
 const PLAN_INTERVAL: Micros = Micros::millis(1_000);
 
 impl Autoscaler {
-    /// Whether a list of the machines is to be requested now. If so, it is begun.
+    /// Whether a list of the machines is due. If so, begins the listing and sets the next time.
     fn take_due_listing(&mut self, now: Micros) -> bool {
         if now < self.next_list_at || self.fleet.is_listing() {
             return false;
         }
-        // More pages leave less of the cloud's rate for scaling out.
+        // Each further page uses some of the cloud's rate that scale-out needs, so longer lists
+        // are requested less often.
         let further_pages = self.fleet.machines.len() as u64 / MACHINES_PER_PAGE;
         self.next_list_at = now + Micros(LIST_INTERVAL.0 * (further_pages + 2) / 2);
         self.fleet.begin_listing();
         true
     }
 
-    /// Whether it is time to plan, and enough is known for it. If so, the next time is set.
+    /// Whether a plan is due and the fleet and machine types are known. If so, sets the next time.
     fn take_due_plan(&mut self, now: Micros) -> bool {
         let is_due =
             self.fleet.is_listed() && !self.machine_types.is_empty() && now >= self.next_plan_at;
@@ -43,8 +44,8 @@
 }
 
 impl Controller {
-    /// Calls the cloud for what is due: machine types on every node; lists, requests and
-    /// removals of machines where the autoscaler's shard is led.
+    /// Makes the calls to the cloud that are due: machine types on every member; lists, scale-out
+    /// and scale-in requests only on the leader of [`AUTOSCALER_SHARD`].
     pub(crate) fn maintain_autoscaler(&mut self) {
         let now = self.context.now;
         if self.autoscaler.machine_types.take_due_request(now) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Stores the machine types, if they are not stored under this term.
+    /// Stores the machine types, unless they have been stored under the current term.
     fn store_machine_types(&mut self) {
         if !self.holds_lease() {
             return;
@@ -86,19 +87,19 @@
         }
     }
 
-    /// Everything that waits, here and at the peers.
+    /// Demand of all waiting tasks, of this member and of the live peers.
     fn all_demand(&self) -> Vec<Demand> {
         let mut all = self.scheduler.demand(&self.scheduling_inputs());
         all.extend(self.peers.live_demand(self.context.now).cloned());
         all
     }
 
-    /// Requests machines for what waits, if any are needed.
+    /// Requests machines for waiting tasks that the current and expected machines cannot take.
     fn scale_out(&mut self, term: u64) {
         let now = self.context.now;
         let mut demand = self.all_demand();
         for demand in &mut demand {
-            // Spare capacity, so that what comes next finds a machine that is up.
+            // Spare capacity, so that the next tasks find a machine that is already up.
             let spare = (f64::from(demand.tasks) * self.context.options.spare_share).ceil();
             demand.tasks = demand.tasks.saturating_add(spare as u32);
         }
@@ -109,7 +110,7 @@
         let fleet = &self.autoscaler.fleet;
         let machine_types = &self.autoscaler.machine_types;
         free.extend(fleet.expected_capacity(now, machine_types, is_up));
-        let unmet = scale_out::unmet(&demand, &mut free);
+        let unmet = scale_out::unmet_demand(&demand, &mut free);
         let offers = Offers {
             machine_types: machine_types.by_name(),
             exhausted_until: fleet.exhausted_until(),
@@ -129,7 +130,7 @@
         self.send_scale_out(term);
     }
 
-    /// Sends the pending scale-out request.
+    /// Sends the pending scale-out request, if any.
     fn send_scale_out(&mut self, term: u64) {
         if let Some(pending) = &mut self.autoscaler.scale_out {
             pending.in_flight = true;
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Drains what is idle or faulty, and removes what is drained or never came up.
+    /// Drains machines that are idle or faulty. Removes machines that are drained, failed or whose
+    /// boot has failed.
     fn scale_in(&mut self) {
         let now = self.context.now;
         self.refresh_capacity();
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Nothing is placed on a machine from now on.
+    /// Starts to drain a machine: no task is placed on it from now on.
     fn drain_machine(&mut self, machine: String) {
         info!("machine {machine} is drained: it is to be removed");
         self.autoscaler.fleet.draining_since.insert(machine.clone(), self.context.now);
@@ -180,7 +182,7 @@
         self.autoscaler.draining.insert(machine);
     }
 
-    /// Requests that the cloud removes machines.
+    /// Requests the removal of machines from the cloud.
     fn remove_machines(&mut self, machines: Vec<String>) {
         self.autoscaler.fleet.begin_removal(&machines);
         self.counts.decisions.machines_scaled_in += machines.len() as u64;
--- a/src/controller/autoscaler/fleet.rs
+++ b/src/controller/autoscaler/fleet.rs
@@ -1,4 +1,4 @@
-//! The machines of the cloud, as its lists and the replies to requests show them.
+//! Machines that the cloud has created, from its lists and its replies to requests.
 
 use super::machine_types::MachineTypeCatalogue;
 use super::offer::{FreeCapacity, MachineOffer};
@@ -8,33 +8,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A boot that takes longer than this many times its nominal duration is late: from then on
-/// the machine is no longer counted on, and another is requested.
+/// A boot that takes longer than this many times its nominal duration is late: the machine no
+/// longer counts as expected capacity, and another is requested.
 const LATE_BOOT_FACTOR: f64 = 2.0;
-/// Nominal duration of a boot, in seconds, of a type that is not known.
+/// Nominal duration of a boot, in seconds, of an unknown machine type.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// After this many times its nominal duration a boot is taken never to end, and the machine
-/// is removed: it counts towards the cloud's limit.
+/// A boot that takes longer than this many times its nominal duration is assumed never to end.
+/// The machine is removed, since it counts towards the cloud's limit.
 const FAILED_BOOT_FACTOR: f64 = 3.3;
-/// One of so many machines may be replaced at once because its boot is late: where all boots
-/// are late, requesting the fleet a second time would help nobody.
+/// Only one in this many machines is replaced at a time because its boot is late: if all boots
+/// are late, requesting the whole fleet a second time would not help.
 const MACHINES_PER_REPLACEMENT: usize = 4;
-/// Added to twice the lag of the cloud's list, before a machine that is missing from it
-/// counts as terminated.
+/// Margin added to twice the nominal lag of the cloud's list, before a machine that is missing
+/// from the list counts as terminated.
 const LIST_LAG_MARGIN: Micros = Micros::millis(500);
 
-/// A machine of the cloud.
+/// A machine that the cloud has created.
 #[derive(Debug, Clone)]
 pub struct FleetMachine {
-    /// Type, zone and kind.
+    /// Machine type, zone and whether it is a spot machine.
     pub offer: MachineOffer,
-    /// Stage in the newest list.
+    /// Stage in the newest list; booting before it is listed.
     pub stage: MachineStage,
-    /// When the cloud created it, as far as known.
+    /// When the cloud created it, estimated from its age when listed, or the time of the reply
+    /// to its request.
     pub created_at: Micros,
-    /// When it was first listed.
+    /// When it was first listed; `None` before that.
     pub first_listed_at: Option<Micros>,
-    /// Since when it has had nothing to do.
+    /// Since when it has been idle; `None` while it is not.
     pub idle_since: Option<Micros>,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A machine that a list shows first.
+    /// A machine that is first known from a list.
     fn listed(now: Micros, machine: &ListedMachine) -> FleetMachine {
         FleetMachine {
             offer: MachineOffer {
@@ -65,46 +66,45 @@
         }
     }
 
-    /// Whether its boot takes so long that it is not counted on.
-    fn boots_late(&self, now: Micros, catalogue: &MachineTypeCatalogue) -> bool {
+    /// Whether its boot takes so long that the machine is no longer expected capacity.
+    fn boot_is_late(&self, now: Micros, catalogue: &MachineTypeCatalogue) -> bool {
         let boot_s = catalogue.boot_s(&self.offer.machine_type).unwrap_or(DEFAULT_BOOT_S);
-        self.boots_longer_than(now, Micros::from_secs_f64(boot_s * LATE_BOOT_FACTOR))
+        self.boot_exceeds(now, Micros::from_secs_f64(boot_s * LATE_BOOT_FACTOR))
     }
 
-    /// Whether its boot takes so long that it will never end.
+    /// Whether its boot takes so long that it is assumed never to end; false for an unknown type.
     pub(super) fn boot_has_failed(&self, now: Micros, catalogue: &MachineTypeCatalogue) -> bool {
         catalogue.boot_s(&self.offer.machine_type).is_some_and(|boot_s| {
-            self.boots_longer_than(now, Micros::from_secs_f64(boot_s * FAILED_BOOT_FACTOR))
+            self.boot_exceeds(now, Micros::from_secs_f64(boot_s * FAILED_BOOT_FACTOR))
         })
     }
 
-    fn boots_longer_than(&self, now: Micros, limit: Micros) -> bool {
+    fn boot_exceeds(&self, now: Micros, limit: Micros) -> bool {
         self.stage != MachineStage::Running && now.since(self.created_at) > limit
     }
 }
 
-/// What the leader of the autoscaler's shard knows of the machines of the cloud.
+/// The cloud's machines, as cached by the leader of the autoscaler's shard.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// Machines by name.
     pub machines: BTreeMap<String, FleetMachine>,
-    /// Machines in the pages so far of a list that is being read.
+    /// Machines in the pages read so far of a list in progress; `None` if there is none.
     listing: Option<Vec<ListedMachine>>,
-    /// A complete list has been read.
+    /// Whether a complete list has been applied.
     is_listed: bool,
-    /// Offers of which the cloud had no more, and until when that is believed.
+    /// Offers for which the cloud lacked capacity, and until when they are not requested again.
     exhausted_until: BTreeMap<MachineOffer, Micros>,
-    /// Machines on which nothing is placed any more since they are to be removed, and since
-    /// when.
+    /// Machines that are to be removed, and since when no task is placed on them any more.
     pub(super) draining_since: BTreeMap<String, Micros>,
     /// Machines whose removal has been requested.
     removing: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// Applies a complete list that was requested at `requested_at`. Returns the
-    /// machines that are surely terminated: listed before, and missing from a list
-    /// that is newer for certain, the lag being at most twice its nominal value.
+    /// Applies a complete list that was requested at `requested_at`. Returns the machines that
+    /// are definitely terminated: they were listed before and are missing from a list that is
+    /// guaranteed to be newer, as the lag is at most twice its nominal value.
     pub fn apply_list(
         &mut self,
         now: Micros,
@@ -138,23 +138,23 @@
         terminated
     }
 
-    /// Whether a list is being read.
+    /// Whether a list is in progress.
     pub(super) fn is_listing(&self) -> bool {
         self.listing.is_some()
     }
 
-    /// Begins to read a list.
+    /// Begins a list.
     pub(super) fn begin_listing(&mut self) {
         self.listing = Some(Vec::new());
     }
 
-    /// Gives up the list that is being read.
+    /// Discards the list in progress.
     pub(super) fn abort_listing(&mut self) {
         self.listing = None;
     }
 
-    /// Applies a page of the list that is being read. Returns all its machines if this was
-    /// the last page.
+    /// Adds a page to the list in progress. Returns all machines of the list if this was its last
+    /// page.
     pub(super) fn apply_page(
         &mut self,
         page: Vec<ListedMachine>,
@@ -169,7 +169,7 @@
         None
     }
 
-    /// Adds the machines that the cloud has created for a request.
+    /// Adds the machines that the cloud has created for a scale-out request.
     pub(super) fn add_requested(
         &mut self,
         now: Micros,
@@ -181,22 +181,22 @@
         }
     }
 
-    /// Whether a complete list has been read.
+    /// Whether a complete list has been applied since this process began to scale.
     pub(super) fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Offers of which the cloud had no more, and until when that is believed.
+    /// Offers for which the cloud lacked capacity, and until when they are not requested again.
     pub(super) fn exhausted_until(&self) -> &BTreeMap<MachineOffer, Micros> {
         &self.exhausted_until
     }
 
-    /// The cloud had no more of an offer; it is not requested again before `until`.
+    /// Records that the cloud lacked capacity for an offer; it is not requested before `until`.
     pub(super) fn set_exhausted(&mut self, offer: MachineOffer, until: Micros) {
         self.exhausted_until.insert(offer, until);
     }
 
-    /// The removal of machines is requested.
+    /// Records that the removal of machines is requested.
     pub(super) fn begin_removal(&mut self, machines: &[String]) {
         self.removing.extend(machines.iter().cloned());
     }
@@ -206,22 +206,23 @@
         self.removing.contains(name)
     }
 
-    /// The removal of machines has failed, or its outcome is unknown: it may be requested again.
+    /// Records that the removal of machines failed or has an unknown outcome, so that it may be
+    /// requested again.
     pub(super) fn removal_failed(&mut self, machines: &[String]) {
         for machine in machines {
             self.removing.remove(machine);
         }
     }
 
-    /// Forgets a machine that is terminated.
+    /// Removes a terminated machine from the fleet.
     pub fn forget(&mut self, name: &str) {
         self.machines.remove(name);
         self.draining_since.remove(name);
         self.removing.remove(name);
     }
 
-    /// What the machines will offer that have been created and are not up yet, as `is_up`
-    /// says. Some whose boot is late are left out, so that others take their place.
+    /// Capacity of the machines that are created but not up yet, according to `is_up`. Leaves out
+    /// some machines whose boot is late, so that others are requested in their place.
     pub(super) fn expected_capacity(
         &self,
         now: Micros,
@@ -237,7 +238,7 @@
             {
                 continue;
             }
-            if replaceable > 0 && machine.boots_late(now, catalogue) {
+            if replaceable > 0 && machine.boot_is_late(now, catalogue) {
                 replaceable -= 1;
                 continue;
             }
@@ -254,17 +255,17 @@
         expected
     }
 
-    /// Machines by stage, for the status page.
+    /// Number of machines by stage, for the status page.
     pub(super) fn count_by_stage(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
         for machine in self.machines.values() {
-            let word = match machine.stage {
+            let stage = match machine.stage {
                 MachineStage::Booting => "booting",
                 MachineStage::Running => "running",
                 MachineStage::Failed => "failed",
                 MachineStage::Other => "other",
             };
-            *counts.entry(word).or_insert(0) += 1;
+            *counts.entry(stage).or_insert(0) += 1;
         }
         counts
     }
--- a/src/controller/autoscaler/machine_types.rs
+++ b/src/controller/autoscaler/machine_types.rs
@@ -1,5 +1,5 @@
-//! The machine types of the cloud and their prices: read from the cloud, stored in the
-//! key-value store, and read back from there while the cloud is away.
+//! The cloud's machine types and prices: requested from the cloud, stored in the key-value
+//! store, and read from there while the cloud does not answer.
 
 use crate::controller::leadership::shard_lease;
 use crate::time::Micros;
@@ -7,24 +7,25 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Values;
 
-/// Between requests for the types, for news of their prices.
+/// Interval between requests for the types, whose prices may change.
 const REFRESH_INTERVAL: Micros = Micros::secs(300);
-/// Between requests as long as no type is known: nothing can be accepted nor placed.
+/// Interval between requests while no type is known, so that no job can be accepted and no task
+/// placed.
 const FIRST_REQUEST_INTERVAL: Micros = Micros::millis(700);
-/// Between a request that has failed and the next.
+/// Interval between a failed request and the next.
 const RETRY_INTERVAL: Micros = Micros::secs(1);
-/// Key under which the types are stored.
+/// Key of the stored types in the key-value store.
 pub(super) const MACHINE_TYPES_KEY: &str = "types";
 
-/// All machine types.
+/// All known machine types, and when to request and store them.
 #[derive(Debug, Default)]
 pub(crate) struct MachineTypeCatalogue {
     by_name: BTreeMap<String, MachineType>,
-    /// When to request them of the cloud next.
+    /// When the types are requested from the cloud next.
     next_request_at: Micros,
-    /// The stored ones are being read, since the cloud is away.
+    /// Whether the stored types are being read, since the cloud did not answer.
     is_reading_stored: bool,
-    /// Term of the autoscaler's shard under which they were stored; 0 for none.
+    /// Term of the autoscaler's shard under which the types were last stored; 0 if none.
     stored_under_term: u64,
 }
 
@@ -34,17 +35,17 @@
         self.by_name.is_empty()
     }
 
-    /// A type by its name.
+    /// The type with this name; `None` if it is unknown.
     pub(crate) fn get(&self, name: &str) -> Option<&MachineType> {
         self.by_name.get(name)
     }
 
-    /// Whether there is a type of this name.
+    /// Whether a type with this name is known.
     pub(crate) fn contains_key(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
 
-    /// All types, in the order of their names.
+    /// All types, ordered by name.
     pub(crate) fn values(&self) -> Values<'_, String, MachineType> {
         self.by_name.values()
     }
@@ -54,7 +55,7 @@
         &self.by_name
     }
 
-    /// Nominal duration of a boot of a type, in seconds, if the type is known.
+    /// Nominal duration of a type's boot, in seconds; `None` if the type is unknown.
     pub(super) fn boot_s(&self, name: &str) -> Option<f64> {
         self.get(name).map(|machine_type| machine_type.boot_s)
     }
@@ -67,12 +68,12 @@
         self.by_name = types.into_iter().map(|t| (t.name.clone(), t)).collect();
     }
 
-    /// The types are to be requested as soon as possible.
+    /// Makes a request for the types due immediately.
     pub(super) fn request_soon(&mut self) {
         self.next_request_at = Micros::ZERO;
     }
 
-    /// Whether the types are to be requested of the cloud now. If so, the next time is set.
+    /// Whether a request for the types is due. If so, sets the time of the next.
     pub(super) fn take_due_request(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_request_at;
         if is_due {
@@ -82,26 +83,26 @@
         is_due
     }
 
-    /// Records that the cloud did not answer. Returns whether the stored types are to be
-    /// read: only where none are known, and one read at a time.
+    /// Records that a request to the cloud failed. Returns whether to read the stored types:
+    /// only if no type is known, and one read at a time.
     pub(super) fn request_failed(&mut self, now: Micros) -> bool {
         self.next_request_at = now + RETRY_INTERVAL;
-        let read = self.is_empty() && !self.is_reading_stored;
-        self.is_reading_stored |= read;
-        read
+        let read_stored = self.is_empty() && !self.is_reading_stored;
+        self.is_reading_stored |= read_stored;
+        read_stored
     }
 
-    /// Records that the read of the stored types has ended. Returns them if they are to
-    /// replace the known ones: what the cloud itself said meanwhile is newer.
-    pub(super) fn stored_read(&mut self, item: Option<KeyValue>) -> Option<Vec<MachineType>> {
+    /// Records that the read of the stored types has ended. Returns them unless types are known
+    /// by now: those came from the cloud in the meantime and are newer.
+    pub(super) fn stored_types_read(&mut self, item: Option<KeyValue>) -> Option<Vec<MachineType>> {
         self.is_reading_stored = false;
         let item = item.filter(|_| self.is_empty())?;
         serde_json::from_value(item.value).ok()
     }
 
-    /// The transaction that stores the types, once a term of the autoscaler's shard; `None`
-    /// if there is nothing to be done, or they are larger than the store takes. A process
-    /// that starts while the cloud is away could otherwise accept and place nothing.
+    /// The transaction that stores the types, once per term of the autoscaler's shard; `None`
+    /// if they are stored already or exceed the store's maximum value size. Without stored types
+    /// a process that starts while the cloud is unavailable could accept and place nothing.
     pub(super) fn storing_txn(
         &mut self,
         autoscaler_shard: usize,
@@ -124,7 +125,7 @@
         })
     }
 
-    /// Records that they were not stored: that is tried again.
+    /// Records that the types were not stored, so that the write is retried.
     pub(super) fn storing_failed(&mut self) {
         self.stored_under_term = 0;
     }
--- a/src/controller/autoscaler/offer.rs
+++ b/src/controller/autoscaler/offer.rs
@@ -1,23 +1,23 @@
-//! What the cloud offers, and what of it a task may use.
+//! Offers of the cloud, and which of them a task may use.
 
 use crate::peer::Demand;
 use crate::resources::Resources;
 use crate::wire::ScaleOutRequest;
 use std::rc::Rc;
 
-/// A type of machine in a zone, as spot machine or not.
+/// A machine type in a zone, as a spot machine or not.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
-    /// Name of the type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Spot machines, which the cloud may reclaim.
+    /// Whether machines are spot machines, which the cloud may reclaim.
     pub spot: bool,
 }
 
 impl MachineOffer {
-    /// The offer that a request is for.
+    /// The offer that a scale-out request is for.
     pub(super) fn of_request(request: &ScaleOutRequest) -> MachineOffer {
         MachineOffer {
             machine_type: request.machine_type.clone(),
@@ -30,17 +30,17 @@
 /// Free capacity of one machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FreeCapacity {
-    /// Name of its type.
+    /// Name of the machine type.
     pub machine_type: Rc<str>,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: Rc<str>,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// What is free.
+    /// Resources that no task uses.
     pub free: Resources,
 }
 
-/// Whether tasks may go to machines of a type, zone and kind.
+/// Whether tasks may run on machines of a type and zone that are or are not spot machines.
 pub fn allows(demand: &Demand, machine_type: &str, zone: &str, spot: bool) -> bool {
     (demand.types.is_empty() || demand.types.iter().any(|allowed| allowed == machine_type))
         && demand.zone.as_deref().is_none_or(|allowed| allowed == zone)
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -1,4 +1,4 @@
-//! What follows from the replies of the cloud, and of the key-value store about machine types.
+//! Handling of the cloud's replies, and of the key-value store's about machine types.
 
 use super::machine_types::MACHINE_TYPES_KEY;
 use super::offer::MachineOffer;
@@ -11,18 +11,18 @@
 use crate::wire::{ListedMachine, MachineStage, MachineType};
 use log::{info, warn};
 
-/// Part of the cloud's rate that scale-out requests may take: lists and removals keep a
-/// good part of it.
+/// Share of the cloud's request rate that scale-out requests may use; the rest is for lists and
+/// removals.
 const SCALE_OUT_RATE_SHARE: f64 = 0.6;
-/// Between a scale-out request of unknown outcome and its repetition.
+/// Interval after which a scale-out request with an unknown outcome is repeated.
 const SCALE_OUT_RETRY_INTERVAL: Micros = Micros::millis(1_500);
 
-/// What the outcome of a scale-out request sets.
+/// Times that the outcome of a scale-out request sets.
 struct ScaleOutTimes {
     now: Micros,
-    /// The next plan is not made before.
+    /// Earliest time of the next plan.
     next_plan_at: Micros,
-    /// Until when an offer that the cloud had not enough of is not requested again.
+    /// Until when an offer is not requested again for which the cloud lacked capacity.
     exhausted_until: Micros,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Controller {
-    /// Applies a reply of the cloud.
+    /// Handles a reply of the cloud.
     pub(crate) fn cloud_reply(&mut self, call: AutoscalerCall, reply: CloudReply) {
         let leads_under = |term: u64| self.leading_term(AUTOSCALER_SHARD) == Some(term);
         match (call, reply) {
@@ -75,7 +75,7 @@
                 }
             }
             (AutoscalerCall::ScaleIn { machines }, CloudReply::ScaledIn) => {
-                // By now the machines and everything on them are gone.
+                // The machines, and all tasks on them, have ended.
                 for machine in machines {
                     self.changes.terminated.push(machine.clone());
                     self.machine_terminated(&machine);
@@ -90,27 +90,28 @@
                     self.list_reply(requested_at, term, reply);
                 }
             }
-            (call, _) => warn!("unexpected reply to {call:?}"),
+            (call, reply) => warn!("unexpected cloud reply {reply:?} to {call:?}"),
         }
     }
 
-    /// Applies a reply of the key-value store about machine types.
+    /// Handles a reply of the key-value store about machine types.
     pub(crate) fn stored_machine_types_reply(&mut self, call: AutoscalerCall, reply: KvResponse) {
         let machine_types = &mut self.autoscaler.machine_types;
         match (call, reply) {
             (AutoscalerCall::ReadStoredMachineTypes, reply) => {
                 let item = if let KvResponse::Value(item) = reply { item } else { None };
-                if let Some(types) = machine_types.stored_read(item) {
+                if let Some(types) = machine_types.stored_types_read(item) {
                     self.apply_machine_types(types);
                 }
             }
             (AutoscalerCall::StoreMachineTypes, KvResponse::Applied(_)) => {}
-            // Tried again with the next plan.
+            // The write is retried with the next plan.
             _ => machine_types.storing_failed(),
         }
     }
 
-    /// Machine types or their prices are new: capacities and commands depend on them.
+    /// Replaces the machine types and prices. Requests a scheduling pass and marks all managed
+    /// machines as changed, since capacities and commands depend on the types.
     fn apply_machine_types(&mut self, types: Vec<MachineType>) {
         self.autoscaler.machine_types.replace(types);
         self.scheduler.request_pass();
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Applies a complete list of the machines.
+    /// Applies a complete list of the machines, and handles those that are terminated or failed.
     fn apply_machine_list(&mut self, requested_at: Micros, mut list: Vec<ListedMachine>) {
         let has_failed = |machine: &ListedMachine| machine.stage == MachineStage::Failed;
-        // Failed machines stay listed until they are removed.
+        // Failed machines stay in the list until they are removed.
         list.retain(|listed| has_failed(listed) || !self.machines.is_terminated(&listed.name));
         let lag = Micros::from_secs_f64(self.context.settings.cloud.list_lag_s);
         let now = self.context.now;
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -1,36 +1,36 @@
-//! Which machines to drain and to remove.
+//! Selection of the machines to drain and to remove.
 
 use super::fleet::{Fleet, FleetMachine};
 use super::machine_types::MachineTypeCatalogue;
 use crate::time::Micros;
 use crate::wire::MachineStage;
 
-/// Nothing must have been placed on a machine for this long before it is removed: a
-/// placement that was decided before its drain was known may still be on its way.
+/// Time for which a machine must have been draining before it is removed: a placement that was
+/// decided before its member was notified of the drain may still arrive.
 const DRAIN_DURATION: Micros = Micros::secs(4);
-/// Machines removed by one request at most.
+/// Maximum number of machines in one removal request.
 const MAX_MACHINES_PER_REQUEST: usize = 20;
 
-/// How a machine stands, by its view and the tasks placed on it.
+/// State of a machine that scale-in depends on, from its view and the tasks placed on it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct MachineActivity {
-    /// It has been heard of.
+    /// The machine has a view: some member has observed it.
     pub(super) has_view: bool,
-    /// It reports in time and completes what it starts.
+    /// Its heartbeats arrive in time, and it completes the tasks that it starts.
     pub(super) is_healthy: bool,
-    /// It has been in quarantine for long enough.
+    /// It has been in quarantine for long enough to be replaced.
     pub(super) is_faulty: bool,
-    /// Tasks are on it or placed there.
+    /// It has tasks that have not ended, or tasks are placed on it.
     pub(super) has_tasks: bool,
 }
 
-/// What scaling in depends on beside the machines.
+/// What scale-in depends on besides the machines.
 #[derive(Clone, Copy)]
 pub(super) struct ScaleInConditions<'a> {
     pub(super) now: Micros,
-    /// How long a machine must be idle.
+    /// How long a machine must be idle before it is drained.
     pub(super) min_idle: Micros,
-    /// Some task waits for capacity.
+    /// Whether any task waits for capacity; no machine counts as idle then.
     pub(super) tasks_wait: bool,
     pub(super) catalogue: &'a MachineTypeCatalogue,
 }
@@ -43,7 +43,7 @@
 }
 
 impl FleetMachine {
-    /// Records whether it is idle. Returns whether it has been for long enough.
+    /// Records whether the machine is idle. Returns whether it has been idle for long enough.
     fn update_idle(
         &mut self,
         activity: MachineActivity,
@@ -59,7 +59,7 @@
 }
 
 impl Fleet {
-    /// Works out which machines to drain and to remove; which are idle is remembered.
+    /// Selects the machines to drain and to remove, and records which ones are idle.
     pub(super) fn plan_scale_in(
         &mut self,
         conditions: ScaleInConditions<'_>,
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Which machines to request for tasks that no machine has capacity for.
+//! Selection of the machines to request for tasks that no machine has capacity for.
 
 use super::fleet::FleetMachine;
 use super::offer::{FreeCapacity, MachineOffer, allows};
@@ -8,27 +8,27 @@
 use crate::wire::MachineType;
 use std::collections::BTreeMap;
 
-/// Prices that differ by less are equal.
+/// Prices that differ by less than this are equal.
 const PRICE_TOLERANCE: f64 = 1e-9;
-/// The cloud takes no request for more machines.
+/// Maximum number of machines that the cloud accepts in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// A request is for a third of the machines that are needed, so that zones take turns, but
-/// for no fewer than this if so many are needed.
+/// A request covers a third of the machines needed, so that zones take turns.
 const REQUESTS_PER_DEMAND: u32 = 3;
+/// Minimum number of machines in a request, unless fewer are needed.
 const MIN_MACHINES_PER_REQUEST: u32 = 8;
 
-/// Machines to be requested.
+/// A planned scale-out request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScaleOutPlan {
-    /// Of which offer.
+    /// The offer to request.
     pub offer: MachineOffer,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Tasks that find no capacity in `free`, from which the others are subtracted. Larger
-/// tasks go first, since small ones fit into what they leave.
-pub fn unmet(demand: &[Demand], free: &mut [FreeCapacity]) -> Vec<Demand> {
+/// Tasks that find no capacity in `free`. Subtracts the other tasks from `free`. Larger tasks are
+/// fitted first, since smaller ones fit into the capacity that they leave.
+pub fn unmet_demand(demand: &[Demand], free: &mut [FreeCapacity]) -> Vec<Demand> {
     let mut order: Vec<&Demand> = demand.iter().collect();
     order.sort_by(|a, b| b.cpus.total_cmp(&a.cpus).then(b.memory_gb.total_cmp(&a.memory_gb)));
     let mut unmet = Vec::new();
@@ -52,7 +52,7 @@
     unmet
 }
 
-/// An offer, as it is found in others' records.
+/// A borrowed [`MachineOffer`].
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OfferRef<'a> {
     machine_type: &'a str,
@@ -60,21 +60,21 @@
     spot: bool,
 }
 
-/// How many machines of each offer there are.
+/// Number of existing machines by offer.
 type MachineCounts<'a> = BTreeMap<OfferRef<'a>, u32>;
 
-/// An offer for a task, with what it is compared by.
+/// An offer that a task can use, with the values by which offers are compared.
 struct Candidate {
     offer: MachineOffer,
-    /// Price of the machine divided by the tasks that it takes.
+    /// Price of a machine divided by the number of tasks that fit on it.
     price_per_task: f64,
     tasks_per_machine: u32,
-    /// Machines of the offer that there are already.
+    /// Number of existing machines of the offer.
     machines: u32,
 }
 
 impl Candidate {
-    /// Whether it is cheaper, or as cheap and in a zone with fewer machines.
+    /// Whether the offer is cheaper per task, or equally cheap and has fewer machines already.
     fn is_better_than(&self, other: &Candidate) -> bool {
         self.price_per_task < other.price_per_task - PRICE_TOLERANCE
             || (self.price_per_task < other.price_per_task + PRICE_TOLERANCE
@@ -82,14 +82,14 @@
     }
 }
 
-/// What the cloud offers at present.
+/// The offers currently available from the cloud.
 #[derive(Clone, Copy)]
 pub struct Offers<'a> {
     /// Machine types by name, with their prices.
     pub machine_types: &'a BTreeMap<String, MachineType>,
-    /// Offers of which the cloud had no more, and until when that is believed.
+    /// Offers for which the cloud lacked capacity, and until when they are not requested again.
     pub exhausted_until: &'a BTreeMap<MachineOffer, Micros>,
-    /// The present time.
+    /// Current time.
     pub now: Micros,
 }
 
@@ -98,9 +98,9 @@
         self.exhausted_until.get(offer).is_some_and(|until| self.now < *until)
     }
 
-    /// The cheapest offer for a task that is not exhausted, in the zone with the fewest
-    /// machines of its kind.
-    fn best_for(&self, demand: &Demand, there: &MachineCounts<'_>) -> Option<Candidate> {
+    /// The cheapest offer for a task that is not exhausted; among equally cheap ones that with
+    /// the fewest machines. `None` if no available offer takes the task.
+    fn best_for(&self, demand: &Demand, machine_counts: &MachineCounts<'_>) -> Option<Candidate> {
         let needed = Resources::from(demand);
         let mut best: Option<Candidate> = None;
         for machine_type in self.machine_types.values() {
@@ -121,7 +121,7 @@
                         offer,
                         price_per_task: price / f64::from(tasks_per_machine),
                         tasks_per_machine,
-                        machines: there
+                        machines: machine_counts
                             .get(&OfferRef { machine_type: name, zone, spot })
                             .copied()
                             .unwrap_or(0),
@@ -136,23 +136,23 @@
     }
 }
 
-/// What to request for tasks without capacity: the best offer for the first of them, for all
-/// tasks that are served best by machines of its type and kind. One request for each kind of
-/// task would take too long where many kinds wait.
+/// Plans one request for the tasks without capacity: for the best offer of the first of them,
+/// with machines for all tasks whose best offer has the same machine type and is equally spot or
+/// not. A separate request for each kind of task would take too long if many kinds wait.
 pub fn plan_scale_out(
     unmet: &[Demand],
     offers: Offers<'_>,
     machines: &BTreeMap<String, FleetMachine>,
 ) -> Option<ScaleOutPlan> {
-    let mut there = MachineCounts::new();
+    let mut machine_counts = MachineCounts::new();
     for machine in machines.values() {
         let MachineOffer { machine_type, zone, spot } = &machine.offer;
-        *there.entry(OfferRef { machine_type, zone, spot: *spot }).or_insert(0) += 1;
+        *machine_counts.entry(OfferRef { machine_type, zone, spot: *spot }).or_insert(0) += 1;
     }
     let mut chosen: Option<MachineOffer> = None;
     let mut count = 0_u32;
     for demand in unmet {
-        let Some(best) = offers.best_for(demand, &there) else {
+        let Some(best) = offers.best_for(demand, &machine_counts) else {
             continue;
         };
         let machines_needed = demand.tasks.div_ceil(best.tasks_per_machine);
@@ -161,7 +161,7 @@
             count = count.saturating_add(machines_needed);
         }
     }
-    let fewest = count.min(MIN_MACHINES_PER_REQUEST);
-    let count = count.div_ceil(REQUESTS_PER_DEMAND).clamp(fewest, MAX_MACHINES_PER_REQUEST);
+    let min_count = count.min(MIN_MACHINES_PER_REQUEST);
+    let count = count.div_ceil(REQUESTS_PER_DEMAND).clamp(min_count, MAX_MACHINES_PER_REQUEST);
     chosen.map(|offer| ScaleOutPlan { offer, count })
 }
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -93,7 +93,7 @@
         (vec![wait(2, 1.0, true, None), wait(1, 4.0, true, None)], vec![room(4.0, true)], 2),
     ];
     for (demand, mut rooms, want) in table {
-        let left: u32 = scale_out::unmet(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
+        let left: u32 = scale_out::unmet_demand(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
         assert_eq!(left, want, "{demand:?}");
     }
     let mut refused = BTreeMap::new();
