--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Applies a read of `j/REF`: caches the job's stage and dependencies, cancels the job or
-    /// adopts it if this process should run it.
+    /// Applies a read of `j/REF`: caches the job's stage and dependencies, stops the job if it is
+    /// cancelled, and adopts an accepted job that this process should run.
     pub(crate) fn take_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
         let item = match reply {
             KvResponse::Value(Some(item)) => item,
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -50,8 +50,8 @@
     txn_ops: usize,
     /// Largest value of a chunk in the current layout.
     value_kb: f64,
-    /// Largest value of a chunk in the layout of an earlier version, which is larger until the
-    /// store refuses a value.
+    /// Largest value of a chunk, including chunks that an earlier version laid out: larger than
+    /// `value_kb` until the store refuses a value.
     largest_value_kb: f64,
 }
 
--- a/src/controller/autoscaler/fleet.rs
+++ b/src/controller/autoscaler/fleet.rs
@@ -143,7 +143,7 @@
         self.listing.is_some()
     }
 
-    /// Begins a list.
+    /// Starts a new list without machines.
     pub(super) fn begin_listing(&mut self) {
         self.listing = Some(Vec::new());
     }
--- a/src/controller/autoscaler/offer.rs
+++ b/src/controller/autoscaler/offer.rs
@@ -40,7 +40,8 @@
     pub free: Resources,
 }
 
-/// Whether tasks may run on machines of a type and zone that are or are not spot machines.
+/// Whether the tasks of `demand` may run on machines of this type and zone; `spot` says whether
+/// they are spot machines.
 pub fn allows(demand: &Demand, machine_type: &str, zone: &str, spot: bool) -> bool {
     (demand.types.is_empty() || demand.types.iter().any(|allowed| allowed == machine_type))
         && demand.zone.as_deref().is_none_or(|allowed| allowed == zone)
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -22,7 +22,7 @@
     now: Micros,
     /// Earliest time of the next plan.
     next_plan_at: Micros,
-    /// Until when an offer is not requested again for which the cloud lacked capacity.
+    /// Until when an offer for which the cloud lacked capacity is not requested again.
     exhausted_until: Micros,
 }
 
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -137,8 +137,8 @@
 }
 
 /// Plans one request for the tasks without capacity: for the best offer of the first of them,
-/// with machines for all tasks whose best offer has the same machine type and is equally spot or
-/// not. A separate request for each kind of task would take too long if many kinds wait.
+/// with machines for all tasks whose best offer has the same machine type and the same `spot`. A
+/// separate request for each kind of task would take too long if many kinds wait.
 pub fn plan_scale_out(
     unmet: &[Demand],
     offers: Offers<'_>,
