--- a/src/controller/jobs/batch_writer.rs
+++ b/src/controller/jobs/batch_writer.rs
@@ -1,4 +1,4 @@
-//! Writes, read-backs and deletes of the batches of [`super::batches`].
+//! Writes, reads back and deletes the batches of [`super::batches`].
 
 use super::Jobs;
 use super::batches::BatchedChange;
@@ -12,35 +12,37 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A batch's new value with the changes in it.
+/// A batch's new value, with the changes that it contains.
 struct EncodedBatch {
     value: Value,
     changes: Vec<BatchedChange>,
-    /// That the records of the changed jobs are as they were.
+    /// Conditions that the records of the changed jobs are unmodified.
     conditions: Vec<Condition>,
 }
 
 impl Jobs {
-    /// Whether what is written of a job goes into the batch that it came in.
+    /// Whether a job's changes are written to the batch in which it was accepted.
     pub(super) fn stays_batched(&self, id: &str) -> bool {
-        let small =
-            |job: &Job| job.spec.tasks <= job::BATCHED_TASKS && job.is_active() && !job.complete();
+        let small = |job: &Job| {
+            job.spec.tasks <= job::MAX_BATCHED_TASKS && job.is_active() && !job.is_complete()
+        };
         self.batches.key_of(id).is_some() && self.by_id.get(id).is_some_and(small)
     }
 
-    /// The value of a batch as it is to be written, with all that has changed of its jobs.
+    /// Encodes a batch's next value, with all unstored changes of its jobs.
     fn encode_batch<'a>(&self, jobs: impl Iterator<Item = &'a String>) -> EncodedBatch {
         let (mut values, mut changes, mut conditions) = (Vec::new(), Vec::new(), Vec::new());
         let present = jobs.filter_map(|id| Some((id, self.by_id.get(id)?)));
-        // The record holds all that matters of finished jobs.
+        // A finished job needs only its record.
         for (id, job) in present.filter(|(_, job)| !job.finished_in_store) {
             let chunk = &job.chunks[0];
             let as_stored = job.store_call_in_flight
                 || job.cancelled
-                || job.complete()
+                || job.is_complete()
                 || !chunk.has_unstored_changes();
             if as_stored {
-                // Nothing of a cancelled job may be written ahead any more.
+                // A cancelled job also keeps its stored value: its unstored changes must no longer
+                // be written.
                 values.push(job.encode_stored(0));
             } else {
                 conditions.push(Condition { key: job::job_key(id), revision: job.revision });
@@ -51,9 +53,9 @@
         EncodedBatch { value: job::encode_batch(values), changes, conditions }
     }
 
-    /// Ends a call to the store about a batch, and returns the batch's shard; `None` if the
-    /// batch is gone, or the call belongs to an earlier term of its shard, whose reply
-    /// means nothing for this one.
+    /// Marks a batch's store call as answered and returns the batch's shard. Returns `None` if
+    /// the batch is gone or the call was made in an earlier term of the shard; such a reply
+    /// says nothing about the current term.
     fn finish_batch_call(
         &mut self,
         leadership: &Leadership,
@@ -68,7 +70,7 @@
         Some(batch.shard)
     }
 
-    /// Reads a batch after a write whose outcome is unknown.
+    /// Reads a batch back after a write that conflicted or whose outcome is unknown.
     fn read_back_batch(&mut self, context: &mut Context, key: &str, term: u64) {
         if let Some(batch) = self.batches.get_mut(key) {
             batch.call_in_flight = true;
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Deletes a batch that no job needs any more.
-    pub(super) fn drop_batch(&mut self, context: &mut Context, leadership: &Leadership) {
+    /// Deletes one batch that no job needs any more, if there is one.
+    pub(super) fn delete_unneeded_batch(&mut self, context: &mut Context, leadership: &Leadership) {
         let Some((key, batch)) = self.batches.first_unneeded(&self.unreadable) else {
             return;
         };
@@ -99,8 +101,8 @@
 }
 
 impl Controller {
-    /// Writes a job's batch with all that has changed of its jobs; false if the
-    /// job is to have a key of its own after all.
+    /// Writes a job's batch with all unstored changes of its jobs. Returns false if the job
+    /// must be written to its own key instead.
     pub(super) fn store_batch(&mut self, id: &str) -> bool {
         let Some(key) = self.jobs.batches.key_of(id).cloned() else {
             return false;
@@ -108,25 +110,25 @@
         let Some(batch) = self.jobs.batches.get(&key) else {
             return false;
         };
-        // Rewritten, it would lose what cannot be read of it.
+        // A rewrite would lose the jobs in it that cannot be read.
         if self.jobs.is_unreadable(&key) {
             return false;
         }
         if batch.call_in_flight {
             return true;
         }
-        let Some(leadership) = self.leadership.led_shard(batch.shard) else {
+        let Some(led) = self.leadership.led_shard(batch.shard) else {
             return true;
         };
-        let term = leadership.term;
+        let term = led.term;
         let mut conditions = vec![
-            shard_lease::lease_condition(batch.shard, leadership.revision),
+            shard_lease::lease_condition(batch.shard, led.revision),
             Condition { key: key.clone(), revision: batch.revision },
         ];
         let encoded = self.jobs.encode_batch(batch.jobs.iter());
         conditions.extend(encoded.conditions);
         let limits = &self.context.settings.kv_store;
-        // It may be of a time with larger limits.
+        // The batch may have been written when the store's limits were larger.
         let conditions_fit = conditions.len() <= 4 * limits.txn_ops;
         if encoded.changes.is_empty()
             || !conditions_fit
@@ -151,8 +153,8 @@
         true
     }
 
-    /// Takes in the reply to a transaction with changes of a batch's jobs.
-    pub(super) fn batch_stored(
+    /// Handles the reply to the transaction that writes a batch.
+    pub(super) fn batch_write_reply(
         &mut self,
         key: &str,
         term: u64,
@@ -192,18 +194,20 @@
                     self.jobs.read_back_batch(&mut self.context, key, term);
                 }
             }
-            // It may have been applied, or may be later: what is stored decides,
-            // and a late one fails on the batch's revision.
+            // The write may have been applied or may still be applied later. The stored value
+            // decides. If it reaches the store after a newer write, it fails on the batch's
+            // revision.
             _ => self.jobs.read_back_batch(&mut self.context, key, term),
         }
     }
 
-    /// Takes in a batch that was read back, and acknowledges what was written after all.
-    pub(super) fn batch_read_back(&mut self, key: &str, term: u64, reply: KvResponse) {
+    /// Handles a batch that was read back, and acknowledges the changes found in it.
+    pub(super) fn batch_read_back_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
         if self.jobs.finish_batch_call(&self.leadership, key, term).is_none() {
             return;
         }
-        // Unread, the next write fails on its revision and leads here again.
+        // If the read failed, the next write fails on the batch's revision and triggers another
+        // read-back.
         let KvResponse::Value(Some(item)) = reply else {
             return;
         };
@@ -224,8 +228,8 @@
         }
     }
 
-    /// Takes in the reply to the delete of a batch.
-    pub(super) fn batch_dropped(&mut self, key: &str, term: u64, reply: KvResponse) {
+    /// Handles the reply to the delete of a batch.
+    pub(super) fn batch_delete_reply(&mut self, key: &str, term: u64, reply: KvResponse) {
         let Some(batch) = self.jobs.batches.get_mut(key) else {
             return;
         };
@@ -235,7 +239,7 @@
             KvResponse::Conflict(failed) if failed.contains(&shard_lease::lease_key(shard)) => {
                 self.lease_revision_changed(shard, term);
             }
-            // After a conflict an earlier try was applied after all.
+            // A conflict means that an earlier delete was applied.
             KvResponse::Applied(_) | KvResponse::Conflict(_) => self.jobs.batches.remove(key),
             _ => {}
         }
--- a/src/controller/jobs/batches.rs
+++ b/src/controller/jobs/batches.rs
@@ -1,59 +1,61 @@
-//! Jobs of a task or two that were accepted together stay together, in a *batch*.
+//! Batches: jobs that were accepted together and share one key.
 //!
-//! Their batch is rewritten whole when something of them is placed or ends: thousands of
-//! single tasks would otherwise take a change each for their keys, one more for each
-//! placement and one to remove them. Larger jobs move to keys of their own with their first
-//! change; those count before the batch. The batch is removed once no job needs it.
+//! Jobs of one or two tasks stay in their batch. The whole batch is rewritten whenever one of
+//! their tasks is placed or ends; with a key per job, thousands of single-task jobs would each
+//! need one write to create the key, one per placement and one to delete it. Larger jobs move
+//! to their own keys with their first change, and those keys take precedence over the batch.
+//! The batch is deleted once no job needs it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Chunk 0 of jobs that were accepted together, in one value.
+/// One stored value with chunk 0 of each job that was accepted together.
 #[derive(Debug, Clone)]
 pub(crate) struct Batch {
     /// Shard that runs the jobs.
     pub(crate) shard: usize,
-    /// Revision of its key.
+    /// Revision of the batch's key.
     pub(crate) revision: u64,
-    /// Jobs whose description is stored nowhere else.
+    /// Jobs whose description is stored only in this batch.
     pub(crate) jobs: BTreeSet<String>,
-    /// A write, read or delete of it is in flight.
+    /// Whether a write, read or delete of the batch is in flight.
     pub(crate) call_in_flight: bool,
 }
 
-/// A change of a batched job that is being written.
+/// A change to a batched job whose write is in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct BatchedChange {
-    /// The job's id.
+    /// Job id.
     pub(crate) job: String,
-    /// Version of its chunk 0.
+    /// Version of chunk 0 that the write stores.
     pub(crate) version: u64,
 }
 
-/// The batches that are still in the store, of the shards that this process leads.
+/// Batches in the store that belong to the shards this process leads.
 #[derive(Debug, Default)]
 pub(crate) struct Batches {
     by_key: BTreeMap<String, Batch>,
-    /// Key of the batch that a job's description is in.
+    /// By job: key of the batch that holds its description.
     key_by_job: BTreeMap<String, String>,
 }
 
 impl Batches {
-    /// The key of the batch that a job's description is in, if in any.
+    /// Returns the key of the batch that holds a job's description, or `None` if no
+    /// batch holds it.
     pub(crate) fn key_of(&self, job: &str) -> Option<&String> {
         self.key_by_job.get(job)
     }
 
-    /// The batch with a key.
+    /// Returns the batch stored under a key.
     pub(crate) fn get(&self, key: &str) -> Option<&Batch> {
         self.by_key.get(key)
     }
 
-    /// The batch with a key, to be changed.
+    /// Returns the batch stored under a key for modification.
     pub(crate) fn get_mut(&mut self, key: &str) -> Option<&mut Batch> {
         self.by_key.get_mut(key)
     }
 
-    /// Takes in a batch that was read or written.
+    /// Adds a batch that was read or written. A batch that is already present is kept.
     pub(crate) fn add(&mut self, key: &str, shard: usize, revision: u64, jobs: BTreeSet<String>) {
         for id in &jobs {
             self.key_by_job.insert(id.clone(), key.to_string());
@@ -62,7 +64,7 @@
         self.by_key.entry(key.to_string()).or_insert(batch);
     }
 
-    /// A job's description is stored on its own, or the job is over.
+    /// Removes a job that now has its own key or has ended.
     pub(crate) fn remove_job(&mut self, job: &str) {
         if let Some(key) = self.key_by_job.remove(job)
             && let Some(batch) = self.by_key.get_mut(&key)
@@ -71,13 +73,13 @@
         }
     }
 
-    /// A batch is no longer in the store.
+    /// Removes a batch that is no longer in the store.
     pub(crate) fn remove(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// The first batch that no job needs and that may be deleted; what cannot be read
-    /// is kept.
+    /// Returns the first batch that no job needs and that has no call in flight. Unreadable
+    /// batches are never returned, so they stay in the store.
     pub(crate) fn first_unneeded(
         &mut self,
         unreadable: &BTreeSet<String>,
@@ -87,7 +89,7 @@
         })
     }
 
-    /// Forgets the batches of a shard that this process does not lead any more.
+    /// Removes the batches of a shard that this process no longer leads.
     pub(crate) fn forget_shard(&mut self, shard: usize) {
         self.by_key.retain(|_, batch| batch.shard != shard);
         let kept = &self.by_key;
--- a/src/controller/jobs/dependency_graph.rs
+++ b/src/controller/jobs/dependency_graph.rs
@@ -1,6 +1,7 @@
-//! Which unfinished jobs depend on which, and what follows for a job from the stages of all
-//! that it depends on, directly or through others. Pure: what has to be read or written
-//! others do.
+//! Dependencies between unfinished jobs, and what the stages of a job's direct and indirect
+//! dependencies mean for it.
+//!
+//! Performs no I/O: the callers read from and write to the store.
 
 use super::job::{JobRecord, StoredStage};
 use super::stage_cache::StageCache;
@@ -8,68 +9,69 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Pause before a further list of dependencies that could not be read is read again.
+/// Pause before a failed read of a further list of dependencies is retried.
 const READ_RETRY_DELAY: Micros = Micros::secs(1);
 
-/// What becomes of a job, by all that it depends on.
+/// What the direct and indirect dependencies of a job mean for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum DependencyOutcome {
-    /// All its dependencies are done.
+    /// All direct dependencies are done.
     Satisfied,
-    /// Something that it depends on is not over.
+    /// No dependency is cancelled, and at least one has not ended.
     Pending,
-    /// Something that it depends on is cancelled.
+    /// A direct or indirect dependency is cancelled.
     Cancelled {
-        /// Whether every peer knows that.
+        /// Whether every peer knows of the cancellation.
         acknowledged: bool,
     },
-    /// Nothing is known here of these.
+    /// The stages of these jobs are not cached. The list is empty if only some dependencies
+    /// of a job have been read.
     Unknown(Vec<String>),
 }
 
-/// A job that is not over, with the revision of its record.
+/// A job that has not ended, with the revision of its record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UnfinishedJob {
-    /// The job's id.
+    /// Job id.
     pub(crate) id: String,
-    /// Revision of its record.
+    /// Revision of the job's record.
     pub(crate) revision: u64,
 }
 
-/// A further key with dependencies of a job that is to be read.
+/// Names a further key: one with dependencies that did not fit in the job's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct FurtherList {
-    /// The job's id.
+    /// Job id.
     pub(crate) job: String,
-    /// Number of the key, from 1.
+    /// Number of the key, counted from 1.
     pub(crate) number: u32,
 }
 
-/// What a job depends on, as far as its keys have been read.
+/// The dependencies of a job that have been read so far.
 #[derive(Debug)]
 struct PartialDependencies {
     dependencies: Vec<String>,
-    /// Number of the last further key that was read.
-    read: u32,
-    /// Number of further keys.
+    /// Number of the last further key that was read; 0 if only the record was.
+    keys_read: u32,
+    /// Number of further keys that the record announces.
     further_keys: u32,
     read_in_flight: bool,
-    /// The next key is not read before this.
+    /// Earliest time to read the next key.
     not_before: Micros,
 }
 
-/// Dependencies of all unfinished jobs that this process has heard of.
+/// Dependencies of all unfinished jobs whose records this process has received.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyGraph {
     by_job: BTreeMap<String, Rc<[String]>>,
-    /// Jobs of which only some dependencies are known.
+    /// Jobs whose further keys have not all been read.
     partial: BTreeMap<String, PartialDependencies>,
-    /// Something has changed that may decide over waiting jobs.
+    /// Whether a change since the last check may release or cancel waiting jobs.
     changed: bool,
 }
 
 impl DependencyGraph {
-    /// Takes in the dependencies in a job's record.
+    /// Adds the dependencies that a job's record names; removes a job that has ended.
     pub(crate) fn note(&mut self, id: &str, record: &JobRecord) {
         if record.stage != StoredStage::Accepted {
             self.by_job.remove(id);
@@ -77,7 +79,7 @@
         } else if record.further_keys > 0 && !self.by_job.contains_key(id) {
             self.partial.entry(id.to_string()).or_insert_with(|| PartialDependencies {
                 dependencies: record.dependencies.clone(),
-                read: 0,
+                keys_read: 0,
                 further_keys: record.further_keys,
                 read_in_flight: false,
                 not_before: Micros::ZERO,
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Takes in all dependencies of a job.
+    /// Sets the complete dependencies of a job. Has no effect if there are none or they are
+    /// already set.
     pub(crate) fn set_dependencies(&mut self, id: &str, dependencies: &[String]) {
         if !dependencies.is_empty() && !self.by_job.contains_key(id) {
             self.by_job.insert(id.to_string(), dependencies.into());
@@ -96,26 +99,26 @@
         }
     }
 
-    /// A job is over: jobs that depend on it may start, or are cancelled.
-    pub(crate) fn over(&mut self, id: &str) {
+    /// Removes a job that has ended: jobs that depend on it may start or be cancelled.
+    pub(crate) fn note_ended(&mut self, id: &str) {
         self.by_job.remove(id);
         self.partial.remove(id);
         self.changed = true;
     }
 
-    /// Whether something has changed that may decide over waiting jobs, since this was last
-    /// asked.
+    /// Whether a change since the previous call may release or cancel waiting jobs.
     pub(super) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The dependencies of an unfinished job, if all are known and there are any.
+    /// Direct dependencies of an unfinished job. `None` if it has none or not all have been
+    /// read.
     pub(super) fn dependencies_of(&self, id: &str) -> Option<&Rc<[String]>> {
         self.by_job.get(id)
     }
 
-    /// What becomes of a job with these dependencies. `acknowledged` says whether every
-    /// peer knows that a job is cancelled.
+    /// Evaluates direct dependencies and, through them, indirect ones. `acknowledged` returns
+    /// whether every peer knows that a job is cancelled.
     fn outcome(
         &self,
         dependencies: &[String],
@@ -125,10 +128,10 @@
         if dependencies.iter().all(|id| stages.is_done(id)) {
             return DependencyOutcome::Satisfied;
         }
-        let mut open: Vec<&String> = dependencies.iter().collect();
-        let mut visited: BTreeSet<&String> = open.iter().copied().collect();
+        let mut to_visit: Vec<&String> = dependencies.iter().collect();
+        let mut visited: BTreeSet<&String> = to_visit.iter().copied().collect();
         let (mut unknown, mut cancelled, mut partial) = (Vec::new(), false, false);
-        while let Some(id) = open.pop() {
+        while let Some(id) = to_visit.pop() {
             match stages.stage(id) {
                 None => unknown.push(id.clone()),
                 Some(StoredStage::Done) => {}
@@ -138,8 +141,8 @@
                 Some(StoredStage::Cancelled) => cancelled = true,
                 Some(StoredStage::Accepted) => {
                     partial |= self.partial.contains_key(id);
-                    let before = self.by_job.get(id).into_iter().flat_map(|list| list.iter());
-                    open.extend(before.filter(|id| visited.insert(id)));
+                    let indirect = self.by_job.get(id).into_iter().flat_map(|list| list.iter());
+                    to_visit.extend(indirect.filter(|id| visited.insert(id)));
                 }
             }
         }
@@ -152,7 +155,7 @@
         }
     }
 
-    /// What becomes of a job that is known as accepted.
+    /// Evaluates the dependencies of a job that is cached as accepted.
     pub(crate) fn outcome_of(
         &self,
         id: &str,
@@ -166,36 +169,36 @@
         }
     }
 
-    /// Unfinished jobs that one depends on, directly or through others.
+    /// Unfinished jobs that `id` depends on directly or indirectly.
     pub(crate) fn unfinished_before(&self, id: &str, stages: &StageCache) -> Vec<UnfinishedJob> {
         let mut unfinished: Vec<UnfinishedJob> = Vec::new();
         let mut visited: BTreeSet<&str> = BTreeSet::new();
-        let mut open: Vec<&str> = vec![id];
-        while let Some(id) = open.pop() {
+        let mut to_visit: Vec<&str> = vec![id];
+        while let Some(id) = to_visit.pop() {
             let dependencies = self.by_job.get(id).into_iter().flat_map(|list| list.iter());
             for id in dependencies.filter(|id| visited.insert(id)) {
                 if let Some(cached) = stages.get(id).filter(|cached| !cached.is_final()) {
                     unfinished.push(UnfinishedJob { id: id.clone(), revision: cached.revision });
-                    open.push(id);
+                    to_visit.push(id);
                 }
             }
         }
         unfinished
     }
 
-    /// The next further key with dependencies that is to be read now; its read counts as in
-    /// flight from then on.
+    /// Picks the next further key to read and marks its read as in flight.
     pub(super) fn begin_read(&mut self, now: Micros) -> Option<FurtherList> {
         let (job, partial) = self
             .partial
             .iter_mut()
             .find(|(_, partial)| !partial.read_in_flight && now >= partial.not_before)?;
         partial.read_in_flight = true;
-        Some(FurtherList { job: job.clone(), number: partial.read + 1 })
+        Some(FurtherList { job: job.clone(), number: partial.keys_read + 1 })
     }
 
-    /// A read of a further key has ended; false if nothing more is to be read of the job.
-    /// What cannot be read now is read later, and others first.
+    /// Marks the read of a job's further key as answered. Returns false if nothing of the job
+    /// remains to be read. The next attempt is delayed, so that other jobs are read first if
+    /// this read failed.
     pub(super) fn end_read(&mut self, now: Micros, job: &str) -> bool {
         let Some(partial) = self.partial.get_mut(job) else {
             return false;
@@ -205,17 +208,18 @@
         true
     }
 
-    /// Takes in a further key's dependencies.
+    /// Adds the dependencies that a further key holds. The job's dependencies are complete with
+    /// the last key.
     pub(super) fn add_further(&mut self, further: &FurtherList, dependencies: Vec<String>) {
         let Some(partial) = self.partial.get_mut(&further.job) else {
             return;
         };
-        if further.number == partial.read + 1 {
+        if further.number == partial.keys_read + 1 {
             partial.dependencies.extend(dependencies);
-            partial.read = further.number;
+            partial.keys_read = further.number;
             partial.not_before = Micros::ZERO;
         }
-        if partial.read >= partial.further_keys {
+        if partial.keys_read >= partial.further_keys {
             let dependencies = std::mem::take(&mut partial.dependencies);
             self.set_dependencies(&further.job, &dependencies);
         }
--- a/src/controller/jobs/dependents.rs
+++ b/src/controller/jobs/dependents.rs
@@ -1,11 +1,11 @@
-//! Own jobs that depend on others: their release, and their cancellation with one of those.
+//! Releases and cancels local jobs that wait for their dependencies.
 //!
-//! What a job depends on is in its record, `j/REF`, which every node follows. Its
-//! shard's leader releases it once each dependency is stored as done, which is
-//! final, and cancels it once one, directly or through others, is stored
-//! as cancelled. Only jobs without tasks on machines still wait, so this is a change of
-//! stage and nothing has to be stopped. Any node answers users so before that is
-//! written, from the stages of all that the job depends on.
+//! A job's record, `j/REF`, names its dependencies, and every member watches these records. The
+//! leader of the job's shard releases the job once every dependency is stored as done, which is
+//! final, and cancels it once a direct or indirect dependency is stored as cancelled. A waiting
+//! job has no tasks on machines, so cancelling it only changes its stage and stops nothing.
+//! Before that write, any member already answers users that the job is cancelled, from the
+//! stages of its direct and indirect dependencies.
 
 use super::dependency_graph::DependencyOutcome;
 use super::inherited_urgency::UrgencyInheritance;
@@ -22,56 +22,57 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Between checks of own waiting jobs where nothing has ended.
+/// Interval between checks of the local waiting jobs while no job ends.
 const CHECK_INTERVAL: Micros = Micros::secs(1);
-/// The same while cancellations wait for others in flight.
+/// Delay before the next check if a cancellation cannot be sent yet, mostly because
+/// [`MAX_CANCELLATIONS_IN_FLIGHT`] others are in flight.
 const CANCELLATION_RETRY_DELAY: Micros = Micros::millis(100);
-/// Cancellations of waiting jobs in flight at once.
+/// Maximum number of cancellations of waiting jobs in flight at once.
 const MAX_CANCELLATIONS_IN_FLIGHT: usize = 4;
 
-/// Own jobs that wait for their dependencies.
+/// Local jobs that wait for their dependencies.
 #[derive(Debug, Default)]
 pub(crate) struct Dependents {
     waiting: BTreeSet<String>,
-    /// Those whose cancellation is being written.
+    /// Jobs whose cancellation is in flight to the store.
     cancelling: BTreeSet<String>,
-    /// When all waiting jobs are checked again.
+    /// Time of the next check of all waiting jobs.
     next_check: Micros,
-    /// What the waiting jobs pass on to their dependencies.
+    /// Urgency that the waiting jobs pass on to their dependencies.
     pub(crate) urgency: UrgencyInheritance,
 }
 
 impl Dependents {
-    /// An own job waits for others from now on.
+    /// Registers a local job that waits for its dependencies.
     pub(crate) fn wait(&mut self, id: &str) {
         self.waiting.insert(id.to_string());
         self.check_now();
     }
 
-    /// Whether an own job waits for others.
+    /// Whether a local job waits for its dependencies.
     pub(super) fn is_waiting(&self, id: &str) -> bool {
         self.waiting.contains(id)
     }
 
-    /// Own jobs that wait for others.
+    /// Ids of the local jobs that wait for their dependencies.
     pub(super) fn waiting(&self) -> impl Iterator<Item = &String> {
         self.waiting.iter()
     }
 
-    /// Has all waiting jobs checked with the next tick.
+    /// Makes the next tick check all waiting jobs.
     pub(super) fn check_now(&mut self) {
         self.next_check = Micros::ZERO;
     }
 }
 
 impl Controller {
-    /// What becomes of a job that is known as accepted.
+    /// Evaluates the dependencies of a job that is cached as accepted.
     pub(crate) fn dependency_outcome_of(&self, id: &str) -> DependencyOutcome {
         let acknowledged = |id: &str| self.api.terminal_states.acknowledged(id);
         self.jobs.dependency_graph.outcome_of(id, &self.jobs.stage_cache, acknowledged)
     }
 
-    /// Checks own waiting jobs: which are released, and which are cancelled.
+    /// Reads missing dependencies and records, and releases or cancels local waiting jobs.
     pub(crate) fn maintain_dependencies(&mut self) {
         self.jobs.read_further_dependencies(&mut self.context);
         self.read_record_page();
@@ -91,14 +92,14 @@
         self.update_inherited_urgency();
     }
 
-    /// Releases or cancels an own waiting job, if what it depends on decides that.
+    /// Releases or cancels a local waiting job if the stages of its dependencies allow it.
     fn check_dependent(&mut self, id: &str) {
         let waits = |job: &&mut Job| job.awaits_dependencies && job.is_active();
         let Some(job) = self.jobs.by_id.get_mut(id).filter(waits) else {
             self.jobs.dependents.waiting.remove(id);
             return;
         };
-        // Nothing known of what it depends on is no reason to release it.
+        // Dependencies that have not been read must not count as satisfied.
         let Some(dependencies) = self.jobs.dependency_graph.dependencies_of(id) else {
             return;
         };
@@ -113,7 +114,7 @@
         }
     }
 
-    /// All dependencies of an own job are done: its tasks may be placed.
+    /// Lets the tasks of a local job be placed: all its dependencies are done.
     fn release_dependent(&mut self, id: &str) {
         info!("job {id} may start: all its dependencies are done");
         self.counts.released += 1;
@@ -127,7 +128,7 @@
         self.scheduler.request_pass();
     }
 
-    /// Writes that a waiting job is cancelled with one that it depends on.
+    /// Writes the cancellation of a waiting job with a cancelled dependency.
     fn cancel_dependent(&mut self, id: &str) {
         let Some(job) = self.jobs.by_id.get(id) else {
             return;
@@ -154,8 +155,8 @@
         self.context.call_store(call, KvRequest::Txn(txn));
     }
 
-    /// Takes in the reply to the cancellation of a waiting job.
-    pub(super) fn dependent_cancelled(
+    /// Handles the reply to the cancellation of a waiting job.
+    pub(super) fn cancel_dependent_reply(
         &mut self,
         id: &str,
         shard: usize,
@@ -172,7 +173,8 @@
                 self.announce_cancelled(id, revision);
                 self.job_cancelled(id);
             }
-            // Perhaps applied, or its user was faster: what is stored decides.
+            // The write may have been applied, or the job's user has cancelled it first: the
+            // stored record decides.
             KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.read_back(id),
             _ => {}
         }
--- a/src/controller/jobs/inherited_urgency.rs
+++ b/src/controller/jobs/inherited_urgency.rs
@@ -1,5 +1,7 @@
-//! Jobs that others depend on are as urgent as those: the urgency goes to the shards that
-//! run them, over the peers.
+//! Urgency inheritance: a job is at least as urgent as the jobs that depend on it.
+//!
+//! The leaders of the dependent jobs send the urgency to all peers, and so to the leaders of the
+//! shards that run the dependencies.
 
 use super::job::Urgency;
 use crate::controller::Controller;
@@ -7,27 +9,29 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// How often all inherited urgency is sent again: a lost message costs a delay.
+/// Interval at which all inherited urgency is sent again, which bounds the delay that a lost
+/// message causes.
 const RESEND_INTERVAL: Micros = Micros::secs(4);
 
-/// What own waiting jobs pass on to the jobs that they depend on.
+/// Urgency that local waiting jobs pass on to their dependencies.
 #[derive(Debug, Default)]
 pub(crate) struct UrgencyInheritance {
-    /// By dependency, as last sent.
+    /// Urgency last sent, by dependency.
     sent: BTreeMap<String, Urgency>,
-    /// When all is sent again.
+    /// Time at which all urgency is sent again.
     next_resend: Micros,
-    /// For the next frames to peers.
+    /// Changes to be sent with the next frames to peers.
     outbox: Vec<InheritedUrgency>,
 }
 
 impl UrgencyInheritance {
-    /// Takes what is to be sent to all peers.
+    /// Takes the changes to be sent to all peers.
     pub(crate) fn take_outbox(&mut self) -> Vec<InheritedUrgency> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Queues what has changed since it was last sent, and at times all.
+    /// Queues the urgency that differs from what was last sent, or all of it once per
+    /// [`RESEND_INTERVAL`].
     fn queue(&mut self, now: Micros, inherited: &BTreeMap<String, Urgency>) {
         let resend_all = now >= self.next_resend;
         if resend_all {
@@ -43,15 +47,16 @@
 }
 
 impl Controller {
-    /// Works out how urgent the jobs are that own ones wait for, and has it sent.
+    /// Computes the urgency of the dependencies of local waiting jobs, applies it to local ones
+    /// and queues it for the peers.
     pub(super) fn update_inherited_urgency(&mut self) {
         let mut inherited: BTreeMap<String, Urgency> = BTreeMap::new();
         let jobs = &self.jobs;
         for job in jobs.dependents.waiting().filter_map(|id| jobs.by_id.get(id)) {
             let urgency = job.urgency();
             for id in job.dependencies.iter().filter(|id| jobs.stage_cache.is_unfinished(id)) {
-                let most = inherited.entry(id.clone()).or_insert(urgency);
-                *most = most.max(urgency);
+                let combined = inherited.entry(id.clone()).or_insert(urgency);
+                *combined = combined.combine(urgency);
             }
         }
         self.jobs.dependents.urgency.queue(self.context.now, &inherited);
@@ -61,19 +66,20 @@
         self.jobs.dependents.urgency.sent = inherited;
     }
 
-    /// A job of this urgency depends on another, which may be an own one.
+    /// Raises the urgency of `id` to that of a job that depends on it. Has no effect if `id` is
+    /// not a local job.
     pub(crate) fn inherit_urgency(&mut self, id: &str, urgency: Urgency) {
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
         };
-        let most = job.inherited_urgency.unwrap_or(Urgency::LEAST).max(urgency);
-        if job.inherited_urgency == Some(most) {
+        let combined = job.inherited_urgency.unwrap_or(Urgency::LEAST).combine(urgency);
+        if job.inherited_urgency == Some(combined) {
             return;
         }
-        job.inherited_urgency = Some(most);
+        job.inherited_urgency = Some(combined);
         self.scheduler.request_pass();
         if self.jobs.dependents.is_waiting(id) {
-            // What it depends on itself is as urgent.
+            // The job passes its urgency on to its own dependencies.
             self.jobs.dependents.check_now();
         }
     }
--- a/src/controller/jobs/job/backoff.rs
+++ b/src/controller/jobs/job/backoff.rs
@@ -1,43 +1,44 @@
-//! Pauses of a job whose tasks fail or are refused, and the machines that it avoids.
+//! Backoff of jobs whose tasks fail or are refused, and the machines that such jobs avoid.
 
 use super::Job;
 use crate::time::Micros;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Failures on different machines after which the job itself is suspected.
+/// Number of machines with failed tasks after which the job itself is suspected.
 const SUSPECT_MACHINES: usize = 3;
-/// A suspect job's pause is a second, doubled this often at most: to half a minute.
+/// A suspect job's pause is one second, doubled with every pause but at most this many times:
+/// from 2 s up to 32 s.
 const MAX_PAUSE_DOUBLINGS: u32 = 5;
-/// Machines that a job avoids at most.
+/// Maximum number of machines that a job avoids; beyond it the set starts anew.
 const MAX_AVOIDED_MACHINES: usize = 6;
-/// Refusals without a start between them after which a job pauses.
+/// Number of refusals without a start in between after which a job pauses.
 const MAX_REFUSALS_IN_A_ROW: u32 = 16;
-/// How long it then pauses.
+/// Length of the pause after [`MAX_REFUSALS_IN_A_ROW`] refusals.
 const REFUSED_PAUSE: Micros = Micros::millis(100);
 
-/// What a job's failures and refusals lead to.
+/// Backoff state of a job, from the failures and refusals of its tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Backoff {
-    /// Nothing of the job is placed before this.
+    /// Earliest time to place a task of the job.
     not_before: Micros,
-    /// Refused starts since a task last began to run.
+    /// Number of refused starts since a task last began to run.
     refusals_in_a_row: u32,
-    /// Machines on which tasks failed, while none of the job has completed.
+    /// Machines on which tasks failed since a task last completed, up to [`SUSPECT_MACHINES`].
     failed_machines: BTreeSet<Rc<str>>,
-    /// Pauses for failures so far.
+    /// Number of pauses for failures since a task last completed.
     failure_pauses: u32,
-    /// Machines on which its tasks failed lately.
+    /// Machines on which tasks failed recently, where no task of the job is placed.
     avoided_machines: BTreeSet<Rc<str>>,
 }
 
 impl Backoff {
-    /// Whether the job may not be placed at present.
+    /// Whether no task of the job may currently be placed.
     pub fn is_paused(&self, now: Micros) -> bool {
         now < self.not_before
     }
 
-    /// The job is not placed before `until`, or later if it is paused for longer already.
+    /// Pauses the job's placements until `until`, unless they are already paused for longer.
     pub fn pause_until(&mut self, until: Micros) {
         self.not_before = self.not_before.max(until);
     }
@@ -47,17 +48,17 @@
         self.avoided_machines.contains(machine)
     }
 
-    /// Whether it avoids any machine.
+    /// Whether the job avoids any machine.
     pub fn avoids_any(&self) -> bool {
         !self.avoided_machines.is_empty()
     }
 
-    /// A task of the job runs.
+    /// Records that a task of the job runs, which resets the count of refusals.
     pub fn note_start(&mut self) {
         self.refusals_in_a_row = 0;
     }
 
-    /// A machine refused a task of the job.
+    /// Records that a machine refused a task of the job.
     pub fn note_refusal(&mut self, now: Micros) {
         self.refusals_in_a_row += 1;
         if self.refusals_in_a_row >= MAX_REFUSALS_IN_A_ROW {
@@ -75,27 +76,27 @@
         }
     }
 
-    /// Pauses a suspect job. Failures together, as of a whole array, bring one pause; each
-    /// further one is longer.
+    /// Pauses a suspect job, twice as long as the last time up to a maximum. Failures during a
+    /// pause, such as those of an array's other tasks, do not add another pause.
     fn pause_for_failure(&mut self, now: Micros) {
         if self.is_paused(now) {
             return;
         }
         self.failure_pauses += 1;
         self.not_before = now + Micros::secs(1 << self.failure_pauses.min(MAX_PAUSE_DOUBLINGS));
-        // Where there are few machines none would be left for the trial.
+        // In a small cluster no machine would be left for the next trial.
         self.avoided_machines.clear();
     }
 }
 
 impl Job {
-    /// Whether the job itself seems to be at fault: it failed on several machines,
-    /// and nothing of it has ever completed.
+    /// Whether the job itself seems to be at fault: its tasks failed on several machines, and
+    /// none has ever completed.
     pub fn suspect(&self) -> bool {
         self.backoff.failed_machines.len() >= SUSPECT_MACHINES && self.done() == 0
     }
 
-    /// A task of it failed on a machine.
+    /// Records that a task of the job failed on a machine.
     pub fn note_failure(&mut self, now: Micros, machine: &Rc<str>) {
         self.backoff.note_failed_machine(machine);
         if self.suspect() {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A task of it completed, so it can run.
+    /// Records that a task completed, which shows that the job can run.
     pub fn note_success(&mut self) {
         if !self.backoff.failed_machines.is_empty() {
             self.backoff.failed_machines.clear();
--- a/src/controller/jobs/job/keys.rs
+++ b/src/controller/jobs/job/keys.rs
@@ -3,22 +3,22 @@
 use crate::wire::JobStage;
 use serde::{Deserialize, Serialize};
 
-/// Value of `j/REF`.
+/// A job's record, the value of `j/REF`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Shard that accepted it.
+    /// Shard that accepted the job and runs it.
     #[serde(rename = "s")]
     pub shard: usize,
-    /// Stage.
+    /// Stored stage of the job.
     #[serde(rename = "g")]
     pub stage: StoredStage,
-    /// Number of tasks, which is shown of a done job too.
+    /// Number of tasks; kept after the job has ended, since it is still shown.
     #[serde(rename = "n", default)]
     pub tasks: u32,
-    /// Jobs that must be done first; empty once it is over.
+    /// Jobs that must be done first; empty once the job has ended.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
-    /// Number of further keys that name others, where one value has no room for all.
+    /// Number of further keys with dependencies, used if they do not all fit in this value.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub further_keys: u32,
 }
@@ -28,26 +28,27 @@
 }
 
 impl JobRecord {
-    /// The record of a job that is over.
+    /// Creates the record of a job that has ended.
     pub fn ended(shard: usize, stage: StoredStage, tasks: u32) -> JobRecord {
         JobRecord { shard, stage, tasks, dependencies: Vec::new(), further_keys: 0 }
     }
 }
 
-/// Most jobs whose records are read key by key; more are read by pages.
+/// Maximum number of jobs whose records are read key by key; more are read by pages.
 pub const MAX_SINGLE_READS: usize = 64;
 
-/// A key just before a job's: after all keys of jobs with smaller ids.
+/// Returns a key that sorts directly before a job's key and after the keys of all jobs with
+/// smaller ids. A listing after this key begins at the job.
 pub fn key_before(id: &str) -> String {
     let mut key = job_key(id);
-    // Before the last digit and after all that might follow it in an id.
+    // With the last digit lowered by one, `:` sorts after every digit that could follow it.
     let last = key.pop().unwrap_or('0');
     key.push(char::from_u32(u32::from(last) - 1).unwrap_or('/'));
     key.push(':');
     key
 }
 
-/// Key of further dependencies; numbered from 1.
+/// Key of a further list of dependencies; `number` counts from 1.
 pub fn dependency_key(id: &str, number: u32) -> String {
     format!("u/{id}/{number}")
 }
@@ -61,14 +62,14 @@
     /// All tasks have completed.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user, or with a job that it depends on.
+    /// Cancelled by the job's user, or with a dependency.
     #[serde(rename = "c")]
     Cancelled,
 }
 
 impl From<StoredStage> for JobStage {
-    /// The stage that users are shown; an accepted job of which tasks run is shown as running
-    /// instead.
+    /// Converts to the stage shown to users. An accepted job with running tasks is shown as
+    /// running instead of queued.
     fn from(stage: StoredStage) -> JobStage {
         match stage {
             StoredStage::Accepted => JobStage::Queued,
@@ -83,32 +84,32 @@
     format!("j/{id}")
 }
 
-/// Key of a chunk of a job's tasks.
+/// Key of one chunk of a job's tasks.
 pub fn chunk_key(shard: usize, id: &str, chunk: usize) -> String {
     format!("w/{shard}/{id}/{chunk}")
 }
 
-/// Beginning of the keys of all of a job's chunks.
-pub fn chunk_keys(shard: usize, id: &str) -> String {
+/// Common prefix of the keys of a job's chunks.
+pub fn chunk_key_prefix(shard: usize, id: &str) -> String {
     format!("w/{shard}/{id}/")
 }
 
-/// Key of descriptions of jobs that were accepted together. The term and the
-/// number make it unique; jobs' ids never begin like it.
+/// Key of a batch of jobs that were accepted together. The term and the number make it unique;
+/// no job id begins with `_`.
 pub fn batch_key(shard: usize, term: u64, number: u64) -> String {
     format!("w/{shard}/_{term}-{number}/0")
 }
 
-/// Whether a name in a key under `w/S/` is a batch's instead of a job's.
+/// Whether the name in a key under `w/S/` is that of a batch instead of a job's id.
 pub fn is_batch(name: &str) -> bool {
     name.starts_with('_')
 }
 
-/// Jobs of at most so many tasks stay in their batch: rewritten whole, it stores changes of
-/// many jobs with one write.
-pub const BATCHED_TASKS: u32 = 2;
+/// Maximum number of tasks of a job that stays in its batch. A rewrite of the whole batch stores
+/// changes of many small jobs with one write.
+pub const MAX_BATCHED_TASKS: u32 = 2;
 
-/// Job, or name of a batch, and number of the chunk of a key under `w/S/`.
+/// Splits a key under `w/S/` into the job id, or the name of a batch, and the chunk's number.
 pub fn parse_chunk_key(key: &str) -> Option<(&str, usize)> {
     let mut fields = key.split('/').skip(2);
     let id = fields.next()?;
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -1,15 +1,18 @@
-//! One job with its tasks, as the shard that runs it keeps it, and how it is stored.
+//! State of one job and its tasks, as held by the leader of the job's shard, and its stored
+//! form.
 //!
-//! `j/REF` is tiny and permanent: shard and stage. Each `w/S/REF/n` holds a chunk of the
-//! tasks, chunk 0 the job's description too; they are deleted once the job is over.
-//! A chunk's version counts its changes. What is newer than the stored version has not been
-//! written yet, and nobody may act on it. Nothing here reads the clock, calls the store or
-//! knows of other jobs.
+//! `j/REF`, the job's record, is tiny and permanent: it holds the shard and the stage. Each
+//! `w/S/REF/n` holds a chunk of the tasks, and chunk 0 also holds the job's description. The
+//! chunks are deleted once the job has ended.
+//!
+//! A chunk's version counts its changes. A change newer than the stored version has not been
+//! written yet, and no controller may act on it. Nothing here reads the clock, calls the store or
+//! refers to other jobs in memory.
 
 mod backoff;
 mod chunk;
 mod keys;
-mod names;
+mod machine_names;
 mod placement;
 mod run_times;
 mod stored;
@@ -34,10 +37,10 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// Version of chunk 0 as it is stored with the acceptance.
+/// Version of chunk 0 that is stored when the job is accepted.
 const FIRST_VERSION: u64 = 1;
 
-/// How far a job is.
+/// Task counts that show how far a job has got.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Number of tasks that have completed.
@@ -46,58 +49,59 @@
     pub running: u32,
 }
 
-/// A job that one of this process's shards runs.
+/// A job of a shard that this process leads.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Description.
+    /// Description that the user submitted.
     pub spec: Rc<JobSpec>,
-    /// Shard that runs it.
+    /// Shard that runs the job.
     pub shard: usize,
-    /// Revision of its record, `j/REF`.
+    /// Revision of the job's record, `j/REF`.
     pub revision: u64,
-    /// Time of day of the acceptance, by the accepting node.
+    /// Time of day of the acceptance, by the clock of the accepting member.
     pub accepted: Micros,
-    /// Its tasks.
+    /// The job's tasks, divided into chunks.
     pub chunks: Vec<TaskChunk>,
-    /// Tasks in a chunk.
+    /// Number of tasks in a chunk; the last chunk may have fewer.
     pub chunk_size: u32,
-    /// Bytes that a chunk's placements may take in its value.
+    /// Maximum number of bytes for the placements in a chunk's value.
     chunk_budget_bytes: usize,
-    /// The same for chunk 0, which has the description.
+    /// The same for chunk 0, which also holds the description.
     first_chunk_budget_bytes: usize,
     /// Jobs that must be done before this one starts.
     pub dependencies: Rc<[String]>,
-    /// Some of them may not be done yet: nothing is placed.
+    /// Whether some dependencies may not be done yet. Until it is cleared no task is placed.
     pub awaits_dependencies: bool,
-    /// Time of day from which it could be placed: of the acceptance, or of the end of
-    /// the last dependency.
+    /// Time of day from which tasks could be placed: that of the acceptance, or of the job's
+    /// release once its last dependency was done.
     pub ready_at: Micros,
-    /// Of the jobs that depend on this one the most urgent rank and earliest deadline.
+    /// Most urgent rank and earliest deadline of the jobs that depend on this one.
     pub inherited_urgency: Option<Urgency>,
-    /// Since when it has had changes whose write was deferred.
+    /// Time since which a write of changes has been deferred; `None` if none is.
     pub deferred_since: Option<Micros>,
-    /// Its user cancelled it.
+    /// Whether the job is cancelled, by its user or with a dependency.
     pub cancelled: bool,
-    /// The store has its terminal state, and nothing of it runs: only its chunks remain to
-    /// be deleted.
+    /// Whether the store has the job's terminal stage and no task runs: only the chunks remain
+    /// to be deleted.
     pub finished_in_store: bool,
-    /// It is of low priority and ranks as normal, so that more urgent work cannot starve
-    /// it: none of it had started after a good part of its objective.
+    /// Whether this low-priority job ranks as one of normal priority, so that more urgent work
+    /// cannot starve it: none of its tasks had started after a good part of the time that its
+    /// objective allows.
     pub raised_to_normal: bool,
-    /// A transaction with its changes, or a read-back of what is stored, is in flight.
+    /// Whether a transaction with the job's changes, or a read-back, is in flight.
     pub store_call_in_flight: bool,
-    /// Pauses after failures and refusals.
+    /// Pauses after failures and refusals, and avoided machines.
     pub backoff: Backoff,
     /// Why its tasks are pending, for the queue page.
     pub pending_reason: PendingReason,
-    /// How long its tasks run.
+    /// Run times of completed tasks.
     run_times: RunTimes,
-    /// Its description as last sent with the desired state.
+    /// The job's shape as last sent with the desired state.
     pub announced_shape: Option<Rc<Shape>>,
 }
 
 impl Job {
-    /// A job with nothing placed, of which nothing is stored yet.
+    /// Creates a job without placements, of which nothing is stored yet.
     pub fn new(
         spec: Rc<JobSpec>,
         shard: usize,
@@ -131,8 +135,8 @@
         }
     }
 
-    /// Chunk 0 was stored with the acceptance; its key has this revision, or 0 if the chunk
-    /// is in a batch.
+    /// Marks chunk 0 as stored with the acceptance. `revision` is that of its key, or 0 if the
+    /// chunk is in a batch.
     pub(crate) fn acceptance_stored(&mut self, revision: u64) {
         let chunk = &mut self.chunks[0];
         chunk.version = FIRST_VERSION;
@@ -140,41 +144,42 @@
         chunk.revision = revision;
     }
 
-    /// The value of chunk 0 as it is stored with the acceptance.
+    /// Encodes chunk 0 for the write that accepts the job.
     pub(crate) fn encode_accepted(&mut self) -> Value {
         self.chunks[0].version = FIRST_VERSION;
         self.encode_chunk(0)
     }
 
-    /// Sets how many bytes its chunks may take. A job that was divided for larger values
-    /// keeps its chunks, and their `previous` layout while the store takes such values.
+    /// Sets the byte limits of the chunks' placements. A job that was divided for larger values
+    /// keeps its chunks, and the limits of the `previous` layout while the store takes such
+    /// values.
     pub fn set_layout(&mut self, layout: ChunkLayout, previous: Option<ChunkLayout>) {
         let layout = previous.filter(|_| self.chunk_size > layout.tasks).unwrap_or(layout);
         self.chunk_budget_bytes = layout.bytes;
         self.first_chunk_budget_bytes = layout.first_chunk_bytes(&self.spec);
     }
 
-    /// Whether it is neither cancelled nor finished.
+    /// Whether the job is neither cancelled nor finished.
     pub fn is_active(&self) -> bool {
         !self.cancelled && !self.finished_in_store
     }
 
-    /// The chunk of a task; `None` if the job has no such task.
+    /// Returns the chunk of a task, or `None` if the job has no such task.
     pub fn chunk_of(&mut self, index: u32) -> Option<&mut TaskChunk> {
         self.chunks.get_mut((index / self.chunk_size) as usize)
     }
 
-    /// The present placement of a task.
+    /// Returns the current placement of a task.
     pub fn placement(&self, index: u32) -> Option<&Placement> {
         self.chunks.get((index / self.chunk_size) as usize)?.placed.get(&index)
     }
 
-    /// The present placement of a task, to be changed.
+    /// Returns the current placement of a task for modification.
     pub fn placement_mut(&mut self, index: u32) -> Option<&mut Placement> {
         self.chunk_of(index)?.placed.get_mut(&index)
     }
 
-    /// Numbers of tasks that have completed and that run.
+    /// Numbers of tasks that have completed and that are observed running.
     pub fn progress(&self) -> Progress {
         Progress { done: self.done(), running: self.running() }
     }
@@ -197,8 +202,8 @@
         self.chunks.iter().map(|chunk| chunk.pending.len() as u32).sum()
     }
 
-    /// Number of tasks that may be placed now: of a suspect job one at a time, since all of
-    /// them would fail again and use up starts, writes and quota.
+    /// Number of tasks that may be placed now. A suspect job gets one task at a time, since all
+    /// of its tasks would probably fail again and use up starts, writes and quota.
     pub fn placeable(&self) -> u32 {
         let pending = if self.awaits_dependencies { 0 } else { self.pending() };
         if self.suspect() {
@@ -208,20 +213,20 @@
         }
     }
 
-    /// Number of tasks on machines, or about to be.
+    /// Number of tasks that are placed, whether or not they run already.
     pub fn reserved_tasks(&self) -> u32 {
         self.chunks.iter().map(|chunk| chunk.placed.len() as u32).sum()
     }
 
-    /// Number of tasks that count against the team's quota: also those that were withdrawn
-    /// before they started, until that is stored. A later leader would start them, beside
-    /// whatever had taken their place.
+    /// Number of tasks that count against the team's quota. Tasks withdrawn before their start
+    /// count until that end is stored: a later leader would start them, in addition to the
+    /// tasks that took their place.
     pub fn limited_tasks(&self) -> u32 {
         let ended: usize = self.chunks.iter().map(|chunk| chunk.may_still_start().count()).sum();
         self.reserved_tasks() + ended as u32
     }
 
-    /// The first task to be placed, in a chunk whose value has room for it.
+    /// Returns the first pending task in a chunk whose value has room for its placement.
     pub fn first_pending(&self) -> Option<u32> {
         let budget = |number: usize| match number {
             0 => self.first_chunk_budget_bytes,
@@ -234,22 +239,22 @@
         chunks.find_map(|(_, chunk)| chunk.pending.first().copied())
     }
 
-    /// Number of chunks with placements that are not stored yet.
+    /// Number of chunks that contain unstored placements.
     pub fn chunks_with_unstored_placements(&self) -> usize {
         self.chunks.iter().filter(|chunk| chunk.has_unstored_placements()).count()
     }
 
-    /// True once every task has completed.
-    pub fn complete(&self) -> bool {
+    /// Whether every task has completed.
+    pub fn is_complete(&self) -> bool {
         self.chunks.iter().all(|chunk| chunk.pending.is_empty() && chunk.placed.is_empty())
     }
 
-    /// How long a task of this job usually runs, once enough of them have completed.
+    /// Median run time of the job's tasks; `None` until enough of them have completed.
     pub fn usual_run_time(&self) -> Option<Micros> {
         self.run_times.median()
     }
 
-    /// A task completed, after having been seen running for so long.
+    /// Records how long a completed task was observed running.
     pub fn note_run_time(&mut self, ran: Micros) {
         self.run_times.note(ran);
     }
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -1,4 +1,4 @@
-//! Attempts of tasks: where each was placed, and how it ended.
+//! Placements of tasks, and the ends of their attempts.
 
 use super::Job;
 use super::chunk::stored_bytes;
@@ -7,80 +7,82 @@
 use crate::wire::WorkerIncarnation;
 use std::rc::Rc;
 
-/// Where a task was placed.
+/// The placement of a task's attempt on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// Machine.
+    /// Name of the machine.
     pub machine: Rc<str>,
-    /// Incarnation of the machine's worker.
+    /// Incarnation of the machine's worker that may run the attempt.
     pub incarnation: WorkerIncarnation,
-    /// Attempt, unique in the task's chunk.
+    /// Number of the attempt, unique in the task's chunk.
     pub attempt: u64,
-    /// Version of the chunk that first holds it: it is acted on once that is stored.
+    /// First version of the chunk with this placement. No controller acts on the placement
+    /// before that version is stored.
     pub version: u64,
-    /// Time of day of the decision; stored, so that a later leader of the shard
-    /// knows how much work a stop would lose.
+    /// Time of day of the decision. It is stored so that a later leader of the shard can tell
+    /// how much work a stop would lose.
     pub placed_at: Micros,
-    /// It was read from the store: when it began to run is not known.
+    /// Whether the placement was read from the store, so that its start time is unknown.
     pub restored: bool,
-    /// Zone, for jobs whose tasks must be in one zone or spread.
+    /// Zone of the machine, for jobs whose tasks must be in one zone or spread.
     pub zone: Rc<str>,
-    /// It is to be stopped, with this time for a checkpoint.
+    /// Time for a checkpoint before the requested stop; `None` if no stop is requested.
     pub stop_grace: Option<Micros>,
-    /// Sequence number of the desired state that first said so.
+    /// Sequence number of the desired state that first contained the stop.
     pub stop_seq: Option<u64>,
-    /// Its state as last observed.
+    /// State last observed on the machine; `None` before the first observation.
     pub observed: Option<ObservedState>,
-    /// Since when it has been running, on the steady clock.
+    /// Time on the monotonic clock since which the attempt has been running; `None` before.
     pub running_since: Option<Micros>,
-    /// Bytes that it takes in the chunk's value at most.
+    /// Upper bound of the bytes that the placement takes in the chunk's value.
     pub(crate) bytes: usize,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskEnd {
-    /// Its state then.
+    /// Terminal state of the attempt.
     pub observed: ObservedState,
-    /// Its machine does not know it, and is still in the incarnation that it was meant for.
+    /// Whether a start could still run the attempt: its machine has no record of it, and its
+    /// worker is still in the incarnation for which it was placed.
     pub may_still_start: bool,
 }
 
 impl TaskEnd {
-    /// Nothing can start it any more, whoever reads that it was placed.
+    /// An end after which no leader that reads the stored placement can start the attempt.
     pub fn certain(observed: ObservedState) -> TaskEnd {
         TaskEnd { observed, may_still_start: false }
     }
 
-    /// The leader of its machine's shard lists it as ended. A refusal may be that leader's
-    /// own, of which the machine knows nothing.
+    /// An end that the leader of the machine's shard reports. That leader may have refused the
+    /// start itself, so after a refusal the machine may have no record of the attempt.
     pub fn listed(observed: ObservedState) -> TaskEnd {
         TaskEnd { observed, may_still_start: observed == ObservedState::Refused }
     }
 
-    /// It was withdrawn before it started.
+    /// The end of an attempt that was withdrawn before it started.
     pub fn never_started() -> TaskEnd {
         TaskEnd { observed: ObservedState::Stopped, may_still_start: true }
     }
 }
 
-/// An attempt that has ended, while its end is not stored yet.
+/// An ended attempt whose end is not stored yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedAttempt {
-    /// Version of the chunk that no longer holds it.
+    /// First version of the chunk without the placement.
     pub version: u64,
-    /// Task.
+    /// Number of the task in its job.
     pub index: u32,
-    /// Where it was.
+    /// The attempt's placement.
     pub placement: Placement,
-    /// Its machine does not know it, in the incarnation that it was meant for: a later leader
-    /// that reads it as placed would start it.
+    /// Whether a later leader that reads the stored placement would start the attempt: see
+    /// [`TaskEnd::may_still_start`].
     pub may_still_start: bool,
 }
 
 impl Job {
-    /// Places a task on a machine, in memory; returns the attempt, or `None` if the task is
-    /// not pending.
+    /// Places a task on a machine, in memory only. Returns the attempt's number, or `None` if
+    /// the task is not pending.
     pub fn place(
         &mut self,
         wall: Micros,
@@ -119,8 +121,8 @@
         Some(attempt)
     }
 
-    /// Notes that a task's present attempt was observed in a state that is not over; true if
-    /// it was in another one before.
+    /// Records that a task's current attempt was observed in a non-terminal state. Returns
+    /// whether the state has changed.
     pub fn note_observed(
         &mut self,
         now: Micros,
@@ -146,8 +148,8 @@
         true
     }
 
-    /// Ends a task's attempt, in memory; returns where it was. The attempt stays in the
-    /// desired state, so that its machine keeps its record, until the end is stored.
+    /// Ends a task's attempt, in memory only, and returns its placement. Until the end is
+    /// stored, the attempt stays in the desired state so that its machine keeps its record.
     pub fn end(&mut self, index: u32, end: TaskEnd) -> Option<Placement> {
         let chunk = self.chunk_of(index)?;
         let placement = chunk.placed.remove(&index)?;
--- a/src/controller/jobs/job/run_times.rs
+++ b/src/controller/jobs/job/run_times.rs
@@ -1,22 +1,22 @@
-//! How long the tasks of one job run.
+//! Run times of one job's completed tasks, and their median.
 
 use crate::time::Micros;
 
-/// Run times kept of a job: its first ones are enough for a median.
+/// Maximum number of run times kept per job. The first ones are enough for a median.
 const MAX_RUN_TIMES: usize = 64;
-/// Run times from which on their median is used.
+/// Minimum number of run times for a median.
 const MIN_RUN_TIMES: usize = 3;
 
 /// Run times of a job's first completed tasks.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunTimes {
-    /// In ascending order.
+    /// Run times in ascending order.
     sorted: Vec<Micros>,
     median: Option<Micros>,
 }
 
 impl RunTimes {
-    /// Takes in one more, unless there are enough.
+    /// Adds a run time unless [`MAX_RUN_TIMES`] are already kept.
     pub(crate) fn note(&mut self, ran: Micros) {
         if self.sorted.len() >= MAX_RUN_TIMES {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Their median, once there are a few.
+    /// Median run time; `None` until there are [`MIN_RUN_TIMES`].
     pub(crate) fn median(&self) -> Option<Micros> {
         self.median
     }
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -1,9 +1,9 @@
-//! How jobs are stored: the values of chunks and batches, and how they are read again.
+//! Encodes and decodes the stored values of chunks and batches.
 //!
-//! Names of fields are a letter each in the store, since its values are small.
+//! Stored field names have a single letter, since the store's values are small.
 
 use super::chunk::stored_bytes;
-use super::names::{join_name, split_name};
+use super::machine_names::{join_name, split_name};
 use super::{ChunkLayout, Job, Placement, StoredChunkValue, TaskChunk};
 use crate::time::Micros;
 use crate::wire::{JobSpec, MAX_TASKS, WorkerIncarnation};
@@ -12,68 +12,69 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Latest time of day of a placement, in seconds: what is later is damaged.
+/// Latest valid time of day of a placement, in seconds; a later one marks damaged data.
 const MAX_PLACED_SECOND: u64 = u64::MAX / 4_000_000;
-/// Most digits of a machine's number; what names more is damaged.
+/// Maximum number of digits at the end of a machine's name; damaged data may specify more.
 const MAX_STORED_DIGITS: usize = 20;
-/// Numbers that make up a stored placement.
+/// Number of integers that make up a stored placement.
 const COLUMNS: usize = 7;
 
-/// A chunk's value.
+/// The stored value of a chunk.
 #[derive(Serialize, Deserialize)]
 struct StoredChunk {
     /// Version of the chunk.
     #[serde(rename = "v")]
     version: u64,
-    /// Highest attempt given out.
+    /// Highest attempt number given out.
     #[serde(rename = "a")]
     last_attempt: u64,
-    /// Completed tasks of the chunk as a bit each, in hexadecimal digits; the
-    /// lowest first.
+    /// Completed tasks of the chunk as hexadecimal digits with one bit per task, the lowest task
+    /// first.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     done_bits: String,
-    /// Beginnings of machines' names.
+    /// Prefixes of machines' names.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
-    name_heads: Vec<NameHead>,
+    name_prefixes: Vec<NamePrefix>,
     #[serde(rename = "y", default, skip_serializing_if = "Vec::is_empty")]
     zones: Vec<String>,
     /// Earliest time of day of the placements, in seconds.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
-    first_second: u64,
-    /// Placements, [`COLUMNS`] numbers each: task since the one before, beginning (in
-    /// `name_heads`) and number of the machine's name, incarnation, attempt, zone (in
-    /// `zones`), seconds since `first_second`.
+    base_second: u64,
+    /// Placements as [`COLUMNS`] numbers each: difference to the previous task's number, prefix
+    /// (index in `name_prefixes`) and number of the machine's name, incarnation, attempt, zone
+    /// (index in `zones`), seconds since `base_second`.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     placements: Vec<u64>,
-    /// Description, in chunk 0.
+    /// Description of the job; only in chunk 0.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
-    /// Time of day of the acceptance in microseconds, in chunk 0.
+    /// Time of day of the acceptance, in microseconds; only in chunk 0.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     accepted: Option<u64>,
-    /// Tasks in a chunk, in chunk 0: the settings may change between runs.
+    /// Number of tasks in a chunk; only in chunk 0. Stored because the settings may change
+    /// between runs.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     chunk_size: Option<u32>,
 }
 
-/// The beginning of machines' names, stored as a pair.
+/// The prefix that machines' names share, stored as a pair.
 #[derive(PartialEq, Deserialize)]
 #[serde(from = "(String, usize)")]
-struct NameHead {
-    head: String,
-    /// Digits of the number that follows.
+struct NamePrefix {
+    prefix: String,
+    /// Number of digits that follow the prefix.
     width: usize,
 }
 
-impl From<(String, usize)> for NameHead {
-    fn from((head, width): (String, usize)) -> NameHead {
-        NameHead { head, width }
+impl From<(String, usize)> for NamePrefix {
+    fn from((prefix, width): (String, usize)) -> NamePrefix {
+        NamePrefix { prefix, width }
     }
 }
 
-impl Serialize for NameHead {
+impl Serialize for NamePrefix {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        (&self.head, self.width).serialize(serializer)
+        (&self.prefix, self.width).serialize(serializer)
     }
 }
 
@@ -81,29 +82,29 @@
     *number == 0
 }
 
-/// A placement as stored.
+/// A decoded placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredPlacement {
-    /// Task.
+    /// Number of the task in its job.
     pub index: u32,
-    /// Machine's name.
+    /// Name of the machine.
     pub machine: String,
     /// Incarnation of the machine's worker.
     pub incarnation: WorkerIncarnation,
-    /// Attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Time of day of the decision, in seconds.
+    /// Time of day of the placement decision, in seconds.
     pub placed_second: u64,
 }
 
-/// The placements in a chunk's value; `None` if it cannot be read.
+/// Decodes the placements in a chunk's value; `None` if it cannot be read.
 pub fn stored_placements(value: &Value) -> Option<Vec<StoredPlacement>> {
     StoredChunk::deserialize(value).ok()?.read_placements()
 }
 
-/// The position of an entry in a short table, to which it is added if it is new.
+/// Returns the position of an entry in a short table, adding the entry if it is new.
 fn position_in<T: PartialEq>(table: &mut Vec<T>, entry: T) -> u64 {
     let position = table.iter().position(|existing| *existing == entry).unwrap_or_else(|| {
         table.push(entry);
@@ -112,30 +113,30 @@
     position as u64
 }
 
-/// The value of a batch: chunk 0 of each of its jobs, as it would be stored on its own.
+/// Encodes a batch: chunk 0 of each of its jobs, as it would be stored under its own key.
 pub fn encode_batch(chunks: Vec<Value>) -> Value {
     serde_json::json!({ "jobs": chunks })
 }
 
-/// The jobs of a batch with their chunk 0; what cannot be read is left out.
+/// Decodes a batch into its jobs' ids and values of chunk 0, leaving out unreadable ones.
 pub fn decode_batch(value: &Value) -> Vec<(String, Value)> {
     let chunks = value.get("jobs").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
     let read = |v: &Value| Some((StoredChunk::deserialize(v).ok()?.spec?.id, v.clone()));
     chunks.iter().filter_map(read).collect()
 }
 
-/// Whether all of a batch can be read.
+/// Whether all jobs of a batch can be read.
 pub fn batch_is_sound(value: &Value) -> bool {
     let chunks = value.get("jobs").and_then(Value::as_array);
     chunks.is_some_and(|chunks| chunks.len() == decode_batch(value).len())
 }
 
-/// The version of a chunk that a value holds.
+/// Returns the version of the chunk in a value.
 pub(crate) fn stored_version(value: &Value) -> Option<u64> {
     value.get("v")?.as_u64()
 }
 
-/// A chunk's completed tasks as hexadecimal digits; `first` is its first task.
+/// Encodes a chunk's completed tasks as hexadecimal digits; `first` is its first task.
 fn encode_done(chunk: &TaskChunk, first: u32) -> String {
     let mut digits: Vec<u8> = Vec::new();
     for index in &chunk.done {
@@ -149,7 +150,7 @@
     digits.iter().map(digit).collect()
 }
 
-/// Marks the tasks that such digits name as completed; `None` if they are damaged.
+/// Marks the tasks encoded by [`encode_done`] as completed; `None` if a digit is invalid.
 fn decode_done(chunk: &mut TaskChunk, first: u32, digits: &str) -> Option<()> {
     for (position, digit) in digits.chars().enumerate() {
         let digit = digit.to_digit(16)?;
@@ -164,41 +165,42 @@
 }
 
 impl StoredChunk {
-    /// Writes placements into the table of an otherwise complete value.
+    /// Fills in the placements, with their tables of prefixes and zones. All other fields are
+    /// already set.
     fn write_placements(&mut self, placed: &BTreeMap<&u32, &Placement>) {
         let second = |placement: &Placement| placement.placed_at.0 / 1_000_000;
-        self.first_second = placed.values().map(|placement| second(placement)).min().unwrap_or(0);
+        self.base_second = placed.values().map(|placement| second(placement)).min().unwrap_or(0);
         let mut previous = 0;
         for (index, placement) in placed {
             let name = split_name(&placement.machine);
-            let head = NameHead { head: name.head.to_string(), width: name.width };
+            let prefix = NamePrefix { prefix: name.prefix.to_string(), width: name.width };
             self.placements.extend([
                 u64::from(*index - previous),
-                position_in(&mut self.name_heads, head),
+                position_in(&mut self.name_prefixes, prefix),
                 name.number,
                 placement.incarnation.0,
                 placement.attempt,
                 position_in(&mut self.zones, placement.zone.to_string()),
-                second(placement) - self.first_second,
+                second(placement) - self.base_second,
             ]);
             previous = **index;
         }
     }
 
-    /// Reads its table of placements; `None` if it is damaged.
+    /// Decodes the placements; `None` if they are damaged.
     fn read_placements(&self) -> Option<Vec<StoredPlacement>> {
         let mut index = 0_u64;
         let mut list = Vec::with_capacity(self.placements.len() / COLUMNS);
         for row in self.placements.chunks(COLUMNS) {
-            let [step, head, number, incarnation, attempt, zone, second] = *row else {
+            let [step, prefix, number, incarnation, attempt, zone, second] = *row else {
                 return None;
             };
             index = index.checked_add(step)?;
-            let name = self.name_heads.get(usize::try_from(head).ok()?)?;
-            let second = self.first_second.checked_add(second);
+            let name = self.name_prefixes.get(usize::try_from(prefix).ok()?)?;
+            let second = self.base_second.checked_add(second);
             list.push(StoredPlacement {
                 index: u32::try_from(index).ok()?,
-                machine: join_name(&name.head, name.width.min(MAX_STORED_DIGITS), number),
+                machine: join_name(&name.prefix, name.width.min(MAX_STORED_DIGITS), number),
                 incarnation: WorkerIncarnation(incarnation),
                 attempt,
                 zone: self.zones.get(usize::try_from(zone).ok()?)?.clone(),
@@ -210,8 +212,8 @@
 }
 
 impl TaskChunk {
-    /// Takes in a stored value; `first` is the chunk's first task, `revision` that of its
-    /// key. `None` if the value is damaged.
+    /// Restores the chunk from its stored value. `first` is the chunk's first task, `revision`
+    /// that of its key. `None` if the value is damaged.
     fn restore(&mut self, first: u32, stored: &StoredChunk, revision: u64) -> Option<()> {
         self.last_attempt = stored.last_attempt;
         self.version = stored.version;
@@ -225,7 +227,8 @@
         Some(())
     }
 
-    /// Takes in a stored placement of a task that is not done.
+    /// Restores a stored placement; ignored if the task is already done or placed, or is not in
+    /// this chunk.
     fn restore_placement(&mut self, stored: StoredPlacement) {
         let StoredPlacement { index, machine, incarnation, attempt, zone, placed_second } = stored;
         if !self.pending.remove(&index) {
@@ -252,14 +255,14 @@
 }
 
 impl Job {
-    /// The value of a chunk as it is in memory.
+    /// Encodes a chunk as it is in memory.
     pub fn encode_chunk(&self, number: usize) -> Value {
         let chunk = &self.chunks[number];
         self.encode(number, chunk.version, chunk.placed.iter().collect())
     }
 
-    /// The value of a chunk with the placements that are stored already, and no
-    /// others: an attempt whose end is not stored is still among them.
+    /// Encodes a chunk with only the placements that are already stored, including those of
+    /// attempts whose end is not stored yet.
     pub fn encode_stored(&self, number: usize) -> Value {
         let chunk = &self.chunks[number];
         let ended = chunk.unstored_ends.iter().map(|ended| (&ended.index, &ended.placement));
@@ -275,21 +278,21 @@
             version,
             last_attempt: chunk.last_attempt,
             done_bits: encode_done(chunk, number as u32 * self.chunk_size),
-            name_heads: Vec::new(),
+            name_prefixes: Vec::new(),
             zones: Vec::new(),
-            first_second: 0,
+            base_second: 0,
             placements: Vec::new(),
             spec: is_first.then(|| (*self.spec).clone()),
             accepted: is_first.then_some(self.accepted.0),
             chunk_size: is_first.then_some(self.chunk_size),
         };
         stored.write_placements(&placed);
-        // Numbers, texts and lists always have a JSON form.
+        // Cannot fail: numbers, strings and lists always have a JSON form.
         serde_json::to_value(stored).unwrap_or_default()
     }
 
-    /// Rebuilds a job from the values and revisions of its stored chunks. `None` if one is
-    /// damaged, and without chunk 0, which is written with the acceptance and deleted last.
+    /// Rebuilds a job from its stored chunks. `None` if one is damaged or chunk 0 is missing,
+    /// which is written with the acceptance and deleted last.
     pub fn restore(
         shard: usize,
         revision: u64,
@@ -297,7 +300,7 @@
         stored: &BTreeMap<usize, StoredChunkValue>,
     ) -> Option<Job> {
         let first: StoredChunk = serde_json::from_value(stored.get(&0)?.value.clone()).ok()?;
-        // What is stored of more tasks than can be submitted is damaged.
+        // No submission may have more than MAX_TASKS tasks, so a larger count is damaged data.
         let spec = Rc::new(first.spec.filter(|spec| u64::from(spec.tasks) <= MAX_TASKS)?);
         let tasks = first.chunk_size.unwrap_or(layout.tasks).max(1);
         let layout = ChunkLayout { tasks, ..layout };
--- a/src/controller/jobs/job/urgency.rs
+++ b/src/controller/jobs/job/urgency.rs
@@ -1,36 +1,36 @@
-//! How urgent a job is: by its own priority and deadline, and by those of the jobs that
-//! depend on it.
+//! Urgency of a job, from its own priority and deadline and from those of the jobs that depend
+//! on it.
 
 use super::Job;
 use crate::time::Micros;
 use crate::wire::Priority;
 
-/// A rank of service with a deadline.
+/// Rank and deadline by which jobs are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// Lower is more urgent.
+    /// Rank of service; lower is more urgent.
     pub rank: u32,
-    /// Time of day of the deadline.
+    /// Time of day of the deadline; [`Micros::FAR`] if there is none.
     pub due: Micros,
 }
 
 impl Urgency {
-    /// Less urgent than any job.
+    /// Lowest urgency, without a deadline. No job is less urgent.
     pub(crate) const LEAST: Urgency = Urgency { rank: u32::MAX, due: Micros::FAR };
 
-    /// Of both the more urgent rank and the earlier deadline.
-    pub fn max(self, other: Urgency) -> Urgency {
+    /// Combines the more urgent rank and the earlier deadline of the two.
+    pub fn combine(self, other: Urgency) -> Urgency {
         Urgency { rank: self.rank.min(other.rank), due: self.due.min(other.due) }
     }
 }
 
 impl Job {
-    /// Its own urgency with that of the jobs that depend on it.
+    /// The job's urgency, including that of the jobs that depend on it.
     pub fn urgency(&self) -> Urgency {
         Urgency { rank: self.rank(), due: self.due() }
     }
 
-    /// Rank of service: lower is more urgent.
+    /// Rank of service, including the inherited one; lower is more urgent.
     pub fn rank(&self) -> u32 {
         self.inherited_urgency.unwrap_or(Urgency::LEAST).rank.min(self.own_rank())
     }
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Time of day of the deadline, far away if there is none.
+    /// Time of day of the deadline, including the inherited one; [`Micros::FAR`] if there is
+    /// none.
     pub fn due(&self) -> Micros {
         let own =
             self.spec.deadline_s.map(|seconds| self.accepted + Micros::from_secs_f64(seconds));
--- a/src/controller/jobs/job/zones.rs
+++ b/src/controller/jobs/job/zones.rs
@@ -1,17 +1,18 @@
-//! In which zones a job's tasks may be: all in one, or spread.
+//! Zone constraints of a job's tasks: all in one zone, or spread.
 
 use super::Job;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 impl Job {
-    /// Number of tasks per zone; empty for a job whose tasks may be anywhere.
+    /// Number of tasks per zone; empty for a job whose tasks need be neither in one zone nor
+    /// spread.
     pub fn zones(&self) -> BTreeMap<Rc<str>, u32> {
         let mut zones = BTreeMap::new();
         if !self.spec.one_zone && !self.spec.spread {
             return zones;
         }
-        // What a later leader would start counts, too.
+        // Ended attempts that a later leader would still start count, too.
         for placement in self
             .chunks
             .iter()
@@ -22,7 +23,7 @@
         zones
     }
 
-    /// True if one more task may go to `zone`, given the number of tasks in each.
+    /// Whether one more task may be placed in `zone`, given the number of tasks in each zone.
     pub fn zone_allows(&self, zones: &BTreeMap<Rc<str>, u32>, zone: &str) -> bool {
         if self.spec.zone.as_deref().is_some_and(|required| required != zone) {
             return false;
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -1,9 +1,8 @@
-//! The jobs of the shards that this process leads: their tasks, what is stored of them and
-//! the jobs that they depend on.
+//! Jobs of the shards that this process leads: their tasks, stored state and dependencies.
 //!
-//! Owns the jobs in memory, the cache of all jobs' stages, the dependency graph and the
-//! writes in flight. It must never act on what is not stored: a placement is sent to
-//! machines, and an end makes them forget a task, only once the store has acknowledged it.
+//! Owns the jobs in memory, the cache of all jobs' stages, the dependency graph and the writes in
+//! flight. It never acts on state that is not stored: a placement is sent to machines, and
+//! machines are made to forget an ended task, only once the store has acknowledged the change.
 
 pub mod job;
 
@@ -38,38 +37,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use task_index::TaskIndex;
 
-/// The jobs that this process runs, and what it knows of all others.
+/// Local jobs, and the cached state of all other jobs.
 #[derive(Debug)]
 pub(crate) struct Jobs {
-    /// Jobs of the shards that this process leads.
+    /// Local jobs: those of the shards that this process leads.
     pub(crate) by_id: BTreeMap<String, Job>,
-    /// Their tasks by machine.
+    /// Tasks of local jobs by machine.
     pub(crate) task_index: TaskIndex,
-    /// Progress of any job as last counted by its shard's leader, for display.
+    /// Progress of jobs of all shards, as last counted by the shard's leader; for display only.
     pub(crate) progress: BTreeMap<String, Progress>,
-    /// Stages of jobs of all shards.
+    /// Cached stages of jobs of all shards.
     pub(crate) stage_cache: StageCache,
-    /// What unfinished jobs of all shards depend on.
+    /// Dependencies of unfinished jobs of all shards.
     pub(crate) dependency_graph: DependencyGraph,
-    /// Own jobs that wait for their dependencies.
+    /// Local jobs that wait for their dependencies.
     pub(crate) dependents: Dependents,
-    /// Batches in the store with own jobs.
+    /// Stored batches that contain local jobs.
     pub(crate) batches: Batches,
-    /// Pages of jobs' records that are still to be read.
+    /// Jobs whose records are still to be read by pages.
     pub(crate) record_pages: RecordPages,
-    /// Jobs and keys that cannot be read, and are left as they are.
+    /// Jobs and keys that cannot be read. They are left unmodified in the store.
     unreadable: BTreeSet<String>,
-    /// How the tasks of new jobs are divided.
+    /// How the tasks of new jobs are divided into chunks.
     pub(crate) chunk_layout: ChunkLayout,
-    /// How an earlier version divided jobs, as long as the key-value store takes values
-    /// that are larger than it will later.
+    /// How an earlier version divided jobs for the store's current value limit. `None` unless the
+    /// settings name a lower next limit, and once that limit has taken effect.
     pub(crate) previous_chunk_layout: Option<ChunkLayout>,
-    /// Transactions with changes of jobs that have not been answered.
+    /// Number of transactions with changes of jobs that have not been answered.
     writes_in_flight: usize,
 }
 
 impl Jobs {
-    /// No jobs yet; tasks are divided as the store's limits allow.
+    /// Creates an empty set of jobs, with chunk layouts that fit the store's limits.
     pub(crate) fn new(limits: &KvStoreLimits) -> Jobs {
         Jobs {
             by_id: BTreeMap::new(),
--- a/src/controller/jobs/read_back.rs
+++ b/src/controller/jobs/read_back.rs
@@ -1,5 +1,5 @@
-//! Read-back: a job's changes are compared with what the store has of them, after a write
-//! whose outcome is unknown or that failed on a condition.
+//! Reads a job back from the store after a write whose outcome is unknown or that failed on a
+//! condition, and reconciles the job in memory with the stored state.
 
 use super::Jobs;
 use super::job::{self, ChunkVersion, Job, JobRecord, ReadChunk, StoredStage};
@@ -13,10 +13,10 @@
 use log::warn;
 use std::collections::BTreeMap;
 
-/// How long a job is not placed after a read-back that failed.
+/// Pause in a job's placements after a failed read-back.
 const FAILED_READ_BACK_PAUSE: Micros = Micros::millis(200);
 
-/// The chunks of a job that have been read back, and for which term of its shard.
+/// Chunks of a job that have been read back so far, under a term of the job's shard.
 struct ChunkReadBack<'a> {
     id: &'a str,
     shard: usize,
@@ -25,7 +25,7 @@
 }
 
 impl Jobs {
-    /// Reads what the store has of a job, unless a call about it is in flight.
+    /// Reads a job's record back from the store, unless a call about the job is in flight.
     pub(crate) fn read_back(&mut self, context: &mut Context, leadership: &Leadership, id: &str) {
         let Some(job) = self.by_id.get_mut(id).filter(|job| !job.store_call_in_flight) else {
             return;
@@ -38,7 +38,7 @@
         context.call_store(call, KvRequest::Get(job::job_key(id)));
     }
 
-    /// Reads the next page of a job's chunks, after a key.
+    /// Reads the next page of a job's chunks: the keys after `after`, or the first page.
     fn read_back_chunks(
         &mut self,
         context: &mut Context,
@@ -50,12 +50,12 @@
             job.store_call_in_flight = true;
         }
         let call = JobsCall::ReadBackChunks { job: id.to_string(), term, read: chunks };
-        let prefix = job::chunk_keys(shard, id);
+        let prefix = job::chunk_key_prefix(shard, id);
         context.call_store(call, KvRequest::List { prefix, after });
     }
 
-    /// A read-back failed. The job's next write would fail on its conditions and so
-    /// lead here again; nothing is lost by trying that.
+    /// Pauses placements of a job whose read-back failed. It is safe to let the next write go
+    /// ahead: it fails on its conditions and triggers another read-back.
     fn read_back_failed(&mut self, now: Micros, id: &str) {
         if let Some(job) = self.by_id.get_mut(id) {
             job.backoff.pause_until(now + FAILED_READ_BACK_PAUSE);
@@ -64,8 +64,9 @@
 }
 
 impl Job {
-    /// Takes in the stored revisions of all chunks; returns those that turn out to have been
-    /// written, with the revision of each.
+    /// Sets the revisions of all chunks to the stored ones. Returns the chunk versions that
+    /// turned out to be stored although their write was not acknowledged, each with the
+    /// revision of its key.
     fn reconcile_chunks(&mut self, read: &BTreeMap<usize, ReadChunk>) -> Vec<(ChunkVersion, u64)> {
         let mut applied = Vec::new();
         for (number, chunk) in self.chunks.iter_mut().enumerate() {
@@ -83,13 +84,13 @@
 }
 
 impl Controller {
-    /// Reads what the store has of a job, unless a call about it is in flight.
+    /// Reads a job's record back from the store, unless a call about the job is in flight.
     pub(crate) fn read_back(&mut self, id: &str) {
         self.jobs.read_back(&mut self.context, &self.leadership, id);
     }
 
-    /// Takes in the reply with a job's record.
-    pub(super) fn record_read_back(&mut self, id: &str, term: u64, reply: KvResponse) {
+    /// Handles the reply with a job's record, then reads the job's chunks back.
+    pub(super) fn record_read_back_reply(&mut self, id: &str, term: u64, reply: KvResponse) {
         let Some(shard) = self.finish_store_call(id, term) else {
             return;
         };
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Takes in a page of a job's chunks; `chunks` are those of earlier pages.
-    pub(super) fn chunks_read_back(
+    /// Handles the reply with a page of a job's chunks; `chunks` holds those of earlier pages.
+    pub(super) fn chunks_read_back_reply(
         &mut self,
         id: &str,
         term: u64,
@@ -135,7 +136,7 @@
                 chunks.insert(number, ReadChunk { version, revision: item.revision });
             }
         }
-        // A revision missed on a further page would fail every write.
+        // Further pages must be read, too: a missing revision would make every write fail.
         if let Some(last) = items.last().filter(|_| more) {
             let read = ChunkReadBack { id, shard, term, chunks };
             return self.jobs.read_back_chunks(&mut self.context, read, Some(last.key.clone()));
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -1,8 +1,8 @@
-//! Records of many jobs, read by pages.
+//! Reads of many jobs' records by pages.
 //!
-//! A process that has just started may be asked about hundreds of jobs that it has no
-//! record of. Read one by one they would take longer than a user tries; a page of `j/`
-//! brings those beside them too.
+//! A process that has just started may be queried about hundreds of jobs whose records it has
+//! not read. One read per job would take longer than users keep retrying; a page of `j/` also
+//! returns the neighbouring records.
 
 use super::Jobs;
 use super::job::{self, MAX_SINGLE_READS};
@@ -14,11 +14,11 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that wait for a page at most.
+/// Maximum number of jobs that wait for a page; further ones are dropped.
 const MAX_REQUESTED_JOBS: usize = 20_000;
-/// How long it is remembered that a job had no record.
+/// How long a job without a record is remembered as absent.
 const ABSENCE_LIFETIME: Micros = Micros::secs(10);
-/// Pause after a page that could not be read.
+/// Pause after a failed read of a page.
 const FAILED_PAGE_PAUSE: Micros = Micros::secs(1);
 
 /// Jobs whose records are to be read by pages.
@@ -26,25 +26,26 @@
 pub(crate) struct RecordPages {
     requested: BTreeSet<String>,
     page_in_flight: bool,
-    /// No page is read before this.
+    /// Earliest time to read the next page.
     not_before: Micros,
-    /// Jobs that were in no page, and when that was found.
+    /// Jobs without a record in the page that covers their key, with the time of that page.
     absent: BTreeMap<String, Micros>,
 }
 
 impl RecordPages {
-    /// Whether a job was in no page a moment ago. It may have been accepted since.
+    /// Whether a page read within the last [`ABSENCE_LIFETIME`] had no record of the job. The
+    /// job may have been accepted since.
     pub(crate) fn was_absent(&self, id: &str) -> bool {
         self.absent.contains_key(id)
     }
 
     fn request(&mut self, jobs: Vec<String>) {
-        let room = MAX_REQUESTED_JOBS.saturating_sub(self.requested.len());
-        self.requested.extend(jobs.into_iter().take(room));
+        let capacity = MAX_REQUESTED_JOBS.saturating_sub(self.requested.len());
+        self.requested.extend(jobs.into_iter().take(capacity));
     }
 
-    /// Drops what is not needed any more: requests for jobs that are cached by now, and
-    /// absences that are too old.
+    /// Drops absences that are too old, and requests for jobs that are cached by now, as far as
+    /// these come first.
     fn clean_up(&mut self, now: Micros, stages: &StageCache) {
         self.absent.retain(|_, found_at| now.since(*found_at) < ABSENCE_LIFETIME);
         while self.requested.first().is_some_and(|id| stages.contains(id)) {
@@ -52,14 +53,14 @@
         }
     }
 
-    /// The first requested job, if a page may be read now.
+    /// Returns the first requested job if a page may be read now.
     fn next(&self, now: Micros) -> Option<&String> {
         let may_read = !self.page_in_flight && now >= self.not_before;
         self.requested.first().filter(|_| may_read)
     }
 
-    /// A page from `first` to the key `last`, or to the end, did not have the jobs that are
-    /// still requested between them.
+    /// Notes the requested jobs that a page did not contain as absent. The page covers the keys
+    /// from the job `first` to the key `last`, or to the end without it.
     fn note_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
         let covered = |id: &String| {
             let key = job::job_key(id);
@@ -74,8 +75,8 @@
 }
 
 impl Jobs {
-    /// Reads the next page, from the first requested job, while more than half of
-    /// this node's share of requests is there.
+    /// Reads the next page, from the first requested job on, if more than half of this member's
+    /// request budget is left.
     fn read_record_page(&mut self, context: &mut Context, holds_lease: bool) {
         self.record_pages.clean_up(context.now, &self.stage_cache);
         let Some(first) = self.record_pages.next(context.now).cloned() else {
@@ -92,8 +93,8 @@
 }
 
 impl Controller {
-    /// Has the records of jobs read of which nothing is known here: each by itself, or if
-    /// they are many by pages.
+    /// Requests the records of jobs that are not cached: up to [`MAX_SINGLE_READS`] key by key,
+    /// more by pages.
     pub(crate) fn read_records(&mut self, unknown: Vec<String>) {
         if unknown.len() <= MAX_SINGLE_READS {
             return self.machines.add_unknown_jobs(unknown);
@@ -101,13 +102,13 @@
         self.jobs.record_pages.request(unknown);
     }
 
-    /// Reads the next page of requested records, while this process may act.
+    /// Reads the next page of requested records while this process holds its lease.
     pub(super) fn read_record_page(&mut self) {
         let holds_lease = self.holds_lease();
         self.jobs.read_record_page(&mut self.context, holds_lease);
     }
 
-    /// Takes in the reply with a page of records that begins at the job `first`.
+    /// Handles the reply with a page of records that begins at the job `first`.
     pub(super) fn record_page_reply(&mut self, first: &str, reply: KvResponse) {
         self.jobs.record_pages.page_in_flight = false;
         let KvResponse::Page { items, more, .. } = reply else {
--- a/src/controller/jobs/recovery.rs
+++ b/src/controller/jobs/recovery.rs
@@ -1,4 +1,5 @@
-//! Jobs of shards that this process begins or ceases to lead.
+//! Restores the jobs of a shard that this process begins to lead, and removes those of a shard
+//! that it ceases to lead.
 
 use super::Jobs;
 use super::job::{Job, JobRecord, StoredChunkValue, StoredStage};
@@ -6,23 +7,23 @@
 use std::collections::BTreeMap;
 
 impl Job {
-    /// Takes in the record of a restored job, and its stage as known by now.
+    /// Applies the record of a restored job, with the newest cached stage.
     fn apply_record(&mut self, record: &JobRecord, stage: StoredStage) {
         self.cancelled = stage == StoredStage::Cancelled;
         self.finished_in_store = stage == StoredStage::Done;
         self.dependencies = record.dependencies.as_slice().into();
         self.awaits_dependencies = !self.dependencies.is_empty() && stage == StoredStage::Accepted;
         if self.finished_in_store {
-            // What its chunks still name has completed; it must not be
-            // desired, and so started, again.
+            // The placements in its chunks have completed. They must not enter the desired
+            // state, or their tasks would be started again.
             self.chunks.iter_mut().for_each(|chunk| chunk.placed.clear());
         }
     }
 }
 
 impl Jobs {
-    /// Runs a job of a shard that was read from the store: its record, at a revision, and its
-    /// chunks. The record's stage has been cached. Whether the chunks can be read.
+    /// Adds a job read from the store: its record, at a revision, and its chunks. The caller has
+    /// cached the record's stage. Returns false if the chunks cannot be read.
     pub(crate) fn restore(
         &mut self,
         shard: usize,
@@ -35,7 +36,7 @@
             return false;
         };
         job.set_layout(self.chunk_layout, self.previous_chunk_layout);
-        // What has changed since its record was read came by the watch.
+        // The watch has cached any change of the record since it was read.
         let stage = self.stage_cache.stage(id).unwrap_or(record.stage);
         job.apply_record(record, stage);
         if job.awaits_dependencies {
@@ -48,14 +49,15 @@
         true
     }
 
-    /// Something stored cannot be read, which is logged once: it stays as it is.
+    /// Marks a job or key as unreadable, so that it is left unmodified, and logs it the first
+    /// time.
     pub(crate) fn note_unreadable(&mut self, name: &str, reason: &str) {
         if self.unreadable.insert(name.to_string()) {
             warn!("{name}: {reason}");
         }
     }
 
-    /// A job cannot be read, and its batch, if it is in one, is kept for it.
+    /// Marks a job as unreadable, and keeps its batch in the store if it is in one.
     pub(crate) fn leave_unreadable(&mut self, id: &str, reason: &str) {
         self.note_unreadable(id, reason);
         if let Some(batch) = self.batches.key_of(id) {
@@ -64,19 +66,19 @@
         self.batches.remove_job(id);
     }
 
-    /// Whether a job or key is known to be unreadable.
+    /// Whether a job or key is marked as unreadable.
     pub(crate) fn is_unreadable(&self, name: &str) -> bool {
         self.unreadable.contains(name)
     }
 
-    /// A job's record has changed, so that it may be read again.
+    /// Clears the mark of a job whose record has changed and may be readable again.
     pub(crate) fn forget_unreadable(&mut self, id: &str) {
         self.unreadable.remove(id);
     }
 
-    /// Forgets the jobs of a shard that this process does not lead any more.
+    /// Removes the jobs of a shard that this process no longer leads.
     pub(crate) fn forget_shard(&mut self, shard: usize) {
-        // What cannot be read is tried once more under the next term.
+        // Unreadable jobs and keys are read once more under the next term.
         self.unreadable.clear();
         self.by_id.retain(|_, job| job.shard != shard);
         self.task_index.remove_shard(shard);
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -1,29 +1,29 @@
-//! Tasks on spot machines that are about to be reclaimed.
+//! Stops tasks on spot machines that are about to be reclaimed.
 
 use super::job::Job;
 use crate::controller::Controller;
 use crate::time::Micros;
 use std::rc::Rc;
 
-/// A task that would end so shortly before the machine is reclaimed is not counted on to end.
-const END_MARGIN: Micros = Micros::secs(2);
-/// Time for a checkpoint beside what the job says that it takes.
+/// A task is expected to complete only if it would end at least this long before its machine is
+/// reclaimed.
+const COMPLETION_MARGIN: Micros = Micros::secs(2);
+/// Time for a checkpoint, added to the save time that the job specifies.
 pub(super) const CHECKPOINT_MARGIN: Micros = Micros::secs(1);
 
-/// How long a task still runs, as far as can be told.
-fn expected_rest(ran: Option<Micros>, usual: Micros) -> Micros {
+/// Estimates how much longer a task runs; `ran` is `None` if it is not known to run yet.
+fn expected_remaining(ran: Option<Micros>, usual: Micros) -> Micros {
     match ran {
         Some(ran) if ran < usual => usual.since(ran),
-        // One that has run for longer than usual is a long one: nothing says
-        // that it ends now.
+        // A task that exceeds the usual run time may be a long one and need not end soon.
         Some(ran) => Micros(ran.0 / 2),
         None => Micros::FAR,
     }
 }
 
 impl Job {
-    /// Time for a checkpoint before a stop, on a machine that is reclaimed in `left`; none if
-    /// the job saves none, or it would not be done in time.
+    /// Time for a checkpoint before a stop on a machine that is reclaimed in `left`. Zero if the
+    /// job saves no checkpoints, or could not save one in time.
     fn checkpoint_grace(&self, left: Micros) -> Micros {
         let save = Micros::from_secs_f64(self.spec.save_s);
         if self.spec.checkpoint_s > 0.0 && save < left {
@@ -35,26 +35,26 @@
 }
 
 impl Controller {
-    /// Evaluates tasks on machines that are about to be reclaimed: the time that is left runs
-    /// down between heartbeats.
+    /// Evaluates tasks on machines with a spot notice. This runs on a timer because the time left
+    /// decreases between heartbeats, too.
     pub(crate) fn check_spot_notices(&mut self) {
         if !self.holds_lease() {
             return;
         }
-        let noticed: Vec<String> = self
+        let machines_with_notice: Vec<String> = self
             .machines
             .views()
             .iter()
             .filter(|(_, view)| view.notice_ms.is_some())
             .map(|(machine, _)| machine.clone())
             .collect();
-        for machine in noticed {
+        for machine in machines_with_notice {
             self.evaluate_on_all_shards(&machine);
         }
     }
 
-    /// A task's spot machine may be about to be reclaimed: a task that cannot end in time is
-    /// stopped, with time for a checkpoint if it saves any. The others may still end.
+    /// Stops a task whose machine has a spot notice if the task is not expected to complete in
+    /// time, with time for a checkpoint if the job saves any. Other tasks keep running.
     pub(super) fn stop_for_spot_notice(&mut self, id: &str, index: u32) {
         let now = self.context.now;
         let Some(job) = self.jobs.by_id.get_mut(id) else {
@@ -76,7 +76,7 @@
             let correction = self.scheduler.estimates().correction(&job.spec.class);
             Micros::from_secs_f64(job.spec.estimate_s * correction)
         });
-        if expected_rest(ran, usual) + END_MARGIN < left {
+        if expected_remaining(ran, usual) + COMPLETION_MARGIN < left {
             return;
         }
         let grace = job.checkpoint_grace(left);
@@ -84,6 +84,6 @@
             placement.stop_grace = Some(grace);
         }
         let shard = job.shard;
-        self.stop_changed(shard, machine);
+        self.note_stop_changed(shard, machine);
     }
 }
--- a/src/controller/jobs/stopping.rs
+++ b/src/controller/jobs/stopping.rs
@@ -1,4 +1,4 @@
-//! Stops of own tasks: for preemption, and of cancelled jobs.
+//! Stops local tasks that are preempted or whose jobs are cancelled.
 
 use super::spot_notices::CHECKPOINT_MARGIN;
 use crate::controller::Controller;
@@ -7,14 +7,14 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// The desired state of a machine has changed: a task on it is to be stopped.
-    pub(super) fn stop_changed(&mut self, shard: usize, machine: Rc<str>) {
+    /// Notes that a machine's desired state has changed because a task on it is to be stopped.
+    pub(super) fn note_stop_changed(&mut self, shard: usize, machine: Rc<str>) {
         self.scheduler.mark_stale(&machine);
         self.changes.desired.insert((shard, machine));
     }
 
-    /// Has a task stopped, with so much time for a checkpoint; an earlier stop with less
-    /// time stands.
+    /// Requests the stop of a task, with `grace` as the time for a checkpoint. An earlier stop
+    /// with no more time than that stays in force.
     fn stop_task(&mut self, id: &str, index: u32, grace: Micros) {
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
@@ -28,10 +28,11 @@
         }
         placement.stop_grace = Some(grace);
         let machine = Rc::clone(&placement.machine);
-        self.stop_changed(shard, machine);
+        self.note_stop_changed(shard, machine);
     }
 
-    /// An own task is preempted by a more urgent one.
+    /// Stops a local task that a more urgent one preempts. Ignored if the attempt is no longer
+    /// current or is already being stopped.
     pub(crate) fn preempt_task(&mut self, preempted: &Preempt) {
         let Some(job) = self.jobs.by_id.get_mut(&preempted.job) else {
             return;
@@ -39,7 +40,7 @@
         let grace = if preempted.save && job.spec.checkpoint_s > 0.0 {
             Micros::from_secs_f64(job.spec.save_s) + CHECKPOINT_MARGIN
         } else {
-            // At once: its latest checkpoint is kept.
+            // The task is stopped at once; its latest checkpoint is kept.
             Micros::ZERO
         };
         let is_current = job.placement_mut(preempted.index).is_some_and(|placement| {
@@ -64,7 +65,7 @@
         self.changes.jobs.insert(id.to_string());
     }
 
-    /// A job's user has cancelled it: on some node, perhaps this one.
+    /// Handles the cancellation of a job, which may have been made through any member.
     pub(crate) fn job_cancelled(&mut self, id: &str) {
         if let Some(job) = self.jobs.by_id.get_mut(id)
             && job.is_active()
--- a/src/controller/jobs/task_ends.rs
+++ b/src/controller/jobs/task_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of own tasks' attempts, and what is learnt from them.
+//! Handles the ends of local tasks' attempts, with their run times, failures and refusals.
 
 use super::job::TaskEnd;
 use crate::controller::Controller;
@@ -6,7 +6,7 @@
 use log::info;
 
 impl Controller {
-    /// A task's attempt has ended. It is stored with the job's next write, and the task
+    /// Ends a task's current attempt. The end is stored with the job's next write, and the task
     /// becomes pending again unless it has completed.
     pub(crate) fn end_task(&mut self, id: &str, index: u32, end: TaskEnd) {
         let observed = end.observed;
--- a/src/controller/jobs/task_index.rs
+++ b/src/controller/jobs/task_index.rs
@@ -1,40 +1,40 @@
-//! Which tasks of own shards are on which machine.
+//! Index of the tasks of led shards by machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A task of a job.
+/// Identifies a task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TaskId {
-    /// The job's id.
+    /// Job id.
     pub(crate) job: String,
     /// Number of the task in its job.
     pub(crate) index: u32,
 }
 
-/// Tasks by shard and machine, with those whose end is not stored yet.
+/// Tasks by shard and machine, including those whose end is not stored yet.
 #[derive(Debug, Default)]
 pub(crate) struct TaskIndex {
     by_machine: BTreeMap<(usize, Rc<str>), BTreeSet<TaskId>>,
 }
 
 impl TaskIndex {
-    /// A shard's tasks on a machine, if there are any.
+    /// Returns a shard's tasks on a machine, or `None` if it has none there.
     pub(crate) fn on(&self, shard: usize, machine: &Rc<str>) -> Option<&BTreeSet<TaskId>> {
         self.by_machine.get(&(shard, Rc::clone(machine)))
     }
 
-    /// Shards and machines with tasks.
+    /// All pairs of a shard and a machine with tasks of that shard.
     pub(crate) fn shards_and_machines(&self) -> impl Iterator<Item = &(usize, Rc<str>)> {
         self.by_machine.keys()
     }
 
-    /// Machines with tasks of a shard.
+    /// All machines with tasks of a shard.
     pub(crate) fn machines_of_shard(&self, shard: usize) -> impl Iterator<Item = &Rc<str>> {
-        self.by_machine.keys().filter(move |(of, _)| *of == shard).map(|(_, machine)| machine)
+        self.by_machine.keys().filter(move |(owner, _)| *owner == shard).map(|(_, machine)| machine)
     }
 
-    /// The shard with each machine that has tasks of one of its jobs.
+    /// All machines with tasks of a job, each paired with the job's shard.
     pub(crate) fn machines_of_job(
         &self,
         shard: usize,
@@ -42,19 +42,19 @@
     ) -> impl Iterator<Item = &(usize, Rc<str>)> {
         self.by_machine
             .iter()
-            .filter(move |((of, _), tasks)| {
-                *of == shard && tasks.iter().any(|task| task.job == job)
+            .filter(move |((owner, _), tasks)| {
+                *owner == shard && tasks.iter().any(|task| task.job == job)
             })
             .map(|(key, _)| key)
     }
 
-    /// A task is on a machine.
+    /// Adds a task to a machine.
     pub(crate) fn add(&mut self, shard: usize, machine: Rc<str>, job: &str, index: u32) {
         let tasks = self.by_machine.entry((shard, machine)).or_default();
         tasks.insert(TaskId { job: job.to_string(), index });
     }
 
-    /// A task is not on a machine any more.
+    /// Removes a task from a machine.
     pub(super) fn remove(&mut self, shard: usize, machine: &Rc<str>, job: &str, index: u32) {
         let key = (shard, Rc::clone(machine));
         if let Some(tasks) = self.by_machine.get_mut(&key) {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Removes all tasks of a job; returns the shard with each machine that had some.
+    /// Removes all tasks of a job. Returns the machines that had some, each paired with the
+    /// job's shard.
     pub(super) fn remove_job(&mut self, shard: usize, job: &str) -> Vec<(usize, Rc<str>)> {
         let machines: Vec<(usize, Rc<str>)> = self.machines_of_job(shard, job).cloned().collect();
         for key in &machines {
@@ -79,8 +80,8 @@
         machines
     }
 
-    /// Removes all tasks of a shard, which this process does not lead any more.
+    /// Removes all tasks of a shard that this process no longer leads.
     pub(crate) fn remove_shard(&mut self, shard: usize) {
-        self.by_machine.retain(|(of, _), _| *of != shard);
+        self.by_machine.retain(|(owner, _), _| *owner != shard);
     }
 }
--- a/src/controller/jobs/write_plan.rs
+++ b/src/controller/jobs/write_plan.rs
@@ -1,66 +1,69 @@
-//! What of a job goes into its next transaction. Pure: nothing is sent or changed here.
+//! Plans which changes of a job go into its next transaction.
+//!
+//! Performs no I/O and changes no state: [`super::writer`] sends the planned transactions.
 
 use super::job::{self, ChunkVersion, Job, JobRecord, StoredStage};
 use crate::time::Micros;
 use crate::wire::{Condition, Txn, Write};
 use serde_json::{Value, json};
 
-/// Ends of tasks that have waited for longer are written like starts.
+/// Age from which deferred task ends are written as urgently as starts.
 const MAX_DEFERRED_WRITE_AGE: Micros = Micros::secs(10);
-/// How long ends of tasks may wait for others to be written with.
+/// How long a task's end is deferred, so that later ends can be written with it.
 const DEFERRED_WRITE_DELAY: Micros = Micros::millis(2_500);
 
-/// How urgently a job's changes are to be written.
+/// Urgency of writing a job's changes, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WriteUrgency {
-    /// Starts, or the end of a whole job, wait for it.
+    /// Task starts or the end of a whole job wait for the write.
     Now,
-    /// Ends of tasks, and chunks of finished jobs.
+    /// Only task ends are to be written, or chunks of a finished job to be deleted.
     Later,
-    /// Not yet.
+    /// The changes are deferred and not written yet.
     None,
 }
 
-/// Limits of one transaction of a job's changes.
+/// Size limits of one transaction with a job's changes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteLimits {
-    /// Most chunks.
+    /// Maximum number of chunks.
     pub(crate) max_chunks: usize,
-    /// Largest value in bytes, where values of a time with larger ones may still be in
-    /// memory; without this all that the layout allows fits.
+    /// Maximum size of a value in bytes. Set only while the settings name the store's next
+    /// limits, since chunks laid out for a larger limit may still be in memory. `None` if
+    /// every chunk fits by its layout.
     pub(crate) max_value_bytes: Option<usize>,
 }
 
-/// What a transaction changes of a job, to be acknowledged once it is applied.
+/// Changes of a job that a transaction stores, to be acknowledged once it is applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum JobWrite {
-    /// The record says that the job is done.
+    /// The job's record is marked as done.
     Done,
-    /// These chunks of a finished job are deleted.
+    /// Chunks of a finished job with these numbers are deleted.
     DeletedChunks(Vec<usize>),
-    /// These chunks are stored in these versions.
+    /// Chunks are stored in these versions.
     Chunks(Vec<ChunkVersion>),
 }
 
-/// What is to be done to have a job's changes stored.
+/// Next step towards having a job's changes stored.
 #[derive(Debug)]
 pub(crate) enum WritePlan {
-    /// A transaction is to be sent.
+    /// Send a transaction.
     Send {
-        /// What it stores, for its reply.
+        /// Changes to acknowledge when the reply arrives.
         write: JobWrite,
-        /// The transaction.
+        /// Transaction to send.
         txn: Txn,
-        /// Changes remain for a later one.
+        /// Whether changes remain for a later transaction.
         has_more: bool,
     },
-    /// Nothing can be written: these changed chunks exceed the largest value.
+    /// Nothing can be written: the changed chunks with these numbers exceed the value limit.
     TooLarge(Vec<usize>),
-    /// The store has nothing of the finished job but its record.
-    NothingLeft,
+    /// Only the record of the finished job is left in the store.
+    OnlyRecordLeft,
 }
 
-/// A changed chunk with its value.
+/// A changed chunk, encoded for the store.
 struct EncodedChunk {
     version: ChunkVersion,
     value: Value,
@@ -75,7 +78,7 @@
 }
 
 impl Job {
-    /// How urgently its changes are to be written.
+    /// How urgently the job's changes are to be written.
     pub(crate) fn write_urgency(&self, now: Micros) -> WriteUrgency {
         if self.cancelled && !self.finished_in_store {
             return if self.reserved_tasks() > 0 { WriteUrgency::Now } else { WriteUrgency::Later };
@@ -83,7 +86,7 @@
         if self.finished_in_store {
             return WriteUrgency::Later;
         }
-        if self.complete() || self.chunks_with_unstored_placements() > 0 {
+        if self.is_complete() || self.chunks_with_unstored_placements() > 0 {
             return WriteUrgency::Now;
         }
         match self.deferred_since.map(|at| now.since(at)) {
@@ -103,15 +106,15 @@
     ) -> WritePlan {
         if self.finished_in_store {
             self.plan_deletes(limits, lease)
-        } else if self.complete() {
+        } else if self.is_complete() {
             self.plan_done(lease)
         } else {
             self.plan_chunks(urgency, limits, lease)
         }
     }
 
-    /// All tasks have completed: the record says so. The chunks are deleted later, when
-    /// nothing urgent waits.
+    /// Marks the record as done, since all tasks have completed. The chunks are deleted later,
+    /// when nothing urgent waits.
     fn plan_done(&self, lease: Condition) -> WritePlan {
         let value = JobRecord::ended(self.shard, StoredStage::Done, self.spec.tasks);
         let key = job::job_key(&self.spec.id);
@@ -122,8 +125,8 @@
         WritePlan::Send { write: JobWrite::Done, txn, has_more: true }
     }
 
-    /// Chunks of a finished job, the last one first: without chunk 0 the others would mean
-    /// nothing.
+    /// Deletes chunks of a finished job, the last one first: the others cannot be interpreted
+    /// without chunk 0.
     fn plan_deletes(&self, limits: WriteLimits, lease: Condition) -> WritePlan {
         let mut txn = Txn { conditions: vec![lease], writes: Vec::new() };
         let stored = self.chunks.iter().enumerate().rev().filter(|(_, chunk)| chunk.revision > 0);
@@ -135,7 +138,7 @@
             txn.writes.push(Write::Delete { key });
         }
         if deleted.is_empty() {
-            return WritePlan::NothingLeft;
+            return WritePlan::OnlyRecordLeft;
         }
         WritePlan::Send { write: JobWrite::DeletedChunks(deleted), txn, has_more: false }
     }
@@ -163,8 +166,9 @@
         WritePlan::Send { write: JobWrite::Chunks(versions), txn, has_more: changed.has_more }
     }
 
-    /// Changed chunks, those with placements first. Where starts wait, ends of tasks wait
-    /// for a later transaction.
+    /// Encodes changed chunks, those with unstored placements first. If starts wait for the
+    /// write, chunks with only task ends are left for a later transaction, unless most of
+    /// their attempts have ended.
     fn changed_chunks(&self, urgency: WriteUrgency, limits: WriteLimits) -> ChangedChunks {
         let starts_wait =
             urgency == WriteUrgency::Now && self.chunks_with_unstored_placements() > 0;
@@ -188,8 +192,8 @@
             }
             let value = self.encode_chunk(number);
             if limits.max_value_bytes.is_some_and(|max| value.to_string().len() > max) {
-                // Of a time with larger values: it is written once enough of it
-                // has ended.
+                // The chunk was laid out for a larger value limit. It is written once enough
+                // of its attempts have ended.
                 log::debug!("chunk {number} of job {} is too large to be written", self.spec.id);
                 changed.too_large.push(number);
                 continue;
--- a/src/controller/jobs/write_replies.rs
+++ b/src/controller/jobs/write_replies.rs
@@ -1,4 +1,4 @@
-//! What follows once changes of own jobs are stored, and from writes that failed.
+//! Handles replies to writes of local jobs, applied or failed.
 
 use super::job::{ChunkVersion, StoredStage};
 use super::stage_cache::CachedStage;
@@ -9,16 +9,16 @@
 use log::info;
 use std::rc::Rc;
 
-/// A task of a job whose desired state on a machine has changed with what is stored.
+/// A task whose desired state on a machine has changed with the stored state.
 struct TaskOnMachine {
     machine: Rc<str>,
     index: u32,
 }
 
 impl Controller {
-    /// Ends a call to the store about a job, and returns the job's shard; `None` if the job
-    /// is gone, or the call belongs to an earlier term of its shard, whose reply
-    /// means nothing for this one.
+    /// Marks a job's store call as answered and returns the job's shard. Returns `None` if the
+    /// job is gone or the call was made in an earlier term of the shard; such a reply says
+    /// nothing about the current term.
     pub(super) fn finish_store_call(&mut self, id: &str, term: u64) -> Option<usize> {
         let job = self.jobs.by_id.get_mut(id)?;
         let shard = job.shard;
@@ -30,7 +30,7 @@
         Some(shard)
     }
 
-    /// Takes in the reply to a transaction with a job's changes.
+    /// Handles the reply to a transaction with a job's changes.
     pub(super) fn store_reply(&mut self, id: &str, term: u64, write: JobWrite, reply: KvResponse) {
         self.jobs.writes_in_flight = self.jobs.writes_in_flight.saturating_sub(1);
         let Some(shard) = self.finish_store_call(id, term) else {
@@ -50,14 +50,15 @@
                 self.jobs.use_lowered_limits();
                 self.read_back(id);
             }
-            // It may have been applied, or may be later: what is stored decides,
-            // and a late one fails on the chunks' revisions.
+            // The write may have been applied or may still be applied later. The stored values
+            // decide. If it reaches the store after a newer write, it fails on the chunks'
+            // revisions.
             _ => self.read_back(id),
         }
     }
 
-    /// Chunks are stored: what is in them may now be acted on. The revision is 0 for the
-    /// chunk of a job that is stored in its batch.
+    /// Acknowledges stored chunks: their placements and ends may now be acted on. `revision` is
+    /// 0 if the chunk was written in the job's batch.
     pub(super) fn chunks_acknowledged(&mut self, id: &str, revision: u64, chunks: &[ChunkVersion]) {
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
@@ -76,7 +77,7 @@
             }));
             let stored = chunk.stored_version;
             let ended = chunk.unstored_ends.iter().filter(|ended| ended.version <= stored);
-            // Their quota is free only now.
+            // The quota of these attempts is free only once their end is stored.
             if ended.clone().any(|ended| ended.may_still_start) {
                 self.scheduler.request_pass();
             }
@@ -86,14 +87,14 @@
             }));
             chunk.unstored_ends.retain(|ended| ended.version > stored);
         }
-        // Without a revision it was written in the batch, where it stays.
+        // Without a revision the chunk was written in the batch, and the job stays there.
         if revision > 0 && chunks.iter().any(|chunk| chunk.number == 0) {
             self.jobs.batches.remove_job(id);
         }
         self.tasks_acknowledged(id, shard, changed);
     }
 
-    /// Chunks of a finished job are deleted.
+    /// Acknowledges the delete of a finished job's chunks.
     fn deletes_acknowledged(&mut self, id: &str, numbers: &[usize]) {
         if let Some(job) = self.jobs.by_id.get_mut(id) {
             for number in numbers {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A job's record says that it is done.
+    /// Acknowledges the write that marks a job's record as done.
     fn done_acknowledged(&mut self, id: &str, revision: u64) {
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return;
@@ -119,7 +120,8 @@
         self.tasks_acknowledged(id, shard, changed);
     }
 
-    /// Has the desired state of machines sent on which it changed with what is stored.
+    /// Marks the desired state of the tasks' machines as changed, so that it is sent, and
+    /// updates the index of tasks.
     fn tasks_acknowledged(&mut self, id: &str, shard: usize, changed: Vec<TaskOnMachine>) {
         for TaskOnMachine { machine, index } in changed {
             self.jobs.unlink(id, index, &machine);
@@ -129,7 +131,8 @@
 }
 
 impl super::Jobs {
-    /// The key-value store refuses values that it took before: it has its new limits.
+    /// Switches to the lower limits, which are in effect once the key-value store refuses
+    /// values that it accepted before.
     fn use_lowered_limits(&mut self) {
         info!("the key-value store takes only smaller values from now on");
         self.previous_chunk_layout = None;
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -1,7 +1,7 @@
-//! Writing the changes of own jobs: which jobs' come first, and the transactions in flight.
+//! Writes the changes of local jobs in order of urgency, with a limit on transactions in flight.
 //!
-//! What a transaction holds is planned in [`super::write_plan`]; what follows from its reply
-//! is in [`super::write_replies`].
+//! [`super::write_plan`] plans the content of a transaction; [`super::write_replies`] handles its
+//! reply.
 
 use super::Jobs;
 use super::job::TaskEnd;
@@ -16,15 +16,15 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Chunks in one transaction: with 8 KiB values more would pass 64 KiB, and one
-/// large job's would hold up all others.
+/// Maximum number of chunks in one transaction. With values of 8 KiB, more could exceed 64 KiB,
+/// and one large job would delay all others.
 const MAX_CHUNKS_PER_TXN: usize = 4;
-/// Writes of tasks in flight at once. What changes meanwhile is written together.
+/// Maximum number of task writes in flight. Changes that come meanwhile are written together.
 const MAX_WRITES_IN_FLIGHT: usize = 3;
-/// How long a job is not placed after placements of it were withdrawn.
+/// Pause in a job's placements after some of them were withdrawn.
 const WITHDRAWN_PAUSE: Micros = Micros::millis(500);
 
-/// A job with changes; in the order in which such jobs are written.
+/// A job with changes to write. Candidates sort in the order in which they are written.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WriteCandidate {
     urgency: WriteUrgency,
@@ -34,17 +34,17 @@
 }
 
 impl Jobs {
-    /// Whether one more write may be sent.
+    /// Whether fewer than [`MAX_WRITES_IN_FLIGHT`] writes are in flight.
     fn may_begin_write(&self) -> bool {
         self.writes_in_flight < MAX_WRITES_IN_FLIGHT
     }
 
-    /// The changed jobs that may be written, the most urgent first.
+    /// Changed jobs that may be written now, the most urgent first.
     fn write_candidates(&self, now: Micros, changed: &BTreeSet<String>) -> Vec<WriteCandidate> {
         let mut candidates: Vec<WriteCandidate> = Vec::new();
         for id in changed {
             let Some(job) = self.by_id.get(id) else {
-                // Not of this process any more: the writer takes it off the list.
+                // No longer a local job: the writer removes it from the list of changes.
                 candidates.push(WriteCandidate {
                     urgency: WriteUrgency::Now,
                     rank: 0,
@@ -66,9 +66,9 @@
         candidates
     }
 
-    /// Limits of a transaction, by those of the store.
+    /// Derives the limits of a transaction from those of the store.
     fn write_limits(&self, limits: &KvStoreLimits) -> WriteLimits {
-        // What is larger is refused once the key-value store has its new limits.
+        // Once its lower limits are in effect, the key-value store refuses larger values.
         let value_kb = match self.previous_chunk_layout {
             Some(_) => limits.current_value_kb,
             None => limits.value_kb,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Forgets a job; returns the shard with each machine that had tasks of it.
+    /// Removes a job. Returns the machines that had tasks of it, each paired with its shard.
     fn remove(&mut self, id: &str) -> Vec<(usize, Rc<str>)> {
         match self.by_id.remove(id) {
             Some(job) => self.task_index.remove_job(job.shard, id),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes a task off its machine, once the job has no attempt of it there.
+    /// Removes a task from its machine's index entry if the job has no attempt of it there.
     pub(super) fn unlink(&mut self, id: &str, index: u32, machine: &Rc<str>) {
         if let Some(job) = self.by_id.get_mut(id)
             && let Some(chunk) = job.chunk_of(index)
@@ -99,26 +99,26 @@
 }
 
 impl Controller {
-    /// Begins transactions for jobs with changes: starts that wait for their
-    /// write and ends of whole jobs first, by rank; what nobody waits for later,
-    /// together, and only from a part of the write budget that is not needed for the others.
+    /// Sends transactions for jobs with changes. Jobs whose starts or whose own end wait for the
+    /// write come first, by rank. Other changes are written later and together, and only from
+    /// the part of the write budget that the urgent ones do not need.
     pub(crate) fn store_dirty(&mut self) {
         let half_burst = self.context.write_budget.burst() / 2.0;
         if self.context.write_budget.level(self.context.now) > 1.0 + half_burst {
-            self.jobs.drop_batch(&mut self.context, &self.leadership);
+            self.jobs.delete_unneeded_batch(&mut self.context, &self.leadership);
         }
         if self.changes.jobs.is_empty() || !self.jobs.may_begin_write() || !self.holds_lease() {
             return;
         }
         let now = self.context.now;
         let level = self.context.write_budget.level(now);
-        let admissions = self.api.admission.reserved_writes(&self.context);
+        let reserved_for_admissions = self.api.admission.reserved_writes(&self.context);
         for candidate in self.jobs.write_candidates(now, &self.changes.jobs) {
-            // What waits here joins the next write; in the queue of calls it
-            // would be written as it was.
+            // Changes that wait here join the job's next write. A transaction in the queue of
+            // calls could not take in later changes.
             let min_level = match candidate.urgency {
-                WriteUrgency::Now => 1.0 + admissions,
-                _ => 1.0 + admissions + half_burst,
+                WriteUrgency::Now => 1.0 + reserved_for_admissions,
+                _ => 1.0 + reserved_for_admissions + half_burst,
             };
             if !self.jobs.may_begin_write()
                 || level.min(self.context.write_budget.level(now)) < min_level
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Sends a transaction with a job's changes, alone or with those of its batch.
+    /// Sends a transaction with a job's changes, alone or with those of the job's batch.
     fn store(&mut self, id: &str, urgency: WriteUrgency) {
         let Some(job) = self.jobs.by_id.get(id) else {
             self.changes.jobs.remove(id);
@@ -139,16 +139,14 @@
             return;
         }
         let shard = job.shard;
-        // A shard that is being handed over waits for its writes, so none begins.
-        let Some(leadership) = self
-            .leadership
-            .led_shard(shard)
-            .filter(|leadership| leadership.recovered && !leadership.handing_over)
+        // The handover of a shard waits for its writes in flight, so no new one begins.
+        let Some(led) =
+            self.leadership.led_shard(shard).filter(|led| led.recovered && !led.handing_over)
         else {
             return;
         };
-        let lease = shard_lease::lease_condition(shard, leadership.revision);
-        let term = leadership.term;
+        let lease = shard_lease::lease_condition(shard, led.revision);
+        let term = led.term;
         if self.jobs.stays_batched(id) && self.store_batch(id) {
             return;
         }
@@ -172,17 +170,17 @@
                 self.context.call_store(call, KvRequest::Txn(txn));
             }
             WritePlan::TooLarge(chunks) => {
-                // Tried again with the next change; at every turn it would be encoded
-                // hundreds of times a second.
+                // The job is tried again with its next change. Trying on every turn would encode
+                // it hundreds of times a second.
                 self.changes.jobs.remove(id);
                 self.withdraw_unstored_placements(id, &chunks);
             }
-            WritePlan::NothingLeft => self.forget_job(id),
+            WritePlan::OnlyRecordLeft => self.forget_job(id),
         }
     }
 
-    /// Marks a cancelled job whose tasks have all ended as finished. False if some have not:
-    /// nothing of it is to be written yet.
+    /// Marks a cancelled job as finished once all its tasks have ended. Returns false if some
+    /// have not, in which case nothing of the job is written yet.
     fn finish_cancelled(&mut self, id: &str) -> bool {
         let Some(job) = self.jobs.by_id.get_mut(id) else {
             return false;
@@ -190,7 +188,7 @@
         if !job.cancelled || job.finished_in_store {
             return true;
         }
-        // Its ends need not be stored: nothing of it is ever started again.
+        // The ends need not be stored, since no task of a cancelled job is ever started again.
         for chunk in &mut job.chunks {
             chunk.unstored_ends.clear();
         }
@@ -203,8 +201,8 @@
         true
     }
 
-    /// Withdraws placements in chunks that are too large to be written. Never written,
-    /// their tasks would never start, and so never end and make the chunk smaller.
+    /// Withdraws unstored placements in chunks that are too large to be written. Otherwise their
+    /// tasks would never start, and so never end and make the chunk smaller.
     fn withdraw_unstored_placements(&mut self, id: &str, chunks: &[usize]) {
         for number in chunks {
             let withdrawn: Vec<u32> = self
@@ -223,7 +221,7 @@
         }
     }
 
-    /// Forgets a finished job of which the store has nothing but the record.
+    /// Removes a finished job of which only the record is left in the store.
     fn forget_job(&mut self, id: &str) {
         self.changes.jobs.remove(id);
         self.jobs.batches.remove_job(id);
