--- a/src/controller/jobs/job/backoff.rs
+++ b/src/controller/jobs/job/backoff.rs
@@ -10,7 +10,7 @@
 /// A suspect job's pause is one second, doubled with every pause but at most this many times:
 /// from 2 s up to 32 s.
 const MAX_PAUSE_DOUBLINGS: u32 = 5;
-/// Maximum number of machines that a job avoids; beyond it the set starts anew.
+/// Maximum number of machines that a job avoids; beyond it the set is cleared.
 const MAX_AVOIDED_MACHINES: usize = 6;
 /// Number of refusals without a start in between after which a job pauses.
 const MAX_REFUSALS_IN_A_ROW: u32 = 16;
--- a/src/controller/jobs/job/chunk.rs
+++ b/src/controller/jobs/job/chunk.rs
@@ -9,7 +9,7 @@
 
 /// Bytes of a chunk's value other than its placements and description.
 const CHUNK_OVERHEAD_BYTES: usize = 400;
-/// Bytes of a stored placement with machine names of the usual length.
+/// Bytes of a stored placement with machine and zone names of the usual length.
 pub(crate) const PLACEMENT_BYTES: usize = 27;
 /// Maximum size in bytes of a description, so that it fits in chunk 0.
 pub const MAX_SPEC_BYTES: usize = 1_400;
