--- a/src/controller/quota/amount.rs
+++ b/src/controller/quota/amount.rs
@@ -1,15 +1,15 @@
-//! Amounts of what teams' limits and guarantees are about.
+//! Amounts of the resources that have quotas.
 
 use crate::resources::Resources;
 use crate::wire::JobSpec;
 use std::ops::{AddAssign, SubAssign};
 
-/// CPUs and GPUs: what limits, guarantees and grants are about.
+/// CPUs and GPUs, the resources that limits, guarantees and grants are set for.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct QuotaAmount {
-    /// CPUs.
+    /// Number of CPUs; fractions are allowed.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs; fractions are allowed.
     pub gpus: f64,
 }
 
@@ -23,45 +23,45 @@
 }
 
 impl QuotaResource {
-    /// All of them.
+    /// All resources that have a quota, CPUs first.
     pub const ALL: [QuotaResource; 2] = [QuotaResource::Cpus, QuotaResource::Gpus];
 }
 
 impl QuotaAmount {
-    /// So many CPUs and GPUs.
+    /// An amount of `cpus` CPUs and `gpus` GPUs.
     pub const fn new(cpus: f64, gpus: f64) -> QuotaAmount {
         QuotaAmount { cpus, gpus }
     }
 
-    /// An amount computed resource by resource, CPUs first.
-    pub fn each(mut amount: impl FnMut(QuotaResource) -> f64) -> QuotaAmount {
+    /// An amount computed for each resource by `amount`, which is called for CPUs first.
+    pub fn from_fn(mut amount: impl FnMut(QuotaResource) -> f64) -> QuotaAmount {
         let cpus = amount(QuotaResource::Cpus);
         QuotaAmount { cpus, gpus: amount(QuotaResource::Gpus) }
     }
 
-    /// How much of one resource.
-    pub fn of(&self, resource: QuotaResource) -> f64 {
+    /// The amount of one resource.
+    pub fn get(&self, resource: QuotaResource) -> f64 {
         match resource {
             QuotaResource::Cpus => self.cpus,
             QuotaResource::Gpus => self.gpus,
         }
     }
 
-    /// What so many tasks of a job need.
+    /// The amount that a number of tasks of a job need.
     pub fn of_tasks(spec: &JobSpec, tasks: u32) -> QuotaAmount {
         let tasks = f64::from(tasks);
         QuotaAmount { cpus: tasks * spec.cpus, gpus: tasks * spec.gpus }
     }
 }
 
-/// The part of a task's resources that counts against its team.
+/// The part of a task's resources that counts against its team's quota.
 impl From<Resources> for QuotaAmount {
     fn from(resources: Resources) -> QuotaAmount {
         QuotaAmount { cpus: resources.cpus, gpus: resources.gpus }
     }
 }
 
-/// The part of a task's resources that counts against its team.
+/// The part of one task's resources that counts against the team's quota.
 impl From<&JobSpec> for QuotaAmount {
     fn from(spec: &JobSpec) -> QuotaAmount {
         QuotaAmount { cpus: spec.cpus, gpus: spec.gpus }
--- a/src/controller/quota/job_demand.rs
+++ b/src/controller/quota/job_demand.rs
@@ -1,11 +1,12 @@
-//! What a shard's jobs use and need of their teams' quotas.
+//! Usage and pending demand of a shard's jobs, by team.
 
 use crate::controller::jobs::Jobs;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::quota::target_grant::RankedDemand;
 use crate::time::Micros;
 
-/// What a shard's tasks of a team use: from write-ahead until known to be gone.
+/// What a shard's tasks of a team use. A task counts from its placement, before that is stored,
+/// until its end is certain or stored.
 pub(crate) fn shard_usage(jobs: &Jobs, shard: usize, team: &str) -> QuotaAmount {
     let mut used = QuotaAmount::default();
     for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
@@ -14,7 +15,8 @@
     used
 }
 
-/// What a shard's waiting tasks of a team need, by rank.
+/// What a shard's pending tasks of a team need, by rank. Jobs whose backoff has not ended are left
+/// out.
 pub(crate) fn pending_demand(
     jobs: &Jobs,
     now: Micros,
--- a/src/controller/quota/limit_preemption.rs
+++ b/src/controller/quota/limit_preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption within a team: where its limit is used up, its less urgent tasks are stopped
-//! for its more urgent ones.
+//! Preemption within a team whose limit is used up: its less urgent tasks are stopped for its
+//! more urgent ones.
 
 use crate::controller::machines::desired_state::received::DesiredState;
 use crate::controller::quota::target_grant::RankedDemand;
@@ -9,24 +9,24 @@
 use crate::resources::TOLERANCE;
 use crate::time::Micros;
 
-/// A task of this shard that may be stopped for more urgent ones of its team.
+/// A task of this shard that may be preempted for more urgent ones of its team.
 struct Victim {
-    /// Seconds of work that stopping it loses.
+    /// Seconds of work that are lost if it is stopped without a checkpoint.
     lost_work_s: f64,
     cpus: f64,
     task: Preempt,
 }
 
-/// A team's tasks on all shards that are less urgent than a rank.
+/// A team's tasks that are less urgent than a rank, and the CPUs that need no preemption.
 struct LessUrgentTasks {
-    /// CPUs of all that are not stopping yet.
+    /// CPUs of the less urgent tasks of all shards that are not stopping.
     cpus: f64,
-    /// CPUs of those of this shard.
-    own_cpus: f64,
-    /// Those of this shard.
-    own: Vec<Victim>,
-    /// CPUs that are ungranted, or will be free once the tasks that are stopping are gone.
-    coming_cpus: f64,
+    /// CPUs of the less urgent tasks of this shard that are not stopping.
+    shard_cpus: f64,
+    /// The less urgent tasks of this shard that are not stopping.
+    shard_victims: Vec<Victim>,
+    /// CPUs that no shard is granted, and those that the team's stopping tasks will free.
+    available_soon_cpus: f64,
 }
 
 impl LessUrgentTasks {
@@ -40,20 +40,20 @@
     ) -> LessUrgentTasks {
         let mut found = LessUrgentTasks {
             cpus: 0.0,
-            own_cpus: 0.0,
-            own: Vec::new(),
-            coming_cpus: ungranted_cpus,
+            shard_cpus: 0.0,
+            shard_victims: Vec::new(),
+            available_soon_cpus: ungranted_cpus,
         };
         let counts = |task: &&DesiredTask| task.team == team && task.phase() != Phase::Over;
         for (owner, state) in desired.iter().enumerate() {
             for task in state.machines.values().flat_map(|on| on.tasks.iter().filter(counts)) {
                 if task.stop_ms.is_some() {
-                    found.coming_cpus += task.cpus;
+                    found.available_soon_cpus += task.cpus;
                 } else if task.rank > rank {
                     found.cpus += task.cpus;
                     if owner == shard {
-                        found.own_cpus += task.cpus;
-                        found.own.push(Victim::of(task, wall));
+                        found.shard_cpus += task.cpus;
+                        found.shard_victims.push(Victim::of(task, wall));
                     }
                 }
             }
@@ -78,10 +78,10 @@
 }
 
 impl TeamQuota {
-    /// The tasks that a shard stops since the team's limit is used up and more urgent tasks
-    /// of the team lack it (`unmet`, of all shards): the shard's proportion of the less
-    /// urgent ones, those first that lose least work.
-    pub(super) fn preemptions_over_limit(
+    /// Returns the tasks that a shard preempts because the team's limit is used up and more
+    /// urgent tasks of the team lack quota. `unmet` is the unmet demand of all shards. Each shard
+    /// stops its proportion of the less urgent tasks, those that lose the least work first.
+    pub(super) fn limit_preemptions(
         &self,
         team: &str,
         shard: usize,
@@ -100,20 +100,20 @@
         let ungranted_cpus = self.ungranted().cpus;
         let mut less_urgent =
             LessUrgentTasks::collect(desired, team, shard, rank, ungranted_cpus, wall);
-        // What other shards hold unused comes back by itself.
+        // Unused grants of other shards are given back without preemption.
         let used_cpus: f64 =
             desired.iter().filter_map(|state| state.usage.get(team)).map(|used| used.cpus).sum();
-        let unused_cpus = (self.limit().cpus - used_cpus - less_urgent.coming_cpus).max(0.0);
-        // What is free, or will be once the tasks that are stopping are gone, needs no
-        // further stops.
-        let missing_cpus = urgent_cpus - less_urgent.coming_cpus - unused_cpus;
+        let unused_cpus =
+            (self.limit().cpus - used_cpus - less_urgent.available_soon_cpus).max(0.0);
+        // Preempt only for what is neither free nor freed by tasks that are already stopping.
+        let missing_cpus = urgent_cpus - less_urgent.available_soon_cpus - unused_cpus;
         if missing_cpus <= TOLERANCE || less_urgent.cpus <= TOLERANCE {
             return Vec::new();
         }
-        let mut to_stop_cpus = missing_cpus * less_urgent.own_cpus / less_urgent.cpus;
-        less_urgent.own.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
+        let mut to_stop_cpus = missing_cpus * less_urgent.shard_cpus / less_urgent.cpus;
+        less_urgent.shard_victims.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
         let mut preemptions = Vec::new();
-        for victim in less_urgent.own {
+        for victim in less_urgent.shard_victims {
             if to_stop_cpus <= TOLERANCE {
                 break;
             }
--- a/src/controller/quota/mod.rs
+++ b/src/controller/quota/mod.rs
@@ -1,8 +1,8 @@
-//! Teams' limits and guarantees, and how the shards share them.
+//! Teams' limits and guarantees, and the shards' grants of the limits.
 //!
-//! Owns each team's quota with the grants of all shards, as stored. A shard spends its own
-//! grant only, and grants change by compare-and-swap: the sum of a team's grants must never
-//! pass its limit, whatever the controllers know of each other.
+//! Owns each team's quota with the stored grants of all shards. A shard uses only its own grant,
+//! and grants change by compare-and-swap, so that the sum of a team's grants never exceeds its
+//! limit, even if controllers cannot reach each other.
 
 pub mod amount;
 pub mod target_grant;
@@ -25,17 +25,17 @@
 #[derive(Debug)]
 pub(crate) struct Quotas {
     teams: BTreeMap<String, TeamQuota>,
-    /// The stored grants have been listed, or are being listed.
+    /// A list of the stored grants was requested or received.
     listed: bool,
     /// Unmet quota demand of the shards that this process serves, as last computed.
-    own_demand: Vec<QuotaDemand>,
+    local_demand: Vec<QuotaDemand>,
 }
 
 impl Quotas {
-    /// The teams' limits, with nothing granted.
+    /// Quotas with the teams' limits and guarantees, and no grants.
     pub(crate) fn new(teams: &[Team]) -> Quotas {
         let teams = teams.iter().map(|team| (team.name.clone(), TeamQuota::new(team))).collect();
-        Quotas { teams, listed: false, own_demand: Vec::new() }
+        Quotas { teams, listed: false, local_demand: Vec::new() }
     }
 
     /// A team's quota; `None` if the settings do not name the team.
@@ -43,28 +43,29 @@
         self.teams.get(team)
     }
 
-    /// All teams by name.
+    /// All teams with their quotas, in order of their names.
     pub(crate) fn teams(&self) -> impl Iterator<Item = (&String, &TeamQuota)> {
         self.teams.iter()
     }
 
-    /// The teams that have any limit, and so stored grants.
+    /// The teams that have a limit. Only these have stored grants.
     fn limited_teams(&self) -> impl Iterator<Item = (&String, &TeamQuota)> {
         self.teams.iter().filter(|(_, quota)| quota.is_limited())
     }
 
-    fn change_team(&mut self, team: &str, change: impl FnOnce(&mut TeamQuota)) {
+    fn update_team(&mut self, team: &str, update: impl FnOnce(&mut TeamQuota)) {
         if let Some(quota) = self.teams.get_mut(team) {
-            change(quota);
+            update(quota);
         }
     }
 
-    /// Whether the stored grants are to be listed; if so, that counts as begun.
+    /// Returns whether the stored grants must be listed; if so, marks the list as requested.
     fn start_listing(&mut self) -> bool {
         !std::mem::replace(&mut self.listed, true)
     }
 
-    /// Whether a team that uses `usage` stays within its guarantee with so much more.
+    /// Whether a team stays within its guarantee with `more` on top of what it uses. `usage` is
+    /// the usage of all teams.
     pub(crate) fn within_guarantee(
         &self,
         usage: &BTreeMap<String, QuotaAmount>,
@@ -76,18 +77,19 @@
         };
         let used = usage.get(team).copied().unwrap_or_default();
         QuotaResource::ALL.into_iter().all(|resource| {
-            let (used, more) = (used.of(resource), more.of(resource));
-            more < TOLERANCE || used + more <= quota.guarantee().of(resource) + TOLERANCE
+            let (used, more) = (used.get(resource), more.get(resource));
+            more < TOLERANCE || used + more <= quota.guarantee().get(resource) + TOLERANCE
         })
     }
 
-    /// Lists the stored grants anew at the next maintenance: changes may have been missed.
+    /// Has the stored grants listed again at the next maintenance, because changes may have been
+    /// missed.
     pub(crate) fn resynchronize(&mut self) {
         self.listed = false;
     }
 
-    /// Takes in a team's grants as stored at a revision; false if the revision is not newer
-    /// than what is known.
+    /// Caches a team's grants as stored at a revision. Returns false, and changes nothing, if the
+    /// revision is not newer than the cached one or the team is unknown.
     fn observe(&mut self, team: &str, value: &Value, revision: u64) -> bool {
         match self.teams.get_mut(team) {
             Some(quota) if revision > quota.revision() => {
@@ -98,8 +100,8 @@
         }
     }
 
-    /// The most urgent rank whose tasks lack some of a team's limit on any shard;
-    /// `peers_demand` is what the live peers' shards lack.
+    /// The most urgent rank with unmet demand for a team's limit on any shard; `None` if all
+    /// demand is met. `peers_demand` is the unmet demand of the live peers' shards.
     pub(crate) fn most_urgent_unmet_rank<'a>(
         &'a self,
         team: &str,
@@ -109,7 +111,7 @@
             return None;
         }
         peers_demand
-            .chain(&self.own_demand)
+            .chain(&self.local_demand)
             .filter(|demand| demand.team == team)
             .map(|demand| demand.rank)
             .min()
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -1,4 +1,4 @@
-//! Moving unused grants of teams' limits to the shards that need them.
+//! Moves unused grants of teams' limits to the shards that need them.
 
 use crate::controller::Controller;
 use crate::controller::calls::QuotaCall;
@@ -16,28 +16,28 @@
 use crate::wire::{Condition, Txn, Write};
 use serde_json::Value;
 
-/// What a shard's grant of a team's limit is decided from.
+/// Usage and demand from which a shard's grant of a team's limit is decided.
 struct ShardDemand {
     /// What the shard's tasks use.
     used: QuotaAmount,
-    /// What waits on the shard.
+    /// What the shard's pending tasks need, by rank.
     pending: Vec<RankedDemand>,
-    /// What the other shards lack.
+    /// Unmet demand of the other shards.
     unmet_elsewhere: Vec<RankedDemand>,
-    /// What all shards lack.
+    /// Unmet demand of all shards.
     unmet: Vec<RankedDemand>,
 }
 
-/// A compare-and-swap of a team's grants that is to be sent.
+/// A change of a shard's grant that is to be sent as a compare-and-swap.
 struct GrantChange {
     grant: QuotaAmount,
-    /// All grants of the team with this one, as stored.
+    /// Value to store: all grants of the team, including the changed one.
     value: Value,
 }
 
 impl Quotas {
-    /// What the shards that this process serves lack of teams' limits, for the peers that may
-    /// have it unused.
+    /// Unmet demand for teams' limits of the shards that this process serves. It is sent to the
+    /// peers, which may have unused grants.
     pub(crate) fn unmet_demand(
         &self,
         jobs: &Jobs,
@@ -64,8 +64,8 @@
         list
     }
 
-    /// The change of a shard's grant that is due; `None` if there is none, or if an earlier
-    /// one is in flight.
+    /// The next change of a shard's grant; `None` if the grant needs no change, or a change of
+    /// the team's grants is in flight.
     fn next_change(
         &self,
         team: &str,
@@ -79,7 +79,8 @@
         let stored = quota.stored_grant(shard);
         let unchanged = (grant.cpus - stored.cpus).abs() < TOLERANCE
             && (grant.gpus - stored.gpus).abs() < TOLERANCE;
-        // What may still come late is made to fail by any change of the key.
+        // After an unknown outcome the key is written even if the grant is unchanged: a new
+        // revision makes the earlier compare-and-swap fail if it is executed late.
         if unchanged && !quota.outcome_unknown() {
             return None;
         }
@@ -88,7 +89,8 @@
 }
 
 impl Controller {
-    /// Adapts the grants of own shards to what they use and lack, team by team.
+    /// Updates the grants of led shards from their usage and demand, team by team, or lists the
+    /// stored grants first.
     pub(crate) fn maintain_quotas(&mut self) {
         if !self.holds_lease() {
             return;
@@ -97,25 +99,24 @@
             let call = KvRequest::List { prefix: team_quota::KEY_PREFIX.into(), after: None };
             return self.context.call_store(QuotaCall::List, call);
         }
-        let own = self.quota.unmet_demand(&self.jobs, &self.leadership, self.context.now);
-        self.quota.own_demand.clone_from(&own);
+        let local_demand = self.quota.unmet_demand(&self.jobs, &self.leadership, self.context.now);
+        self.quota.local_demand.clone_from(&local_demand);
         let teams: Vec<String> = self.quota.limited_teams().map(|(team, _)| team.clone()).collect();
         for team in teams {
             for shard in 0..self.leadership.shard_count() {
-                self.maintain_grant(&team, shard, &own);
+                self.maintain_grant(&team, shard, &local_demand);
             }
         }
     }
 
-    fn maintain_grant(&mut self, team: &str, shard: usize, own: &[QuotaDemand]) {
+    fn maintain_grant(&mut self, team: &str, shard: usize, local_demand: &[QuotaDemand]) {
         if !self.serves_shard(shard) {
             return;
         }
-        let demand = self.shard_demand(team, shard, own);
+        let demand = self.shard_demand(team, shard, local_demand);
         if let Some(quota) = self.quota.team(team) {
             let (desired, wall) = (self.machines.desired(), self.context.wall());
-            let preemptions =
-                quota.preemptions_over_limit(team, shard, &demand.unmet, desired, wall);
+            let preemptions = quota.limit_preemptions(team, shard, &demand.unmet, desired, wall);
             for task in preemptions {
                 self.preempt_task(&task);
             }
@@ -124,18 +125,18 @@
         let Some(change) = self.quota.next_change(team, shard, shards, &demand) else {
             return;
         };
-        // Admissions go first: grants that move with every job that comes would
-        // use up their changes.
+        // Admissions have priority: grants that change with every new job would use up the
+        // writes that admissions need.
         let reserve = self.api.admission.reserved_writes(&self.context);
         if self.context.write_budget.level(self.context.now) < 1.0 + reserve {
             return;
         }
-        self.swap_grants(team, shard, change);
+        self.compare_and_swap_grants(team, shard, change);
     }
 
-    fn shard_demand(&self, team: &str, shard: usize, own: &[QuotaDemand]) -> ShardDemand {
+    fn shard_demand(&self, team: &str, shard: usize, local_demand: &[QuotaDemand]) -> ShardDemand {
         let now = self.context.now;
-        let all = self.peers.live_quota_demand(now).chain(own);
+        let all = self.peers.live_quota_demand(now).chain(local_demand);
         let of_team: Vec<&QuotaDemand> = all.filter(|demand| demand.team == team).collect();
         let ranked = |demand: &&QuotaDemand| RankedDemand {
             rank: demand.rank,
@@ -150,11 +151,11 @@
         }
     }
 
-    /// Sends a compare-and-swap of a team's grants, conditional on this shard's lease.
-    fn swap_grants(&mut self, team: &str, shard: usize, change: GrantChange) {
+    /// Sends a compare-and-swap of a team's grants, conditional on the shard lease.
+    fn compare_and_swap_grants(&mut self, team: &str, shard: usize, change: GrantChange) {
         let revision = self.quota.team(team).map_or(0, TeamQuota::revision);
-        // From here on the lowering may be applied at any time.
-        self.quota.change_team(team, |quota| quota.change_sent(shard, change.grant));
+        // From now on a lower grant may be applied at any time.
+        self.quota.update_team(team, |quota| quota.change_sent(shard, change.grant));
         let leadership = self.leadership.led_shard(shard);
         let lease_revision = leadership.map_or(0, |leadership| leadership.revision);
         let (key, value) = (team_quota::key(team), change.value);
--- a/src/controller/scheduler/capacity/cluster.rs
+++ b/src/controller/scheduler/capacity/cluster.rs
@@ -1,4 +1,4 @@
-//! All machines that tasks may be placed on, with sums over their reserved tasks.
+//! Capacity of all machines that tasks may be placed on, with totals of their reserved tasks.
 
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::scheduler::capacity::index::{MachineId, Pool, PoolId, PoolKey};
@@ -8,27 +8,27 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Ranks of service that are told apart; what is less urgent counts as the last of them.
-const RANKS: usize = 4;
+/// Number of ranks that are counted separately; tasks of less urgent ranks count as the last.
+const COUNTED_RANKS: usize = 4;
 
-/// CPUs from which on a machine is in its pool's indexes: a full one is of no use to any
-/// placement.
+/// A machine must have more free CPUs than this to be in its pool's indexes: a full machine is
+/// of no use to any placement.
 const MIN_FREE_CPUS: f64 = 1e-6;
 
 /// All machines that tasks may be placed on.
 #[derive(Debug, Clone, Default)]
 pub struct ClusterCapacity {
     pools: Vec<Pool>,
-    /// By [`MachineId`]; `None` where a number is not in use.
+    /// Machines by [`MachineId`]; `None` at numbers that are not in use.
     machines: Vec<Option<PooledMachine>>,
     ids: HashMap<Rc<str>, MachineId>,
-    /// Numbers of machines that were removed.
+    /// Numbers of removed machines, for reuse.
     unused_ids: Vec<MachineId>,
-    /// Reserved tasks by rank that are not stopping.
-    tasks_by_rank: [u32; RANKS],
-    /// What teams' reserved tasks use that are not stopping.
+    /// Number of reserved tasks that are not stopping, by rank.
+    tasks_by_rank: [u32; COUNTED_RANKS],
+    /// Usage of the reserved tasks that are not stopping, by team.
     usage: BTreeMap<String, QuotaAmount>,
-    /// Machines of which something is held for other shards' tasks.
+    /// Machines with capacity held for other shards' tasks.
     machines_with_holds: Vec<MachineId>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl ClusterCapacity {
-    /// Sets a machine as it now stands, or removes it.
+    /// Sets a machine's pool and capacity, or removes the machine if `capacity` is `None`.
     pub fn set(&mut self, machine: &str, capacity: Option<(PoolKey, MachineCapacity)>) {
         if let Some(id) = self.id(machine) {
             self.detach(id);
@@ -53,16 +53,16 @@
         let Some((key, capacity)) = capacity else {
             return;
         };
-        let pool = self.pool_with(key);
+        let pool = self.find_or_add_pool(key);
         let id = match self.id(machine) {
             Some(id) => id,
-            None => self.new_id(&capacity.machine),
+            None => self.allocate_id(&capacity.machine),
         };
         self.machines[id.0] = Some(PooledMachine { pool, capacity });
         self.attach(id);
     }
 
-    fn pool_with(&mut self, key: PoolKey) -> PoolId {
+    fn find_or_add_pool(&mut self, key: PoolKey) -> PoolId {
         let position = self.pools.iter().position(|pool| pool.key == key);
         PoolId(position.unwrap_or_else(|| {
             self.pools.push(Pool::new(key));
@@ -70,7 +70,7 @@
         }))
     }
 
-    fn new_id(&mut self, machine: &Rc<str>) -> MachineId {
+    fn allocate_id(&mut self, machine: &Rc<str>) -> MachineId {
         let id = self.unused_ids.pop().unwrap_or_else(|| {
             self.machines.push(None);
             MachineId(self.machines.len() - 1)
@@ -79,27 +79,27 @@
         id
     }
 
-    /// Takes a machine out of the indexes and sums, before it changes.
+    /// Removes a machine from the indexes and totals, before it changes.
     fn detach(&mut self, id: MachineId) {
         let Some(PooledMachine { pool, capacity }) = &self.machines[id.0] else {
             return;
         };
         self.pools[pool.0].remove(id, capacity);
         for task in capacity.tasks.iter().filter(|task| !task.stopping) {
-            self.tasks_by_rank[(task.rank as usize).min(RANKS - 1)] -= 1;
+            self.tasks_by_rank[(task.rank as usize).min(COUNTED_RANKS - 1)] -= 1;
             if let Some(usage) = self.usage.get_mut(&task.team) {
                 *usage -= task.resources.into();
             }
         }
     }
 
-    /// Enters a machine into the indexes and sums, after it has changed.
+    /// Adds a machine to the indexes and totals, after it has changed.
     fn attach(&mut self, id: MachineId) {
         let Some(PooledMachine { pool, capacity }) = &self.machines[id.0] else {
             return;
         };
         for task in capacity.tasks.iter().filter(|task| !task.stopping) {
-            self.tasks_by_rank[(task.rank as usize).min(RANKS - 1)] += 1;
+            self.tasks_by_rank[(task.rank as usize).min(COUNTED_RANKS - 1)] += 1;
             if !self.usage.contains_key(&task.team) {
                 self.usage.insert(task.team.clone(), QuotaAmount::default());
             }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Changes a machine.
+    /// Changes a machine's capacity and updates the indexes and totals.
     pub fn change(&mut self, id: MachineId, change: impl FnOnce(&mut MachineCapacity)) {
         self.detach(id);
         if let Some(machine) = &mut self.machines[id.0] {
@@ -121,28 +121,28 @@
         self.attach(id);
     }
 
-    /// A machine by number.
+    /// A machine's capacity by number; `None` if the number is not in use.
     pub fn get(&self, id: MachineId) -> Option<&MachineCapacity> {
         Some(&self.machines.get(id.0)?.as_ref()?.capacity)
     }
 
-    /// A machine's number by name.
+    /// A machine's number by name; `None` if no task may be placed on the machine.
     pub fn id(&self, machine: &str) -> Option<MachineId> {
         self.ids.get(machine).copied()
     }
 
-    /// A machine by name.
+    /// A machine's capacity by name; `None` if no task may be placed on the machine.
     pub fn by_name(&self, machine: &str) -> Option<&MachineCapacity> {
         self.get(self.id(machine)?)
     }
 
-    /// Type and place of a machine.
+    /// Key of the pool that a machine belongs to.
     pub fn pool_of(&self, id: MachineId) -> Option<&PoolKey> {
         let machine = self.machines.get(id.0)?.as_ref()?;
         Some(&self.pool(machine.pool).key)
     }
 
-    /// All machines with their type and place, by number.
+    /// All machines with their pool keys, in order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (MachineId, &PoolKey, &MachineCapacity)> {
         self.machines.iter().enumerate().filter_map(|(id, machine)| {
             let machine = machine.as_ref()?;
@@ -150,36 +150,35 @@
         })
     }
 
-    /// The pools that pass a filter.
+    /// The pools whose keys pass a filter.
     pub fn pools(&self, passes: impl Fn(&PoolKey) -> bool) -> Vec<PoolId> {
         let numbers = 0..self.pools.len();
         numbers.filter(|number| passes(&self.pools[*number].key)).map(PoolId).collect()
     }
 
-    /// Whether a machine is in one of some pools.
-    pub fn among(&self, id: MachineId, pools: &[PoolId]) -> bool {
+    /// Whether a machine belongs to one of the given pools.
+    pub fn is_in_pools(&self, id: MachineId, pools: &[PoolId]) -> bool {
         let machine = self.machines.get(id.0).and_then(Option::as_ref);
         machine.is_some_and(|machine| pools.contains(&machine.pool))
     }
 
-    /// A pool by number.
+    /// A pool by its number.
     pub(super) fn pool(&self, id: PoolId) -> &Pool {
         &self.pools[id.0]
     }
 
-    /// What teams' tasks use that are there to stay: those that are stopping
-    /// would be counted against a team until they are gone, and more of its
-    /// tasks stopped for it.
+    /// Usage by team, without tasks that are stopping. If these counted against a team until
+    /// they are gone, more of its tasks would be preempted than necessary.
     pub fn usage(&self) -> &BTreeMap<String, QuotaAmount> {
         &self.usage
     }
 
-    /// Reserved tasks less urgent than a rank that are not stopping.
+    /// Number of reserved tasks that are less urgent than a rank and not stopping.
     pub fn tasks_below(&self, rank: u32) -> u32 {
         self.tasks_by_rank.iter().skip(rank as usize + 1).sum()
     }
 
-    /// Holds capacity for waiting tasks of other shards, where there is any, until
+    /// Holds capacity for pending tasks of other shards, as far as there is any, until
     /// [`ClusterCapacity::release_holds`].
     pub fn hold(&mut self, demand: &Demand) {
         let needed = Resources::from(demand);
@@ -202,7 +201,7 @@
         }
     }
 
-    /// Gives up what was held.
+    /// Releases all held capacity.
     pub fn release_holds(&mut self) {
         for id in std::mem::take(&mut self.machines_with_holds) {
             if let Some(machine) = &mut self.machines[id.0] {
@@ -211,12 +210,12 @@
         }
     }
 
-    /// Number of machines.
+    /// Number of machines that tasks may be placed on.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// True if there are none.
+    /// Whether there is no such machine.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -1,4 +1,4 @@
-//! Pools of machines that pass the same filters, and the orders in which a pool is searched.
+//! Pools of machines that pass the same filters, and the two orders in which they are searched.
 
 use crate::controller::autoscaler::offer::allows;
 use crate::controller::scheduler::capacity::machine::MachineCapacity;
@@ -7,23 +7,23 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A machine's number in [`ClusterCapacity`](super::ClusterCapacity), given out anew once the
-/// machine is removed.
+/// A machine's number in [`ClusterCapacity`](super::ClusterCapacity). It is reused after the
+/// machine was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineId(pub(super) usize);
 
-/// A pool's number in [`ClusterCapacity`](super::ClusterCapacity), never given out anew.
+/// A pool's number in [`ClusterCapacity`](super::ClusterCapacity). It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolId(pub(super) usize);
 
-/// Type and place of machines: those of a pool pass the same filters.
+/// Type, zone and kind of machines: all machines of a pool pass the same filters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolKey {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: Rc<str>,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: Rc<str>,
-    /// Spot instances, which the cloud may reclaim.
+    /// Whether they are spot machines, which the cloud may reclaim.
     pub spot: bool,
 }
 
@@ -35,25 +35,25 @@
             && spec.zone.as_deref().is_none_or(|zone| zone == &*self.zone)
     }
 
-    /// Whether waiting tasks of any shard may run on machines of the pool.
+    /// Whether pending tasks, of any shard, may run on machines of the pool.
     pub fn admits_demand(&self, demand: &Demand) -> bool {
         allows(demand, &self.machine_type, &self.zone, self.spot)
     }
 }
 
-/// Place of a machine in the order of load: fewest reserved tasks first, then machines of own
-/// shards, then most free CPUs. The order of the fields is that of the comparison.
+/// Position of a machine in the order of load: fewest reserved tasks first, then machines of
+/// led shards, then most free CPUs. Fields are compared in order of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LoadKey {
     reserved_tasks: u32,
     led_by_peer: bool,
     negated_free_millicpus: i64,
-    /// The machine.
+    /// Compared last, so that the order is total.
     pub(super) machine: MachineId,
 }
 
 impl LoadKey {
-    /// The place of a machine as it now stands.
+    /// The key of a machine with its current capacity.
     pub(super) fn of(machine: MachineId, capacity: &MachineCapacity) -> LoadKey {
         LoadKey {
             reserved_tasks: capacity.tasks.len() as u32,
@@ -64,23 +64,23 @@
     }
 }
 
-/// Place of a machine in the order of free CPUs, least first. The order of the fields is that
-/// of the comparison.
+/// Position of a machine in the order of free CPUs, fewest first. Fields are compared in order
+/// of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FreeCpusKey {
     free_millicpus: i64,
-    /// The machine.
+    /// Compared last, so that the order is total.
     pub(super) machine: MachineId,
 }
 
 impl FreeCpusKey {
-    /// The place of a machine as it now stands.
+    /// The key of a machine with its current capacity.
     pub(super) fn of(machine: MachineId, capacity: &MachineCapacity) -> FreeCpusKey {
         FreeCpusKey { free_millicpus: millicpus(capacity.free.cpus), machine }
     }
 
-    /// The first place that a machine with so many free CPUs can have.
-    pub(super) fn first_with(cpus: f64) -> FreeCpusKey {
+    /// Lower bound of the keys of all machines with at least this many free CPUs.
+    pub(super) fn lower_bound(cpus: f64) -> FreeCpusKey {
         FreeCpusKey { free_millicpus: millicpus(cpus), machine: MachineId(0) }
     }
 }
@@ -89,14 +89,14 @@
     (cpus * 1_000.0).round() as i64
 }
 
-/// The machines of a pool that have free CPUs, in both orders.
+/// A pool, with its machines that have free CPUs in both orders.
 #[derive(Debug, Clone)]
 pub(super) struct Pool {
-    /// Type and place of its machines.
+    /// Type, zone and kind of its machines.
     pub(super) key: PoolKey,
-    /// Its machines, the least loaded first.
+    /// Machines with free CPUs, the least loaded first.
     pub(super) by_load: BTreeSet<LoadKey>,
-    /// Its machines, those with the least free CPUs first.
+    /// Machines with free CPUs, those with the fewest first.
     pub(super) by_free_cpus: BTreeSet<FreeCpusKey>,
 }
 
@@ -106,13 +106,13 @@
         Pool { key, by_load: BTreeSet::new(), by_free_cpus: BTreeSet::new() }
     }
 
-    /// Enters a machine as it now stands.
+    /// Adds a machine with its current capacity.
     pub(super) fn insert(&mut self, machine: MachineId, capacity: &MachineCapacity) {
         self.by_load.insert(LoadKey::of(machine, capacity));
         self.by_free_cpus.insert(FreeCpusKey::of(machine, capacity));
     }
 
-    /// Removes a machine, which must stand as it was entered.
+    /// Removes a machine; `capacity` must be the same as when the machine was added.
     pub(super) fn remove(&mut self, machine: MachineId, capacity: &MachineCapacity) {
         self.by_load.remove(&LoadKey::of(machine, capacity));
         self.by_free_cpus.remove(&FreeCpusKey::of(machine, capacity));
--- a/src/controller/scheduler/capacity/machine.rs
+++ b/src/controller/scheduler/capacity/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as the scheduler knows it: the tasks reserved on it and what is free.
+//! Capacity of one machine: its reserved tasks and its free resources.
 
 use crate::resources::Resources;
 use crate::time::Micros;
@@ -8,32 +8,33 @@
 /// A task whose resources are reserved on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReservedTask {
-    /// Rank of service: lower is more urgent.
+    /// Rank of its job: lower is more urgent.
     pub rank: u32,
-    /// Team.
+    /// Name of the team that it counts against.
     pub team: String,
-    /// What it needs.
+    /// Resources that the task reserves.
     pub resources: Resources,
-    /// Job.
+    /// Id of its job.
     pub job: String,
     /// Number of the task in its job.
     pub index: u32,
-    /// Attempt.
+    /// Number of its attempt.
     pub attempt: u64,
-    /// It is being preempted, or its preemption has been requested.
+    /// It is to be stopped, or its preemption has been requested.
     pub stopping: bool,
     /// Time of day at which it was placed.
-    pub placed: Micros,
+    pub placed_at: Micros,
     /// Seconds between its checkpoints; 0 if it writes none.
     pub checkpoint_s: f64,
-    /// Seconds that it is expected to run.
+    /// Seconds that it is expected to run in total.
     pub expected_s: f64,
 }
 
 impl ReservedTask {
-    /// Seconds until it is expected to end. One that is overdue may run for half as long again.
+    /// Seconds until the task is expected to end. An overdue task is expected to run for another
+    /// half of its expected run time.
     fn remaining_s(&self, wall: Micros) -> f64 {
-        let left = self.expected_s - wall.since(self.placed).as_secs_f64();
+        let left = self.expected_s - wall.since(self.placed_at).as_secs_f64();
         if left > 0.0 { left } else { self.expected_s / 2.0 }
     }
 }
@@ -41,25 +42,25 @@
 /// A machine that tasks may be placed on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineCapacity {
-    /// Its name.
+    /// Name of the machine.
     pub machine: Rc<str>,
     /// Incarnation of its worker.
     pub incarnation: WorkerIncarnation,
     /// Another controller leads its shard.
     pub led_by_peer: bool,
-    /// What no task is reserved on.
+    /// Resources that no task has reserved.
     pub free: Resources,
-    /// Until when capacity that came up here is left to the controller that leads the
-    /// machine's shard: taken by several controllers at once it would go to one of them.
+    /// Until this time, newly free capacity is left to the controller that leads the machine's
+    /// shard: if several controllers placed tasks on it at once, only one would get it.
     pub yielded_until: Micros,
-    /// What is held in this pass for more urgent tasks of other shards.
+    /// Resources held in this pass for more urgent tasks of other shards.
     pub held: Resources,
-    /// The tasks reserved on it.
+    /// Tasks with reserved resources, in order of reservation.
     pub tasks: Vec<ReservedTask>,
 }
 
 impl MachineCapacity {
-    /// A machine of that size with no task reserved.
+    /// A machine that has resources of `size` and no reserved task.
     pub fn new(
         machine: Rc<str>,
         incarnation: WorkerIncarnation,
@@ -77,19 +78,19 @@
         }
     }
 
-    /// Reserves a task's resources.
+    /// Reserves the resources of a task.
     pub fn reserve(&mut self, task: ReservedTask) {
         self.free -= task.resources;
         self.tasks.push(task);
     }
 
-    /// What tasks may be placed on in this pass.
+    /// Free resources that are not held for other shards.
     pub fn available(&self) -> Resources {
         self.free - self.held
     }
 
-    /// Seconds until enough tasks have ended for a further one of this size; `None` if it is
-    /// too large for the machine. `wall` is the time of day.
+    /// Seconds until enough reserved tasks are expected to have ended for a task that needs
+    /// `needed`; `None` if that exceeds the whole machine. `wall` is the time of day.
     pub fn time_until_available(&self, wall: Micros, needed: &Resources) -> Option<f64> {
         let mut ends: Vec<(f64, &ReservedTask)> =
             self.tasks.iter().map(|task| (task.remaining_s(wall), task)).collect();
--- a/src/controller/scheduler/capacity/mod.rs
+++ b/src/controller/scheduler/capacity/mod.rs
@@ -1,9 +1,9 @@
-//! The machines that tasks may be placed on, with their free resources, kept up to date
-//! machine by machine.
+//! The capacity index: machines that tasks may be placed on, with their free resources.
 //!
-//! A placement tries machines in order of reserved tasks or of free CPUs. Both orders are
-//! indexes here, so that a change costs the change and a placement does not walk all machines.
-//! It must never read another component: all that it knows is given to it.
+//! A placement tries machines in order of reserved tasks or of free CPUs. Both orders are kept
+//! as indexes, so that a change costs work for the changed machine only, and a placement does
+//! not walk all machines. The index never reads another component: its caller passes in all
+//! data.
 
 mod cluster;
 mod index;
--- a/src/controller/scheduler/capacity/search.rs
+++ b/src/controller/scheduler/capacity/search.rs
@@ -1,4 +1,4 @@
-//! Searches for a machine with capacity for a task, in the order of load or of free CPUs.
+//! Searches for a machine that has capacity for a task, in order of load or of free CPUs.
 
 use crate::controller::scheduler::capacity::cluster::ClusterCapacity;
 use crate::controller::scheduler::capacity::index::{FreeCpusKey, LoadKey, MachineId, PoolId};
@@ -7,8 +7,8 @@
 use crate::resources::Resources;
 
 impl ClusterCapacity {
-    /// The machine of some pools with the fewest reserved tasks that has capacity for a task
-    /// and passes a filter.
+    /// Finds the least loaded machine of the given pools that has capacity for a task and passes
+    /// a filter. Load is compared by reserved tasks, then led shards first, then free CPUs.
     pub fn least_loaded(
         &self,
         pools: &[PoolId],
@@ -18,13 +18,13 @@
         let mut best: Option<LoadKey> = None;
         for pool in pools {
             let keys = self.pool(*pool).by_load.iter().copied();
-            best = first_before(best, keys, |key| self.suits(key.machine, needed, &passes));
+            best = first_suitable(best, keys, |key| self.is_suitable(key.machine, needed, &passes));
         }
         best.map(|key| key.machine)
     }
 
-    /// The machine of some pools with the least free CPUs that has capacity for a task and
-    /// passes a filter.
+    /// Finds the machine of the given pools with the fewest free CPUs that has capacity for a
+    /// task and passes a filter.
     pub fn best_fit(
         &self,
         pools: &[PoolId],
@@ -33,14 +33,14 @@
     ) -> Option<MachineId> {
         let mut best: Option<FreeCpusKey> = None;
         for pool in pools {
-            let large_enough = FreeCpusKey::first_with(needed.cpus)..;
+            let large_enough = FreeCpusKey::lower_bound(needed.cpus)..;
             let keys = self.pool(*pool).by_free_cpus.range(large_enough).copied();
-            best = first_before(best, keys, |key| self.suits(key.machine, needed, &passes));
+            best = first_suitable(best, keys, |key| self.is_suitable(key.machine, needed, &passes));
         }
         best.map(|key| key.machine)
     }
 
-    /// The least loaded of some machines, in the order of [`ClusterCapacity::least_loaded`].
+    /// Like [`ClusterCapacity::least_loaded`], but searches only the given machines.
     pub fn least_loaded_among<'a>(
         &self,
         machines: impl Iterator<Item = &'a MachineId>,
@@ -53,8 +53,7 @@
             .map(|(machine, _)| machine)
     }
 
-    /// Of some machines the one with the least free CPUs, in the order of
-    /// [`ClusterCapacity::best_fit`].
+    /// Like [`ClusterCapacity::best_fit`], but searches only the given machines.
     pub fn best_fit_among<'a>(
         &self,
         machines: impl Iterator<Item = &'a MachineId>,
@@ -67,14 +66,14 @@
             .map(|(machine, _)| machine)
     }
 
-    /// Whether any machine has capacity for one of some waiting tasks.
-    pub fn takes(&self, demand: &Demand) -> bool {
+    /// Whether any machine has capacity for one task of a demand entry.
+    pub fn has_capacity_for(&self, demand: &Demand) -> bool {
         let pools = self.pools(|key| key.admits_demand(demand));
         self.best_fit(&pools, &Resources::from(demand), |_, _| true).is_some()
     }
 
     /// Whether a machine has capacity for a task and passes a filter.
-    fn suits(
+    fn is_suitable(
         &self,
         machine: MachineId,
         needed: &Resources,
@@ -84,7 +83,8 @@
             .is_some_and(|capacity| capacity.available().fits(needed) && passes(machine, capacity))
     }
 
-    /// Of some machines those in some pools that have capacity for a task and pass a filter.
+    /// Those of the given machines that belong to the given pools, have capacity for a task and
+    /// pass a filter.
     fn suitable<'a, 'b>(
         &'b self,
         machines: impl Iterator<Item = &'a MachineId>,
@@ -93,23 +93,25 @@
         passes: impl Fn(MachineId, &MachineCapacity) -> bool,
     ) -> impl Iterator<Item = (MachineId, &'b MachineCapacity)> {
         machines.filter_map(move |machine| {
-            let suits = self.among(*machine, pools) && self.suits(*machine, needed, &passes);
-            Some((*machine, self.get(*machine).filter(|_| suits)?))
+            let is_suitable =
+                self.is_in_pools(*machine, pools) && self.is_suitable(*machine, needed, &passes);
+            Some((*machine, self.get(*machine).filter(|_| is_suitable)?))
         })
     }
 }
 
-/// The first suitable key of an ordered sequence, or `best` if that comes before it.
-fn first_before<Key: Ord + Copy>(
+/// The first suitable key of an ordered sequence, or `best` if it comes before that key or no
+/// key is suitable.
+fn first_suitable<Key: Ord + Copy>(
     best: Option<Key>,
     ordered: impl Iterator<Item = Key>,
-    suits: impl Fn(Key) -> bool,
+    is_suitable: impl Fn(Key) -> bool,
 ) -> Option<Key> {
     for key in ordered {
         if best.is_some_and(|best| best <= key) {
             break;
         }
-        if suits(key) {
+        if is_suitable(key) {
             return Some(key);
         }
     }
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -1,5 +1,4 @@
-//! Keeping the capacity index up to date with machines' views, the shards' desired state and
-//! own jobs.
+//! Updates of the capacity index from machine views, the shards' desired state and local jobs.
 
 use crate::controller::Controller;
 use crate::controller::jobs::task_index::TaskId;
@@ -11,19 +10,20 @@
 use crate::time::Micros;
 use std::rc::Rc;
 
-/// How long capacity that comes up on a machine is left to its own shard.
+/// How long newly free capacity of a peer's machine is left to that peer.
 const PEER_CAPACITY_YIELD: Micros = Micros::millis(250);
 
-/// What the capacity of a shard's machines is computed from.
+/// The state of a shard that the capacity of its machines depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct ShardSource {
-    /// Some live controller leads the shard, and so commands its machines.
+pub(super) struct ShardCapacitySource {
+    /// A live controller leads the shard, and so sends commands to its machines.
     has_live_leader: bool,
-    /// The shard's jobs are known here; else the desired state received from it counts.
-    jobs_known: bool,
-    /// The term under which this process leads the shard, if it does.
+    /// This process has recovered the shard's jobs. Otherwise, the desired state received from
+    /// the shard's leader is used.
+    jobs_recovered: bool,
+    /// Term under which this process leads the shard; `None` if it does not.
     leading_term: Option<u64>,
-    /// The shard's newest term.
+    /// Newest term of the shard.
     term: u64,
 }
 
@@ -32,13 +32,14 @@
         self.leadership.leading_term(shard, self.context.now)
     }
 
-    /// Whether a shard's jobs are known here; else the desired state received from it counts.
-    fn jobs_known(&self, shard: usize) -> bool {
+    /// Whether this process has recovered a shard's jobs. Otherwise, the desired state received
+    /// from the shard's leader is used.
+    fn jobs_recovered(&self, shard: usize) -> bool {
         let leadership = self.leadership.led_shard(shard);
         leadership.is_some_and(|leadership| leadership.recovered)
     }
 
-    /// Whether another member leads a shard and is alive, as far as known.
+    /// Whether the last observed leader of a shard is another member that is alive.
     fn led_by_live_peer(&self, shard: usize) -> bool {
         let leader = self.leadership.leader_name(shard);
         let member = leader.and_then(|name| self.context.member_number(name));
@@ -47,11 +48,11 @@
         })
     }
 
-    fn shard_source(&self, shard: usize) -> ShardSource {
+    fn shard_source(&self, shard: usize) -> ShardCapacitySource {
         let leading_term = self.leading_term(shard);
-        ShardSource {
+        ShardCapacitySource {
             has_live_leader: leading_term.is_some() || self.led_by_live_peer(shard),
-            jobs_known: self.jobs_known(shard),
+            jobs_recovered: self.jobs_recovered(shard),
             leading_term,
             term: self.leadership.term(shard),
         }
@@ -59,12 +60,12 @@
 }
 
 impl Controller {
-    /// Brings the capacity index up to date: only what has changed is computed anew.
+    /// Recomputes the capacity of stale machines and of the machines of changed shards.
     pub(crate) fn refresh_capacity(&mut self) {
         for shard in 0..self.leadership.shard_count() {
             let source = self.scheduling_inputs().shard_source(shard);
             let previous = self.scheduler.shard_sources.insert(shard, source);
-            // The shard has changed its leader, or its leader has fallen silent.
+            // The leader, its liveness or the term has changed, or the jobs were recovered.
             if previous != Some(source) {
                 self.mark_shard_stale(shard);
             }
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Marks as stale a shard's machines, and those that its tasks are desired on: these are
-    /// read from another source from now on.
+    /// Marks as stale a shard's machines and all machines in its desired state, because the
+    /// shard's tasks are now read from another source.
     fn mark_shard_stale(&mut self, shard: usize) {
         for machine in self.machines.views().keys() {
             if self.leadership.shard_of_machine(machine) == shard {
@@ -91,8 +92,8 @@
 }
 
 impl Scheduler {
-    /// Takes in a machine's capacity as computed anew. What has come up on a peer's machine is
-    /// left to that peer for a moment.
+    /// Stores a machine's recomputed capacity. If the free capacity of a peer's machine has
+    /// grown, it is left to that peer for [`PEER_CAPACITY_YIELD`].
     fn set_capacity(
         &mut self,
         machine: &str,
@@ -110,7 +111,7 @@
         self.capacity.set(machine, capacity);
     }
 
-    /// A machine's pool and capacity; `None` if nothing may be placed on it.
+    /// Computes a machine's pool and capacity; `None` if no task may be placed on it.
     fn compute_capacity(
         &self,
         inputs: &SchedulingInputs<'_>,
@@ -129,8 +130,8 @@
             Resources::from(machine_type),
         );
         self.reserve_desired_tasks(inputs, view, &mut capacity);
-        self.reserve_own_tasks(inputs, &mut capacity);
-        // Tasks that no shard is known to desire use an unknown amount of resources.
+        self.reserve_local_tasks(inputs, &mut capacity);
+        // A listed task without a reservation uses an unknown amount of resources.
         if lists_unknown_task(view, &capacity) {
             return None;
         }
@@ -142,7 +143,7 @@
         Some((pool, capacity))
     }
 
-    /// Whether tasks may be placed on a machine of a shard at all.
+    /// Whether tasks may be placed on a machine of a shard, whatever its free capacity.
     fn accepts_tasks(
         &self,
         inputs: &SchedulingInputs<'_>,
@@ -158,7 +159,8 @@
             && !inputs.machines.is_terminated(&view.machine)
     }
 
-    /// Reserves what shards desire on a machine whose jobs are not known here.
+    /// Reserves the desired tasks on a machine of shards whose jobs this process has not
+    /// recovered.
     fn reserve_desired_tasks(
         &self,
         inputs: &SchedulingInputs<'_>,
@@ -166,15 +168,15 @@
         capacity: &mut MachineCapacity,
     ) {
         for (shard, desired) in inputs.machines.desired().iter().enumerate() {
-            if inputs.jobs_known(shard) {
+            if inputs.jobs_recovered(shard) {
                 continue;
             }
             let tasks = desired.machines.get(&*capacity.machine).map_or(&[][..], |m| &m.tasks[..]);
-            // One of another incarnation is gone, and its shard will learn of it.
+            // A task of another incarnation is gone; the leader of its shard will observe that.
             let present = |task: &&DesiredTask| {
                 task.incarnation == view.worker_incarnation()
                     && task.phase() != Phase::Over
-                    && !is_over(view, &task.job, task.index, task.attempt)
+                    && !has_ended(view, &task.job, task.index, task.attempt)
             };
             for task in tasks.iter().filter(present) {
                 let (job, index, attempt) = (&task.job, task.index, task.attempt);
@@ -187,8 +189,8 @@
                     index,
                     attempt,
                     stopping: task.stop_ms.is_some()
-                        || self.preemption_requests.stands(job, index, attempt, now),
-                    placed: Micros::secs(task.placed_s),
+                        || self.preemption_requests.is_pending(job, index, attempt, now),
+                    placed_at: Micros::secs(task.placed_s),
                     checkpoint_s: task.checkpoint_s,
                     expected_s: task.expected_s,
                 });
@@ -196,11 +198,11 @@
         }
     }
 
-    /// Reserves what own jobs have placed on a machine.
-    fn reserve_own_tasks(&self, inputs: &SchedulingInputs<'_>, capacity: &mut MachineCapacity) {
+    /// Reserves the tasks of local jobs that are placed on a machine.
+    fn reserve_local_tasks(&self, inputs: &SchedulingInputs<'_>, capacity: &mut MachineCapacity) {
         let jobs = inputs.jobs;
         let shards = 0..inputs.leadership.shard_count();
-        for shard in shards.filter(|shard| inputs.jobs_known(*shard)) {
+        for shard in shards.filter(|shard| inputs.jobs_recovered(*shard)) {
             let tasks = jobs.task_index.on(shard, &capacity.machine);
             for TaskId { job: id, index } in tasks.into_iter().flatten() {
                 let Some(job) = jobs.by_id.get(id) else {
@@ -218,7 +220,7 @@
                     index: *index,
                     attempt: placement.attempt,
                     stopping: placement.stop_grace.is_some(),
-                    placed: placement.placed_at,
+                    placed_at: placement.placed_at,
                     checkpoint_s: job.spec.checkpoint_s,
                     expected_s: self.estimates.expected_s(job),
                 });
@@ -227,14 +229,14 @@
     }
 }
 
-/// Whether a machine lists an attempt as over.
-fn is_over(view: &MachineView, job: &str, index: u32, attempt: u64) -> bool {
+/// Whether a machine's view lists an attempt as ended.
+fn has_ended(view: &MachineView, job: &str, index: u32, attempt: u64) -> bool {
     view.tasks.iter().any(|task| {
         task.attempt == attempt && task.index == index && task.job == job && task.observed().over()
     })
 }
 
-/// Whether a machine lists an attempt for which nothing is reserved.
+/// Whether a machine's view lists an attempt that has not ended and has no reservation.
 fn lists_unknown_task(view: &MachineView, capacity: &MachineCapacity) -> bool {
     view.tasks.iter().filter(|task| !task.observed().over()).any(|task| {
         !capacity.tasks.iter().any(|reserved| {
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! What waits on own shards, for peers and for the autoscaler, and the capacity that is free.
+//! Demand of local jobs, for peers and the autoscaler, and the free capacity of the cluster.
 
 use crate::controller::autoscaler::offer::FreeCapacity;
 use crate::controller::jobs::job::Job;
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Shapes of waiting tasks in one list: it goes to all peers once a second or so.
-const MAX_SHAPES: usize = 200;
+/// Maximum number of entries in a demand list, which is sent to all peers about once a second.
+const MAX_DEMAND_ENTRIES: usize = 200;
 
 impl Scheduler {
-    /// Waiting tasks by shape, as far as their teams' limits let them run.
+    /// Pending tasks grouped by shape and class, as many as their teams' limits allow to run.
     pub(crate) fn demand(&self, inputs: &SchedulingInputs<'_>) -> Vec<Demand> {
         let usage = self.capacity.usage();
         let mut left_by_team: BTreeMap<&str, QuotaAmount> = BTreeMap::new();
@@ -31,7 +31,7 @@
             };
             let left = left_by_team.entry(&spec.team).or_insert_with(|| {
                 let used = usage.get(&spec.team).copied().unwrap_or_default();
-                QuotaAmount::each(|r| (quota.limit().of(r) - used.of(r)).max(0.0))
+                QuotaAmount::from_fn(|r| (quota.limit().get(r) - used.get(r)).max(0.0))
             });
             let within_limit = Resources::new(left.cpus, left.gpus, f64::INFINITY)
                 .tasks_that_fit(&Resources::new(spec.cpus, spec.gpus, 0.0));
@@ -41,14 +41,14 @@
             }
             *left -= QuotaAmount::of_tasks(spec, tasks);
             add_demand(&mut list, demand_of(job, tasks, queued.class));
-            if list.len() >= MAX_SHAPES {
+            if list.len() >= MAX_DEMAND_ENTRIES {
                 break;
             }
         }
         list
     }
 
-    /// Capacity that is free on known machines, for the autoscaler.
+    /// Machines with free CPUs, for the autoscaler.
     pub(crate) fn free_capacity(&self) -> Vec<FreeCapacity> {
         self.capacity
             .iter()
@@ -78,7 +78,7 @@
     }
 }
 
-/// Adds tasks to those of the same shape and class.
+/// Adds tasks to the entry of the same shape and class, or adds a new entry.
 fn add_demand(list: &mut Vec<Demand>, added: Demand) {
     let tasks = added.tasks;
     match list.iter_mut().find(|demand| Demand { tasks, ..(*demand).clone() } == added) {
--- a/src/controller/scheduler/estimate.rs
+++ b/src/controller/scheduler/estimate.rs
@@ -1,52 +1,53 @@
-//! How far owners' estimates of run times are off.
+//! Corrected run time estimates.
 //!
-//! Estimates are often wrong, for a class mostly in one direction, so they are
-//! corrected by what the class's completed tasks took.
+//! Users' estimates are often wrong, and within a class mostly in the same direction. They are
+//! corrected by the run times of the class's completed tasks.
 
 use crate::controller::jobs::job::Job;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Completed tasks of a class that are remembered; odd, so that there is a median.
+/// Number of completed tasks kept per class; odd, so that a full list has a median element.
 const MAX_RATIOS: usize = 41;
-/// Completed tasks before an estimate is corrected.
+/// Minimum number of completed tasks before estimates of a class are corrected.
 const MIN_RATIOS: usize = 5;
-/// What an estimate may be multiplied by.
-const CORRECTIONS: RangeInclusive<f64> = 0.1..=10.0;
+/// Range of the factor by which estimates are corrected.
+const CORRECTION_RANGE: RangeInclusive<f64> = 0.1..=10.0;
 
-/// What completed tasks took, as a multiple of their owners' estimates.
+/// Ratios of actual to estimated run times of completed tasks, by class.
 #[derive(Debug, Clone, Default)]
 pub struct Estimates {
-    classes: BTreeMap<String, Ratios>,
+    classes: BTreeMap<String, ClassRatios>,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Ratios {
-    /// Newest last.
-    list: Vec<f64>,
-    /// Their median within bounds, once there are a few: it is read far more often than
-    /// it changes.
+struct ClassRatios {
+    /// Ratios of the latest completed tasks, newest last.
+    latest: Vec<f64>,
+    /// Median of the ratios, clamped to [`CORRECTION_RANGE`]; `None` below [`MIN_RATIOS`]
+    /// ratios. Cached, because it is read far more often than it changes.
     correction: Option<f64>,
 }
 
 impl Estimates {
-    /// A task of a class took `ratio` times its owner's estimate.
-    pub fn learn(&mut self, class: &str, ratio: f64) {
+    /// Records that a task of a class ran `ratio` times as long as its user's estimate.
+    pub fn record_ratio(&mut self, class: &str, ratio: f64) {
         let ratios = self.classes.entry(class.to_string()).or_default();
-        if ratios.list.len() >= MAX_RATIOS {
-            ratios.list.remove(0);
+        if ratios.latest.len() >= MAX_RATIOS {
+            ratios.latest.remove(0);
         }
-        ratios.list.push(ratio);
-        if ratios.list.len() >= MIN_RATIOS {
-            let mut sorted = ratios.list.clone();
+        ratios.latest.push(ratio);
+        if ratios.latest.len() >= MIN_RATIOS {
+            let mut sorted = ratios.latest.clone();
             sorted.sort_by(f64::total_cmp);
             let median = sorted[sorted.len() / 2];
-            ratios.correction = Some(median.clamp(*CORRECTIONS.start(), *CORRECTIONS.end()));
+            ratios.correction =
+                Some(median.clamp(*CORRECTION_RANGE.start(), *CORRECTION_RANGE.end()));
         }
     }
 
-    /// Seconds that a job's tasks are expected to run: what its completed ones took, or its
-    /// owner's estimate, corrected.
+    /// Seconds that a job's tasks are expected to run: the median run time of its own completed
+    /// tasks if there are enough of them, or else the user's estimate, corrected.
     pub fn expected_s(&self, job: &Job) -> f64 {
         match job.usual_run_time() {
             Some(run_time) => run_time.as_secs_f64(),
@@ -54,8 +55,8 @@
         }
     }
 
-    /// What an owner's estimate of a class is to be multiplied by: the median,
-    /// which a few slow machines do not move.
+    /// Factor by which users' estimates of a class are multiplied; 1 until enough tasks have
+    /// completed. It is the median ratio, which a few slow machines do not move.
     pub fn correction(&self, class: &str) -> f64 {
         self.classes.get(class).and_then(|ratios| ratios.correction).unwrap_or(1.0)
     }
--- a/src/controller/scheduler/guarantee_budget.rs
+++ b/src/controller/scheduler/guarantee_budget.rs
@@ -1,23 +1,23 @@
-//! How much may be preempted for the sake of teams' guarantees.
+//! Budget for preemption for teams' guarantees.
 
 use crate::controller::quota::Quotas;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::resources::TOLERANCE;
 use std::collections::BTreeMap;
 
-/// What this controller may preempt for guarantees until the budget is computed anew. It is
-/// this controller's share only: all controllers preempting the whole of it would preempt it
-/// several times over, and then the other way round.
+/// CPUs that this controller may preempt for guarantees until the budget is recomputed. It is
+/// only this controller's share: if every controller preempted the whole amount, it would be
+/// preempted several times over, and the teams that lost too much would then preempt it back.
 #[derive(Debug, Default)]
 pub(super) struct GuaranteeBudget {
-    /// CPUs that may still be preempted of a team's tasks beyond its guarantee.
+    /// CPUs by which a team exceeds its guarantee and that may still be preempted, by team.
     preemptible_cpus: BTreeMap<String, f64>,
-    /// CPUs that a team may still claim by preemption within its guarantee.
+    /// CPUs that a team may still claim by preemption within its guarantee, by team.
     claimable_cpus: BTreeMap<String, f64>,
 }
 
 impl GuaranteeBudget {
-    /// Computes the budget of one of so many controllers from what teams use.
+    /// Recomputes the budget from the teams' usage, as one of `controllers` equal shares.
     pub(super) fn refresh(
         &mut self,
         quotas: &Quotas,
@@ -33,26 +33,26 @@
         }
     }
 
-    /// Teams of whose tasks beyond their guarantee some may still be preempted.
+    /// Teams with tasks beyond their guarantee that may still be preempted.
     pub(super) fn preemptible_teams(&self) -> Vec<&str> {
         let preemptible = self.preemptible_cpus.iter().filter(|(_, left)| **left > TOLERANCE);
         preemptible.map(|(team, _)| team.as_str()).collect()
     }
 
-    /// Whether a team may claim nothing more within its guarantee.
+    /// Whether a team may claim no more CPUs within its guarantee.
     pub(super) fn claims_exhausted(&self, team: &str) -> bool {
         self.claimable_cpus.get(team).is_none_or(|left| *left <= 0.0)
     }
 
-    /// A team claimed so many CPUs within its guarantee.
-    pub(super) fn note_claim(&mut self, team: &str, cpus: f64) {
+    /// Deducts CPUs that a team claimed within its guarantee.
+    pub(super) fn deduct_claim(&mut self, team: &str, cpus: f64) {
         if let Some(left) = self.claimable_cpus.get_mut(team) {
             *left -= cpus;
         }
     }
 
-    /// A task of a team with so many CPUs is preempted.
-    pub(super) fn note_preemption(&mut self, team: &str, cpus: f64) {
+    /// Deducts the CPUs of a preempted task from what may be preempted of its team.
+    pub(super) fn deduct_preemption(&mut self, team: &str, cpus: f64) {
         if let Some(left) = self.preemptible_cpus.get_mut(team) {
             *left -= cpus;
         }
--- a/src/controller/scheduler/image_cache.rs
+++ b/src/controller/scheduler/image_cache.rs
@@ -1,24 +1,24 @@
-//! Which machines have which images, as far as this controller knows.
+//! Index of the images that machines have cached.
 //!
 //! Kept in memory only: a lost entry costs one fetch. Entries belong to an incarnation of a
-//! machine's worker, so that a machine that began anew stops matching.
+//! machine's worker, so that they no longer match once the worker has restarted.
 
 use crate::time::Micros;
 use crate::wire::WorkerIncarnation;
 use std::collections::{BTreeMap, HashMap};
 
-/// A younger entry is not renewed: heartbeats repeat themselves every few seconds.
+/// A younger entry is not renewed, since heartbeats report the same images every few seconds.
 const MIN_RENEWAL_INTERVAL: Micros = Micros::secs(1);
 
 #[derive(Debug, Clone, Copy)]
-struct Entry {
+struct CacheEntry {
     incarnation: WorkerIncarnation,
-    noted_at: Micros,
-    /// Its place among all entries, the oldest of which has the lowest number.
+    recorded_at: Micros,
+    /// Position among all entries; the oldest entry has the lowest number.
     sequence: u64,
 }
 
-/// An image on a machine.
+/// Key of an entry: an image on a machine.
 #[derive(Debug, Clone)]
 struct ImageOnMachine {
     image: String,
@@ -28,18 +28,18 @@
 /// A machine that has an image.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CachedOn<'a> {
-    /// The machine.
+    /// Name of the machine.
     pub machine: &'a str,
-    /// The incarnation in which it fetched the image.
+    /// Worker incarnation that has the image.
     pub incarnation: WorkerIncarnation,
 }
 
-/// The index, bounded in entries and in age.
+/// The image cache index, bounded by number and age of entries.
 #[derive(Debug)]
 pub struct ImageCacheIndex {
     /// Entries by image and machine.
-    images: HashMap<String, BTreeMap<String, Entry>>,
-    /// By sequence, to find what must go when the index is full.
+    images: HashMap<String, BTreeMap<String, CacheEntry>>,
+    /// Keys by sequence number, to find the entry to evict when the index is full.
     oldest_first: BTreeMap<u64, ImageOnMachine>,
     next_sequence: u64,
     max_entries: usize,
@@ -47,7 +47,8 @@
 }
 
 impl ImageCacheIndex {
-    /// An empty index that keeps so many entries for so long.
+    /// An empty index that keeps at most `max_entries`, each for `max_age` after it was last
+    /// renewed.
     pub fn new(max_entries: usize, max_age: Micros) -> ImageCacheIndex {
         ImageCacheIndex {
             images: HashMap::new(),
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Notes that a machine has, or is about to fetch, an image.
-    pub fn note(
+    /// Records that a worker has an image or is about to fetch it.
+    pub fn record(
         &mut self,
         now: Micros,
         image: &str,
@@ -68,19 +69,19 @@
     ) {
         let known = self.images.get(image).and_then(|machines| machines.get(machine));
         if known.is_some_and(|entry| {
-            entry.incarnation == incarnation && now.since(entry.noted_at) < MIN_RENEWAL_INTERVAL
+            entry.incarnation == incarnation && now.since(entry.recorded_at) < MIN_RENEWAL_INTERVAL
         }) {
             return;
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let entry = Entry { incarnation, noted_at: now, sequence };
+        let entry = CacheEntry { incarnation, recorded_at: now, sequence };
         let machines = self.images.entry(image.to_string()).or_default();
         if let Some(old) = machines.insert(machine.to_string(), entry) {
             self.oldest_first.remove(&old.sequence);
         }
-        let noted = ImageOnMachine { image: image.to_string(), machine: machine.to_string() };
-        self.oldest_first.insert(sequence, noted);
+        let key = ImageOnMachine { image: image.to_string(), machine: machine.to_string() };
+        self.oldest_first.insert(sequence, key);
         self.evict_oldest();
     }
 
@@ -98,8 +99,8 @@
         }
     }
 
-    /// True if the machine has the image in its present incarnation.
-    pub fn holds(
+    /// Whether this incarnation of a machine's worker has the image.
+    pub fn contains(
         &self,
         now: Micros,
         image: &str,
@@ -107,26 +108,26 @@
         incarnation: WorkerIncarnation,
     ) -> bool {
         self.images.get(image).and_then(|machines| machines.get(machine)).is_some_and(|entry| {
-            entry.incarnation == incarnation && now.since(entry.noted_at) <= self.max_age
+            entry.incarnation == incarnation && now.since(entry.recorded_at) <= self.max_age
         })
     }
 
-    /// Machines that have an image, by name.
+    /// Machines that have an image, ordered by name.
     pub fn machines_with(&self, now: Micros, image: &str) -> impl Iterator<Item = CachedOn<'_>> {
         self.images
             .get(image)
             .into_iter()
             .flatten()
-            .filter(move |(_, entry)| now.since(entry.noted_at) <= self.max_age)
+            .filter(move |(_, entry)| now.since(entry.recorded_at) <= self.max_age)
             .map(|(machine, entry)| CachedOn { machine, incarnation: entry.incarnation })
     }
 
-    /// Number of entries.
+    /// Number of entries, including those past the maximum age.
     pub fn len(&self) -> usize {
         self.oldest_first.len()
     }
 
-    /// True if there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.oldest_first.is_empty()
     }
--- a/src/controller/scheduler/large_tasks.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -1,4 +1,4 @@
-//! Machines held for large tasks, and jobs raised that would starve.
+//! Protection from starvation: holding machines for large tasks and raising starved jobs.
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::Job;
@@ -11,34 +11,36 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Share of a shard's machines that may be held for large tasks at once.
+/// Share of the machines of led shards that may be held for large tasks once one is late.
 const MAX_HELD_SHARE: f64 = 0.3;
-/// Share of a shard's machines that large tasks have before they are late.
+/// Share of the machines of led shards that large tasks may take, running or held for them,
+/// before one is late.
 const LARGE_TASK_SHARE: f64 = 0.2;
-/// Seconds after which a waiting large task has its share.
-const MIN_WAIT_S: f64 = 5.0;
-/// A large task that has waited for this share of its class's objective is late.
-const LATE_SHARE: f64 = 0.33;
-/// A job of which nothing has begun after this share of its objective is starved.
-const STARVED_SHARE: f64 = 0.4;
+/// Seconds that a job must have waited for capacity before machines are held for its tasks.
+const MIN_WAIT_FOR_HOLD_S: f64 = 5.0;
+/// A large task that has waited for this share of its class's finish objective is late.
+const LATE_OBJECTIVE_SHARE: f64 = 0.33;
+/// A job without any placed or completed task after this share of its class's finish objective is
+/// starved.
+const STARVED_OBJECTIVE_SHARE: f64 = 0.4;
 
-/// A job whose tasks wait for a machine that is large enough.
+/// A job whose tasks wait for a machine with enough capacity.
 struct WaitingJob {
-    /// It has waited for a good share of its objective.
+    /// It has waited for [`LATE_OBJECTIVE_SHARE`] of its objective.
     late: bool,
     pending_tasks: u32,
     spec: Rc<JobSpec>,
 }
 
-/// A machine, and in how many seconds it is expected to have capacity for a task.
+/// A machine, and the seconds until it is expected to have capacity for a task.
 struct ExpectedCapacity {
     available_in_s: f64,
     machine: Rc<str>,
 }
 
 impl Controller {
-    /// Raises low work of which nothing has begun for long: behind a queue of
-    /// standard work that never empties it would not begin for minutes.
+    /// Raises low priority jobs to normal priority if no task of theirs has been placed for long.
+    /// Behind a queue of standard jobs that never empties, they would not start for minutes.
     pub(crate) fn raise_starved_jobs(&mut self) {
         let wall = self.context.wall();
         let inputs = self.scheduling_inputs();
@@ -50,7 +52,7 @@
                 && !job.suspect()
                 && !job.awaits_dependencies
                 && wall.since(job.ready_at).as_secs_f64()
-                    > inputs.finish_objective_s(&job.spec.class) * STARVED_SHARE
+                    > inputs.finish_objective_s(&job.spec.class) * STARVED_OBJECTIVE_SHARE
         };
         let list: Vec<String> =
             self.jobs.by_id.iter().filter(|(_, j)| starved(j)).map(|(id, _)| id.clone()).collect();
@@ -61,9 +63,9 @@
         }
     }
 
-    /// Holds machines, on which no further small task is placed, where large tasks have
-    /// waited for long: filled up again task by task, no machine would ever have
-    /// capacity for one that needs it whole.
+    /// Holds machines for large tasks that have waited for long: no further small task is placed
+    /// there. If small tasks kept filling freed capacity, no machine would ever have capacity
+    /// for a task that needs a whole machine.
     pub(crate) fn hold_machines_for_large_tasks(&mut self) {
         let inputs = self.scheduling_inputs();
         let waiting = match self.holds_lease() {
@@ -75,16 +77,17 @@
     }
 }
 
-/// Jobs that have waited for capacity for some time, those with the largest tasks first.
+/// Jobs that lack capacity and have been ready for more than [`MIN_WAIT_FOR_HOLD_S`] seconds,
+/// those with the largest tasks first.
 fn waiting_for_capacity(inputs: &SchedulingInputs<'_>) -> Vec<WaitingJob> {
     let wall = inputs.context.wall();
     let mut waiting: Vec<WaitingJob> = Vec::new();
     for job in inputs.jobs.by_id.values().filter(|j| j.is_active() && j.placeable() > 0) {
         let waited_s = wall.since(job.ready_at).as_secs_f64();
-        if waited_s > MIN_WAIT_S && job.pending_reason == PendingReason::NoCapacity {
+        if waited_s > MIN_WAIT_FOR_HOLD_S && job.pending_reason == PendingReason::NoCapacity {
             let objective_s = inputs.finish_objective_s(&job.spec.class);
             waiting.push(WaitingJob {
-                late: waited_s > objective_s * LATE_SHARE,
+                late: waited_s > objective_s * LATE_OBJECTIVE_SHARE,
                 pending_tasks: job.pending(),
                 spec: Rc::clone(&job.spec),
             });
@@ -95,12 +98,12 @@
 }
 
 impl Scheduler {
-    /// Holds machines for waiting jobs, in their order, instead of those held so far.
+    /// Replaces the held machines by those held for waiting jobs, in the order of the jobs.
     fn hold_machines(&mut self, waiting: &[WaitingJob], wall: Micros) {
         self.held_for_large_tasks.clear();
-        let own_machines = self.own_machines().count() as f64;
+        let led_machines = self.led_machines().count() as f64;
         for job in waiting {
-            let left = self.machines_left_to_hold(job, own_machines);
+            let left = self.machines_left_to_hold(job, led_machines);
             if left == 0 {
                 continue;
             }
@@ -111,26 +114,26 @@
     }
 
     /// Machines of the shards that this process leads.
-    fn own_machines(&self) -> impl Iterator<Item = &MachineCapacity> {
+    fn led_machines(&self) -> impl Iterator<Item = &MachineCapacity> {
         self.capacity.iter().map(|(_, _, capacity)| capacity).filter(|c| !c.led_by_peer)
     }
 
-    /// How many more machines may be held for a job.
-    fn machines_left_to_hold(&self, job: &WaitingJob, own_machines: f64) -> usize {
+    /// Number of machines that may additionally be held for a job.
+    fn machines_left_to_hold(&self, job: &WaitingJob, led_machines: f64) -> usize {
         let large = |capacity: &&MachineCapacity| {
             capacity.tasks.iter().any(|task| task.resources.cpus >= job.spec.cpus)
         };
         let max = if job.late {
-            own_machines * MAX_HELD_SHARE
+            led_machines * MAX_HELD_SHARE
         } else {
-            // Those that large tasks run on already are their share, too.
-            own_machines * LARGE_TASK_SHARE - self.own_machines().filter(large).count() as f64
+            // Machines that already run large tasks count towards the share.
+            led_machines * LARGE_TASK_SHARE - self.led_machines().filter(large).count() as f64
         };
         (max.max(0.0) as usize).saturating_sub(self.held_for_large_tasks.len())
     }
 
-    /// Own machines that are not held yet and will have capacity for a task of a job, the
-    /// soonest first.
+    /// Machines of led shards that are not held yet and can run a task of a job, in order of the
+    /// time when they are expected to have capacity for it.
     fn expected_capacity(&self, spec: &JobSpec, wall: Micros) -> Vec<ExpectedCapacity> {
         let needed = Resources::from(spec);
         let mut expected: Vec<ExpectedCapacity> = self
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -1,26 +1,25 @@
-//! Which machine a task goes to.
+//! Choice of the machine for a task.
 //!
-//! The ordinary path: of the machines that pass every filter the least loaded, or one that
-//! has the image and is not much busier. Where none has capacity, less urgent tasks are
-//! preempted.
+//! Normally this is the least loaded machine that passes all filters, or one that has the image
+//! and is not much busier. If no machine has capacity, less urgent tasks are preempted.
 
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, MachineId};
 use crate::controller::scheduler::image_locality;
 use crate::controller::scheduler::inputs::SchedulingInputs;
-use crate::controller::scheduler::scheduling_pass::Pass;
+use crate::controller::scheduler::scheduling_pass::PassState;
 use crate::controller::scheduler::search_failures::PreemptionSearch;
 use crate::controller::scheduler::task_placement::JobPlacement;
 use crate::controller::scheduler::victims::{PreemptionClaim, PreemptionPlan};
 
 /// The machine that was chosen for a task.
 pub(super) struct MachineChoice {
-    /// The machine.
+    /// The chosen machine.
     pub(super) machine: MachineId,
-    /// Positions of the tasks to preempt among the machine's reserved tasks.
+    /// Tasks to preempt, as positions in [`MachineCapacity::tasks`].
     pub(super) victims: Vec<usize>,
-    /// They are preempted for the team's guarantee.
+    /// The victims count against the team's claims within its guarantee.
     pub(super) claims_guarantee: bool,
 }
 
@@ -33,32 +32,32 @@
 }
 
 impl Scheduler {
-    /// Chooses a machine for a task: one with capacity, or else one on which less urgent
-    /// tasks are preempted.
+    /// Chooses a machine for a task: one with capacity, or else one on which other tasks are
+    /// preempted.
     pub(super) fn choose_machine(
         &self,
         inputs: &SchedulingInputs<'_>,
         job: &Job,
         index: u32,
         placement: &mut JobPlacement,
-        pass: &mut Pass,
+        pass: &mut PassState,
     ) -> Option<MachineChoice> {
-        let known_full = pass.failures.no_capacity(&placement.spec);
+        let known_full = pass.failures.implies_no_capacity(&placement.spec);
         let free = match known_full {
             true => None,
-            false => self.free_machine(inputs, TaskToPlace { job, index, placement }),
+            false => self.find_free_machine(inputs, TaskToPlace { job, index, placement }),
         };
         if placement.cached_machines.is_none() && (free.is_some() || placement.fetch_too_slow) {
             placement.cached_machines = Some(self.find_cached_machines(inputs, placement));
         }
         let task = TaskToPlace { job, index, placement };
-        let cached = free.and_then(|_| self.free_cached_machine(inputs, task));
+        let cached = free.and_then(|_| self.find_free_cached_machine(inputs, task));
         let chosen = free.map(|free| self.prefer_cached_machine(task.placement, free, cached));
-        if free.is_none() && task.placement.fails_by_shape && !known_full {
-            pass.failures.note_no_capacity(&task.placement.spec);
+        if free.is_none() && task.placement.fails_by_shape_only && !known_full {
+            pass.failures.record_no_capacity(&task.placement.spec);
         }
-        // No machine with capacity has the image: one that has it, and on which less urgent
-        // tasks are preempted, starts the task sooner.
+        // If no machine with capacity has the image, preempting tasks on a machine that has it
+        // starts the task sooner than a fetch.
         let only_cached = task.placement.fetch_too_slow && cached.is_none() && chosen.is_some();
         if (chosen.is_none() || only_cached)
             && let Some(choice) = self.search_preemption(inputs, task, only_cached, pass)
@@ -69,8 +68,9 @@
         chosen.map(|machine| MachineChoice { machine, victims, claims_guarantee: false })
     }
 
-    /// Whether a machine passes the filters that depend on the task and on the moment.
-    fn suits(
+    /// Whether a machine passes the filters that depend on the task and the current state, not
+    /// only on the machine's pool.
+    fn passes_filters(
         &self,
         inputs: &SchedulingInputs<'_>,
         task: TaskToPlace<'_>,
@@ -87,45 +87,47 @@
             && !lists_attempt(inputs, &capacity.machine, &placement.id, index)
     }
 
-    /// The filters that depend on the task and on the moment, for searches of machines.
+    /// [`Scheduler::passes_filters`] as a closure for machine searches.
     fn filter<'a>(
         &'a self,
         inputs: &'a SchedulingInputs<'_>,
         task: TaskToPlace<'a>,
     ) -> impl Fn(MachineId, &MachineCapacity) -> bool + 'a {
-        move |machine, capacity| self.suits(inputs, task, machine, capacity)
+        move |machine, capacity| self.passes_filters(inputs, task, machine, capacity)
     }
 
-    /// The least loaded machine that has capacity, or the best fit where a larger task waits.
-    fn free_machine(
+    /// Finds the least loaded machine that has capacity, or the best fit if a larger task lacks
+    /// capacity.
+    fn find_free_machine(
         &self,
         inputs: &SchedulingInputs<'_>,
         task: TaskToPlace<'_>,
     ) -> Option<MachineId> {
         let (pools, needed) = (&task.placement.pools, &task.placement.needed);
         let passes = self.filter(inputs, task);
-        match task.placement.pack {
+        match task.placement.bin_pack {
             true => self.capacity.best_fit(pools, needed, passes),
             false => self.capacity.least_loaded(pools, needed, passes),
         }
     }
 
-    /// The same among the machines that have the image.
-    fn free_cached_machine(
+    /// Like [`Scheduler::find_free_machine`], but searches only the machines that have the image.
+    fn find_free_cached_machine(
         &self,
         inputs: &SchedulingInputs<'_>,
         task: TaskToPlace<'_>,
     ) -> Option<MachineId> {
-        let JobPlacement { pools, needed, pack, .. } = task.placement;
+        let JobPlacement { pools, needed, bin_pack, .. } = task.placement;
         let cached_machines = task.placement.cached_machines().iter();
         let passes = self.filter(inputs, task);
-        match pack {
+        match bin_pack {
             true => self.capacity.best_fit_among(cached_machines, pools, needed, passes),
             false => self.capacity.least_loaded_among(cached_machines, pools, needed, passes),
         }
     }
 
-    /// The machine that has the image, if it wins over the one chosen without regard to it.
+    /// Returns `cached`, a machine that has the image, if it is preferred over `free`, which was
+    /// chosen regardless of the image.
     fn prefer_cached_machine(
         &self,
         placement: &JobPlacement,
@@ -135,56 +137,60 @@
         let Some(cached) = cached else {
             return free;
         };
-        // Packing, free capacity counts instead of tasks, in tasks of this job.
+        // For bin packing, the load is the number of tasks of this job that still fit.
         let load = |machine: MachineId| match self.capacity.get(machine) {
-            Some(capacity) if placement.pack => capacity.free.tasks_that_fit(&placement.needed),
+            Some(capacity) if placement.bin_pack => capacity.free.tasks_that_fit(&placement.needed),
             Some(capacity) => capacity.tasks.len() as u32,
             None => 0,
         };
         let (free_load, cached_load) = (load(free), load(cached));
-        match image_locality::cached_machine_wins(free_load, cached_load, placement.image_slack) {
+        match image_locality::is_cached_machine_preferred(
+            free_load,
+            cached_load,
+            placement.image_slack,
+        ) {
             true => cached,
             false => free,
         }
     }
 
-    /// Searches a machine on which less urgent tasks are preempted; with `only_cached` among
-    /// those that have the image.
+    /// Searches for a machine on which tasks can be preempted for a task; with `only_cached`,
+    /// among the machines that have the image.
     fn search_preemption(
         &self,
         inputs: &SchedulingInputs<'_>,
         task: TaskToPlace<'_>,
         only_cached: bool,
-        pass: &mut Pass,
+        pass: &mut PassState,
     ) -> Option<MachineChoice> {
         let placement = task.placement;
         let spec = &placement.spec;
         let one_task = (&**spec).into();
-        let entitled = inputs.quotas.within_guarantee(&pass.usage, &spec.team, one_task);
+        let within_guarantee = inputs.quotas.within_guarantee(&pass.usage, &spec.team, one_task);
         let claim = PreemptionClaim {
             job: task.job,
             pools: &placement.pools,
-            entitled,
-            only: only_cached.then_some(placement.cached_machines()),
+            within_guarantee,
+            only_machines: only_cached.then_some(placement.cached_machines()),
         };
         let search = PreemptionSearch::of(&claim, only_cached);
-        let hopeless = pass.preemption_searches_left == 0
-            || (entitled && self.guarantee_budget.claims_exhausted(&spec.team))
-            || (!entitled && self.capacity.tasks_below(placement.rank) == 0)
-            || pass.failures.no_victims(spec, &search);
-        if hopeless {
+        let skip_search = pass.preemption_searches_left == 0
+            || (within_guarantee && self.guarantee_budget.claims_exhausted(&spec.team))
+            || (!within_guarantee && self.capacity.tasks_below(placement.rank) == 0)
+            || pass.failures.implies_no_victims(spec, &search);
+        if skip_search {
             return None;
         }
         pass.preemption_searches_left -= 1;
         let found = self.find_victims(inputs, &claim, self.filter(inputs, task));
-        if found.is_none() && placement.fails_by_shape {
-            pass.failures.note_no_victims(spec, search);
+        if found.is_none() && placement.fails_by_shape_only {
+            pass.failures.record_no_victims(spec, search);
         }
         let PreemptionPlan { machine, victims } = found?;
-        Some(MachineChoice { machine, victims, claims_guarantee: entitled })
+        Some(MachineChoice { machine, victims, claims_guarantee: within_guarantee })
     }
 
-    /// Machines of the job's pools that have its image in their present incarnation.
+    /// Machines of the job's pools whose current worker incarnation has the image.
     fn find_cached_machines(
         &self,
         inputs: &SchedulingInputs<'_>,
@@ -194,17 +200,17 @@
             .machines_with(inputs.context.now, &placement.spec.image)
             .filter_map(|cached| {
                 let id = self.capacity.id(cached.machine)?;
-                let present = self.capacity.get(id)?.incarnation == cached.incarnation;
-                (present && self.capacity.among(id, &placement.pools)).then_some(id)
+                let is_current = self.capacity.get(id)?.incarnation == cached.incarnation;
+                (is_current && self.capacity.is_in_pools(id, &placement.pools)).then_some(id)
             })
             .collect()
     }
 }
 
-/// Whether a machine still lists an earlier attempt of a task. One that
-/// ended and is kept, since a late command may start it anew, would be
-/// forgotten by a worker that takes another attempt in its place; and then
-/// the late command would start the task a second time.
+/// Whether a machine still lists an earlier attempt of a task. A worker keeps the record of an
+/// ended attempt because a delayed command to start it may still arrive. A new attempt of the
+/// same task would replace that record, and the delayed command would then start the task a
+/// second time.
 fn lists_attempt(inputs: &SchedulingInputs<'_>, machine: &str, job: &str, index: u32) -> bool {
     inputs
         .machines
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -1,9 +1,9 @@
-//! Where tasks go: the queue, the capacity of the cluster, bin packing, preemption and what
-//! is kept free for large tasks.
+//! Task placement: the job queue, cluster capacity, bin packing, preemption and machines held
+//! for large tasks.
 //!
-//! Owns the capacity index, run time estimates, the image cache index and the budgets of
-//! preemption. It decides in memory; the jobs' writer stores a placement before anything
-//! acts on it. It must never start or stop a task itself.
+//! Owns the capacity index, the run time estimates, the image cache index and the preemption
+//! budgets. It decides in memory only: the job writer stores a placement before any component
+//! acts on it. The scheduler never starts or stops a task itself.
 
 pub mod capacity;
 pub mod estimate;
@@ -32,7 +32,7 @@
 use crate::time::Micros;
 use crate::wire::WorkerIncarnation;
 use capacity::{ClusterCapacity, MachineCapacity};
-use capacity_updates::ShardSource;
+use capacity_updates::ShardCapacitySource;
 use estimate::Estimates;
 use guarantee_budget::GuaranteeBudget;
 use image_cache::ImageCacheIndex;
@@ -40,30 +40,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What placements are decided from.
+/// The scheduler's state, from which placements are decided.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
     capacity: ClusterCapacity,
-    /// Machines whose capacity is computed anew before the next placement.
+    /// Machines whose capacity is recomputed before the next placement.
     stale_machines: BTreeSet<String>,
-    /// What the capacity of each shard's machines was last computed from, by shard.
-    shard_sources: BTreeMap<usize, ShardSource>,
-    /// Machines on which no further small task is placed until a large one fits.
+    /// Inputs that the capacity of each shard's machines was last computed from, by shard.
+    shard_sources: BTreeMap<usize, ShardCapacitySource>,
+    /// Machines that accept no further small task until a large one fits.
     held_for_large_tasks: BTreeSet<Rc<str>>,
-    /// Something has changed since the last scheduling pass.
+    /// A change since the last scheduling pass may allow further placements.
     pass_requested: bool,
     last_pass_at: Micros,
-    /// Placements that no machine has reported yet, as last counted.
+    /// Number of placements that no machine has reported yet, as last counted.
     unobserved_placements: usize,
     guarantee_budget: GuaranteeBudget,
-    /// Tasks of other shards whose preemption was requested.
+    /// Requests for the preemption of tasks of other shards.
     preemption_requests: PreemptionRequests,
     estimates: Estimates,
     images: ImageCacheIndex,
 }
 
 impl Scheduler {
-    /// No capacity is known of any machine.
+    /// A scheduler that has computed no machine's capacity yet.
     pub(crate) fn new(options: &Options) -> Scheduler {
         Scheduler {
             capacity: ClusterCapacity::default(),
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Marks a machine's capacity as stale: it is computed anew before the next placement.
+    /// Marks a machine's capacity as stale: it is recomputed before the next placement.
     pub(crate) fn mark_stale(&mut self, machine: &str) {
         if !self.stale_machines.contains(machine) {
             self.stale_machines.insert(machine.to_string());
         }
     }
 
-    /// Requests a scheduling pass: something has changed that may let a task be placed.
+    /// Requests a scheduling pass after a change that may allow a task to be placed.
     pub(crate) fn request_pass(&mut self) {
         self.pass_requested = true;
     }
@@ -97,17 +97,17 @@
         self.capacity.by_name(machine)
     }
 
-    /// How far owners' estimates of run times are off.
+    /// Corrections of the users' run time estimates.
     pub(crate) fn estimates(&self) -> &Estimates {
         &self.estimates
     }
 
-    /// A task of a class took `ratio` times its owner's estimate.
+    /// Records that a task of a class ran `ratio` times as long as its user's estimate.
     pub(crate) fn learn_run_time(&mut self, class: &str, ratio: f64) {
-        self.estimates.learn(class, ratio);
+        self.estimates.record_ratio(class, ratio);
     }
 
-    /// Notes that a machine has, or is about to fetch, an image.
+    /// Records that a worker has an image or is about to fetch it.
     pub(crate) fn note_image(
         &mut self,
         now: Micros,
@@ -115,10 +115,10 @@
         machine: &str,
         incarnation: WorkerIncarnation,
     ) {
-        self.images.note(now, image, machine, incarnation);
+        self.images.record(now, image, machine, incarnation);
     }
 
-    /// Number of known pairs of an image and a machine that has it.
+    /// Number of entries in the image cache index, one per image and machine.
     pub(crate) fn image_entries(&self) -> usize {
         self.images.len()
     }
--- a/src/controller/scheduler/objectives.rs
+++ b/src/controller/scheduler/objectives.rs
@@ -1,19 +1,20 @@
-//! What the service-level objectives of a job's class leave time for.
+//! Time limits that follow from the service-level objectives of a job's class.
 
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::inputs::SchedulingInputs;
 
-/// Seconds within which jobs of a class without an objective are to be done.
+/// Assumed finish objective, in seconds, of a class that has none.
 const DEFAULT_FINISH_OBJECTIVE_S: f64 = 240.0;
-/// Objectives below this many seconds leave victims no time to write a checkpoint.
+/// With an objective below this many seconds, victims get no time to write a checkpoint.
 const MIN_OBJECTIVE_WITH_CHECKPOINT_S: f64 = 10.0;
-/// Fetching an image that takes more than this share of the time until the start is too slow.
+/// A fetch is too slow if it takes more than this share of the class's `wait` objective.
 const MAX_FETCH_SHARE: f64 = 0.5;
-/// No fetch is counted as slower than this, in gigabytes a second.
+/// Lower bound on the fetch rate used in estimates, in gigabytes per second.
 pub(super) const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl SchedulingInputs<'_> {
-    /// Seconds within which jobs of a class are to be done.
+    /// Finish objective of a class, in seconds; the default if that is shorter or the class has
+    /// none.
     pub(super) fn finish_objective_s(&self, class: &str) -> f64 {
         self.context
             .settings
@@ -24,7 +25,7 @@
             .fold(DEFAULT_FINISH_OBJECTIVE_S, f64::min)
     }
 
-    /// How fast the slowest machine type fetches images, in gigabytes a second.
+    /// Fetch rate of the slowest machine type, in gigabytes per second.
     pub(super) fn slowest_fetch_gb_per_s(&self) -> f64 {
         self.autoscaler
             .machine_types
@@ -34,9 +35,9 @@
             .max(MIN_FETCH_GB_PER_S)
     }
 
-    /// Whether fetching a job's image takes most of the time within which its
-    /// tasks are to start. A machine that has the image then wins however loaded it is: an
-    /// exception to the ordinary tolerance, which weighs a fetch against a queue.
+    /// Whether fetching a job's image takes most of the time within which its tasks are to
+    /// start. A machine that has the image is then preferred however loaded it is, which
+    /// overrides the usual slack that weighs a fetch against a queue.
     pub(super) fn fetch_too_slow(&self, job: &Job) -> bool {
         let fetch_s = job.spec.image_gb / self.slowest_fetch_gb_per_s();
         self.context
@@ -48,8 +49,8 @@
             .any(|within_s| fetch_s > within_s * MAX_FETCH_SHARE)
     }
 
-    /// Whether the objectives of a job's class leave time for the tasks that are preempted
-    /// for it to write a checkpoint first.
+    /// Whether the objectives of a job's class leave time for its victims to write a
+    /// checkpoint before they stop.
     pub(super) fn time_for_checkpoints(&self, job: &Job) -> bool {
         self.context
             .settings
--- a/src/controller/scheduler/pending_reason.rs
+++ b/src/controller/scheduler/pending_reason.rs
@@ -1,27 +1,29 @@
-//! Why tasks of a job wait.
+//! Reasons for which a job's tasks are pending.
 
 use std::fmt::{self, Display, Formatter};
 
 /// Why a job's next task is not placed. Displayed as on the queue page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PendingReason {
-    /// No pass has come to it yet.
+    /// No scheduling pass has reached the job yet.
     New,
-    /// No machine has capacity for it, nor would have after a preemption.
+    /// No machine has capacity for the task, nor would have after a preemption.
     NoCapacity,
-    /// It failed and is tried again later.
+    /// Tasks of the job failed, and no task is placed until its backoff ends.
     BackedOff,
-    /// Placed now, it would be preempted at once for the team's more urgent tasks.
+    /// The team's more urgent tasks lack its limit; a task placed now would be preempted for
+    /// them at once.
     UrgentTasksLackLimit,
-    /// The chunk in which its task is stored is full until earlier tasks of it have ended.
+    /// The chunk that stores the task has no space for its placement until earlier tasks of
+    /// the chunk have ended.
     EarlierTasksFirst,
-    /// All of its tasks are placed.
+    /// All remaining tasks are placed.
     Starting,
-    /// A job that seems to be at fault runs one task at a time.
+    /// The job is suspected of causing its tasks' failures and runs one task at a time.
     TrialInProgress,
-    /// Its shard's grant of the team's limit is used up.
+    /// The shard's grant of the team's limit is used up.
     TeamLimit,
-    /// This pass has placed as many tasks as it may.
+    /// The limit on placements of a pass, or on unreported placements, is reached.
     NextPass,
 }
 
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: requesting it, and the budget of what may be preempted for guarantees.
+//! Preemption requests, and refreshes of the budget for preemption for guarantees.
 
 use crate::controller::Controller;
 use crate::controller::machines::attempt::AttemptId;
@@ -9,15 +9,15 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// Preempts a task of an own job, or requests it of the shard of its job. With
-    /// `checkpoint` it is given time to write a checkpoint first.
+    /// Preempts a task of a local job, or requests the preemption from the leader of the job's
+    /// shard. With `checkpoint`, the task gets time to write a checkpoint first.
     pub(super) fn request_preemption(
         &mut self,
         task: &ReservedTask,
         checkpoint: bool,
         machine: &Rc<str>,
     ) {
-        log::debug!("task {}/{} is preempted", task.job, task.index);
+        log::debug!("preempting task {}/{} on {machine}", task.job, task.index);
         let (job, index, attempt) = (task.job.clone(), task.index, task.attempt);
         let preempt = Preempt { job, index, attempt, save: checkpoint };
         if self.jobs.by_id.contains_key(&preempt.job) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Computes what may be preempted until the next call for the sake of guarantees.
+    /// Recomputes how much may be preempted for guarantees until the next call.
     pub(crate) fn refresh_guarantee_budget(&mut self) {
         if !self.holds_lease() {
             return;
@@ -42,8 +42,8 @@
 }
 
 impl Scheduler {
-    /// Drops requests for preemptions that nobody has granted in time: their tasks no longer
-    /// count as stopping.
+    /// Drops preemption requests that were not granted in time: their tasks no longer count
+    /// as stopping.
     pub(crate) fn expire_preemption_requests(&mut self, now: Micros) {
         for machine in self.preemption_requests.expire(now) {
             self.mark_stale(&machine);
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -1,47 +1,47 @@
-//! The order in which jobs are served.
+//! The order in which jobs are scheduled.
 
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::peer::Demand;
 use crate::time::Micros;
 
-/// Up to this rank work is urgent: it goes before large tasks that wait, and preempts what is
-/// less urgent even for a team beyond its guarantee.
+/// Jobs of this rank or a lower number are urgent: they may use machines held for large tasks,
+/// and preempt less urgent tasks even if their team is beyond its guarantee.
 pub(super) const LOWEST_URGENT_RANK: u32 = 1;
 
-/// What decides first which job is served first, also between the shards. The order of the
-/// fields is that of the comparison.
+/// The part of the queue order that also applies between shards. Fields are compared in order
+/// of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueClass {
-    /// With one more task the team would pass its guarantee: others go first.
+    /// One more task would exceed the team's guarantee, so jobs within guarantees go first.
     pub(crate) beyond_guarantee: bool,
-    /// Rank of service: lower is more urgent.
+    /// Rank of the job: lower is more urgent.
     pub(crate) rank: u32,
 }
 
 impl QueueClass {
-    /// The class of tasks that wait on some shard.
+    /// The class of pending tasks of any shard.
     pub(crate) fn of_demand(demand: &Demand) -> QueueClass {
         QueueClass { beyond_guarantee: demand.beyond_guarantee, rank: demand.rank }
     }
 }
 
-/// A job's place in the queue. The order of the fields is that of the comparison.
+/// A job's position in the queue. Fields are compared in order of declaration.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedJob {
-    /// What decides first.
+    /// Compared first.
     pub(crate) class: QueueClass,
-    /// Time of day of the deadline.
+    /// Deadline by the time of day; [`Micros::FAR`] if there is none.
     due: Micros,
-    /// Time of day from which it could be placed.
+    /// Time of day since which the job could be placed.
     ready: Micros,
     /// Id of the job.
     pub(crate) job: String,
 }
 
 impl Scheduler {
-    /// Own jobs with pending tasks in order of service: teams within their guarantee first,
-    /// then priority, deadline and age.
+    /// Local jobs with pending tasks, in scheduling order: jobs within their team's guarantee
+    /// first, then by rank, deadline and the time since which they could be placed.
     pub(crate) fn queue_order(&self, inputs: &SchedulingInputs<'_>) -> Vec<QueuedJob> {
         let usage = self.capacity.usage();
         let mut order: Vec<QueuedJob> = inputs
--- a/src/controller/scheduler/reservation.rs
+++ b/src/controller/scheduler/reservation.rs
@@ -1,22 +1,23 @@
-//! Carrying out a choice: preempting the victims and reserving the task's resources.
+//! Applies a machine choice: preempts the victims and reserves the task's resources.
 
 use crate::controller::Controller;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineId, ReservedTask};
 use crate::controller::scheduler::machine_choice::MachineChoice;
 use crate::controller::scheduler::pending_reason::PendingReason;
-use crate::controller::scheduler::scheduling_pass::Pass;
+use crate::controller::scheduler::scheduling_pass::PassState;
 use crate::controller::scheduler::task_placement::JobPlacement;
 use std::rc::Rc;
 
-/// A task to be preempted on a machine.
+/// A task to preempt, with its machine.
 struct Victim {
     machine: Rc<str>,
     task: ReservedTask,
 }
 
 impl Scheduler {
-    /// Marks the victims of a choice as stopping, and their resources as free.
+    /// Marks the victims of a choice as stopping, counts their resources as free and returns
+    /// them.
     fn mark_victims_stopping(&mut self, choice: &MachineChoice) -> Vec<Victim> {
         let mut victims = Vec::new();
         self.capacity.change(choice.machine, |capacity| {
@@ -33,12 +34,12 @@
 }
 
 impl Controller {
-    /// Preempts the victims of a choice, and counts their resources as free.
+    /// Preempts the victims of a choice, and counts their resources as free for this pass.
     pub(super) fn preempt_victims(
         &mut self,
         choice: &MachineChoice,
         placement: &JobPlacement,
-        pass: &mut Pass,
+        pass: &mut PassState,
     ) {
         if choice.victims.is_empty() {
             return;
@@ -46,24 +47,25 @@
         let victims = self.scheduler.mark_victims_stopping(choice);
         if choice.claims_guarantee {
             let team = &placement.spec.team;
-            self.scheduler.guarantee_budget.note_claim(team, placement.spec.cpus);
+            self.scheduler.guarantee_budget.deduct_claim(team, placement.spec.cpus);
         }
         for Victim { machine, task } in victims {
-            self.scheduler.guarantee_budget.note_preemption(&task.team, task.resources.cpus);
+            self.scheduler.guarantee_budget.deduct_preemption(&task.team, task.resources.cpus);
             *pass.usage.entry(task.team.clone()).or_default() -= task.resources.into();
             self.request_preemption(&task, placement.time_for_checkpoints, &machine);
         }
-        // Capacity of any shape may have come up beside it.
-        pass.failures.capacity_freed();
+        // The victims may have freed more than the task needs, for tasks of any shape.
+        pass.failures.forget_capacity_failures();
     }
 
-    /// Puts a task on a machine: in memory, to be written ahead before it is started.
+    /// Places a task on a machine, in memory: the placement must be stored before the task is
+    /// started.
     pub(super) fn reserve_task(
         &mut self,
         index: u32,
         machine_id: MachineId,
         placement: &mut JobPlacement,
-        pass: &mut Pass,
+        pass: &mut PassState,
     ) -> Result<(), PendingReason> {
         let (now, wall) = (self.context.now, self.context.wall());
         let capacity = &self.scheduler.capacity;
@@ -84,17 +86,17 @@
             index,
             attempt,
             stopping: false,
-            placed: wall,
+            placed_at: wall,
             checkpoint_s: spec.checkpoint_s,
             expected_s: placement.expected_s,
         };
-        log::debug!("task {}/{index} attempt {attempt} is placed on {machine}", placement.id);
+        log::debug!("task {}/{index} placed on {machine} as attempt {attempt}", placement.id);
         self.scheduler.capacity.change(machine_id, |capacity| capacity.reserve(reserved));
         self.scheduler.unobserved_placements += 1;
-        let has_image = self.scheduler.images.holds(now, &spec.image, &machine, incarnation);
+        let has_image = self.scheduler.images.contains(now, &spec.image, &machine, incarnation);
         self.counts.placed += 1;
         self.counts.image_hits += u64::from(has_image);
-        self.scheduler.images.note(now, &spec.image, &machine, incarnation);
+        self.scheduler.images.record(now, &spec.image, &machine, incarnation);
         count_placement(placement, pass, machine_id, zone, has_image);
         self.changes.desired.insert((placement.shard, Rc::clone(&machine)));
         self.jobs.task_index.add(placement.shard, machine, &placement.id, index);
@@ -103,10 +105,10 @@
     }
 }
 
-/// Counts a task that was put on a machine in what the pass and the job's placement know.
+/// Counts a placed task in the state of the pass and of the job's placement.
 fn count_placement(
     placement: &mut JobPlacement,
-    pass: &mut Pass,
+    pass: &mut PassState,
     machine: MachineId,
     zone: Rc<str>,
     had_image: bool,
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -1,4 +1,4 @@
-//! A pass over the queue of own jobs.
+//! One scheduling pass over the queue of local jobs.
 
 use crate::controller::Controller;
 use crate::controller::quota::amount::QuotaAmount;
@@ -10,14 +10,14 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// Least time between two passes: what happens meanwhile is dealt with together.
-const PASS_INTERVAL: Micros = Micros::millis(40);
-/// Placements in one pass.
+/// Minimum time between two passes, so that one pass handles all changes in between.
+const MIN_PASS_INTERVAL: Micros = Micros::millis(40);
+/// Maximum number of placements in one pass.
 const MAX_PLACEMENTS_PER_PASS: usize = 64;
-/// Searches for victims in one pass; each walks all machines.
+/// Maximum number of searches for victims in one pass; each search walks all machines.
 const MAX_PREEMPTION_SEARCHES_PER_PASS: usize = 8;
 
-/// A team's tasks on one shard.
+/// Key of a team's usage on one shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShardTeam {
     /// Number of the shard.
@@ -26,27 +26,29 @@
     pub(super) team: String,
 }
 
-/// What a pass over the queue has found out so far.
+/// Usage, failed searches and remaining limits of a pass in progress.
 #[derive(Debug)]
-pub(super) struct Pass {
-    /// What teams use, with what this pass has placed and preempted.
+pub(super) struct PassState {
+    /// Usage by team, including this pass's placements and preemptions.
     pub(super) usage: BTreeMap<String, QuotaAmount>,
-    /// What own shards use of teams' limits, with what this pass has placed.
+    /// Usage by shard and team, including this pass's placements. Filled as the pass reaches
+    /// jobs: a shard and team without an entry is counted anew.
     pub(super) shard_usage: BTreeMap<ShardTeam, QuotaAmount>,
-    /// Waiting tasks that no machine has capacity for, though for smaller ones there may be.
-    pub(super) blocked: Vec<Demand>,
-    /// Searches that failed.
+    /// Demand of all shards that no machine had capacity for at the start of the pass.
+    /// Smaller tasks may still fit.
+    pub(super) blocked_demand: Vec<Demand>,
+    /// Searches that failed; they are not repeated for jobs that need at least as much.
     pub(super) failures: SearchFailures,
-    /// Placements that may still be made.
+    /// Number of placements that this pass may still make.
     pub(super) placements_left: usize,
-    /// Searches for victims that may still be made.
+    /// Number of searches for victims that this pass may still make.
     pub(super) preemption_searches_left: usize,
 }
 
 impl Scheduler {
-    /// Whether a requested pass is due; if so, it counts as started.
+    /// Returns whether a requested pass is due; if so, marks it as started.
     fn start_requested_pass(&mut self, now: Micros) -> bool {
-        let due = self.pass_requested && now >= self.last_pass_at + PASS_INTERVAL;
+        let due = self.pass_requested && now >= self.last_pass_at + MIN_PASS_INTERVAL;
         if due {
             self.pass_requested = false;
             self.last_pass_at = now;
@@ -54,15 +56,18 @@
         due
     }
 
-    /// What a pass starts from: what teams use, and which of all waiting tasks find no
-    /// machine.
-    fn begin_pass(&self, inputs: &SchedulingInputs<'_>, peers_demand: &[Demand]) -> Pass {
-        let own_demand = self.demand(inputs);
-        let all_demand = peers_demand.iter().chain(&own_demand);
-        Pass {
+    /// State at the start of a pass, with current usage and the demand that no machine has
+    /// capacity for.
+    fn begin_pass(&self, inputs: &SchedulingInputs<'_>, peers_demand: &[Demand]) -> PassState {
+        let local_demand = self.demand(inputs);
+        let all_demand = peers_demand.iter().chain(&local_demand);
+        PassState {
             usage: self.capacity.usage().clone(),
             shard_usage: BTreeMap::new(),
-            blocked: all_demand.filter(|demand| !self.capacity.takes(demand)).cloned().collect(),
+            blocked_demand: all_demand
+                .filter(|demand| !self.capacity.has_capacity_for(demand))
+                .cloned()
+                .collect(),
             failures: SearchFailures::default(),
             placements_left: MAX_PLACEMENTS_PER_PASS,
             preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
@@ -71,8 +76,9 @@
 }
 
 impl Controller {
-    /// One pass over the queue, if it is due. What is left when its bounds are reached goes
-    /// on in the next turn, so that heartbeats and lease renewals are never starved.
+    /// Runs one pass over the queue, if one is due. A pass that reaches its limits requests
+    /// another one for the remaining jobs, so that a long queue never delays heartbeats and
+    /// lease renewals.
     pub(crate) fn run_scheduling_pass(&mut self) {
         if self.autoscaler.machine_types.is_empty()
             || !self.scheduler.start_requested_pass(self.context.now)
@@ -90,7 +96,8 @@
         peers_demand.sort_by_key(QueueClass::of_demand);
         for queued in order {
             if self.placements_at_limit(queued.class.rank) {
-                // Those behind it may be more urgent, if beyond their guarantee.
+                // Jobs further back may have a more urgent rank, since jobs beyond their team's
+                // guarantee come last.
                 self.scheduler.request_pass();
                 continue;
             }
@@ -98,9 +105,9 @@
                 self.scheduler.request_pass();
                 break;
             }
-            // What waits at the peers and is more urgent gets its capacity first:
-            // taken by this job, it would only be taken back by preemption.
-            // Equals hold nothing for each other, or nobody would move.
+            // Hold capacity for the peers' tasks that come before this job: if it took their
+            // capacity, they would preempt it. No capacity is held for tasks of an equal
+            // class: controllers would hold it for each other and none would place a task.
             let before = |demand: &Demand| QueueClass::of_demand(demand) < queued.class;
             let first = peers_demand.partition_point(before);
             for demand in peers_demand.drain(..first) {
--- a/src/controller/scheduler/search_failures.rs
+++ b/src/controller/scheduler/search_failures.rs
@@ -1,44 +1,46 @@
-//! Searches that failed in a pass: what needs at least as much need not be searched for again.
+//! Failed searches of a scheduling pass, which are not repeated for tasks that need at least as
+//! much.
 
 use crate::controller::scheduler::victims::PreemptionClaim;
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// For whom victims were searched: searches that are equal in this fail alike.
+/// Parameters of a search for victims that decide, beside the task's shape, whether it fails.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PreemptionSearch {
     /// Rank of the job.
     rank: u32,
-    /// Its team, if within its guarantee.
-    entitled_team: Option<String>,
-    /// Only machines that have the image were searched.
+    /// The job's team if the task is within its guarantee, otherwise `None`.
+    team_within_guarantee: Option<String>,
+    /// The search was limited to machines that have the image.
     only_cached: bool,
 }
 
 impl PreemptionSearch {
-    /// The search for a claim; with `only_cached` among machines that have the image.
+    /// The search for a claim; with `only_cached`, limited to machines that have the image.
     pub(super) fn of(claim: &PreemptionClaim<'_>, only_cached: bool) -> PreemptionSearch {
         let team = &claim.job.spec.team;
         PreemptionSearch {
             rank: claim.job.rank(),
-            entitled_team: claim.entitled.then(|| team.clone()),
+            team_within_guarantee: claim.within_guarantee.then(|| team.clone()),
             only_cached,
         }
     }
 }
 
-/// What was searched for in vain.
+/// A search that found no machine.
 #[derive(Debug)]
 struct FailedSearch {
-    /// The job whose task it was for.
+    /// Description of the job that a machine was searched for.
     spec: Rc<JobSpec>,
-    /// The search for victims; `None` for free capacity.
+    /// Parameters of a search for victims; `None` for a search for free capacity.
     preemption: Option<PreemptionSearch>,
 }
 
 impl FailedSearch {
-    /// Whether a job that needs at least as much, of the same machines, must fail too.
-    fn covers(&self, spec: &JobSpec) -> bool {
+    /// Whether a search for a task of another job must fail too, because the job needs at least
+    /// as much and is limited to the same machines.
+    fn implies_failure_for(&self, spec: &JobSpec) -> bool {
         let failed = &self.spec;
         let same_image_needed = self.preemption.as_ref().is_some_and(|search| search.only_cached);
         failed.cpus <= spec.cpus
@@ -58,30 +60,34 @@
 }
 
 impl SearchFailures {
-    /// No machine has free capacity for a task of a job.
-    pub(super) fn note_no_capacity(&mut self, spec: &Rc<JobSpec>) {
+    /// Records that no machine has free capacity for a task of a job.
+    pub(super) fn record_no_capacity(&mut self, spec: &Rc<JobSpec>) {
         self.list.push(FailedSearch { spec: Rc::clone(spec), preemption: None });
     }
 
-    /// No machine has victims for a task of a job.
-    pub(super) fn note_no_victims(&mut self, spec: &Rc<JobSpec>, search: PreemptionSearch) {
+    /// Records that a search found no victims for a task of a job.
+    pub(super) fn record_no_victims(&mut self, spec: &Rc<JobSpec>, search: PreemptionSearch) {
         self.list.push(FailedSearch { spec: Rc::clone(spec), preemption: Some(search) });
     }
 
-    /// Whether it is known that no machine has free capacity for a task of the job.
-    pub(super) fn no_capacity(&self, spec: &JobSpec) -> bool {
-        self.list.iter().any(|failed| failed.preemption.is_none() && failed.covers(spec))
-    }
-
-    /// Whether it is known that the search finds no victims for a task of the job.
-    pub(super) fn no_victims(&self, spec: &JobSpec, search: &PreemptionSearch) -> bool {
+    /// Whether an earlier failure implies that no machine has free capacity for a task of the
+    /// job.
+    pub(super) fn implies_no_capacity(&self, spec: &JobSpec) -> bool {
         self.list
             .iter()
-            .any(|failed| failed.preemption.as_ref() == Some(search) && failed.covers(spec))
+            .any(|failed| failed.preemption.is_none() && failed.implies_failure_for(spec))
+    }
+
+    /// Whether an earlier failure implies that a search finds no victims for a task of the job.
+    pub(super) fn implies_no_victims(&self, spec: &JobSpec, search: &PreemptionSearch) -> bool {
+        self.list.iter().any(|failed| {
+            failed.preemption.as_ref() == Some(search) && failed.implies_failure_for(spec)
+        })
     }
 
-    /// Free capacity has come up, for tasks of any shape.
-    pub(super) fn capacity_freed(&mut self) {
+    /// Forgets the failed searches for free capacity, after capacity became free that may fit
+    /// tasks of any shape.
+    pub(super) fn forget_capacity_failures(&mut self) {
         self.list.retain(|failed| failed.preemption.is_some());
     }
 }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of one job go in a pass over the queue.
+//! Placement of one job's tasks in a scheduling pass.
 
 use crate::controller::Controller;
 use crate::controller::jobs::job::Job;
@@ -10,77 +10,80 @@
 use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::pending_reason::PendingReason;
 use crate::controller::scheduler::queue::LOWEST_URGENT_RANK;
-use crate::controller::scheduler::scheduling_pass::{Pass, ShardTeam};
+use crate::controller::scheduler::scheduling_pass::{PassState, ShardTeam};
 use crate::peer::Demand;
 use crate::resources::{Resources, TOLERANCE};
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A job whose tasks are being placed.
+/// State of the placement of one job's tasks.
 pub(super) struct JobPlacement {
     /// Id of the job.
     pub(super) id: String,
-    /// Its shard.
+    /// Number of the job's shard.
     pub(super) shard: usize,
-    /// Its description.
+    /// Description of the job.
     pub(super) spec: Rc<JobSpec>,
-    /// What a task needs.
+    /// Resources that one task needs.
     pub(super) needed: Resources,
-    /// Rank of service: lower is more urgent.
+    /// Rank of the job: lower is more urgent.
     pub(super) rank: u32,
-    /// What the shard may use of the team's limit.
+    /// The shard's grant of the team's limit.
     grant: QuotaAmount,
-    /// What it uses of it.
+    /// What the shard's tasks use of the grant, including tasks placed in this pass.
     pub(super) used: QuotaAmount,
-    /// How many tasks a machine that has the image may be ahead of the least loaded one.
+    /// Number of tasks by which a machine that has the image may exceed the least loaded one.
     pub(super) image_slack: u32,
-    /// Fetching its image would take most of the time within which it is to start.
+    /// Fetching the image would take most of the time within which the job is to start.
     pub(super) fetch_too_slow: bool,
-    /// A larger task waits: the best fit is taken instead of the least loaded machine.
-    pub(super) pack: bool,
-    /// It must leave machines alone that are held for large tasks.
+    /// A larger task lacks capacity: the best fit is chosen instead of the least loaded machine.
+    pub(super) bin_pack: bool,
+    /// The job's tasks must not be placed on machines held for large tasks.
     pub(super) excluded_from_held_machines: bool,
-    /// Whatever needs at least as much fails as its tasks do: nothing but its shape keeps
-    /// them from a machine.
-    pub(super) fails_by_shape: bool,
-    /// Tasks that are preempted for it have the time to write a checkpoint.
+    /// No machine is excluded because the job avoids it, restricts its zones or because the
+    /// machine is held: a failed search then implies failure for every job that needs at least
+    /// as much of the same machines.
+    pub(super) fails_by_shape_only: bool,
+    /// The job's victims get time to write a checkpoint.
     pub(super) time_for_checkpoints: bool,
-    /// Seconds that a task is expected to run.
+    /// Seconds that one task is expected to run.
     pub(super) expected_s: f64,
-    /// Pools of machines that pass its filters.
+    /// Pools of the machines on which the job's tasks may run.
     pub(super) pools: Vec<PoolId>,
-    /// Its tasks by zone, where these are restricted.
+    /// Number of tasks per zone; empty unless the job restricts its tasks' zones.
     pub(super) tasks_by_zone: BTreeMap<Rc<str>, u32>,
-    /// Machines that have its image, searched once there is capacity at all: most jobs of
-    /// a long queue find none.
+    /// Machines that have the image; `None` until they are searched for. That happens only
+    /// once a machine with capacity is found, which most jobs of a long queue do not, or if a
+    /// fetch is too slow.
     pub(super) cached_machines: Option<Vec<MachineId>>,
 }
 
 impl JobPlacement {
-    /// Whether its tasks are bound to zones by each other.
+    /// Whether the zones allowed for a task depend on those of the job's other tasks.
     pub(super) fn zones_restricted(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
-    /// Machines that have its image, as far as they were searched.
+    /// Machines that have the image; empty if they were not searched for.
     pub(super) fn cached_machines(&self) -> &[MachineId] {
         self.cached_machines.as_deref().unwrap_or_default()
     }
 
-    /// Whether one more task passes the shard's grant.
-    fn beyond_grant(&self) -> bool {
+    /// Whether one more task would exceed the shard's grant.
+    fn next_task_exceeds_grant(&self) -> bool {
         let one_task = QuotaAmount::from(self.needed);
         QuotaResource::ALL.into_iter().any(|resource| {
-            let more = one_task.of(resource);
-            more > 0.0 && self.used.of(resource) + more > self.grant.of(resource) + TOLERANCE
+            let more = one_task.get(resource);
+            more > 0.0 && self.used.get(resource) + more > self.grant.get(resource) + TOLERANCE
         })
     }
 }
 
 impl Controller {
-    /// Places tasks of a job until none is left, or none can be placed now.
-    pub(super) fn place_job(&mut self, id: &str, pass: &mut Pass) {
+    /// Places tasks of a job until none is left or none can be placed now, and sets the job's
+    /// pending reason.
+    pub(super) fn place_job(&mut self, id: &str, pass: &mut PassState) {
         let Some(job) = self.jobs.by_id.get(id) else {
             return;
         };
@@ -88,7 +91,7 @@
             return;
         }
         let inputs = self.scheduling_inputs();
-        let reason = match placement_barrier(&inputs, job) {
+        let reason = match blocking_reason(&inputs, job) {
             Some(reason) => reason,
             None => {
                 let mut placement = self.scheduler.begin_placement(&inputs, id, job, pass);
@@ -107,11 +110,11 @@
         }
     }
 
-    /// Places the next task of a job, or says why none is placed.
+    /// Places the next task of a job, or returns why none is placed.
     fn place_next_task(
         &mut self,
         placement: &mut JobPlacement,
-        pass: &mut Pass,
+        pass: &mut PassState,
     ) -> Result<(), PendingReason> {
         let inputs = self.scheduling_inputs();
         let job = self.jobs.by_id.get(&placement.id).ok_or(PendingReason::NoCapacity)?;
@@ -125,14 +128,15 @@
     }
 }
 
-/// Why nothing of a job may be placed now, whatever capacity there is.
-fn placement_barrier(inputs: &SchedulingInputs<'_>, job: &Job) -> Option<PendingReason> {
+/// Returns why no task of a job may be placed now, whatever capacity is free; `None` if tasks
+/// may be placed.
+fn blocking_reason(inputs: &SchedulingInputs<'_>, job: &Job) -> Option<PendingReason> {
     let now = inputs.context.now;
     if job.backoff.is_paused(now) {
         return Some(PendingReason::BackedOff);
     }
-    // Placed now, it would be stopped again for those that lack the grant, and so
-    // without end, before the grant can change hands.
+    // A task placed now would be preempted for the team's more urgent tasks that lack quota, and
+    // this would repeat before the grant could move to their shard.
     let peers_demand = inputs.peers.live_quota_demand(now);
     inputs
         .quotas
@@ -147,7 +151,7 @@
         inputs: &SchedulingInputs<'_>,
         id: &str,
         job: &Job,
-        pass: &Pass,
+        pass: &PassState,
     ) -> JobPlacement {
         let spec = Rc::clone(&job.spec);
         let (shard, rank) = (job.shard, job.rank());
@@ -155,9 +159,9 @@
         let fetch_too_slow = inputs.fetch_too_slow(job);
         let larger =
             |waiting: &Demand| waiting.cpus > spec.cpus || waiting.memory_gb > spec.memory_gb;
-        let pack = !fetch_too_slow && pass.blocked.iter().any(larger);
+        let bin_pack = !fetch_too_slow && pass.blocked_demand.iter().any(larger);
         let excluded_from_held_machines =
-            pack && rank > LOWEST_URGENT_RANK && !self.held_for_large_tasks.is_empty();
+            bin_pack && rank > LOWEST_URGENT_RANK && !self.held_for_large_tasks.is_empty();
         let grant = inputs.quotas.team(&spec.team).map(|quota| quota.grant(shard));
         JobPlacement {
             id: id.to_string(),
@@ -172,9 +176,9 @@
                 image_locality::slack(&inputs.context.options, spec.image_gb)
             },
             fetch_too_slow,
-            pack,
+            bin_pack,
             excluded_from_held_machines,
-            fails_by_shape: !job.backoff.avoids_any()
+            fails_by_shape_only: !job.backoff.avoids_any()
                 && !spec.one_zone
                 && !spec.spread
                 && !excluded_from_held_machines,
@@ -187,13 +191,13 @@
         }
     }
 
-    /// The number of the next task to be placed, or why there is none.
+    /// Number of the next task to place, or the reason why none may be placed.
     fn next_task(
         &self,
         inputs: &SchedulingInputs<'_>,
         job: &Job,
         placement: &JobPlacement,
-        pass: &Pass,
+        pass: &PassState,
     ) -> Result<u32, PendingReason> {
         let Some(index) = job.first_pending() else {
             return Err(match job.pending() {
@@ -204,7 +208,7 @@
         if job.placeable() == 0 {
             return Err(PendingReason::TrialInProgress);
         }
-        if placement.beyond_grant() {
+        if placement.next_task_exceeds_grant() {
             return Err(PendingReason::TeamLimit);
         }
         if pass.placements_left == 0 || self.unobserved_at_limit(inputs, placement.rank) {
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -1,5 +1,4 @@
-//! The search for tasks to preempt: which may be, what it costs, and on which machine it
-//! costs least.
+//! Searches for tasks to preempt, on the machine where that costs least.
 
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::Scheduler;
@@ -10,47 +9,48 @@
 use crate::resources::Resources;
 use crate::time::Micros;
 
-/// What a second of fetching counts, in seconds of lost work, for a start that
-/// it would make late.
+/// Cost of one second of fetching, in seconds of lost work, if a fetch is too slow for the
+/// job's start objective.
 const LATE_FETCH_COST: f64 = 8.0;
-/// What each preemption counts beside the work that it loses, in CPU seconds: of machines
-/// where equally much is lost, the one with fewer victims is better.
+/// Cost of each preemption beside the work that it loses, in CPU seconds: of two machines with
+/// the same loss, the one with fewer victims is preferred.
 const COST_PER_VICTIM_CPU_S: f64 = 1.0;
-/// Gigabytes a second at which a machine of unknown type is taken to fetch images.
+/// Assumed fetch rate of a machine of unknown type, in gigabytes per second.
 const UNKNOWN_TYPE_FETCH_GB_PER_S: f64 = 1.0;
 
-/// Seconds of work that stopping a task at once would lose, by the time of day at which it
-/// was placed. That is stored and known to all controllers: counted from when this process
-/// first saw it run, a task would seem new after every restart.
-pub(crate) fn lost_work_s(wall: Micros, placed: Micros, checkpoint_s: f64) -> f64 {
-    let ran_s = wall.since(placed).as_secs_f64();
+/// Seconds of work that are lost if a task is stopped at once without writing a checkpoint.
+/// They count from the time of day of the placement, which is stored and known to all
+/// controllers. Counted from when this process first observed the task running, every task
+/// would seem new after a restart.
+pub(crate) fn lost_work_s(wall: Micros, placed_at: Micros, checkpoint_s: f64) -> f64 {
+    let ran_s = wall.since(placed_at).as_secs_f64();
     if checkpoint_s > 0.0 { ran_s % checkpoint_s } else { ran_s }
 }
 
-/// Tasks to preempt on one machine, so that another fits there.
+/// Tasks to preempt on one machine so that another task fits there.
 pub(super) struct PreemptionPlan {
-    /// The machine.
+    /// Machine on which the victims are.
     pub(super) machine: MachineId,
-    /// Positions of the victims among the machine's reserved tasks.
+    /// Victims, as positions in [`MachineCapacity::tasks`].
     pub(super) victims: Vec<usize>,
 }
 
-/// For whom victims are searched.
+/// A job for which victims are searched.
 pub(super) struct PreemptionClaim<'a> {
     /// The job that lacks capacity.
     pub(super) job: &'a Job,
     /// Pools of machines that pass the job's filters.
     pub(super) pools: &'a [PoolId],
-    /// The job's team is within its guarantee.
-    pub(super) entitled: bool,
-    /// Only these machines are searched, which have the job's image.
-    pub(super) only: Option<&'a [MachineId]>,
+    /// The job's team stays within its guarantee with one more task.
+    pub(super) within_guarantee: bool,
+    /// If present, the search is limited to these machines, which have the job's image.
+    pub(super) only_machines: Option<&'a [MachineId]>,
 }
 
 impl Scheduler {
-    /// Finds a machine on which stopping other tasks makes capacity for a task of
-    /// the job, choosing what loses least work. Only lower priorities are preempted, or work
-    /// that another team runs beyond its guarantee, for a team that is within its own.
+    /// Finds the machine on which preempting other tasks frees capacity for a task of the job at
+    /// the lowest cost. Only less urgent tasks are preempted, or tasks of equal rank that
+    /// another team runs beyond its guarantee, for a team that is within its own.
     pub(super) fn find_victims(
         &self,
         inputs: &SchedulingInputs<'_>,
@@ -60,14 +60,14 @@
         let search = VictimSearch::new(self, inputs, claim);
         let mut best: Option<CostedPlan> = None;
         let mut consider = |machine: MachineId, capacity: &MachineCapacity| {
-            if let Some(found) = search.plan_on(machine, capacity)
+            if let Some(found) = search.plan_for_machine(machine, capacity)
                 && best.as_ref().is_none_or(|best| found.cost_cpu_s < best.cost_cpu_s)
                 && passes(machine, capacity)
             {
                 best = Some(found);
             }
         };
-        match claim.only {
+        match claim.only_machines {
             Some(machines) => {
                 let known = |id: &MachineId| Some((*id, self.capacity.get(*id)?));
                 machines.iter().filter_map(known).for_each(|(id, at)| consider(id, at));
@@ -78,7 +78,7 @@
     }
 }
 
-/// A plan with the work that it loses, in CPU seconds, what the job's fetch costs included.
+/// A plan with its cost in CPU seconds: lost work, preemptions and the fetch of the image.
 struct CostedPlan {
     cost_cpu_s: f64,
     plan: PreemptionPlan,
@@ -86,13 +86,14 @@
 
 /// A task that may be preempted.
 struct Candidate {
+    /// CPU seconds of work that are lost if it is stopped.
     cost_cpu_s: f64,
     rank: u32,
-    /// Its position among the machine's reserved tasks.
+    /// Position in [`MachineCapacity::tasks`].
     position: usize,
 }
 
-/// One search for victims.
+/// A search for victims over several machines.
 struct VictimSearch<'a> {
     scheduler: &'a Scheduler,
     inputs: &'a SchedulingInputs<'a>,
@@ -100,12 +101,12 @@
     wall: Micros,
     rank: u32,
     needed: Resources,
-    /// Teams that run work beyond their guarantee that may be preempted.
+    /// Teams with tasks beyond their guarantee that may still be preempted.
     teams_beyond_guarantee: Vec<&'a str>,
-    /// The claim presses all work that is less urgent, and not only borrowed work.
+    /// Less urgent tasks may be preempted even if their team is within its guarantee.
     preempts_within_guarantees: bool,
     fetch_too_slow: bool,
-    /// Most CPU seconds that a plan may cost.
+    /// Maximum cost of a plan in CPU seconds; `None` for no maximum.
     max_cost_cpu_s: Option<f64>,
 }
 
@@ -117,7 +118,7 @@
     ) -> VictimSearch<'a> {
         let (job, spec) = (claim.job, &claim.job.spec);
         let rank = job.rank();
-        let whole_fetch_cost = || spec.cpus * spec.image_gb / inputs.slowest_fetch_gb_per_s();
+        let fetch_cost_cpu_s = || spec.cpus * spec.image_gb / inputs.slowest_fetch_gb_per_s();
         VictimSearch {
             scheduler,
             inputs,
@@ -126,35 +127,39 @@
             rank,
             needed: Resources::from(&**spec),
             teams_beyond_guarantee: scheduler.guarantee_budget.preemptible_teams(),
-            // What a team runs within its guarantee goes before borrowed work in the queue,
-            // and yields to it only where that is urgent: else it would be placed
-            // first and stopped next, over and over.
-            preempts_within_guarantees: claim.entitled || rank <= LOWEST_URGENT_RANK,
+            // Jobs within a guarantee precede jobs beyond one in the queue. Their tasks are
+            // preempted for jobs beyond a guarantee only if these are urgent: otherwise they
+            // would be placed first and then preempted, over and over.
+            preempts_within_guarantees: claim.within_guarantee || rank <= LOWEST_URGENT_RANK,
             fetch_too_slow: inputs.fetch_too_slow(job),
-            // For the sake of a fetch no more is thrown away than the fetch takes.
-            max_cost_cpu_s: claim.only.map(|_| whole_fetch_cost()),
+            // Preemption that only avoids a fetch must not cost more than the fetch.
+            max_cost_cpu_s: claim.only_machines.map(|_| fetch_cost_cpu_s()),
         }
     }
 
-    /// Whether a task may be preempted. More urgent work never is, or it would claim the
-    /// capacity back. Ranks are compared before names: this is asked of every task.
+    /// Whether a task may be preempted. More urgent tasks never are: they would claim the
+    /// capacity back. Ranks are compared before team names, because this runs for every task.
     fn is_preemptible(&self, task: &ReservedTask) -> bool {
-        let borrowed = || self.teams_beyond_guarantee.iter().any(|team| *team == task.team);
+        let beyond_guarantee = || self.teams_beyond_guarantee.iter().any(|team| *team == task.team);
         let own_team = || task.team == self.claim.job.spec.team;
         if task.stopping {
             return false;
         }
         if task.rank > self.rank {
-            return self.preempts_within_guarantees || own_team() || borrowed();
+            return self.preempts_within_guarantees || own_team() || beyond_guarantee();
         }
-        task.rank == self.rank && self.claim.entitled && !own_team() && borrowed()
+        task.rank == self.rank && self.claim.within_guarantee && !own_team() && beyond_guarantee()
     }
 
-    /// The victims on a machine, those first that lose least work, and what that costs; `None`
-    /// if they do not suffice or cost too much.
-    fn plan_on(&self, machine: MachineId, capacity: &MachineCapacity) -> Option<CostedPlan> {
+    /// Chooses victims on a machine, those that lose the least work first; `None` if preempting
+    /// all candidates frees too little or the plan costs too much.
+    fn plan_for_machine(
+        &self,
+        machine: MachineId,
+        capacity: &MachineCapacity,
+    ) -> Option<CostedPlan> {
         if !capacity.tasks.iter().any(|task| self.is_preemptible(task))
-            || !self.scheduler.capacity.among(machine, self.claim.pools)
+            || !self.scheduler.capacity.is_in_pools(machine, self.claim.pools)
         {
             return None;
         }
@@ -174,7 +179,7 @@
         found.then_some(CostedPlan { cost_cpu_s, plan: PreemptionPlan { machine, victims } })
     }
 
-    /// The tasks on a machine that may be preempted, in the order in which they are.
+    /// The tasks on a machine that may be preempted, in order of preemption.
     fn candidates(&self, capacity: &MachineCapacity) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = capacity
             .tasks
@@ -183,7 +188,7 @@
             .filter(|(_, task)| self.is_preemptible(task))
             .map(|(position, task)| Candidate {
                 cost_cpu_s: task.resources.cpus
-                    * lost_work_s(self.wall, task.placed, task.checkpoint_s),
+                    * lost_work_s(self.wall, task.placed_at, task.checkpoint_s),
                 rank: task.rank,
                 position,
             })
@@ -197,13 +202,14 @@
         candidates
     }
 
-    /// What fetching the job's image to a machine costs, in CPU seconds. A start that then
-    /// waits for its image comes late, but much work thrown away for it costs more.
+    /// Cost of fetching the job's image on a machine, in CPU seconds; 0 if the machine has it. A
+    /// fetch that is too slow delays the start beyond its objective, so its cost is multiplied
+    /// by [`LATE_FETCH_COST`], but it may still be cheaper than losing much work.
     fn fetch_cost_cpu_s(&self, machine: MachineId, capacity: &MachineCapacity) -> f64 {
         let spec = &self.claim.job.spec;
         let (name, incarnation) = (&capacity.machine, capacity.incarnation);
         let now = self.inputs.context.now;
-        if self.scheduler.images.holds(now, &spec.image, name, incarnation) {
+        if self.scheduler.images.contains(now, &spec.image, name, incarnation) {
             return 0.0;
         }
         let pool = self.scheduler.capacity.pool_of(machine);
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -144,14 +144,14 @@
     for (ratios, want) in table {
         let mut e = Estimates::default();
         for r in &ratios {
-            e.learn("c", *r);
+            e.record_ratio("c", *r);
         }
         assert_eq!(e.correction("c"), want, "{ratios:?}");
         assert_eq!(e.correction("another"), 1.0);
     }
     let mut e = Estimates::default();
     for r in [vec![1.0; 50], vec![3.0; 50]].concat() {
-        e.learn("c", r);
+        e.record_ratio("c", r);
     }
     assert_eq!(e.correction("c"), 3.0, "what is long past does not count");
 }
--- a/tests/components/scheduler.rs
+++ b/tests/components/scheduler.rs
@@ -25,12 +25,12 @@
         [(1, 1, 0, true), (1, 2, 0, false), (1, 2, 1, true), (1, 5, 4, true), (1, 6, 4, false)];
     for (least_loaded, holder, slack, want) in table {
         assert_eq!(
-            image_locality::cached_machine_wins(least_loaded, holder, slack),
+            image_locality::is_cached_machine_preferred(least_loaded, holder, slack),
             want,
             "{least_loaded} {holder} {slack}"
         );
     }
-    assert!(image_locality::cached_machine_wins(u32::MAX, u32::MAX, u32::MAX));
+    assert!(image_locality::is_cached_machine_preferred(u32::MAX, u32::MAX, u32::MAX));
 }
 
 /// The indexes answer as a walk over all machines would, whatever has changed.
@@ -47,7 +47,7 @@
         index: 0,
         attempt: 1,
         stopping,
-        placed: Micros::ZERO,
+        placed_at: Micros::ZERO,
         checkpoint_s: 0.0,
         expected_s: 10.0,
     };
@@ -135,11 +135,11 @@
 
     // Room held for others is nobody else's, until it is given up.
     let d = Demand { tasks: 500, cpus: 1.0, spot: true, ..Demand::default() };
-    assert!(capacity.takes(&d));
+    assert!(capacity.has_capacity_for(&d));
     capacity.hold(&d);
-    assert!(!capacity.takes(&d));
+    assert!(!capacity.has_capacity_for(&d));
     capacity.release_holds();
-    assert!(capacity.takes(&d));
+    assert!(capacity.has_capacity_for(&d));
 }
 
 #[test]
@@ -147,25 +147,25 @@
     let age = Micros::secs(5_400);
     let mut index = ImageCacheIndex::new(3, age);
     let t = Micros::secs(10);
-    index.note(t, "img", "m1", WorkerIncarnation(1));
-    assert!(index.holds(t, "img", "m1", WorkerIncarnation(1)));
-    assert!(index.holds(t + age, "img", "m1", WorkerIncarnation(1)));
-    assert!(!index.holds(t + age + Micros(1), "img", "m1", WorkerIncarnation(1)), "too old");
-    assert!(!index.holds(t, "img", "m1", WorkerIncarnation(2)), "a machine that began anew");
+    index.record(t, "img", "m1", WorkerIncarnation(1));
+    assert!(index.contains(t, "img", "m1", WorkerIncarnation(1)));
+    assert!(index.contains(t + age, "img", "m1", WorkerIncarnation(1)));
+    assert!(!index.contains(t + age + Micros(1), "img", "m1", WorkerIncarnation(1)), "too old");
+    assert!(!index.contains(t, "img", "m1", WorkerIncarnation(2)), "a machine that began anew");
     assert!(
-        !index.holds(t, "img", "m2", WorkerIncarnation(1))
-            && !index.holds(t, "other", "m1", WorkerIncarnation(1))
+        !index.contains(t, "img", "m2", WorkerIncarnation(1))
+            && !index.contains(t, "other", "m1", WorkerIncarnation(1))
     );
     // Noted again, an entry is young again, and the oldest goes first.
-    index.note(t + Micros::secs(1), "img", "m2", WorkerIncarnation(1));
-    index.note(t + Micros::secs(2), "img", "m3", WorkerIncarnation(1));
-    index.note(t + Micros::secs(3), "img", "m1", WorkerIncarnation(1));
-    index.note(t + Micros::secs(4), "img", "m4", WorkerIncarnation(1));
+    index.record(t + Micros::secs(1), "img", "m2", WorkerIncarnation(1));
+    index.record(t + Micros::secs(2), "img", "m3", WorkerIncarnation(1));
+    index.record(t + Micros::secs(3), "img", "m1", WorkerIncarnation(1));
+    index.record(t + Micros::secs(4), "img", "m4", WorkerIncarnation(1));
     assert_eq!(index.len(), 3);
     let now = t + Micros::secs(4);
     let held: Vec<&str> = ["m1", "m2", "m3", "m4"]
         .into_iter()
-        .filter(|m| index.holds(now, "img", m, WorkerIncarnation(1)))
+        .filter(|m| index.contains(now, "img", m, WorkerIncarnation(1)))
         .collect();
     assert_eq!(held, ["m1", "m3", "m4"]);
     let mut listed: Vec<_> = index.machines_with(now, "img").collect();
