--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -32,7 +32,7 @@
     /// Usage by team, including this pass's placements and preemptions.
     pub(super) usage: BTreeMap<String, QuotaAmount>,
     /// Usage by shard and team, including this pass's placements. Filled as the pass reaches
-    /// jobs: a shard and team without an entry is counted anew.
+    /// jobs: usage without an entry is counted from the jobs.
     pub(super) shard_usage: BTreeMap<ShardTeam, QuotaAmount>,
     /// Demand of all shards that no machine had capacity for at the start of the pass.
     /// Smaller tasks may still fit.
