--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -1,10 +1,11 @@
-//! Cancellations, as the leader of a machine's shard carries them out by itself.
+//! Enforcement of cancellations by the leader of a machine's shard.
 //!
-//! A job's owner stops its tasks by its desired state. That may not get through: the
-//! controllers cannot reach each other, or the owner is gone and nobody can acquire its shard
-//! while the key-value store is away. Whoever answers a machine's heartbeats keeps its tasks
-//! alive, so that one acts on what it knows itself, and answers only while it is sure to learn
-//! of cancellations.
+//! A job's owner stops its tasks through its desired state. That may fail to arrive: the
+//! controllers cannot reach each other, or the owner is down and no controller can acquire its
+//! shard while the key-value store is unavailable. The controller that answers a machine's
+//! heartbeats keeps the machine's tasks alive. It therefore also acts on the cancellations
+//! that it has observed itself, and answers heartbeats only while it is guaranteed to receive
+//! cancellations in time.
 
 use crate::config::{Settings, Workers};
 use crate::controller::calls::MachinesCall;
@@ -17,51 +18,54 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Left of the time that a cancellation has for what is not counted: the way of
-/// the last answer, and clocks that are read in steps.
+/// Part of `cancel_s` that is reserved for delays not accounted for elsewhere: the transit
+/// time of the last heartbeat response, and clocks that are read at discrete moments.
 const CANCELLATION_MARGIN: Micros = Micros::secs(3);
-/// The shortest controller lease that still outlasts a slow renewal.
+/// Shortest controller lease that still outlasts a slow renewal.
 const MIN_CONTROLLER_LEASE: Micros = Micros::secs(2);
-/// Between reads of jobs of which this process knows nothing.
+/// Minimum time between two reads of unknown jobs.
 const UNKNOWN_READ_INTERVAL: Micros = Micros::millis(100);
-/// Such reads in flight at most.
+/// Maximum number of reads of unknown jobs in flight.
 const MAX_UNKNOWN_READS: usize = 2;
-/// Unknown jobs remembered at most; others are found again by the next heartbeat.
+/// Maximum number of unknown jobs queued. Jobs beyond that are found again with the next
+/// heartbeat of their machine.
 const MAX_UNKNOWN_JOBS: usize = 1_000;
-/// Cancellations repeated to peers in one frame, at most.
-const MAX_REPEATED_PER_FRAME: usize = 200;
+/// Maximum number of cancellations resent to peers in one frame.
+const MAX_RESENT_PER_FRAME: usize = 200;
 
-/// How long after a confirmed cancellation a worker's heartbeat may still be answered
-/// by a controller that does not know of it: what a cancellation has, less the
-/// worker's own lease, which the last such answer begins anew.
-pub fn unanswered_limit(workers: &Workers) -> Micros {
+/// How long after the confirmation of a cancellation a controller that has not received it may
+/// still answer a worker's heartbeat. This is `cancel_s` minus the worker's lease, which the
+/// last such response renews, and minus a safety margin.
+pub fn max_cancellation_lag(workers: &Workers) -> Micros {
     let lease = timeouts::worker_lease(workers).stretched(CLOCK_DRIFT_PER_MILLE);
     Micros::from_secs_f64(workers.cancel_s).since(lease + CANCELLATION_MARGIN)
 }
 
-/// A duration of the controller's lease, and whether it is safe.
+/// Duration of the controller lease, bounded by the time limit for cancellations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FittedLease {
-    /// The duration to use.
+pub struct BoundedLease {
+    /// Duration to use.
     pub duration: Micros,
-    /// False where no usable lease is short enough: cancelled tasks may outlast their limit.
+    /// False if even the shortest usable lease is too long: cancelled tasks may then run for
+    /// longer than `cancel_s`.
     pub is_short_enough: bool,
 }
 
-/// The controller's lease to use where `desired` is too long: a leader that the key-value
-/// store refuses goes on for as long, and cannot learn of cancellations.
-pub fn fitting_lease(desired: Micros, workers: &Workers) -> FittedLease {
-    let limit = unanswered_limit(workers);
-    FittedLease {
+/// Bounds the `desired` controller lease by [`max_cancellation_lag`]: a leader whose requests
+/// the key-value store refuses acts until its lease expires, and receives no cancellations
+/// meanwhile.
+pub fn bounded_lease(desired: Micros, workers: &Workers) -> BoundedLease {
+    let limit = max_cancellation_lag(workers);
+    BoundedLease {
         duration: desired.min(limit.max(MIN_CONTROLLER_LEASE)),
         is_short_enough: limit >= MIN_CONTROLLER_LEASE,
     }
 }
 
-/// The lease to request of the key-value store where `desired` may be too long; what was
-/// changed is logged.
+/// Controller lease to request from the key-value store: `desired`, shortened if it is too
+/// long for the settings. Logs if it is shortened or cannot be made short enough.
 pub(crate) fn usable_lease(desired: Micros, settings: &Settings) -> Micros {
-    let FittedLease { duration, is_short_enough } = fitting_lease(desired, &settings.workers);
+    let BoundedLease { duration, is_short_enough } = bounded_lease(desired, &settings.workers);
     if !is_short_enough {
         log::warn!(
             "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
@@ -73,29 +77,29 @@
     duration
 }
 
-/// A cancellation that some peer may not know of.
+/// A cancellation that some peer may not have received.
 #[derive(Debug, Clone, Copy)]
-struct RepeatedCancellation {
-    /// Revision of the key-value store that confirmed it.
+struct UnacknowledgedCancellation {
+    /// Revision of the key-value store at which it was confirmed.
     revision: u64,
-    /// Until when it is repeated.
+    /// When this process stops resending it, even if it is still unacknowledged.
     until: Micros,
 }
 
-/// What this process does about cancellations beside its own jobs.
+/// Unknown jobs to be read, and cancellations to be resent to peers.
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
-    /// Jobs with tasks on own machines of which nothing is known from the store.
+    /// Jobs with tasks on managed machines whose stage is not cached.
     unknown_jobs: BTreeSet<String>,
     reads_in_flight: usize,
     next_read_at: Micros,
-    /// Cancellations confirmed here that some peer does not know for certain, by job.
-    repeated: BTreeMap<String, RepeatedCancellation>,
+    /// Cancellations confirmed by this process that some peer may not have received, by job.
+    unacknowledged: BTreeMap<String, UnacknowledgedCancellation>,
 }
 
 impl Cancellations {
-    /// Machines have tasks of jobs of which nothing is known here: they may have been
-    /// cancelled before this process began to follow the store's changes.
+    /// Queues jobs that have tasks on machines and whose stage is not cached: they may have
+    /// been cancelled before this process began to follow the store's changes.
     pub(crate) fn add_unknown(&mut self, jobs: Vec<String>) {
         for id in jobs {
             if self.unknown_jobs.len() < MAX_UNKNOWN_JOBS {
@@ -104,8 +108,8 @@
         }
     }
 
-    /// The next unknown job to be read, if one may be read now. What is known by now, as
-    /// `is_known` says, is left out.
+    /// Takes the next unknown job and counts its read as in flight; `None` if no read may begin
+    /// now. Jobs that have become known, as `is_known` returns, are dropped from the queue.
     fn begin_read(&mut self, now: Micros, is_known: impl Fn(&String) -> bool) -> Option<String> {
         if self.reads_in_flight >= MAX_UNKNOWN_READS || now < self.next_read_at {
             return None;
@@ -120,20 +124,21 @@
         None
     }
 
-    fn read_ended(&mut self) {
+    fn finish_read(&mut self) {
         self.reads_in_flight = self.reads_in_flight.saturating_sub(1);
     }
 
-    /// Cancellations to be repeated to peers, the least advanced of which has followed the
-    /// store's changes up to a revision.
-    pub(crate) fn due_for_repetition(&mut self, now: Micros, followed_by_all: u64) -> Vec<String> {
-        self.repeated.retain(|_, c| c.revision > followed_by_all && now < c.until);
-        self.repeated.keys().take(MAX_REPEATED_PER_FRAME).cloned().collect()
+    /// Cancellations to be resent to peers, all of which have followed the store's changes at
+    /// least up to `followed_by_all`. Drops those that every peer has received, and those that
+    /// are too old.
+    pub(crate) fn due_for_resend(&mut self, now: Micros, followed_by_all: u64) -> Vec<String> {
+        self.unacknowledged.retain(|_, c| c.revision > followed_by_all && now < c.until);
+        self.unacknowledged.keys().take(MAX_RESENT_PER_FRAME).cloned().collect()
     }
 }
 
 impl Machines {
-    /// Managed machines that have tasks of a job, or may come to have them.
+    /// Managed machines that have tasks of a job, or starts of them in flight or waiting.
     fn with_tasks_of(&self, job: &str) -> Vec<String> {
         let first = AttemptId::lowest_of(job);
         let machines = self.managed.iter().filter(|(_, managed)| managed.has_tasks_of(&first));
@@ -142,23 +147,25 @@
 }
 
 impl Controller {
-    /// Whether every cancellation that was confirmed long enough ago is known here.
-    /// A watch that says nothing while renewals go through (it hangs, or this
-    /// process lags behind) would otherwise keep cancelled tasks alive.
+    /// Whether this process has received every cancellation that was confirmed longer ago than
+    /// the permitted lag. Without this check, a watch that delivers nothing while lease
+    /// renewals succeed (because it hangs, or this process lags behind) would keep cancelled
+    /// tasks alive.
     pub(crate) fn cancellations_up_to_date(&self) -> bool {
         let lease = self.context.options.controller_lease;
-        let limit = unanswered_limit(&self.context.settings.workers).max(lease);
+        let limit = max_cancellation_lag(&self.context.settings.workers).max(lease);
         let limit = limit.min(Micros(2 * lease.0));
         self.context.now.since(self.leadership.jobs_caught_up_at()) <= limit
     }
 
-    /// A job was found to be cancelled: its tasks on own machines are stopped at
-    /// once, whoever runs it.
+    /// Marks the managed machines with tasks of a cancelled job for reconciliation, so that the
+    /// tasks are stopped at once, whichever shard owns the job.
     pub(crate) fn stop_on_machines(&mut self, id: &str) {
         self.changes.machines.extend(self.machines.with_tasks_of(id));
     }
 
-    /// Reads unknown jobs, a few at a time.
+    /// Reads the record of the next unknown job from the key-value store. The rate and the
+    /// number of reads in flight are limited.
     pub(crate) fn read_unknown_jobs(&mut self) {
         if !self.holds_lease() {
             return;
@@ -171,34 +178,35 @@
         }
     }
 
-    /// Applies the record of an unknown job.
+    /// Handles the reply to the read of an unknown job's record.
     pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
-        self.machines.cancellations.read_ended();
+        self.machines.cancellations.finish_read();
         self.take_record_reply(id, reply);
     }
 
-    /// A cancellation was confirmed here: peers are notified now, and again until each
-    /// is known to have received it.
+    /// Notifies peers of a cancellation that the key-value store has confirmed to this process
+    /// at `revision`. It is resent until every peer has followed the store up to that revision,
+    /// but for no longer than `cancel_s`.
     pub(crate) fn announce_cancelled(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
         let until =
             self.context.now + Micros::from_secs_f64(self.context.settings.workers.cancel_s);
-        let cancellation = RepeatedCancellation { revision, until };
-        self.machines.cancellations.repeated.insert(id.to_string(), cancellation);
+        let cancellation = UnacknowledgedCancellation { revision, until };
+        self.machines.cancellations.unacknowledged.insert(id.to_string(), cancellation);
     }
 
-    /// Cancellations to be repeated to peers.
+    /// Jobs whose cancellation is to be resent to peers.
     pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
         let followed_by_all = self.peers.followed_revision().unwrap_or(u64::MAX);
-        self.machines.cancellations.due_for_repetition(self.context.now, followed_by_all)
+        self.machines.cancellations.due_for_resend(self.context.now, followed_by_all)
     }
 
-    /// A peer says that it has confirmed a cancellation.
+    /// Applies a cancellation that a peer reports as confirmed.
     pub(crate) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
         let known = match self.jobs.stage_cache.get(id) {
             Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
-            // Which shard runs it does not matter any more.
+            // The owning shard is unknown, and does not matter once the job is cancelled.
             None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
         };
         self.cache_stage(id, known);
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,15 +1,16 @@
-//! Commands for the machines of own shards: who may command, what is commanded, and what must
-//! not be executed any more.
+//! Commands for the machines of led shards: the authority to send them, their computation by
+//! reconciliation, and the revocation of starts that are still in flight.
 
 use crate::controller::Controller;
 use crate::controller::decision_log::{self, DecisionCounts};
 use crate::controller::machines::reconciler::{ReconcileInputs, Reconciler};
-use crate::controller::machines::start_gate::{CommandAuthority, CommandRoute, CommandViolation};
+use crate::controller::machines::start_permit::{CommandAuthority, CommandRoute, CommandViolation};
 use crate::wire::Command;
 
 impl Controller {
-    /// What this process may act on towards a machine at present; `None` if it does not
-    /// lead the machine's shard, or has no further fencing token for the machine.
+    /// Authority of this process to command a machine now; `None` if it does not lead the
+    /// machine's shard, does not manage the machine, or has no fencing token left for it in
+    /// this term.
     pub(crate) fn command_authority(&self, machine: &str) -> Option<CommandAuthority> {
         let shard = self.shard_of_machine(machine);
         let term = self.leading_term(shard)?;
@@ -25,8 +26,8 @@
         })
     }
 
-    /// Reconciles a machine: computes the commands for it, and reserves the capacity for what they
-    /// start.
+    /// Reconciles a machine: computes its commands, and reserves capacity for the tasks that
+    /// they start.
     pub(crate) fn reconcile_machine(&mut self, machine: &str, route: CommandRoute) -> Vec<Command> {
         let Some(authority) = self.command_authority(machine) else {
             return Vec::new();
@@ -52,10 +53,10 @@
         outcome.commands
     }
 
-    /// Looks for starts that may still arrive by direct commands and must not be executed.
-    /// The worker is shown a higher fencing token, with which it refuses them, however long
-    /// they are on their way; if it does not hear of it, its lease expires and with it the
-    /// incarnation that they are meant for.
+    /// Raises a worker's fencing token if a start that must not be executed may still arrive by
+    /// a direct command. Once the worker has received the higher token, it refuses the start,
+    /// however late that arrives. If the token never reaches the worker, its lease expires and
+    /// ends the incarnation that the start is addressed to.
     pub(crate) fn revoke_starts(&mut self, machine: &str) {
         let Some(authority) = self.command_authority(machine) else {
             return;
@@ -63,7 +64,7 @@
         let Some(managed) = self.machines.managed.get_mut(machine) else {
             return;
         };
-        if !managed.starts.has_open_direct() {
+        if !managed.starts.has_pending_direct() {
             return;
         }
         let inputs = ReconcileInputs {
@@ -74,7 +75,8 @@
         };
         let reconciler = Reconciler::collect(inputs, machine, managed, authority);
         let reason = |attempt: &_| reconciler.revocation_reason(attempt);
-        let Some(revocation) = managed.starts.to_be_revoked(authority.fencing_token, reason) else {
+        let Some(revocation) = managed.starts.find_revocation(authority.fencing_token, reason)
+        else {
             return;
         };
         let tasks_beside = managed.present_tasks().count();
@@ -90,15 +92,16 @@
         managed.raise_fencing_token();
     }
 
-    /// Records a violation if a start of a job that is over may still arrive at a machine
-    /// whose heartbeat is about to be answered: the answer renews the worker's lease.
-    pub(crate) fn check_before_answer(&mut self, machine: &str, authority: CommandAuthority) {
+    /// Records a violation if a start of a job that is done or cancelled may still arrive at a
+    /// machine whose heartbeat is about to be answered: the response would renew the worker's
+    /// lease.
+    pub(crate) fn check_before_response(&mut self, machine: &str, authority: CommandAuthority) {
         let Some(managed) = self.machines.managed.get(machine) else {
             return;
         };
         let stages = &self.jobs.stage_cache;
-        let mut open = managed.starts.open_direct(authority.fencing_token);
-        if open.any(|(attempt, _)| stages.is_final(&attempt.job)) {
+        let mut pending = managed.starts.pending_direct(authority.fencing_token);
+        if pending.any(|(attempt, _)| stages.is_final(&attempt.job)) {
             let violation = CommandViolation::OpenStartOfEndedJob;
             authority.record_violation(&mut self.counts.decisions, machine, violation);
         }
--- a/src/controller/machines/desired_state/own_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -1,5 +1,5 @@
-//! What own shards desire on machines, computed from their jobs and sent to the leaders of
-//! the machines' shards.
+//! Desired state of the led shards, computed from their jobs and sent to the leaders of the
+//! machines' shards.
 
 use crate::controller::Controller;
 use crate::controller::jobs::Jobs;
@@ -11,18 +11,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The machines whose desired tasks one shard sends.
+/// Machines whose desired tasks one shard is about to send.
 #[derive(Default)]
 struct ChangedMachines {
-    /// They are all on which the shard desires anything.
+    /// Whether `machines` contains every machine on which the shard desires a task.
     complete: bool,
     machines: Vec<Rc<str>>,
 }
 
 impl Controller {
-    /// Repeats what is desired of tasks that no machine has reported for long. Messages
-    /// between controllers need no answers, and one that was lost unnoticed would
-    /// leave its task, and what it uses of the team's limit, waiting for ever.
+    /// Resends the desired state of tasks that no machine has reported for longer than
+    /// [`UNOBSERVED_REPEAT_INTERVAL`]. Messages between controllers are not acknowledged. If
+    /// one were lost unnoticed, its task would wait forever and hold its share of the team's
+    /// quota.
     pub(crate) fn repeat_unobserved(&mut self) {
         let now = self.context.now;
         if !self.holds_lease() || !self.timers.unobserved_repeat.restart_if_due(now) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Marks the desired state of every machine that has tasks of the job.
+    /// Queues the desired state of every machine with tasks of the job for sending.
     pub(crate) fn refresh_desired_state(&mut self, id: &str) {
         let Some(shard) = self.jobs.by_id.get(id).map(|job| job.shard) else {
             return;
@@ -49,7 +50,8 @@
         self.changes.desired.extend(with_tasks_of_job.cloned());
     }
 
-    /// Sends what has changed in the desired state of own shards, and applies it here first.
+    /// Adds the changed desired state of led shards to the frame for the peers, and applies it
+    /// to this process.
     pub(crate) fn send_desired_state(&mut self, frame: &mut Frame) {
         for (shard, changed) in self.take_changed_machines() {
             let (Some(term), true) = (self.leading_term(shard), self.has_recovered(shard)) else {
@@ -71,8 +73,8 @@
         }
     }
 
-    /// The machines whose desired state is to be sent, by shard. A shard without any sends
-    /// which terms it knows.
+    /// Takes the machines whose desired state is to be sent, by shard. A shard without changed
+    /// machines still sends the terms that it knows, if these are to be announced.
     fn take_changed_machines(&mut self) -> BTreeMap<usize, ChangedMachines> {
         let mut changed: BTreeMap<usize, ChangedMachines> = BTreeMap::new();
         for shard in std::mem::take(&mut self.changes.complete_desired) {
@@ -94,15 +96,16 @@
         changed
     }
 
-    /// Whether this process knows a shard's jobs, be it that it is about to hand it over.
+    /// Whether this process has recovered the jobs of a shard that it leads. Also true while
+    /// it is about to hand the shard over.
     fn has_recovered(&self, shard: usize) -> bool {
         let leadership = self.leadership.led_shard(shard);
         leadership.is_some_and(|leadership| leadership.recovered)
     }
 }
 
-/// What a shard desires on a machine, by what is stored. Stops that are new get the number
-/// of the message, `seq`.
+/// The tasks that a shard desires on a machine, computed from its jobs. Stops that were not
+/// sent before record `seq`, the sequence number of the message.
 fn desired_on(
     jobs: &mut Jobs,
     estimates: &Estimates,
@@ -124,8 +127,8 @@
 }
 
 impl Job {
-    /// Adds what is desired of a task on a machine: its placement there, and attempts whose
-    /// end there is not stored yet.
+    /// Adds the desired attempts of one task on a machine: the task's placement there, and
+    /// attempts whose end there is not stored yet.
     fn push_desired(
         &mut self,
         list: &mut Vec<DesiredTask>,
@@ -148,9 +151,8 @@
             placed_s: placement.placed_at.0 / 1_000_000,
             phase: phase as i32,
         };
-        // Nothing is started before its placement is stored: a start that is not
-        // stored could run beside the next one. Its capacity is reserved from the
-        // decision on.
+        // A task is not started before its placement is stored: otherwise the attempt could
+        // run beside the next one. Its capacity is reserved as soon as the placement is decided.
         if let Some(placement) = chunk.placed.get_mut(&index)
             && placement.machine == *machine
         {
@@ -170,7 +172,8 @@
         }
     }
 
-    /// What its tasks have in common; the same as long as nothing of it changes.
+    /// Attributes that all tasks of the job share. Returns the same `Rc` until its rank or
+    /// expected duration changes.
     fn shape(&mut self, expected_s: f64) -> Rc<Shape> {
         let rank = self.rank();
         match &self.announced_shape {
--- a/src/controller/machines/desired_state/mod.rs
+++ b/src/controller/machines/desired_state/mod.rs
@@ -1,9 +1,9 @@
-//! Which tasks every shard desires on which machines.
+//! Desired state: the tasks that each shard desires on each machine.
 //!
-//! `own_shards` computes it from the stored jobs of the shards that this process leads and
-//! sends it; `received` keeps what came, that of own shards included. A message is whole for
-//! each machine that it names, so any number of them may be lost. Nothing is desired before
-//! it is stored.
+//! `led_shards` computes and sends the desired state of the shards that this process leads,
+//! from their stored jobs. `received` keeps the desired state of all shards, including the led
+//! ones. A message contains all desired tasks of each machine that it names, so a later message
+//! makes up for any number of lost ones. No task is desired before its placement is stored.
 
-pub(crate) mod own_shards;
+pub(crate) mod led_shards;
 pub(crate) mod received;
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -1,5 +1,4 @@
-//! What was received of the shards' desired state: which tasks each of them desires on
-//! which machine, and how much of that is known here.
+//! Desired state of all shards, as received from their leaders, and whether it is complete.
 
 use crate::controller::Controller;
 use crate::controller::leadership::shard;
@@ -7,48 +6,50 @@
 use crate::peer::{AppliedUpdate, DesiredTask, DesiredUpdate, MachineDesired, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Desired state of a shard, as received.
+/// Desired state of one shard, as received.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DesiredState {
     /// Term of the shard under which it was sent.
     pub(crate) term: u64,
-    /// Number of the newest message of the term.
+    /// Sequence number of the newest message of the term.
     pub(crate) seq: u64,
-    /// Number of the newest message that named all machines; 0: none yet in this term, or
-    /// some message after it was lost.
+    /// Sequence number of the newest message that named all machines. 0 if none was received
+    /// in this term, or if a later message may have been lost.
     last_complete_seq: u64,
-    /// Terms of all shards that the sender knew with the newest message.
+    /// Terms of all shards, indexed by shard, that the sender knew with the newest message.
     pub(crate) known_terms: Vec<u64>,
-    /// By machine.
+    /// Desired tasks by machine.
     pub(crate) machines: BTreeMap<String, DesiredOnMachine>,
-    /// What the tasks use, by team.
+    /// Resources of the desired tasks, except ended ones, by team.
     pub(crate) usage: BTreeMap<String, QuotaAmount>,
 }
 
-/// What a shard desires on one machine, as received.
+/// Tasks that a shard desires on one machine, as received.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DesiredOnMachine {
-    /// Number of the message.
+    /// Sequence number of the message that contained them.
     seq: u64,
-    /// Term of the machine's shard that the sender knew.
+    /// Term of the machine's shard that the sender knew; 0 if it knew none.
     pub(crate) known_machine_term: u64,
-    /// The tasks.
+    /// Desired tasks, including attempts whose end is not stored yet.
     pub(crate) tasks: Vec<DesiredTask>,
 }
 
 impl DesiredState {
-    /// Whether all machines' tasks are known, so that what is absent is not desired.
+    /// Whether the desired tasks of all machines are known, so that a task that is absent is
+    /// definitely not desired.
     pub(crate) fn is_complete(&self) -> bool {
         self.last_complete_seq > 0
     }
 
-    /// Records that a message may have been lost: what is absent may be desired.
+    /// Records that a message may have been lost: a task that is absent may still be desired.
     pub(crate) fn mark_incomplete(&mut self) {
         self.last_complete_seq = 0;
     }
 
-    /// Whether all is known that the shard's leader of this term desires on the machines of
-    /// another shard, whose term it knew.
+    /// Whether the state is complete for the machines of `machine_shard`: it comes from the
+    /// shard's leader under `term`, and that leader knew at least `machine_term` as the term of
+    /// the machines' shard.
     pub(crate) fn is_complete_for(
         &self,
         term: u64,
@@ -59,8 +60,8 @@
         self.is_complete() && self.term == term && known_machine_term >= machine_term
     }
 
-    /// Which of the messages of the shard with this number what is done on a machine has
-    /// taken into account.
+    /// The newest message of this state's shard, number `shard`, that is taken into account for
+    /// a machine; `None` while the state is incomplete.
     pub(crate) fn applied(&self, shard: usize, machine: &str) -> Option<AppliedUpdate> {
         let seq = self.machines.get(machine).map_or(0, |desired| desired.seq);
         self.is_complete().then(|| AppliedUpdate {
@@ -70,10 +71,12 @@
         })
     }
 
-    /// Applies the head of a message. Returns whether its machines are to be applied, too.
+    /// Applies the header of a message: term, sequence number and known terms. Returns whether
+    /// its machines are to be applied as well.
     fn accept(&mut self, update: &DesiredUpdate) -> bool {
-        // After a gap the whole is repeated, under its old number if nothing of it has
-        // changed: dropped as old, all later changes of it would be, too.
+        // After a gap the sender repeats its complete state, under the old sequence number if
+        // nothing has changed since. If that message were dropped as old, the state would stay
+        // incomplete and all later updates would be dropped as well.
         let fills_gap = update.complete
             && !self.is_complete()
             && (update.term, update.seq) == (self.term, self.seq);
@@ -87,8 +90,8 @@
             self.mark_incomplete();
         }
         if !update.complete && !self.is_complete() {
-            // Changes to a whole that was not received; their number is not
-            // adopted, or the whole would seem to be known already.
+            // These changes apply to a complete state that was not received. Their sequence
+            // number is not adopted: the complete state would then be dropped as old.
             return false;
         }
         self.seq = update.seq;
@@ -96,8 +99,8 @@
         true
     }
 
-    /// Forgets all that was desired, before a message that names all machines. Returns the
-    /// machines on which anything was desired.
+    /// Clears the state before a message that names all machines is applied. Returns the
+    /// machines that had desired tasks.
     fn begin_complete(&mut self) -> impl Iterator<Item = String> {
         self.last_complete_seq = self.seq;
         self.usage.clear();
@@ -109,16 +112,17 @@
         self.machines.get(machine).map_or(&[], |desired| &desired.tasks)
     }
 
-    /// Replaces what is desired on a machine.
+    /// Replaces the desired tasks of a machine.
     fn replace(&mut self, machine: String, desired: DesiredOnMachine) {
-        self.count_usage(&desired.tasks, 1.0);
+        self.adjust_usage(&desired.tasks, 1.0);
         if let Some(old) = self.machines.insert(machine, desired) {
-            self.count_usage(&old.tasks, -1.0);
+            self.adjust_usage(&old.tasks, -1.0);
         }
     }
 
-    /// Adds tasks to the sums of what teams use, or with a sign of -1 subtracts them.
-    fn count_usage(&mut self, tasks: &[DesiredTask], sign: f64) {
+    /// Adds the resources of tasks to the usage of their teams, or subtracts them if `sign` is
+    /// -1. Ended attempts are not counted.
+    fn adjust_usage(&mut self, tasks: &[DesiredTask], sign: f64) {
         for task in tasks.iter().filter(|task| task.phase() != Phase::Over) {
             let usage = self.usage.entry(task.team.clone()).or_default();
             usage.cpus += sign * task.cpus;
@@ -128,7 +132,7 @@
 }
 
 impl Controller {
-    /// Applies a message of a shard's desired state.
+    /// Applies a message with a shard's desired state.
     pub(crate) fn apply_desired_state(&mut self, update: DesiredUpdate) {
         let shards = self.leadership.shard_count();
         let Some(state) = self.machines.desired.get_mut(update.shard) else {
@@ -146,7 +150,7 @@
             touched.insert(machine.clone());
             let before = state.tasks_on(&machine);
             for task in &tasks {
-                // What was desired before has been noted.
+                // The images of tasks that were already desired have been recorded before.
                 let is_same = |old: &DesiredTask| {
                     old.attempt == task.attempt && old.index == task.index && old.job == task.job
                 };
@@ -168,8 +172,8 @@
         }
     }
 
-    /// What is desired on a machine may have changed: it is reconciled, and its capacity is
-    /// computed anew.
+    /// Handles a possible change of the desired tasks of a machine: recomputes its free
+    /// capacity, and if this process leads its shard, reconciles it.
     fn desired_state_changed(&mut self, machine: &str) {
         self.scheduler.request_pass();
         self.scheduler.mark_stale(machine);
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -1,12 +1,12 @@
-//! Commands sent straight to a worker, instead of with the answer to its next heartbeat.
+//! Direct commands: sent to a worker at once, instead of in the response to its next heartbeat.
 
 use crate::controller::calls::MachinesCall;
 use crate::controller::context::Context;
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::machines::machine::ManagedMachine;
-use crate::controller::machines::machine::heartbeat_intake::HeartbeatSource;
+use crate::controller::machines::machine::heartbeat::HeartbeatSource;
 use crate::controller::machines::machine::starts::CommandOutcome;
-use crate::controller::machines::start_gate::CommandRoute;
+use crate::controller::machines::start_permit::CommandRoute;
 use crate::controller::machines::timeouts;
 use crate::controller::{Controller, DirectReply, Effect};
 use crate::time::Micros;
@@ -14,14 +14,14 @@
 use log::debug;
 use std::net::SocketAddrV4;
 
-/// After direct commands that were not executed, none are sent for so long: answers to
-/// heartbeats carry the commands meanwhile.
+/// How long no direct commands are sent to a machine after some that were not known to be
+/// executed. Meanwhile, heartbeat responses carry the commands.
 const DIRECT_RETRY_PAUSE: Micros = Micros::secs(5);
 
-/// The answer to direct commands.
+/// A worker's answer to direct commands.
 struct DirectAnswer {
     outcome: CommandOutcome,
-    /// What the worker said, if it said anything.
+    /// Body of a response with status 200 or 4xx; `None` for any other reply.
     body: Option<Vec<u8>>,
 }
 
@@ -40,13 +40,13 @@
 }
 
 impl DirectAnswer {
-    /// The worker's heartbeat in it, if there is a readable one.
+    /// The heartbeat in the answer; `None` if there is no body or it cannot be parsed.
     fn heartbeat(&self) -> Option<Heartbeat> {
         serde_json::from_slice(self.body.as_ref()?).ok()
     }
 }
 
-/// Direct commands that are to be sent, and what their reply needs to be applied.
+/// Direct commands to be sent, with the data that is needed to apply their reply.
 pub(super) struct DirectRequest<'a> {
     pub(super) machine: &'a str,
     pub(super) address: SocketAddrV4,
@@ -58,7 +58,7 @@
 }
 
 impl DirectRequest<'_> {
-    /// Sends the commands.
+    /// Registers the call, so that its reply can be applied, and emits the request.
     pub(super) fn send(self, context: &mut Context) {
         let body = serde_json::to_vec(&self.commands).unwrap_or_default();
         let id = context.register_call(MachinesCall::Direct {
@@ -71,8 +71,8 @@
 }
 
 impl ManagedMachine {
-    /// Where direct commands may be sent at present, if anywhere. A worker that is silent is
-    /// not waited for with further connections.
+    /// Address to which direct commands may be sent now; `None` if none may be sent. No further
+    /// connections are opened to a silent worker, since they would only wait for it.
     fn direct_address(&self, now: Micros, heartbeat_timeout: Micros) -> Option<SocketAddrV4> {
         let is_silent = self.last_heartbeat_at.is_none_or(|at| now.since(at) > heartbeat_timeout);
         let may_send = self.heartbeat_under_term
@@ -90,11 +90,11 @@
         starts: &[AttemptId],
         outcome: CommandOutcome,
     ) {
-        self.direct_ended(starts, outcome);
+        self.record_direct_outcome(starts, outcome);
         match outcome {
             CommandOutcome::Executed => self.unresponsive = false,
             CommandOutcome::NotExecuted => {}
-            // Until something shows that it receives commands, it is given nothing more.
+            // The machine gets no new tasks until there is evidence that it receives commands.
             CommandOutcome::Unknown => {
                 debug!("machine {machine} did not answer commands");
                 self.unresponsive = true;
@@ -107,8 +107,8 @@
 }
 
 impl Controller {
-    /// Sends what is new straight to the worker, instead of waiting for its
-    /// next heartbeat.
+    /// Reconciles a machine and sends its new commands to the worker at once, if direct
+    /// commands may be sent. Otherwise they wait for the worker's next heartbeat.
     pub(crate) fn send_direct_commands(&mut self, machine: &str) {
         let (Some(authority), Some(managed)) =
             (self.command_authority(machine), self.machines.managed.get(machine))
@@ -140,7 +140,7 @@
         request.send(&mut self.context);
     }
 
-    /// Applies a worker's reply.
+    /// Handles a worker's reply to direct commands or to a connectivity probe.
     pub(crate) fn machines_reply(&mut self, call: MachinesCall, reply: DirectReply) {
         match call {
             MachinesCall::Direct { machine, starts, term } => {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Heartbeats of the machines of own shards: they are checked, applied and answered.
+//! Checks, applies and answers heartbeats of the machines of led shards.
 
 use crate::controller::machines::Machines;
-use crate::controller::machines::machine::heartbeat_intake::{HeartbeatSource, TaskOutcome};
-use crate::controller::machines::start_gate::CommandRoute;
+use crate::controller::machines::machine::heartbeat::{HeartbeatSource, TaskOutcome};
+use crate::controller::machines::start_permit::CommandRoute;
 use crate::controller::machines::timeouts;
 use crate::controller::{Controller, Effect, Ticket};
 use crate::time::Micros;
@@ -11,26 +11,27 @@
 };
 use log::{debug, info};
 
-/// Longest names of machines and zones, in bytes, that fit a stored placement.
+/// Maximum length in bytes of a machine or zone name that fits into a stored placement.
 pub(crate) const MAX_NAME_BYTES: usize = 40;
 
-/// Why a heartbeat cannot be read.
+/// Why a heartbeat is rejected as malformed.
 #[derive(Debug, thiserror::Error)]
 enum HeartbeatError {
     #[error("malformed heartbeat: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("heartbeat without a machine's name")]
+    #[error("malformed heartbeat: machine name is empty")]
     NoName,
-    #[error("heartbeat with a name of a machine or zone of more than {MAX_NAME_BYTES} bytes")]
+    #[error("malformed heartbeat: machine or zone name is longer than {MAX_NAME_BYTES} bytes")]
     LongName,
-    #[error("heartbeat of incarnation 0, which stands for none")]
+    #[error("malformed heartbeat: incarnation is 0, which means none")]
     NoIncarnation,
 }
 
-/// What a heartbeat has shown.
-struct HeartbeatIntake {
+/// Result of applying a heartbeat.
+struct AppliedHeartbeat {
     outcomes: Vec<TaskOutcome>,
-    /// The worker knows of this term: it may be commanded.
+    /// Whether the worker has reported this term's fencing token, so that it may be sent
+    /// commands.
     under_term: bool,
 }
 
@@ -52,8 +53,8 @@
             return self.redirect_heartbeat(ticket, shard, &heartbeat.machine);
         };
         if !self.cancellations_up_to_date() {
-            // Its answer would keep tasks alive whose users were answered that they
-            // are cancelled.
+            // A response would keep tasks alive whose users were notified that they are
+            // cancelled.
             return self.refuse_heartbeat(ticket, "cancellations are not heard");
         }
         if self.machines.is_superseded(&heartbeat, term) {
@@ -62,25 +63,27 @@
         let now = self.context.now;
         self.leadership.record_contact(now);
         let worker_lease = timeouts::worker_lease(&self.context.settings.workers);
-        let Some(intake) = self.machines.apply_heartbeat(now, &heartbeat, term, worker_lease)
+        let Some(applied) = self.machines.apply_heartbeat(now, &heartbeat, term, worker_lease)
         else {
-            // Overtaken on its way: the worker has long given it up, and an
-            // answer would claim a lease that has been declared over.
+            // A later heartbeat, or the end of the incarnation, was recorded before this one
+            // arrived. The worker no longer waits for the response, which would claim to renew
+            // a lease that this process has declared expired.
             return self.refuse_heartbeat(ticket, "overtaken");
         };
         let machine = heartbeat.machine;
-        self.record_outcomes(&machine, intake.outcomes);
+        self.record_outcomes(&machine, applied.outcomes);
         self.revoke_starts(&machine);
-        let commands = if intake.under_term {
+        let commands = if applied.under_term {
             self.reconcile_machine(&machine, CommandRoute::HeartbeatResponse)
         } else {
             Vec::new()
         };
         let Some(authority) = self.command_authority(&machine) else {
-            // Its incarnation ends, and with it what may still arrive.
+            // Without responses, the worker's incarnation ends, and with it all starts that
+            // may still arrive.
             return self.refuse_heartbeat(ticket, "no token is left");
         };
-        self.check_before_answer(&machine, authority);
+        self.check_before_response(&machine, authority);
         self.changes.machines.insert(machine);
         let reply = HeartbeatResponse { fencing_token: authority.fencing_token, commands };
         let body = serde_json::to_vec(&reply).unwrap_or_default();
@@ -91,7 +94,8 @@
         self.context.respond(ticket, 503, Some(1), &Refusal::new(reason));
     }
 
-    /// Tells a worker who leads its machine's shard, if anybody else does.
+    /// Redirects a worker to the leader of its machine's shard, or refuses the heartbeat if no
+    /// other member is known to lead it.
     fn redirect_heartbeat(&mut self, ticket: Ticket, shard: usize, machine: &str) {
         match self.shard_leader(shard) {
             Some(leader) if leader != self.context.me => {
@@ -105,24 +109,24 @@
 }
 
 impl Machines {
-    /// Whether a heartbeat comes from a machine that is terminated, or that a later leader
-    /// than this process commands.
+    /// Whether the machine of a heartbeat is terminated, is commanded by a later leader than
+    /// this process, or has no fencing token left in this term.
     fn is_superseded(&self, heartbeat: &Heartbeat, term: u64) -> bool {
         let managed = self.managed.get(&heartbeat.machine);
-        let shown = managed
+        let current = managed
             .map_or(Some(FencingToken::of_term(term)), |managed| managed.fencing_token(term));
-        shown.is_none_or(|shown| heartbeat.fencing_token > shown)
+        current.is_none_or(|current| heartbeat.fencing_token > current)
             || self.terminated.contains(&heartbeat.machine)
     }
 
-    /// Applies a heartbeat that is about to be answered; `None` if it is outdated.
+    /// Applies a heartbeat request that is about to be answered; `None` if it is outdated.
     fn apply_heartbeat(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
         term: u64,
         worker_lease: Micros,
-    ) -> Option<HeartbeatIntake> {
+    ) -> Option<AppliedHeartbeat> {
         let machine = &heartbeat.machine;
         let managed = self.managed.entry(machine.clone()).or_default();
         if managed.incarnation == WorkerIncarnation::NONE {
@@ -132,7 +136,7 @@
         let outcomes = managed.apply_heartbeat(now, heartbeat, term, HeartbeatSource::Request)?;
         managed.update_responsiveness(now, incarnation_before, worker_lease);
         managed.answered_at = Some(now);
-        Some(HeartbeatIntake { outcomes, under_term: managed.heartbeat_under_term })
+        Some(AppliedHeartbeat { outcomes, under_term: managed.heartbeat_under_term })
     }
 }
 
--- a/src/controller/machines/machine/health.rs
+++ b/src/controller/machines/machine/health.rs
@@ -1,31 +1,33 @@
-//! Whether a machine reports in time, receives commands, and completes what it starts.
+//! Health of a machine: whether it reports in time, receives commands, and completes the tasks
+//! that it starts.
 
 use super::ManagedMachine;
 use crate::time::Micros;
 use crate::wire::WorkerIncarnation;
 use std::collections::BTreeMap;
 
-/// A machine's failures since its last success, and its quarantine because of them.
+/// Failures of a machine since its last success, and the quarantine that results from them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FailureRecord {
-    /// Jobs whose tasks failed here since the last success, and how many of each.
+    /// Number of failed tasks since the last success, by job.
     pub(crate) failures_by_job: BTreeMap<String, u32>,
-    /// Since when it is in quarantine, if it is.
+    /// When the quarantine began; `None` if the machine is not in quarantine.
     quarantined_since: Option<Micros>,
 }
 
 impl FailureRecord {
-    /// A task of the job has failed here.
-    pub(crate) fn failed(&mut self, job: &str) {
+    /// Records that a task of the job failed on the machine.
+    pub(crate) fn record_failure(&mut self, job: &str) {
         *self.failures_by_job.entry(job.to_string()).or_insert(0) += 1;
     }
 
-    /// A task has completed here: what failed before says nothing of the machine.
-    pub(crate) fn completed(&mut self) {
+    /// Records that a task completed on the machine. Clears the earlier failures, which are no
+    /// longer evidence against the machine.
+    pub(crate) fn record_success(&mut self) {
         self.failures_by_job.clear();
     }
 
-    /// Begins or ends the quarantine. Returns whether it has begun.
+    /// Begins, continues or ends the quarantine. Returns true only if it begins now.
     pub(crate) fn set_quarantine(&mut self, now: Micros, quarantined: bool) -> bool {
         if !quarantined {
             self.quarantined_since = None;
@@ -36,19 +38,21 @@
         begins
     }
 
-    /// Whether it has been in quarantine for longer than `duration`.
+    /// Whether the machine has been in quarantine for longer than `duration`.
     pub(crate) fn quarantined_longer_than(&self, now: Micros, duration: Micros) -> bool {
         self.quarantined_since.is_some_and(|since| now.since(since) > duration)
     }
 }
 
 impl ManagedMachine {
-    /// Judges, after a heartbeat was applied, whether the machine receives commands;
-    /// `incarnation_before` is the one known until then.
+    /// Updates, after a heartbeat was applied, whether the machine counts as unresponsive, that
+    /// is, whether it does not receive commands. `incarnation_before` is the incarnation that
+    /// was known before the heartbeat.
     ///
-    /// An answered heartbeat is no proof that the answer was received. An incarnation that
-    /// ended although heartbeats were answered a moment ago proves the contrary; such a
-    /// machine begins one incarnation after the other, and always seems to be free.
+    /// An answered heartbeat does not prove that the worker received the response. If an
+    /// incarnation ends although its heartbeats were answered shortly before, the responses did
+    /// not arrive. Such a machine begins one incarnation after another and always seems to be
+    /// free.
     pub fn update_responsiveness(
         &mut self,
         now: Micros,
@@ -60,25 +64,26 @@
             let answered_lately = self.answered_at.is_some_and(|at| now.since(at) < half_lease);
             self.unresponsive |= incarnation_before > WorkerIncarnation::NONE && answered_lately;
         } else if now.since(self.incarnation_since) > Micros(worker_lease.0 * 2) {
-            // An incarnation that lasts has received answers. Twice the lease, since
-            // what arrives may have been sent long ago.
+            // An incarnation that lasts longer than its lease has received responses. Twice the
+            // lease is required because the heartbeat may have been in transit for long.
             self.unresponsive = false;
         }
     }
 
-    /// Whether its heartbeats arrive in time and are answered: a machine that only direct
-    /// commands reach loses all its tasks when its lease expires. `last_answered_at` as for
-    /// [`ManagedMachine::expire_incarnation`].
+    /// Whether its heartbeats arrive in time and are answered. Both are required: a machine that
+    /// is only reached by direct commands loses all its tasks when its lease expires.
+    /// `last_answered_at` as for [`ManagedMachine::expire_incarnation`].
     pub fn reports_in_time(
         &self,
         now: Micros,
         last_answered_at: Micros,
         heartbeat_timeout: Micros,
     ) -> bool {
-        self.heard_within(now, heartbeat_timeout) && now.since(last_answered_at) < heartbeat_timeout
+        self.heartbeat_received_within(now, heartbeat_timeout)
+            && now.since(last_answered_at) < heartbeat_timeout
     }
 
-    fn heard_within(&self, now: Micros, heartbeat_timeout: Micros) -> bool {
+    fn heartbeat_received_within(&self, now: Micros, heartbeat_timeout: Micros) -> bool {
         self.last_heartbeat_at.is_some_and(|at| now.since(at) < heartbeat_timeout)
     }
 }
--- a/src/controller/machines/machine/heartbeat_intake.rs
+++ b/src/controller/machines/machine/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat shows of a machine and its tasks.
+//! Applies heartbeats to the state of a machine and its tasks.
 
 use super::ManagedMachine;
 use crate::controller::machines::attempt::AttemptId;
@@ -7,23 +7,23 @@
 use crate::wire::{Cause, FencingToken, Heartbeat, ReportedTask, TaskState};
 use std::collections::BTreeMap;
 
-/// How a heartbeat has arrived.
+/// How a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// As a request. Only such a one shows that the response to the one before was either
-    /// executed or dropped: a worker has one request under way at a time.
+    /// As a request. Only this shows that the response to the previous request was either
+    /// executed or dropped, because a worker has one request in flight at a time.
     Request,
     /// In the response to a direct command.
     DirectResponse,
 }
 
-/// The end of a task that a heartbeat shows for the first time, for the judgement of a
-/// machine's health.
+/// End of a task that a heartbeat reports for the first time, as evidence of the machine's
+/// health.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskOutcome {
-    /// A task completed.
+    /// The task completed.
     Completed,
-    /// A task failed.
+    /// The task failed.
     Failed {
         /// Id of its job.
         job: String,
@@ -31,9 +31,9 @@
 }
 
 impl ManagedMachine {
-    /// Applies a heartbeat, under the term of the machine's shard. Returns the tasks that
-    /// it shows to have ended, or `None` if the heartbeat is older than what is known, or of
-    /// an incarnation that is over.
+    /// Applies a heartbeat; `term` is the current term of the machine's shard. Returns the
+    /// outcomes of tasks that it reports as ended for the first time, or `None` if it is older
+    /// than the last one applied, or belongs to an incarnation that has ended.
     pub fn apply_heartbeat(
         &mut self,
         now: Micros,
@@ -53,8 +53,8 @@
         self.last_heartbeat_at = Some(now);
         self.expired_without_heartbeat = false;
         self.description.update(now, heartbeat);
-        // A heartbeat that does not carry this term's fencing token may be followed by
-        // commands of an earlier leader: its list proves no absence.
+        // After a heartbeat without this term's fencing token, commands of an earlier leader
+        // may still be executed: that a task is absent from its list proves nothing.
         if heartbeat.fencing_token < FencingToken::of_term(term) {
             return Some(Vec::new());
         }
@@ -68,39 +68,44 @@
             || (heartbeat.incarnation == self.incarnation && heartbeat.seq <= self.message_seq)
     }
 
-    /// Applies the tasks of a heartbeat under the present term.
+    /// Applies the task list of a heartbeat that carries a fencing token of the current term.
     fn apply_tasks(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource) -> Vec<TaskOutcome> {
         let mut outcomes = Vec::new();
         let mut tasks = BTreeMap::new();
         for task in &heartbeat.tasks {
             let Some(attempt) = AttemptId::parse(&task.task, task.attempt) else {
-                log::warn!("{} reports a task of unknown form", heartbeat.machine);
+                log::warn!(
+                    "machine {}: heartbeat with malformed task name {:?}",
+                    heartbeat.machine,
+                    task.task
+                );
                 continue;
             };
             let observed = observed_state(task.state, task.cause);
             if self.tasks.get(&attempt).is_none_or(|before| !before.over()) {
                 outcomes.extend(outcome(observed, task, &attempt));
             }
-            if self.starts.reported(&attempt) {
-                // It has what it was commanded to start.
+            if self.starts.record_reported(&attempt) {
+                // The worker has executed a start, so it receives commands.
                 self.unresponsive = false;
             }
             tasks.insert(attempt, observed);
         }
         self.tasks = tasks;
         let tasks = &self.tasks;
-        self.starts
-            .fenced(self.highest_reported_fencing_token, |attempt| tasks.contains_key(attempt));
+        self.starts.apply_fencing_token(self.highest_reported_fencing_token, |attempt| {
+            tasks.contains_key(attempt)
+        });
         self.stops_sent.retain(|attempt| tasks.contains_key(attempt));
         if source == HeartbeatSource::Request {
-            self.starts.response_settled();
+            self.starts.settle_response();
         }
         outcomes
     }
 }
 
-/// What the state of a task says of the machine's health, if anything: a worker that does
-/// not know why a task ended says nothing.
+/// Outcome of a task as evidence of the machine's health; `None` if it has not ended, was
+/// stopped or refused, or ended because the worker knows no such job or task.
 fn outcome(
     observed: ObservedState,
     task: &ReportedTask,
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -1,10 +1,10 @@
-//! What the leader of a machine's shard knows of the machine: its incarnation, its tasks as
-//! last reported, the starts in flight, its fencing tokens and its health.
+//! State of one machine, as observed by the leader of its shard: the worker's incarnation, the
+//! last reported tasks, the starts in flight, the fencing tokens and the health.
 //!
-//! Owns this knowledge of one machine, and changes it only by what heartbeats and the
-//! outcomes of commands prove. It sends nothing and decides no command.
+//! The state changes only on what heartbeats and the outcomes of commands prove. This module
+//! sends no messages and decides no commands.
 
-pub mod heartbeat_intake;
+pub mod heartbeat;
 pub mod starts;
 
 pub(crate) mod health;
@@ -21,18 +21,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// What a machine says of itself with each heartbeat.
+/// Attributes of a machine, from its newest heartbeat.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MachineDescription {
-    /// Name of its type.
+    /// Name of the machine type.
     pub(crate) machine_type: String,
-    /// Zone.
+    /// Name of the cloud's zone.
     pub(crate) zone: String,
     /// Whether it is a spot machine.
     pub(crate) spot: bool,
-    /// Address for direct commands, if it gave a usable one.
+    /// Address for direct commands; `None` if the reported one is not a valid IPv4 address and
+    /// port.
     pub(crate) address: Option<SocketAddrV4>,
-    /// When the cloud reclaims it, if that is announced.
+    /// When the cloud reclaims the machine; `None` without a spot notice.
     pub(crate) reclaimed_at: Option<Micros>,
 }
 
@@ -46,70 +47,71 @@
     }
 }
 
-/// A machine, as the leader of its shard knows it under the present term.
+/// A machine, as observed by the leader of its shard under the current term.
 #[derive(Debug, Clone, Default)]
 pub struct ManagedMachine {
-    /// Incarnation of the newest heartbeat, 0 before the first.
+    /// Incarnation of the newest heartbeat; 0 before the first.
     pub incarnation: WorkerIncarnation,
-    /// When that incarnation was first heard of.
+    /// When that incarnation was first observed.
     incarnation_since: Micros,
-    /// Number of the newest message of that incarnation.
+    /// Sequence number of the newest heartbeat of that incarnation.
     message_seq: u64,
-    /// It has sent a heartbeat with this term's fencing token: no older command can reach it.
+    /// Whether it has sent a heartbeat with this term's fencing token, so that it no longer
+    /// executes commands of earlier leaders.
     pub heartbeat_under_term: bool,
-    /// This incarnation and all before it are surely over.
+    /// This incarnation and all earlier ones have definitely ended.
     pub last_ended_incarnation: WorkerIncarnation,
-    /// It was never heard of under this term, and by now every earlier incarnation is over.
+    /// No heartbeat was received under this term, and every earlier incarnation has ended.
     pub expired_without_heartbeat: bool,
-    /// When a heartbeat was last answered with 200.
+    /// When a heartbeat was last answered with status 200.
     pub answered_at: Option<Micros>,
-    /// When a heartbeat last arrived, by whatever way.
+    /// When a heartbeat was last received, as a request or in the response to a direct command.
     pub(crate) last_heartbeat_at: Option<Micros>,
-    /// Tasks in the newest heartbeat.
+    /// Tasks in the newest heartbeat under this term.
     pub tasks: BTreeMap<AttemptId, ObservedState>,
-    /// Starts that no heartbeat shows yet, and that may still arrive.
+    /// Starts that are planned or sent, and starts that may still arrive.
     pub starts: Starts,
-    /// Tasks whose stop was sent by a direct command; answers repeat it if need be.
+    /// Tasks whose stop was sent by a direct command. Heartbeat responses repeat it while the
+    /// task is still to be stopped.
     pub(crate) stops_sent: BTreeSet<AttemptId>,
     /// How often the fencing token of its commands was raised above the term.
     fencing_token_raises: u64,
-    /// Highest fencing token that it has reported: no command with a lower one is executed.
+    /// Highest fencing token that it has reported; it executes no command with a lower one.
     highest_reported_fencing_token: FencingToken,
-    /// Type, zone and address.
+    /// Attributes from the newest heartbeat.
     pub(crate) description: MachineDescription,
-    /// Direct commands were sent and their outcome is not known yet.
+    /// Whether a direct command was sent whose outcome is not known yet.
     pub(crate) direct_in_flight: bool,
-    /// After a direct command that was not executed, none before this.
+    /// Earliest time for the next direct command, after one that was not executed.
     pub(crate) direct_not_before: Micros,
-    /// Its heartbeats arrive, but nothing shows that it receives commands.
+    /// Whether its heartbeats arrive without evidence that it receives commands.
     pub unresponsive: bool,
-    /// Whether it reported in time when its view was last made.
+    /// Whether it reported in time when its last view was computed.
     pub(crate) in_time_at_last_view: bool,
-    /// Number of its last view under this term.
+    /// Sequence number of its last view under this term.
     pub(crate) view_seq: u64,
-    /// Failures, and quarantine because of them.
+    /// Failures since the last success, and the quarantine that results from them.
     pub(crate) failures: FailureRecord,
 }
 
 impl ManagedMachine {
-    /// The fencing token of its commands under a term; `None` if the term has no further
-    /// ones.
+    /// Fencing token of its commands under a term; `None` if all tokens of the term are used.
     pub fn fencing_token(&self, term: u64) -> Option<FencingToken> {
         fencing_token::raised_fencing_token(term, self.fencing_token_raises)
     }
 
-    /// Shows the worker a higher fencing token from now on.
+    /// Raises the fencing token of all further commands to this machine.
     pub fn raise_fencing_token(&mut self) {
         self.fencing_token_raises += 1;
     }
 
-    /// Records the outcome of a direct command with these starts.
-    pub fn direct_ended(&mut self, starts: &[AttemptId], outcome: CommandOutcome) {
+    /// Records the outcome of a direct command that contained these starts.
+    pub fn record_direct_outcome(&mut self, starts: &[AttemptId], outcome: CommandOutcome) {
         self.direct_in_flight = false;
-        self.starts.direct_ended(starts, outcome, self.highest_reported_fencing_token);
+        self.starts.record_direct_outcome(starts, outcome, self.highest_reported_fencing_token);
     }
 
-    /// All attempts of which something is known here.
+    /// All attempts that were reported, are being started, wait, or were refused.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = &AttemptId> {
         let starts = &self.starts;
         self.tasks
@@ -119,13 +121,13 @@
             .chain(&starts.waiting)
     }
 
-    /// Tasks that it is known to have and that are not over.
+    /// Reported tasks that have not ended.
     pub(crate) fn present_tasks(&self) -> impl Iterator<Item = &AttemptId> {
         self.tasks.iter().filter(|(_, observed)| !observed.over()).map(|(attempt, _)| attempt)
     }
 
-    /// Whether it has tasks of the job of `first`, the lowest attempt that the job can have,
-    /// or may come to have them.
+    /// Whether tasks of a job are reported, are being started, or wait. `first` is the lowest
+    /// possible attempt of the job; see [`AttemptId::lowest_of`].
     pub(crate) fn has_tasks_of(&self, first: &AttemptId) -> bool {
         let is_of_job = |attempt: Option<&AttemptId>| attempt.is_some_and(|a| a.job == first.job);
         is_of_job(self.tasks.range(first..).next().map(|(attempt, _)| attempt))
@@ -133,7 +135,8 @@
             || is_of_job(self.starts.waiting.range(first..).next())
     }
 
-    /// Its tasks, those to be started included, as its view shows them.
+    /// All tasks for the machine's view: the reported ones, and those that are being started,
+    /// wait, or were refused.
     pub(crate) fn observed_tasks(&self) -> Vec<ObservedTask> {
         let observed = |attempt: &AttemptId, state: ObservedState| ObservedTask {
             job: attempt.job.clone(),
--- a/src/controller/machines/machine/starts.rs
+++ b/src/controller/machines/machine/starts.rs
@@ -1,75 +1,78 @@
-//! Starts that were sent to a machine or wait to be, and which of them may still arrive.
+//! Starts that were sent to a machine or wait to be sent, and whether they may still arrive.
 
 use crate::controller::machines::attempt::AttemptId;
-use crate::controller::machines::start_gate::RevocationReason;
+use crate::controller::machines::start_permit::RevocationReason;
 use crate::wire::FencingToken;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A start that was sent and is in no heartbeat yet.
+/// A start with reserved capacity whose task no heartbeat lists yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StartInFlight {
-    /// It was in the response to the newest heartbeat, which the worker may still receive.
+    /// Whether the response to the newest heartbeat contained the start. The worker may still
+    /// receive that response.
     pub in_response: bool,
-    /// Direct commands with it whose outcome is not known yet.
+    /// Number of direct commands that contain the start and whose outcome is not known yet.
     pub direct_commands: u32,
-    /// The outcome of a direct command with it will never be known: it may be executed as
-    /// long as fencing token and incarnation match.
+    /// Whether the outcome of a direct command with the start will never be known. The worker
+    /// may execute it as long as fencing token and incarnation match.
     pub may_arrive_late: bool,
-    /// Fencing token of the last direct command with it.
+    /// Fencing token of the last direct command with the start.
     pub fencing_token: FencingToken,
 }
 
 impl StartInFlight {
-    /// Whether the worker may still execute it.
-    pub fn is_open(self) -> bool {
-        self.in_response || self.is_open_direct()
+    /// Whether the start may still arrive at the worker and be executed, by any route.
+    pub fn may_still_arrive(self) -> bool {
+        self.in_response || self.may_still_arrive_directly()
     }
 
-    /// Whether a direct command with it may still arrive.
-    pub fn is_open_direct(self) -> bool {
+    /// Whether a direct command with the start may still arrive.
+    pub fn may_still_arrive_directly(self) -> bool {
         self.direct_commands > 0 || self.may_arrive_late
     }
 }
 
-/// A start that may still arrive and must not be executed: the worker is shown a higher
-/// fencing token than that of the command.
+/// A start that may still arrive and must not be executed. To revoke it, the worker is sent a
+/// higher fencing token than that of the command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRevocation {
     /// The attempt that must not be started.
     pub attempt: AttemptId,
-    /// Fencing token that the command with it carries.
+    /// Fencing token of the command that contains the start.
     pub revoked_fencing_token: FencingToken,
     /// Why it must not be executed.
     pub reason: RevocationReason,
 }
 
-/// What became of a direct command.
+/// Outcome of a direct command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// The worker has executed it.
     Executed,
-    /// It surely was not executed and never will be.
+    /// It was definitely not executed and never will be.
     NotExecuted,
-    /// It may have been executed, or may still be.
+    /// It may have been executed, or may be executed later.
     Unknown,
 }
 
-/// The starts of one machine in its present incarnation.
+/// Starts of one machine in its current incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct Starts {
-    /// Starts whose capacity is reserved and that are in no heartbeat yet.
+    /// Starts whose capacity is reserved and whose tasks no heartbeat lists yet.
     pub in_flight: BTreeMap<AttemptId, StartInFlight>,
-    /// Attempts in heartbeats that a direct command of unknown outcome may still start,
-    /// with its fencing token: if the worker forgot them, that command would run them again.
+    /// Reported attempts that a direct command of unknown outcome may still start, with the
+    /// command's fencing token. If the worker forgot such an attempt, the command would run it
+    /// again.
     pub may_start_again: BTreeMap<AttemptId, FencingToken>,
-    /// Attempts for which there was no capacity. They are never sent.
+    /// Attempts for which there was no capacity. Their starts are never sent.
     pub(crate) refused: BTreeSet<AttemptId>,
-    /// Attempts that wait for the capacity of a task that is being stopped.
+    /// Attempts that wait until the free capacity is known, or until a task that is being
+    /// stopped frees enough.
     pub(crate) waiting: BTreeSet<AttemptId>,
 }
 
 impl Starts {
-    /// Forgets all of them: the incarnation that they were meant for is over.
+    /// Drops all starts, since the incarnation to which they are addressed has ended.
     pub(super) fn clear(&mut self) {
         self.in_flight.clear();
         self.may_start_again.clear();
@@ -77,12 +80,12 @@
         self.waiting.clear();
     }
 
-    /// Records that a heartbeat lists an attempt. Returns whether a start of it was in
-    /// flight, so that the worker must have received a command.
-    pub(super) fn reported(&mut self, attempt: &AttemptId) -> bool {
+    /// Records that a heartbeat lists an attempt. Returns whether a start of it was in flight:
+    /// then the worker must have received a command.
+    pub(super) fn record_reported(&mut self, attempt: &AttemptId) -> bool {
         let start = self.in_flight.remove(attempt);
         if let Some(start) = start
-            && start.is_open_direct()
+            && start.may_still_arrive_directly()
         {
             self.may_start_again.insert(attempt.clone(), start.fencing_token);
         }
@@ -91,10 +94,10 @@
         start.is_some()
     }
 
-    /// Records that a worker has made a list of its tasks after it had seen this fencing
-    /// token: what the list lacks was not begun before, and commands with a lower token are
-    /// not executed any more.
-    pub(super) fn fenced(
+    /// Records that the worker listed its tasks after it had received this fencing token. An
+    /// attempt that is not in the list was not started before, and commands with a lower token
+    /// are no longer executed.
+    pub(super) fn apply_fencing_token(
         &mut self,
         fencing_token: FencingToken,
         is_listed: impl Fn(&AttemptId) -> bool,
@@ -106,16 +109,16 @@
         }
     }
 
-    /// Records that the response to the heartbeat before was either executed or dropped.
-    pub(super) fn response_settled(&mut self) {
+    /// Records that the response to the previous heartbeat was either executed or dropped.
+    pub(super) fn settle_response(&mut self) {
         for start in self.in_flight.values_mut() {
             start.in_response = false;
         }
     }
 
-    /// Records the outcome of a direct command with these starts. The worker has reported
-    /// `highest_fencing_token`, below which it executes nothing.
-    pub(super) fn direct_ended(
+    /// Records the outcome of a direct command that contained these starts. The worker has
+    /// reported `highest_fencing_token` and executes no command with a lower one.
+    pub(super) fn record_direct_outcome(
         &mut self,
         attempts: &[AttemptId],
         outcome: CommandOutcome,
@@ -132,17 +135,18 @@
         }
     }
 
-    /// A start that may still arrive by a direct command with the present fencing token,
-    /// though `reason` says that it must not be executed.
-    pub fn to_be_revoked(
+    /// Finds a start that must be revoked now: it may still arrive by a direct command that
+    /// `fencing_token`, the current one, does not outrank, and `reason` returns why it must not
+    /// be executed.
+    pub fn find_revocation(
         &self,
         fencing_token: FencingToken,
         reason: impl Fn(&AttemptId) -> Option<RevocationReason>,
     ) -> Option<StartRevocation> {
-        self.open_direct(fencing_token).find_map(|(attempt, start)| {
+        self.pending_direct(fencing_token).find_map(|(attempt, start)| {
             let reason = reason(attempt)?;
-            // The outcome of most commands is known within milliseconds; only what belongs
-            // to a job that is over cannot wait for that.
+            // The outcome of most commands is known within milliseconds. Only starts of jobs
+            // that are done or cancelled cannot wait for it.
             (start.may_arrive_late || reason.is_urgent()).then(|| StartRevocation {
                 attempt: attempt.clone(),
                 revoked_fencing_token: start.fencing_token,
@@ -151,24 +155,25 @@
         })
     }
 
-    /// Whether any start may still arrive by a direct command, whatever its fencing token.
-    pub(crate) fn has_open_direct(&self) -> bool {
-        self.in_flight.values().any(|start| start.is_open_direct())
+    /// Whether any start may still arrive by a direct command with any fencing token.
+    pub(crate) fn has_pending_direct(&self) -> bool {
+        self.in_flight.values().any(|start| start.may_still_arrive_directly())
     }
 
-    /// Starts that may still arrive by direct commands which the fencing token does not
-    /// outrank.
-    pub(crate) fn open_direct(
+    /// Starts that may still arrive by direct commands, and that a worker which has received
+    /// only `fencing_token` would execute: their own token is not lower.
+    pub(crate) fn pending_direct(
         &self,
         fencing_token: FencingToken,
     ) -> impl Iterator<Item = (&AttemptId, &StartInFlight)> {
         self.in_flight.iter().filter(move |(_, start)| {
-            start.is_open_direct() && start.fencing_token >= fencing_token
+            start.may_still_arrive_directly() && start.fencing_token >= fencing_token
         })
     }
 
-    /// Whether a start has its capacity reserved and can be sent now, but was not.
+    /// Whether a start with reserved capacity is neither sent nor may still arrive, so that it
+    /// can be sent now.
     pub(crate) fn any_unsent(&self) -> bool {
-        self.in_flight.values().any(|start| !start.is_open())
+        self.in_flight.values().any(|start| !start.may_still_arrive())
     }
 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,15 +1,15 @@
-//! The machines of the shards that this process leads: heartbeats, the desired and the
-//! observed state of their tasks, and the commands that close the difference.
+//! Management of the machines in the shards that this process leads: heartbeats, the desired
+//! and observed state of their tasks, and the commands that reconcile the two.
 //!
-//! Owns what every shard desires on machines, what machines last reported, and where they
-//! are. It starts nothing whose placement is not stored, commands nothing without a fencing
-//! token, and answers no heartbeat while it may have missed cancellations. It does not decide
-//! where tasks go.
+//! Owns the desired state of every shard, the latest view of every machine, and the last
+//! known worker addresses. It starts no task before its placement is stored, sends no command
+//! without a fencing token, and answers no heartbeat while it may have missed cancellations.
+//! Where tasks are placed is decided by the scheduler.
 
 pub mod attempt;
 pub mod cancellation;
 pub mod machine;
-pub mod start_gate;
+pub mod start_permit;
 
 pub(crate) mod commands;
 pub(crate) mod desired_state;
@@ -37,26 +37,27 @@
 /// Desired and observed state of the machines.
 #[derive(Debug)]
 pub(crate) struct Machines {
-    /// What each shard desires on machines, by shard.
+    /// Last received desired state of each shard, indexed by shard number.
     desired: Vec<DesiredState>,
-    /// All machines as their shards' leaders last described them.
+    /// Latest view of each machine, as sent by the leader of its shard.
     views: BTreeMap<String, MachineView>,
     /// Machines of the shards that this process leads.
     managed: BTreeMap<String, ManagedMachine>,
-    /// Machines that the cloud has no more.
+    /// Machines that no longer exist in the cloud; the list is bounded.
     terminated: BTreeSet<String>,
     /// Jobs that failed on managed machines.
     failing_jobs: FailingJobs,
-    /// Where machines were that have sent no heartbeat here.
+    /// Last known addresses of machines that have not sent a heartbeat to this process.
     address_hints: BTreeMap<String, LastKnownWorker>,
-    /// Managed machines to be probed.
+    /// Machines waiting to be probed.
     pending_probes: BTreeSet<String>,
-    /// Unknown jobs on managed machines, and cancellations that peers may not know.
+    /// Unknown jobs on managed machines, and cancellations that peers may not have received.
     cancellations: Cancellations,
 }
 
 impl Machines {
-    /// Nothing is known of any machine, nor of what `shards` shards desire.
+    /// Creates an empty state: no machines, and an incomplete desired state for each of
+    /// `shards` shards.
     pub(crate) fn new(shards: usize) -> Machines {
         Machines {
             desired: vec![DesiredState::default(); shards],
@@ -70,22 +71,23 @@
         }
     }
 
-    /// What each shard desires on machines, by shard.
+    /// Last received desired state of each shard, indexed by shard number.
     pub(crate) fn desired(&self) -> &[DesiredState] {
         &self.desired
     }
 
-    /// Messages of a shard's desired state may have been lost: what is absent may be desired.
+    /// Marks a shard's desired state as incomplete, since updates may have been lost: a task
+    /// that is absent from it may still be desired.
     pub(crate) fn mark_desired_incomplete(&mut self, shard: usize) {
         self.desired[shard].mark_incomplete();
     }
 
-    /// All machines as their shards' leaders last described them, by name.
+    /// Latest view of each machine, by name, as sent by the leader of its shard.
     pub(crate) fn views(&self) -> &BTreeMap<String, MachineView> {
         &self.views
     }
 
-    /// A machine as its shard's leader last described it.
+    /// Latest view of a machine; `None` if none was received or the machine is terminated.
     pub(crate) fn view(&self, machine: &str) -> Option<&MachineView> {
         self.views.get(machine)
     }
@@ -100,26 +102,26 @@
         self.terminated.contains(machine)
     }
 
-    /// So many terminated machines, the last in the order of their names first.
+    /// At most `count` terminated machines, in descending order of their names.
     pub(crate) fn last_terminated(&self, count: usize) -> Vec<String> {
         self.terminated.iter().rev().take(count).cloned().collect()
     }
 
-    /// Nothing is known of these jobs, which may run on managed machines: their records are
-    /// to be read.
+    /// Queues jobs that may run on managed machines and whose stage is unknown, so that their
+    /// records are read from the key-value store.
     pub(crate) fn add_unknown_jobs(&mut self, jobs: Vec<String>) {
         self.cancellations.add_unknown(jobs);
     }
 
-    /// Forgets the machines of a shard, one of `shards`, that this process does not lead any
-    /// more.
+    /// Stops managing the machines of a shard that this process no longer leads. `shards` is
+    /// the total number of shards.
     pub(crate) fn forget_shard(&mut self, shard: usize, shards: usize) {
         self.managed.retain(|machine, _| shard_of_machine(machine, shards) != shard);
     }
 
-    /// Manages the machines of a shard that this process has just acquired and on which some
-    /// shard desires tasks: each is unknown until it sends a heartbeat under the new term, or
-    /// has been silent for a whole lease. Returns their names.
+    /// Starts to manage the machines of a newly acquired shard on which any shard desires
+    /// tasks, and returns their names. The state of each machine is unknown until it sends a
+    /// heartbeat under the new term, or has been silent for a whole lease.
     pub(crate) fn manage_shard(&mut self, is_in_shard: impl Fn(&str) -> bool) -> BTreeSet<String> {
         let desired = self.desired.iter().flat_map(|shard| shard.machines.iter());
         let machines: BTreeSet<String> = desired
--- a/src/controller/machines/probes.rs
+++ b/src/controller/machines/probes.rs
@@ -1,6 +1,6 @@
-//! Probes of machines of own shards: direct commands that order nothing, whose answers are
-//! heartbeats. They find what runs on the machines of a shard that was just acquired, and
-//! whether an unresponsive machine receives commands again.
+//! Probes of the machines of led shards: empty direct commands, which workers answer with a
+//! heartbeat. They show which tasks run on the machines of a newly acquired shard, and whether
+//! an unresponsive machine receives commands again.
 
 use crate::controller::Controller;
 use crate::controller::machines::Machines;
@@ -11,46 +11,49 @@
 use crate::wire::{DirectCommands, WorkerIncarnation};
 use std::net::SocketAddrV4;
 
-/// Probes sent in one turn at most: the failover of a large shard must not starve the rest.
-const MAX_PROBES_PER_TURN: usize = 16;
-/// Machines whose address is remembered at most.
+/// Maximum number of probes sent in one tick, so that the failover of a large shard does not
+/// starve other work.
+const MAX_PROBES_PER_TICK: usize = 16;
+/// Maximum number of machines whose last known address is kept.
 const MAX_ADDRESS_HINTS: usize = 10_000;
 
-/// Where a worker was when it was last heard of.
+/// Last known incarnation and address of a worker; both may be outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LastKnownWorker {
-    /// Its incarnation.
+    /// Incarnation to which the probe is addressed.
     pub(crate) incarnation: WorkerIncarnation,
-    /// Its address for direct commands.
+    /// Address for direct commands.
     pub(crate) address: SocketAddrV4,
 }
 
-/// A machine that is to be probed.
+/// A machine to be probed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ProbeTarget {
-    /// Name.
+    /// Name of the machine.
     pub(crate) machine: String,
-    /// Its worker.
+    /// Worker to which the probe is sent.
     pub(crate) last_known: LastKnownWorker,
 }
 
 impl ManagedMachine {
-    /// Where a probe of this machine goes; `None` if its address is not known.
+    /// Target for a probe of this machine; `None` if its address is not known.
     pub(super) fn probe_target(&self, machine: &str) -> Option<ProbeTarget> {
         let last_known =
             LastKnownWorker { incarnation: self.incarnation, address: self.description.address? };
         Some(ProbeTarget { machine: machine.to_string(), last_known })
     }
 
-    /// Whether nothing was heard of it under this term, and nothing is under way that will
-    /// be answered.
+    /// Whether no heartbeat was received from it under this term, and no direct command is in
+    /// flight whose answer would be one.
     fn needs_probe(&self) -> bool {
         !self.heartbeat_under_term && self.last_heartbeat_at.is_none() && !self.direct_in_flight
     }
 }
 
 impl Machines {
-    /// Records where a peer last knew a machine to be.
+    /// Records the last address that a peer has observed for a machine, and queues a probe.
+    /// Does nothing if the machine is terminated or has sent a heartbeat to this process
+    /// itself, if its name is too long, or if too many hints are stored.
     pub(crate) fn apply_address_hint(&mut self, hint: AddressHint) {
         let managed = self.managed.get(&hint.machine);
         if managed.is_some_and(|managed| managed.last_heartbeat_at.is_some())
@@ -68,8 +71,8 @@
         }
     }
 
-    /// Plans probes of the machines of a shard that was just acquired, where their addresses
-    /// are known: from the views of the earlier leader, or from a peer that had received them.
+    /// Queues probes of the machines of a newly acquired shard whose addresses are known, from
+    /// the views of the earlier leader or from a peer that received those views.
     pub(crate) fn plan_probes(&mut self, is_in_shard: impl Fn(&str) -> bool) {
         for view in self.views.values().filter(|view| !view.address.is_empty()) {
             if let Ok(address) = view.address.parse() {
@@ -82,7 +85,9 @@
         self.pending_probes.extend(of_shard.cloned());
     }
 
-    /// Takes the address of a machine that is to be probed now, and manages it.
+    /// Removes and returns the address hint of a machine that is about to be probed, and starts
+    /// to manage the machine. `None` if there is no hint, the machine is terminated, or the
+    /// probe is no longer needed.
     fn take_probe(&mut self, machine: &str) -> Option<LastKnownWorker> {
         let last_known = self.address_hints.remove(machine)?;
         if self.terminated.contains(machine) {
@@ -94,22 +99,23 @@
 }
 
 impl Controller {
-    /// Probes machines of a shard that was just acquired. They would send a heartbeat within
-    /// their interval only, and a second one under the new term before anything may be sent
-    /// to them.
+    /// Probes machines of newly acquired shards. Without a probe, this process would have to
+    /// wait for a machine's next regular heartbeat, and then for another one under the new
+    /// term, before it may send commands to it.
     pub(crate) fn send_probes(&mut self) {
         if !self.holds_lease() {
             return;
         }
         let mut sent = 0;
-        while sent < MAX_PROBES_PER_TURN
+        while sent < MAX_PROBES_PER_TICK
             && let Some(machine) = self.machines.pending_probes.pop_first()
         {
             if self.leading_term(self.shard_of_machine(&machine)).is_none() {
-                // Kept among the hints until the shard is acquired.
+                // Its address hint stays until this process acquires the shard.
                 continue;
             }
-            // The incarnation is not adopted: what it is now, the answer says.
+            // The hinted incarnation only addresses the probe. The current one is taken from
+            // the answer.
             if let Some(last_known) = self.machines.take_probe(&machine) {
                 self.send_probe(&machine, last_known);
                 sent += 1;
@@ -117,7 +123,8 @@
         }
     }
 
-    /// Sends commands that order nothing: the answer shows that it receives commands.
+    /// Sends an empty direct command to a machine. An answer shows that the machine receives
+    /// commands. Does nothing if another direct command is in flight.
     pub(crate) fn send_probe(&mut self, machine: &str, last_known: LastKnownWorker) {
         let Some(term) = self.leading_term(self.shard_of_machine(machine)) else {
             return;
--- a/src/controller/machines/quarantine.rs
+++ b/src/controller/machines/quarantine.rs
@@ -1,30 +1,31 @@
-//! Machines that fail what they start: they are set apart from those whose jobs fail
-//! everywhere.
+//! Detection of faulty machines, as distinct from machines whose jobs fail everywhere.
 
 use crate::controller::Controller;
 use crate::controller::jobs::stage_cache::StageCache;
 use crate::controller::machines::Machines;
 use crate::controller::machines::machine::health::FailureRecord;
-use crate::controller::machines::machine::heartbeat_intake::TaskOutcome;
+use crate::controller::machines::machine::heartbeat::TaskOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Failures since the last success, of jobs that complete elsewhere, or so many jobs that
-/// fail nowhere else, for which a machine is put in quarantine.
+/// A machine is put in quarantine if, since its last success, it had this number of failures
+/// of jobs that complete elsewhere, or failed this number of jobs that fail nowhere else.
 const MIN_QUARANTINE_FAILURES: u32 = 3;
-/// Machines remembered of each failing job: two show that it fails elsewhere, too.
+/// Maximum number of machines recorded per failing job. Two are enough to show that the job
+/// also fails elsewhere.
 const MAX_MACHINES_OF_FAILING_JOB: usize = 2;
-/// Failing jobs remembered at most.
+/// Maximum number of failing jobs recorded.
 const MAX_FAILING_JOBS: usize = 2_000;
 
-/// On which machines jobs have failed, a few of each job.
+/// Machines on which each job has failed; the number of jobs and of machines is bounded.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FailingJobs {
     machines_by_job: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl FailingJobs {
-    /// Remembers that a job failed on a machine. Where there are too many jobs, those that
-    /// are over by `stages` make way, or that are not known there.
+    /// Records that a job failed on a machine. If too many jobs are recorded, those that are
+    /// done, cancelled or absent in `stages` are dropped. If that frees no place, the failure
+    /// is not recorded.
     fn record(&mut self, job: String, machine: &str, stages: &StageCache) {
         if self.machines_by_job.len() >= MAX_FAILING_JOBS {
             self.machines_by_job.retain(|job, _| stages.is_unfinished(job));
@@ -37,16 +38,16 @@
         }
     }
 
-    /// Whether a job is known to have failed on several machines.
-    fn fails_on_several(&self, job: &str) -> bool {
+    /// Whether the job is recorded to have failed on more than one machine.
+    fn failed_on_several_machines(&self, job: &str) -> bool {
         self.machines_by_job.get(job).is_some_and(|machines| machines.len() > 1)
     }
 
-    /// Whether a machine's failures since its last success are its own: of jobs
-    /// that complete elsewhere, or of several that fail nowhere else. A job with a
-    /// mistake fails everywhere and says nothing of its machines. `completes` says whether
-    /// any task of a job has completed.
-    pub(crate) fn demand_quarantine(
+    /// Whether a machine's failures since its last success are attributed to the machine: they
+    /// are of jobs that complete elsewhere, or of several jobs that fail nowhere else. A faulty
+    /// job fails on every machine and is no evidence against any of them. `completes` returns
+    /// whether any task of a job has completed.
+    pub(crate) fn requires_quarantine(
         &self,
         failures: &FailureRecord,
         completes: impl Fn(&str) -> bool,
@@ -56,7 +57,8 @@
             return false;
         }
         let of_completing: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
-        let only_here = jobs.keys().filter(|j| completes(j) || !self.fails_on_several(j)).count();
+        let only_here =
+            jobs.keys().filter(|j| completes(j) || !self.failed_on_several_machines(j)).count();
         of_completing >= MIN_QUARANTINE_FAILURES || only_here >= MIN_QUARANTINE_FAILURES as usize
     }
 }
@@ -68,12 +70,12 @@
             match outcome {
                 TaskOutcome::Completed => {
                     if let Some(managed) = managed {
-                        managed.failures.completed();
+                        managed.failures.record_success();
                     }
                 }
                 TaskOutcome::Failed { job } => {
                     if let Some(managed) = managed {
-                        managed.failures.failed(&job);
+                        managed.failures.record_failure(&job);
                     }
                     self.failing_jobs.record(job, machine, stages);
                 }
@@ -83,7 +85,7 @@
 }
 
 impl Controller {
-    /// Records which tasks of a machine have ended.
+    /// Records tasks that completed or failed on a machine, for its quarantine.
     pub(crate) fn record_outcomes(&mut self, machine: &str, outcomes: Vec<TaskOutcome>) {
         self.machines.record_outcomes(machine, outcomes, &self.jobs.stage_cache);
     }
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -1,5 +1,5 @@
-//! What is to be done on one machine: the difference between what all shards desire there
-//! and what its newest heartbeat says.
+//! Reconciliation of one machine: the commands that bring the tasks in its newest heartbeat in
+//! line with the desired state of all shards.
 
 use crate::controller::autoscaler::machine_types::MachineTypeCatalogue;
 use crate::controller::decision_log;
@@ -11,7 +11,7 @@
 use crate::controller::machines::machine::ManagedMachine;
 use crate::controller::machines::machine::starts::StartInFlight;
 use crate::controller::machines::remaining_capacity::RemainingCapacity;
-use crate::controller::machines::start_gate::{
+use crate::controller::machines::start_permit::{
     CommandAuthority, CommandRoute, JobEvidence, RevocationReason, StartPermit, StartRefusal,
     StartViolation,
 };
@@ -22,25 +22,26 @@
 use log::{debug, info};
 use std::collections::BTreeSet;
 
-/// What reconciliation rests on beside the machine itself.
+/// Inputs of reconciliation other than the machine itself.
 #[derive(Clone, Copy)]
 pub(crate) struct ReconcileInputs<'a> {
-    /// What each shard desires on machines, by shard.
+    /// Last received desired state of each shard, indexed by shard number.
     pub(crate) desired: &'a [DesiredState],
-    /// All shards, by number, with their terms.
+    /// All shards with their terms, indexed by shard number.
     pub(crate) shards: &'a [Shard],
-    /// What is known of jobs' stages, by job.
+    /// Last known stages of jobs.
     pub(crate) stages: &'a StageCache,
     /// All machine types.
     pub(crate) machine_types: &'a MachineTypeCatalogue,
 }
 
 impl ReconcileInputs<'_> {
-    /// Whether everything that the job's shard desires on machines of a shard has been
-    /// received: only then does a task's absence from the desired state mean that it is not
-    /// desired. What was received before the machine's shard changed its leader is no longer
-    /// all: the task's owner may have had more begun there through the earlier leader.
-    fn knows_all_desired(&self, job: &str, machine_shard: usize) -> bool {
+    /// Whether the desired state of the job's shard, or of all shards if that one is unknown,
+    /// is complete for the machines of `machine_shard`. Only then does the absence of a task
+    /// mean that it is not desired. A state that was sent before the machine's shard changed
+    /// its leader does not count as complete: the task's owner may have had further tasks
+    /// started there through the earlier leader.
+    fn has_complete_desired_state(&self, job: &str, machine_shard: usize) -> bool {
         let term = self.shards[machine_shard].term;
         let is_complete = |shard: usize| {
             self.desired[shard].is_complete_for(self.shards[shard].term, machine_shard, term)
@@ -52,34 +53,36 @@
     }
 }
 
-/// A task that some shard desires on the machine, and whether it may be started now.
+/// A task that some shard desires on the machine, with the permit to start it now or the
+/// reason why it may not be started.
 struct DesiredStart<'a> {
     task: &'a DesiredTask,
     permit: Result<StartPermit<'a>, StartRefusal>,
 }
 
-/// What reconciliation has concluded.
+/// Result of reconciling a machine.
 #[derive(Default)]
 pub(crate) struct ReconcileOutcome {
-    /// Commands that close the difference.
+    /// Commands that bring the machine in line with the desired state.
     pub(crate) commands: Vec<Command>,
-    /// Starts that were not formed since they would have broken a rule.
+    /// Rules that starts would have broken; these starts are not among the commands.
     pub(crate) violations: Vec<StartViolation>,
 }
 
-/// What is desired on one machine and known of the jobs there.
+/// Reconciles one machine with the desired state of all shards and the last known stages of its
+/// jobs.
 pub(crate) struct Reconciler<'a> {
     machine: &'a str,
     authority: CommandAuthority,
     desired: Vec<DesiredStart<'a>>,
-    /// Attempts of which it is certain that no shard desires them here.
+    /// Attempts on the machine that definitely no shard desires there.
     undesired: BTreeSet<AttemptId>,
-    /// What the machine has, if its type is known.
+    /// Total resources of the machine; `None` if its type is unknown.
     size: Option<Resources>,
     stages: &'a StageCache,
 }
 
-/// A start that is permitted, of an attempt that is not on the machine.
+/// A permitted start of an attempt that is not on the machine.
 struct PermittedStart<'a> {
     attempt: AttemptId,
     permit: &'a StartPermit<'a>,
@@ -89,7 +92,7 @@
 /// How and why an attempt on the machine is stopped.
 #[derive(Debug, Clone, Copy)]
 struct StopDecision {
-    /// How much time it has to save a checkpoint.
+    /// Time that the task has to save a checkpoint.
     grace: Micros,
     reason: StopReason,
 }
@@ -97,24 +100,24 @@
 /// Why an attempt on the machine is stopped.
 #[derive(Debug, Clone, Copy)]
 enum StopReason {
-    /// Its owner desires that it stops.
+    /// The task's owner desires that it stops.
     OwnerRequested,
-    /// No shard desires it here.
+    /// No shard desires the attempt on this machine.
     DesiredByNoShard,
-    /// Its job is cancelled.
+    /// The task's job is cancelled.
     Cancelled,
 }
 
 impl StopDecision {
-    /// Without time to save a checkpoint.
-    fn at_once(reason: StopReason) -> StopDecision {
+    /// Stops the task without time to save a checkpoint.
+    fn without_grace(reason: StopReason) -> StopDecision {
         StopDecision { grace: Micros::ZERO, reason }
     }
 }
 
 impl<'a> Reconciler<'a> {
-    /// Gathers what is desired on a machine. It has few tasks, and this is computed at
-    /// every heartbeat.
+    /// Collects the desired tasks of a machine, with a permit or refusal for each. This runs at
+    /// every heartbeat; the linear searches are cheap, since a machine has few tasks.
     pub(crate) fn collect(
         inputs: ReconcileInputs<'a>,
         machine: &'a str,
@@ -126,7 +129,9 @@
             |a: &AttemptId| on_machine().any(|m| m.tasks.iter().any(|t| a.identifies(t)));
         let undesired = managed
             .attempts()
-            .filter(|a| !is_desired(a) && inputs.knows_all_desired(&a.job, authority.shard))
+            .filter(|a| {
+                !is_desired(a) && inputs.has_complete_desired_state(&a.job, authority.shard)
+            })
             .cloned()
             .collect();
         let machine_type = inputs.machine_types.get(&managed.description.machine_type);
@@ -148,7 +153,7 @@
         self.stages.is_cancelled(job)
     }
 
-    /// Why a start that may still arrive must not be executed any more; `None` if it may be.
+    /// Why a start that may still arrive must no longer be executed; `None` if it may be.
     pub(crate) fn revocation_reason(&self, attempt: &AttemptId) -> Option<RevocationReason> {
         let stage = self.stages.stage(&attempt.job);
         if stage.is_some_and(|stage| stage != StoredStage::Accepted) {
@@ -156,40 +161,43 @@
         }
         match self.find(attempt) {
             Some(desired) => {
-                let refusal = desired.permit.err().filter(|refusal| refusal.revokes());
+                let refusal = desired.permit.err().filter(|refusal| refusal.requires_revocation());
                 refusal.map(RevocationReason::Refused)
             }
             None => self.undesired.contains(attempt).then_some(RevocationReason::DesiredByNoShard),
         }
     }
 
-    /// Jobs with tasks on the machine of which nothing is known from the store.
+    /// Jobs with tasks on the machine whose stage is not cached.
     pub(crate) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
         let jobs = managed.present_tasks().map(|attempt| &attempt.job);
         jobs.filter(|job| !self.stages.contains(job)).cloned().collect()
     }
 
-    /// The commands that close the difference. The capacity for what they start is reserved,
-    /// and the starts are in flight from now on.
+    /// Computes the commands that bring the machine in line with the desired state. Reserves
+    /// capacity for the tasks that they start and records these starts as in flight.
     pub(crate) fn reconcile(
         &self,
         managed: &mut ManagedMachine,
         route: CommandRoute,
     ) -> ReconcileOutcome {
-        let mut outcome =
-            ReconcileOutcome { commands: self.stops(managed, route), violations: Vec::new() };
+        let mut outcome = ReconcileOutcome {
+            commands: self.stop_commands(managed, route),
+            violations: Vec::new(),
+        };
         self.drop_obsolete_starts(managed);
-        self.starts(managed, route, &mut outcome);
+        self.add_start_commands(managed, route, &mut outcome);
         outcome
     }
 
-    /// Stops, and removals of what has ended.
-    fn stops(&self, managed: &mut ManagedMachine, route: CommandRoute) -> Vec<Command> {
+    /// Commands to stop tasks, and to forget ended ones.
+    fn stop_commands(&self, managed: &mut ManagedMachine, route: CommandRoute) -> Vec<Command> {
         let in_response = route == CommandRoute::HeartbeatResponse;
         let mut commands = Vec::new();
         for (attempt, observed) in &managed.tasks {
             if observed.over() {
-                // If it were forgotten, a start of it that may still arrive would run it anew.
+                // If the worker forgot the attempt, a start that may still arrive would run it
+                // again.
                 let forget = in_response
                     && self.undesired.contains(attempt)
                     && !managed.starts.may_start_again.contains_key(attempt);
@@ -205,7 +213,7 @@
             let Some(stop) = self.stop_decision(attempt, *observed, route) else {
                 continue;
             };
-            // Direct commands say it once; responses to heartbeats repeat it.
+            // A stop is sent once by direct command, and repeated in heartbeat responses.
             if in_response || managed.stops_sent.insert(attempt.clone()) {
                 self.log_stop(attempt, stop.reason);
                 commands.push(Command::Stop {
@@ -218,7 +226,7 @@
         commands
     }
 
-    /// Whether and how an attempt that is on the machine is to be stopped.
+    /// How and why an attempt on the machine is to be stopped; `None` if it is not.
     fn stop_decision(
         &self,
         attempt: &AttemptId,
@@ -226,7 +234,7 @@
         route: CommandRoute,
     ) -> Option<StopDecision> {
         if let Some(desired) = self.find(attempt) {
-            // Its owner may be disconnected, or not know of the cancellation yet.
+            // The owner may be disconnected, or may not have received the cancellation yet.
             let (stop_ms, reason) = match self.is_cancelled(&attempt.job) {
                 true => (Some(0), StopReason::Cancelled),
                 false => (desired.task.stop_ms, StopReason::OwnerRequested),
@@ -236,28 +244,30 @@
             return Some(StopDecision { grace: Micros::millis(stop_ms), reason });
         }
         if self.undesired.contains(attempt) {
-            // Not urgent: it waits for the response to a heartbeat.
+            // This is not urgent and waits for the response to a heartbeat.
             return (route == CommandRoute::HeartbeatResponse)
-                .then_some(StopDecision::at_once(StopReason::DesiredByNoShard));
+                .then_some(StopDecision::without_grace(StopReason::DesiredByNoShard));
         }
-        self.is_cancelled(&attempt.job).then_some(StopDecision::at_once(StopReason::Cancelled))
+        self.is_cancelled(&attempt.job)
+            .then_some(StopDecision::without_grace(StopReason::Cancelled))
     }
 
-    /// Forgets starts that are not desired any more, or are to be stopped before they began,
-    /// once no command with them can arrive.
+    /// Drops starts that are no longer desired, or whose task is to be stopped before it
+    /// began, once no command with them can arrive any more.
     fn drop_obsolete_starts(&self, managed: &mut ManagedMachine) {
         let is_obsolete = |attempt: &AttemptId| {
             self.undesired.contains(attempt)
                 || self.find(attempt).is_some_and(|desired| desired.permit.is_err())
         };
         let starts = &mut managed.starts;
-        starts.in_flight.retain(|attempt, start| start.is_open() || !is_obsolete(attempt));
+        starts.in_flight.retain(|attempt, start| start.may_still_arrive() || !is_obsolete(attempt));
         starts.refused.retain(|attempt| !self.undesired.contains(attempt));
         starts.waiting.retain(|attempt| !is_obsolete(attempt));
     }
 
-    /// Starts of what may be started and is not there, the most urgent first.
-    fn starts(
+    /// Adds commands to start the permitted attempts that are not on the machine, the most
+    /// urgent first.
+    fn add_start_commands(
         &self,
         managed: &mut ManagedMachine,
         route: CommandRoute,
@@ -274,7 +284,7 @@
             let Some(start) = managed.starts.in_flight.get_mut(attempt) else {
                 continue;
             };
-            if route == CommandRoute::Direct && start.is_open() {
+            if route == CommandRoute::Direct && start.may_still_arrive() {
                 continue;
             }
             match permit.command(self.machine, attempt, route) {
@@ -294,7 +304,8 @@
         }
     }
 
-    /// What may be started, is not there and was not refused, the most urgent first.
+    /// Permitted starts of attempts that are not on the machine and were not refused for lack
+    /// of capacity, the most urgent first.
     fn permitted_starts(&self, managed: &ManagedMachine) -> Vec<PermittedStart<'_>> {
         let mut starts: Vec<PermittedStart<'_>> = self
             .desired
@@ -314,7 +325,7 @@
         starts
     }
 
-    /// Reserves the capacity for a start; false if it has to wait or is refused.
+    /// Reserves the capacity for a start. Returns false if the start has to wait or is refused.
     fn reserve(
         &self,
         managed: &mut ManagedMachine,
@@ -323,13 +334,13 @@
         task: &DesiredTask,
     ) -> bool {
         let fits = capacity.fits(task);
-        if capacity.unknown || (!fits && capacity.more_to_come) {
+        if capacity.unknown || (!fits && capacity.stops_pending) {
             managed.starts.waiting.insert(attempt.clone());
             return false;
         }
         managed.starts.waiting.remove(attempt);
         if !fits {
-            debug!("machine {}: no capacity for {}", self.machine, attempt.task_name());
+            debug!("machine {}: no capacity to start {}", self.machine, attempt.task_name());
             managed.starts.refused.insert(attempt.clone());
             return false;
         }
@@ -338,16 +349,16 @@
         true
     }
 
-    /// What is free beside what is there and what was sent.
+    /// Free capacity of the machine beside its tasks and the starts in flight.
     fn remaining_capacity(&self, managed: &ManagedMachine) -> RemainingCapacity {
         let mut capacity = RemainingCapacity::of_empty_machine(self.size);
         for attempt in managed.present_tasks().chain(managed.starts.in_flight.keys()) {
             match self.find(attempt) {
                 Some(desired) => {
-                    capacity.more_to_come |= desired.task.stop_ms.is_some();
+                    capacity.stops_pending |= desired.task.stop_ms.is_some();
                     capacity.subtract(desired.task);
                 }
-                // How much it takes is not known: nothing is added until it has ended.
+                // The task's resources are not known: no task is added until it has ended.
                 None => capacity.unknown = true,
             }
         }
@@ -356,13 +367,17 @@
 
     fn log_stop(&self, attempt: &AttemptId, reason: StopReason) {
         if matches!(reason, StopReason::DesiredByNoShard) {
-            info!("machine {}: no shard desires {} there", self.machine, attempt.task_name());
+            info!(
+                "machine {}: stopping {}: no shard desires it there",
+                self.machine,
+                attempt.task_name()
+            );
         }
         decision_log::stop(self.authority.evidence(self.machine), attempt, reason);
     }
 }
 
-/// The tasks that are desired on a machine, each with whether it may be started.
+/// The tasks that all shards desire on a machine, each with a permit or refusal to start it.
 fn desired_starts<'a>(
     inputs: ReconcileInputs<'a>,
     machine: &str,
--- a/src/controller/machines/remaining_capacity.rs
+++ b/src/controller/machines/remaining_capacity.rs
@@ -1,35 +1,36 @@
-//! What a machine has free for tasks that are to be started there.
+//! Free capacity of a machine for further starts.
 
 use crate::peer::DesiredTask;
 use crate::resources::{Resources, TOLERANCE};
 
-/// What is free on a machine beside the tasks that it has or was sent.
+/// Capacity of a machine that is left beside the tasks that run there or are being started.
 pub(crate) struct RemainingCapacity {
     free: Resources,
-    /// Tasks that are being stopped will free more.
-    pub(crate) more_to_come: bool,
-    /// It is not known how much is free.
+    /// Tasks on the machine are being stopped and will free more capacity.
+    pub(crate) stops_pending: bool,
+    /// The machine's type or the resources of a task on it are not known, so neither is the
+    /// free capacity.
     pub(crate) unknown: bool,
 }
 
 impl RemainingCapacity {
-    /// All of a machine of this size; `None` if its type is not known.
+    /// Capacity of a machine without tasks. `size` is `None` if the machine type is unknown.
     pub(crate) fn of_empty_machine(size: Option<Resources>) -> RemainingCapacity {
         RemainingCapacity {
             free: size.unwrap_or_default(),
-            more_to_come: false,
+            stops_pending: false,
             unknown: size.is_none(),
         }
     }
 
-    /// Whether a task fits beside all that was subtracted.
+    /// Whether a task fits into the capacity that is left.
     pub(crate) fn fits(&self, task: &DesiredTask) -> bool {
         self.free.cpus + TOLERANCE >= task.cpus
             && self.free.gpus + TOLERANCE >= task.gpus
             && self.free.memory_gb + TOLERANCE >= task.memory_gb
     }
 
-    /// Subtracts what a task takes.
+    /// Subtracts the resources of a task.
     pub(crate) fn subtract(&mut self, task: &DesiredTask) {
         self.free -= Resources::from(&*task.shape);
     }
--- a/src/controller/machines/start_gate.rs
+++ b/src/controller/machines/start_permit.rs
@@ -1,9 +1,10 @@
-//! The only place that forms the command to start a task.
+//! Permits to start tasks, and the only place that creates start commands.
 //!
-//! A start is formed from a [`StartPermit`], and that only comes from the authority of the
-//! leader of the machine's shard and what is known of the task and its job. What is wrong
-//! with a permit that has been granted is a fault of this program: it is logged with the
-//! evidence and the start is not sent.
+//! A start command is created from a [`StartPermit`], which [`CommandAuthority::permit_start`]
+//! grants on the authority of the leader of the machine's shard, the desired task, and the
+//! last known stage of its job. A granted permit that turns out to be invalid when it is used
+//! is a bug in this program: the violation is logged with its evidence, and the start is not
+//! sent.
 
 use crate::controller::decision_log::{self, CommandEvidence, DecisionCounts};
 use crate::controller::jobs::job::StoredStage;
@@ -15,16 +16,16 @@
 /// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandRoute {
-    /// In the response to a heartbeat: everything that is still to be done.
+    /// In the response to a heartbeat, with all commands that are still to be executed.
     HeartbeatResponse,
-    /// Straight to the worker: only what has not been sent yet.
+    /// In a request to the worker, with only the commands that have not been sent yet.
     Direct,
 }
 
-/// What the leader of a machine's shard may act on at present, towards this machine.
+/// Authority of the leader of a machine's shard to command this machine at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandAuthority {
-    /// The time at which it is used.
+    /// Time at which the authority is used, by this process's clock.
     pub now: Micros,
     /// Shard of the machine.
     pub shard: usize,
@@ -34,48 +35,51 @@
     pub fencing_token: FencingToken,
     /// Incarnation of the machine's worker.
     pub incarnation: WorkerIncarnation,
-    /// Until when this process's lease is surely valid, by its own clock.
+    /// Until when this process's controller lease is guaranteed to be valid, by its own clock.
     pub lease_until: Micros,
-    /// Whether every cancellation that was confirmed long enough ago is known.
+    /// Whether this process has received every cancellation that was confirmed longer ago than
+    /// the permitted lag.
     pub cancellations_known: bool,
 }
 
-/// What is known of a job from the key-value store, as far as starts depend on it.
+/// Last known stage of a job, on which the permission of starts depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobEvidence {
-    /// Stage.
+    /// Stage in the key-value store.
     pub stage: StoredStage,
-    /// Revision of the job's record that says so; 0 if a peer said it.
+    /// Revision of the job's record with this stage; 0 if a peer reported the stage.
     pub revision: u64,
 }
 
 /// Why a task that a shard desires on a machine may not be started there now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
-    /// A start that is not stored could run beside the next attempt after a failover.
+    /// The placement is not stored, or the attempt has ended. A start whose placement is not
+    /// stored could run beside the next attempt after a failover.
     #[error("the placement is not stored yet, or the attempt has ended")]
     NotDesired,
-    /// The task is to be stopped.
+    /// The task's owner desires that it stops.
     #[error("the task is to be stopped")]
     StopRequested,
-    /// An earlier leader of the machine's shard may have refused the task, and its owner may
-    /// have begun it elsewhere since.
-    #[error("the task's owner did not know the present term of the machine's shard")]
+    /// The task's owner sent its desired state before it knew the current term of the machine's
+    /// shard. An earlier leader of that shard may have refused the task, and the owner may have
+    /// started it elsewhere since.
+    #[error("the task's owner did not know the current term of the machine's shard")]
     OwnerUnawareOfTerm,
     /// The task was placed in another incarnation of the machine.
     #[error("the task was placed in another incarnation of the machine")]
     OtherIncarnation,
-    /// The job is known to be cancelled or done.
+    /// The last known stage of the job is done or cancelled.
     #[error("the job is known to be cancelled or done")]
     JobOver,
-    /// Cancellations may have been missed.
+    /// This process may have missed cancellations, so the job may be cancelled.
     #[error("cancellations may have been missed")]
     CancellationsUnknown,
 }
 
 impl StartRefusal {
-    /// Whether a start of the task that may still arrive must be revoked.
-    pub fn revokes(self) -> bool {
+    /// Whether this refusal requires that a start of the task that may still arrive is revoked.
+    pub fn requires_revocation(self) -> bool {
         match self {
             StartRefusal::NotDesired | StartRefusal::StopRequested | StartRefusal::JobOver => true,
             StartRefusal::OwnerUnawareOfTerm
@@ -90,24 +94,25 @@
 pub enum RevocationReason {
     /// It is certain that no shard desires the attempt on this machine.
     DesiredByNoShard,
-    /// It would be refused if it were decided now.
+    /// The start would be refused if it were decided now.
     Refused(StartRefusal),
 }
 
 impl RevocationReason {
-    /// Whether it cannot wait for the outcome of a command that has just been sent.
+    /// Whether the start must be revoked at once, without waiting for the outcome of a direct
+    /// command that is in flight.
     pub fn is_urgent(self) -> bool {
         self == RevocationReason::Refused(StartRefusal::JobOver)
     }
 }
 
-/// A rule of this program that a start would break.
+/// A safety rule that a start would break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartViolation {
-    /// Another process may lead the shard.
+    /// The controller lease has expired: another process may lead the shard.
     #[error("this process's lease has expired by its clock")]
     LeaseExpired,
-    /// The fencing token fences nothing.
+    /// The fencing token is below the term and would not fence commands of earlier leaders.
     #[error("the fencing token is below the term")]
     FencingTokenBelowTerm,
     /// The permit was given for another attempt.
@@ -115,33 +120,34 @@
     OtherAttempt,
 }
 
-/// Something that this program must never do, found before it was done.
+/// An action that this program must never take, detected before it was taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CommandViolation {
     /// A start would break a rule.
     #[error("start: {0}")]
     Start(#[from] StartViolation),
-    /// An answer would renew a worker's lease while a start of a job that is over may arrive.
-    #[error("an answer to a worker to which a start of a job that is over may arrive")]
+    /// A heartbeat response would renew the lease of a worker at which a start of a job that is
+    /// done or cancelled may still arrive.
+    #[error("a heartbeat response to a worker that may still receive a start of an ended job")]
     OpenStartOfEndedJob,
 }
 
-/// The permit to start one attempt on one machine, with what it rests on.
+/// Permit to start one attempt on one machine, with the evidence on which it was granted.
 #[derive(Debug, Clone, Copy)]
 pub struct StartPermit<'a> {
     authority: CommandAuthority,
     task: &'a DesiredTask,
-    /// Term of the machine's shard that the task's owner knew.
+    /// Term of the machine's shard that the task's owner knew when it sent its desired state.
     owner_known_term: u64,
     job: Option<JobEvidence>,
 }
 
 impl CommandAuthority {
-    /// Whether a desired task may be started; `owner_known_term` is the term of the
+    /// Grants the permit to start a desired task. `owner_known_term` is the term of the
     /// machine's shard that the task's owner knew when it sent its desired state.
     ///
     /// # Errors
-    /// The first reason that is found against it.
+    /// The first reason found why the task may not be started.
     pub fn permit_start<'a>(
         &self,
         task: &'a DesiredTask,
@@ -169,7 +175,7 @@
         Ok(StartPermit { authority: *self, task, owner_known_term, job })
     }
 
-    /// The rule that acting on this authority would break at all, if any.
+    /// The rule that any action under this authority would break, if any.
     fn violation(&self) -> Option<StartViolation> {
         if self.now >= self.lease_until {
             Some(StartViolation::LeaseExpired)
@@ -180,7 +186,7 @@
         }
     }
 
-    /// What every log line about commands to the machine says of this authority.
+    /// The fields of this authority that every log line about commands to the machine carries.
     pub(crate) fn evidence<'a>(&self, machine: &'a str) -> CommandEvidence<'a> {
         CommandEvidence {
             machine,
@@ -191,8 +197,8 @@
         }
     }
 
-    /// A decision would break a rule and was not carried out: it is counted and logged with
-    /// its evidence, and tests fail.
+    /// Counts and logs a decision that would have broken a rule and was not carried out. Panics
+    /// in debug builds, so that tests fail.
     pub(crate) fn record_violation(
         &self,
         counts: &mut DecisionCounts,
@@ -206,10 +212,11 @@
 }
 
 impl StartPermit<'_> {
-    /// The command to start this very attempt.
+    /// Creates the command to start the permitted attempt. `attempt` must be the one for which
+    /// the permit was granted.
     ///
     /// # Errors
-    /// The rule that the start would break; then it must not be sent.
+    /// The rule that the start would break; the start must not be sent then.
     pub fn command(
         &self,
         machine: &str,
--- a/src/controller/machines/terminations.rs
+++ b/src/controller/machines/terminations.rs
@@ -1,21 +1,21 @@
-//! Machines that are terminated for good, with everything on them.
+//! Terminated machines: all their tasks are lost, and they never come back.
 
 use super::Machines;
 use crate::controller::Controller;
 use log::info;
 
-/// Terminated machines that are remembered.
+/// Maximum number of terminated machines kept in memory.
 const MAX_TERMINATED_MACHINES: usize = 5_000;
 
 impl Machines {
-    /// Notes that a machine is terminated and forgets what is known of it; false if it was
-    /// known to be terminated before.
-    fn note_terminated(&mut self, machine: &str) -> bool {
+    /// Records that a machine is terminated and drops its state. Returns false if it was
+    /// already recorded.
+    fn mark_terminated(&mut self, machine: &str) -> bool {
         if !self.terminated.insert(machine.to_string()) {
             return false;
         }
         while self.terminated.len() > MAX_TERMINATED_MACHINES {
-            // Names rise with time, so the first is the oldest.
+            // Machine names ascend with time, so the first one is the oldest.
             self.terminated.pop_first();
         }
         self.managed.remove(machine);
@@ -25,9 +25,9 @@
 }
 
 impl Controller {
-    /// A machine is known to be terminated: all tasks on it are lost.
+    /// Handles the termination of a machine: all tasks on it are lost.
     pub(crate) fn machine_terminated(&mut self, machine: &str) {
-        if !self.machines.note_terminated(machine) {
+        if !self.machines.mark_terminated(machine) {
             return;
         }
         info!("machine {machine} is terminated");
--- a/src/controller/machines/view_updates.rs
+++ b/src/controller/machines/view_updates.rs
@@ -1,12 +1,12 @@
-//! Views of machines, own and of other shards, and what follows from them.
+//! Applies machine views, from this process and from peers.
 
 use super::Machines;
 use crate::controller::Controller;
 use crate::peer::{MachineView, ObservedState};
 
 impl Machines {
-    /// Whether a view is newer than what is known; `term` is the present term of the
-    /// machine's shard.
+    /// Whether a view is newer than the stored one. `term` is the current term of the machine's
+    /// shard.
     fn is_newer_view(&self, view: &MachineView, term: u64) -> bool {
         if self.terminated.contains(&view.machine) || view.term < term {
             return false;
@@ -15,12 +15,12 @@
         old.is_none_or(|old| (view.term, view.seq) > (old.term, old.seq))
     }
 
-    /// Images of tasks that a view shows as started, and the view before it did not.
+    /// Images of the tasks that a view shows as started and the previous view did not.
     fn newly_used_images<'a>(&'a self, view: &'a MachineView) -> impl Iterator<Item = &'a str> {
         let old = self.views.get(&view.machine).filter(|old| old.incarnation == view.incarnation);
         let started = view.tasks.iter().filter(move |task| {
-            let noted = old.is_some_and(|old| old.tasks.contains(task));
-            !noted
+            let is_unchanged = old.is_some_and(|old| old.tasks.contains(task));
+            !is_unchanged
                 && matches!(
                     task.observed(),
                     ObservedState::Running | ObservedState::Saving | ObservedState::Done
@@ -42,7 +42,7 @@
 }
 
 impl Controller {
-    /// Applies a view of a machine, unless a newer one is known.
+    /// Applies a view of a machine, unless the stored one is at least as new.
     pub(crate) fn apply_view(&mut self, view: MachineView) {
         let shard = self.shard_of_machine(&view.machine);
         if !self.machines.is_newer_view(&view, self.leadership.term(shard)) {
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -1,5 +1,5 @@
-//! Views of the machines of own shards: how each stands, for the leaders of the shards whose
-//! jobs have tasks there; and the end of incarnations that went silent.
+//! Views of the machines of led shards, which report the observed state to the leaders of the
+//! shards whose jobs have tasks there, and the expiry of silent incarnations.
 
 use crate::config::Workers;
 use crate::controller::Controller;
@@ -10,22 +10,22 @@
 use crate::time::Micros;
 use log::{info, warn};
 
-/// How long a machine must be in quarantine before it is scaled in: a job with a mistake
-/// shows as such once it has failed elsewhere, too.
+/// How long a machine must be in quarantine before it is scaled in. Meanwhile, a faulty job
+/// that caused the quarantine can fail on other machines, too, and be recognised as faulty.
 const MIN_QUARANTINE_BEFORE_SCALE_IN: Micros = Micros::secs(5);
 
-/// What has come of time alone.
+/// Machines that need action because time has passed.
 #[derive(Default)]
 struct ExpiryOutcome {
     /// Machines whose view or commands may have changed.
     changed: Vec<String>,
-    /// Machines that must show whether they receive commands.
+    /// Unresponsive machines to be probed, to find whether they receive commands again.
     to_probe: Vec<ProbeTarget>,
 }
 
 impl Controller {
     /// Ends the incarnations of machines that have been silent for longer than a lease, and
-    /// probes those that do not seem to receive commands.
+    /// probes unresponsive machines.
     pub(crate) fn expire_machine_incarnations(&mut self) {
         if !self.holds_lease() {
             return;
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Sends the views that have changed, and applies them here first.
+    /// Adds the changed views of managed machines to the frame for the peers, and applies them
+    /// to this process. Sends direct commands to these machines first.
     pub(crate) fn send_views(&mut self, frame: &mut Frame) {
         for machine in std::mem::take(&mut self.changes.machines) {
             let shard = self.shard_of_machine(&machine);
@@ -72,7 +73,7 @@
     }
 }
 
-/// What a view depends on beside the machine.
+/// Inputs of a view other than the machine itself.
 #[derive(Clone, Copy)]
 struct ViewInputs {
     now: Micros,
@@ -84,15 +85,16 @@
 }
 
 impl Machines {
-    /// Applies that time has passed. `acquired_at` says when this process acquired each
-    /// shard, if it leads it.
+    /// Ends silent incarnations, and finds machines whose health or pending commands may have
+    /// changed since `now` is later. `acquired_at`, indexed by shard, is when this process
+    /// acquired the shard; `None` if it does not lead it.
     fn expire_incarnations(
         &mut self,
         now: Micros,
         workers: &Workers,
         acquired_at: &[Option<Micros>],
     ) -> ExpiryOutcome {
-        let worker_lease = timeouts::longest_worker_lease(workers);
+        let worker_lease = timeouts::max_worker_lease(workers);
         let heartbeat_timeout = timeouts::heartbeat_timeout(workers);
         let mut outcome = ExpiryOutcome::default();
         for (name, managed) in &mut self.managed {
@@ -106,7 +108,7 @@
                 outcome.changed.push(name.clone());
                 continue;
             }
-            // Health depends on time, and starts may wait for their next try.
+            // Health depends on time, and unsent starts may now be sent directly.
             let in_time = managed.reports_in_time(now, last_answered_at, heartbeat_timeout);
             let may_send = now >= managed.direct_not_before;
             if in_time != managed.in_time_at_last_view || (managed.starts.any_unsent() && may_send)
@@ -124,8 +126,9 @@
         outcome
     }
 
-    /// The view of a machine, numbered, if it differs from the one before. `completes` says
-    /// whether any task of a job has completed.
+    /// The new view of a machine with its sequence number; `None` if it equals the previous one
+    /// or the machine is not managed. `completes` returns whether any task of a job has
+    /// completed.
     fn changed_view(
         &mut self,
         machine: &str,
@@ -135,7 +138,8 @@
         let mut view = self.view_of(machine, inputs, completes)?;
         if let Some(old) = self.views.get(machine) {
             view.seq = old.seq;
-            // A notice runs down by itself; only its coming is news.
+            // The remaining time of a spot notice always decreases. Only the arrival of the
+            // notice counts as a change.
             let notice_ms = view.notice_ms;
             if notice_ms.is_some() && old.notice_ms.is_some() {
                 view.notice_ms = old.notice_ms;
@@ -151,7 +155,8 @@
         Some(view)
     }
 
-    /// The view of a machine, without its number.
+    /// Computes the view of a machine without its sequence number, and updates the machine's
+    /// quarantine.
     fn view_of(
         &mut self,
         machine: &str,
@@ -163,7 +168,7 @@
         let in_time =
             managed.reports_in_time(inputs.now, last_answered_at, inputs.heartbeat_timeout);
         managed.in_time_at_last_view = in_time;
-        let in_quarantine = self.failing_jobs.demand_quarantine(&managed.failures, completes);
+        let in_quarantine = self.failing_jobs.requires_quarantine(&managed.failures, completes);
         if managed.failures.set_quarantine(inputs.now, in_quarantine) {
             warn!("machine {machine} fails what it starts: in quarantine");
         }
--- a/tests/components/leadership.rs
+++ b/tests/components/leadership.rs
@@ -119,11 +119,11 @@
     for (lease_s, cancel_s, wished, unheard_s, used, safe) in table {
         let workers = Workers { heartbeat_interval_s: 3.0, lease_s, cancel_s };
         assert_eq!(
-            cancellation::unanswered_limit(&workers).as_millis() / 1_000,
+            cancellation::max_cancellation_lag(&workers).as_millis() / 1_000,
             unheard_s,
             "{workers:?}"
         );
-        let fitted = cancellation::fitting_lease(Micros::millis(wished), &workers);
+        let fitted = cancellation::bounded_lease(Micros::millis(wished), &workers);
         let got = (fitted.duration.as_millis(), fitted.is_short_enough);
         assert_eq!(got, (used, safe), "{workers:?}, {wished} ms wished");
     }
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -4,9 +4,9 @@
 use millethold::controller::leadership::fencing_token::{TERM_STRIDE, next_term};
 use millethold::controller::machines::attempt::AttemptId;
 use millethold::controller::machines::machine::ManagedMachine;
-use millethold::controller::machines::machine::heartbeat_intake::HeartbeatSource;
+use millethold::controller::machines::machine::heartbeat::HeartbeatSource;
 use millethold::controller::machines::machine::starts::{CommandOutcome, StartInFlight};
-use millethold::controller::machines::start_gate::{
+use millethold::controller::machines::start_permit::{
     CommandAuthority, CommandRoute, JobEvidence, RevocationReason, StartRefusal, StartViolation,
 };
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
@@ -68,9 +68,9 @@
         .in_flight
         .insert(key(1), StartInFlight { in_response: true, ..StartInFlight::default() });
     post.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, DirectResponse);
-    assert!(post.starts.in_flight[&key(1)].is_open());
+    assert!(post.starts.in_flight[&key(1)].may_still_arrive());
     post.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, Request);
-    assert!(!post.starts.in_flight[&key(1)].is_open());
+    assert!(!post.starts.in_flight[&key(1)].may_still_arrive());
 
     // A direct start without an answer stays open, and once it is reported
     // the attempt must not be cleared: the late command would start it anew.
@@ -82,9 +82,9 @@
             ..StartInFlight::default()
         },
     );
-    post.direct_ended(&[key(2)], CommandOutcome::Unknown);
+    post.record_direct_outcome(&[key(2)], CommandOutcome::Unknown);
     post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
-    assert!(post.starts.in_flight[&key(2)].is_open());
+    assert!(post.starts.in_flight[&key(2)].may_still_arrive());
     let ended = [(2, TaskState::Exited, Some(Cause::Done))];
     post.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, Request);
     assert!(post.starts.may_start_again.contains_key(&key(2)));
@@ -99,7 +99,7 @@
     );
     let running = [(3, TaskState::Running, None)];
     post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, Request);
-    post.direct_ended(&[key(3)], CommandOutcome::Executed);
+    post.record_direct_outcome(&[key(3)], CommandOutcome::Executed);
     assert!(!post.starts.may_start_again.contains_key(&key(3)));
 
     // A new session ends everything before it and fences what is late.
@@ -301,7 +301,7 @@
     for (sent, refusal, want) in table {
         let mut post = ManagedMachine::default();
         post.starts.in_flight.insert(key(1), sent);
-        let revoked = post.starts.to_be_revoked(FencingToken(4), |_| refusal);
+        let revoked = post.starts.find_revocation(FencingToken(4), |_| refusal);
         assert_eq!(revoked.is_some(), want, "{sent:?} {refusal:?}");
     }
 
@@ -322,17 +322,21 @@
     let raised = post.fencing_token(term).expect("the first of many");
     assert!(raised > FencingToken(term) && raised < FencingToken(next_term(term)));
     post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, Request);
-    assert!(post.starts.in_flight[&key(1)].is_open(), "the answer may have been lost");
+    assert!(post.starts.in_flight[&key(1)].may_still_arrive(), "the answer may have been lost");
     post.apply_heartbeat(now, &heartbeat(1, 3, raised.0, &[]), term, Request);
-    assert!(!post.starts.in_flight[&key(1)].is_open());
+    assert!(!post.starts.in_flight[&key(1)].may_still_arrive());
     // A command of before that is given up now cannot be late any more, another can.
     for (number, fencing_token, want) in [(2, FencingToken(term), false), (3, raised, true)] {
         post.starts.in_flight.insert(
             key(number),
             StartInFlight { direct_commands: 1, fencing_token, ..StartInFlight::default() },
         );
-        post.direct_ended(&[key(number)], CommandOutcome::Unknown);
-        assert_eq!(post.starts.in_flight[&key(number)].is_open(), want, "{fencing_token:?}");
+        post.record_direct_outcome(&[key(number)], CommandOutcome::Unknown);
+        assert_eq!(
+            post.starts.in_flight[&key(number)].may_still_arrive(),
+            want,
+            "{fencing_token:?}"
+        );
     }
     // An attempt that is listed may be cleared once its late start is harmless.
     let ended = [(3, TaskState::Exited, Some(Cause::Done))];
