--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -204,12 +204,12 @@
     /// Applies a cancellation that a peer reports as confirmed.
     pub(crate) fn apply_peer_cancellation(&mut self, id: &str) {
         let cancelled = StoredStage::Cancelled;
-        let known = match self.jobs.stage_cache.get(id) {
-            Some(known) => CachedStage { stage: cancelled, revision: 0, ..known },
+        let updated = match self.jobs.stage_cache.get(id) {
+            Some(cached) => CachedStage { stage: cancelled, revision: 0, ..cached },
             // The owning shard is unknown, and does not matter once the job is cancelled.
             None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
         };
-        self.cache_stage(id, known);
+        self.cache_stage(id, updated);
         self.job_cancelled(id);
     }
 }
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -79,7 +79,7 @@
         else {
             return;
         };
-        let tasks_beside = managed.present_tasks().count();
+        let tasks_beside = managed.active_tasks().count();
         self.counts.decisions.raised_fencing_tokens += 1;
         self.counts.decisions.tasks_beside_raises += tasks_beside as u64;
         decision_log::raise_fencing_token(
--- a/src/controller/machines/direct_commands.rs
+++ b/src/controller/machines/direct_commands.rs
@@ -14,8 +14,8 @@
 use log::debug;
 use std::net::SocketAddrV4;
 
-/// How long no direct commands are sent to a machine after some that were not known to be
-/// executed. Meanwhile, heartbeat responses carry the commands.
+/// Pause in direct commands to a machine after the last ones were not executed, or their
+/// outcome is unknown. Meanwhile, heartbeat responses carry the commands.
 const DIRECT_RETRY_PAUSE: Micros = Micros::secs(5);
 
 /// A worker's answer to direct commands.
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -122,7 +122,7 @@
     }
 
     /// Reported tasks that have not ended.
-    pub(crate) fn present_tasks(&self) -> impl Iterator<Item = &AttemptId> {
+    pub(crate) fn active_tasks(&self) -> impl Iterator<Item = &AttemptId> {
         self.tasks.iter().filter(|(_, observed)| !observed.over()).map(|(attempt, _)| attempt)
     }
 
--- a/src/controller/machines/quarantine.rs
+++ b/src/controller/machines/quarantine.rs
@@ -56,10 +56,12 @@
         if jobs.is_empty() {
             return false;
         }
-        let of_completing: u32 = jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
-        let only_here =
+        let failures_of_completing_jobs: u32 =
+            jobs.iter().filter(|(j, _)| completes(j)).map(|(_, n)| n).sum();
+        let jobs_failing_only_here =
             jobs.keys().filter(|j| completes(j) || !self.failed_on_several_machines(j)).count();
-        of_completing >= MIN_QUARANTINE_FAILURES || only_here >= MIN_QUARANTINE_FAILURES as usize
+        failures_of_completing_jobs >= MIN_QUARANTINE_FAILURES
+            || jobs_failing_only_here >= MIN_QUARANTINE_FAILURES as usize
     }
 }
 
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -47,7 +47,7 @@
             self.desired[shard].is_complete_for(self.shards[shard].term, machine_shard, term)
         };
         match self.stages.get(job) {
-            Some(known) if known.shard < self.desired.len() => is_complete(known.shard),
+            Some(cached) if cached.shard < self.desired.len() => is_complete(cached.shard),
             _ => (0..self.desired.len()).all(is_complete),
         }
     }
@@ -75,7 +75,7 @@
     machine: &'a str,
     authority: CommandAuthority,
     desired: Vec<DesiredStart<'a>>,
-    /// Attempts on the machine that definitely no shard desires there.
+    /// Attempts on the machine, or to be started there, that definitely no shard desires there.
     undesired: BTreeSet<AttemptId>,
     /// Total resources of the machine; `None` if its type is unknown.
     size: Option<Resources>,
@@ -170,7 +170,7 @@
 
     /// Jobs with tasks on the machine whose stage is not cached.
     pub(crate) fn unknown_jobs(&self, managed: &ManagedMachine) -> Vec<String> {
-        let jobs = managed.present_tasks().map(|attempt| &attempt.job);
+        let jobs = managed.active_tasks().map(|attempt| &attempt.job);
         jobs.filter(|job| !self.stages.contains(job)).cloned().collect()
     }
 
@@ -352,7 +352,7 @@
     /// Free capacity of the machine beside its tasks and the starts in flight.
     fn remaining_capacity(&self, managed: &ManagedMachine) -> RemainingCapacity {
         let mut capacity = RemainingCapacity::of_empty_machine(self.size);
-        for attempt in managed.present_tasks().chain(managed.starts.in_flight.keys()) {
+        for attempt in managed.active_tasks().chain(managed.starts.in_flight.keys()) {
             match self.find(attempt) {
                 Some(desired) => {
                     capacity.stops_pending |= desired.task.stop_ms.is_some();
@@ -386,8 +386,8 @@
     let mut list = Vec::new();
     for desired in inputs.desired.iter().filter_map(|shard| shard.machines.get(machine)) {
         list.extend(desired.tasks.iter().map(|task| {
-            let known = inputs.stages.get(&task.job);
-            let job = known.map(|k| JobEvidence { stage: k.stage, revision: k.revision });
+            let cached = inputs.stages.get(&task.job);
+            let job = cached.map(|c| JobEvidence { stage: c.stage, revision: c.revision });
             let permit = authority.permit_start(task, desired.known_machine_term, job);
             DesiredStart { task, permit }
         }));
