--- a/src/runtime/call.rs
+++ b/src/runtime/call.rs
@@ -1,4 +1,4 @@
-//! One outgoing call, and what its end proves.
+//! One outgoing call, and the reply that its outcome yields for the controller.
 
 use super::connection::ConnectionId;
 use super::destination::Destination;
@@ -8,43 +8,43 @@
 use crate::kv_store::{KvRequest, KvResponse};
 use crate::time::Micros;
 
-/// What is called, as far as it is needed to read the answer.
+/// The type of a call, with the request where decoding its response needs it.
 #[derive(Debug)]
 pub(super) enum CallKind {
-    /// The key-value store.
+    /// A request to the key-value store.
     KvStore(KvRequest),
-    /// The cloud.
+    /// A request to the cloud.
     Cloud(CloudCall),
-    /// A worker, without going through the cloud.
+    /// Commands or a status request sent directly to a worker.
     Direct,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug)]
-pub(super) enum CallEnd {
-    /// It was answered.
+pub(super) enum CallOutcome {
+    /// A response was received.
     Answered(http::Answer),
-    /// Not a byte of it has left: it was surely not executed.
+    /// No byte was sent: the call was definitely not executed.
     NotSent,
-    /// No answer came: it may have been executed, or may still be.
+    /// No response was received: the call may have been executed, or may still be.
     Unanswered,
 }
 
-/// A call that has not been answered.
+/// A call whose outcome is pending.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) kind: CallKind,
     pub(super) destination: Destination,
-    /// The request, until it is sent.
+    /// The encoded request; empty once it has been handed to a connection.
     pub(super) bytes: Vec<u8>,
-    /// When it ends without an answer.
+    /// When the call times out.
     pub(super) deadline: Micros,
-    /// The connection on which it has been sent.
+    /// The connection that carries the call; `None` until one is assigned.
     pub(super) connection: Option<ConnectionId>,
 }
 
 impl Call {
-    /// A call that has not been sent.
+    /// Creates a call that has not been sent.
     pub(super) fn new(
         kind: CallKind,
         destination: Destination,
@@ -54,9 +54,9 @@
         Call { kind, destination, bytes, deadline, connection: None }
     }
 
-    /// How long the key-value store took to answer; `None` for watches, which wait, and
-    /// for calls elsewhere.
-    pub(super) fn store_latency(&self, now: Micros) -> Option<Micros> {
+    /// Time since the call to the key-value store was started; `None` for watches, which wait
+    /// for changes, and for calls to other destinations.
+    pub(super) fn kv_store_latency(&self, now: Micros) -> Option<Micros> {
         match &self.kind {
             CallKind::KvStore(request) if !request.is_watch() => {
                 Some(now.since(self.deadline.since(request.timeout())))
@@ -65,25 +65,25 @@
         }
     }
 
-    /// What its end proves, for the controller.
-    pub(super) fn into_reply(self, end: CallEnd) -> Reply {
+    /// Decodes the outcome into the controller's reply.
+    pub(super) fn into_reply(self, outcome: CallOutcome) -> Reply {
         match self.kind {
-            CallKind::KvStore(request) => Reply::KvStore(match end {
-                CallEnd::Answered(answer) => request.decode(answer.status, &answer.body),
-                CallEnd::NotSent => KvResponse::NotExecuted,
-                CallEnd::Unanswered => KvResponse::OutcomeUnknown,
+            CallKind::KvStore(request) => Reply::KvStore(match outcome {
+                CallOutcome::Answered(answer) => request.decode(answer.status, &answer.body),
+                CallOutcome::NotSent => KvResponse::NotExecuted,
+                CallOutcome::Unanswered => KvResponse::OutcomeUnknown,
             }),
-            CallKind::Cloud(request) => Reply::Cloud(match end {
-                CallEnd::Answered(answer) => request.decode(answer.status, &answer.body),
-                CallEnd::NotSent => CloudReply::NotExecuted,
-                CallEnd::Unanswered => CloudReply::Unknown,
+            CallKind::Cloud(request) => Reply::Cloud(match outcome {
+                CallOutcome::Answered(answer) => request.decode(answer.status, &answer.body),
+                CallOutcome::NotSent => CloudReply::NotExecuted,
+                CallOutcome::Unanswered => CloudReply::Unknown,
             }),
-            CallKind::Direct => Reply::Direct(match end {
-                CallEnd::Answered(answer) => {
+            CallKind::Direct => Reply::Direct(match outcome {
+                CallOutcome::Answered(answer) => {
                     DirectReply::Answered { status: answer.status, body: answer.body }
                 }
-                CallEnd::NotSent => DirectReply::NotSent,
-                CallEnd::Unanswered => DirectReply::Unknown,
+                CallOutcome::NotSent => DirectReply::NotSent,
+                CallOutcome::Unanswered => DirectReply::Unknown,
             }),
         }
     }
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -1,5 +1,4 @@
-//! The outgoing calls that have not been answered: their deadlines, and the pools of
-//! connections on which they are sent.
+//! Pending outgoing calls: their deadlines, and the connection pools on which they are sent.
 
 use super::call::{Call, CallKind};
 use super::connection::ConnectionId;
@@ -10,25 +9,25 @@
 use crate::time::Micros;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The connections to a destination and the calls that wait for one.
+/// The connections to one destination, and the calls that wait for a connection.
 #[derive(Default)]
 pub(super) struct Pool {
-    /// Connections that await no answer.
+    /// Connections without a pending call.
     pub(super) idle: Vec<ConnectionId>,
-    /// Open connections, idle or not.
+    /// Number of open connections, idle or busy.
     pub(super) open: usize,
-    /// Calls that wait for a connection, the oldest first.
+    /// Calls that wait for a connection, oldest first.
     pub(super) queue: VecDeque<CallId>,
 }
 
-/// When a call ends without an answer; ordered by time.
+/// The time at which a call times out; ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
     call: CallId,
 }
 
-/// The calls that have not been answered.
+/// All calls whose outcome is pending.
 pub(super) struct Calls {
     in_flight: HashMap<CallId, Call>,
     deadlines: BTreeSet<Deadline>,
@@ -37,7 +36,7 @@
 }
 
 impl Calls {
-    /// No call; those to the key-value store keep within `budget`.
+    /// Creates an empty set of calls; calls to the key-value store are limited by `budget`.
     pub(super) fn new(budget: Budget) -> Calls {
         Calls {
             in_flight: HashMap::new(),
@@ -53,14 +52,14 @@
         self.in_flight.insert(id, call);
     }
 
-    /// Whether a new call to the key-value store may be sent. One that is to wait must be
-    /// registered.
+    /// Decides whether a new call to the key-value store may be sent. The caller must register
+    /// a call that has to wait.
     pub(super) fn admit(&mut self, now: Micros, id: CallId, request: &KvRequest) -> Admission {
         self.throttle.admit(now, id, request)
     }
 
-    /// Takes out a call whose share of the store's rate has come, from one of the queues,
-    /// and gives its destination.
+    /// Removes the next call from a throttled queue if the rate limit allows it now, and returns
+    /// it with its destination. Entries of calls that have already ended are skipped.
     pub(super) fn next_throttled(
         &mut self,
         now: Micros,
@@ -84,48 +83,48 @@
         None
     }
 
-    /// Calls that wait for their share of the store's rate.
+    /// Number of calls that wait for the key-value store's rate limit.
     pub(super) fn throttled(&self) -> usize {
         self.throttle.len()
     }
 
-    /// The pool of a destination.
+    /// Returns the pool of a destination; creates an empty one if there is none.
     pub(super) fn pool(&mut self, destination: Destination) -> &mut Pool {
         self.pools.entry(destination).or_default()
     }
 
-    /// Removes a destination's pool; gives the calls that waited in it.
+    /// Removes a destination's pool and returns the calls that waited in it.
     pub(super) fn remove_pool(&mut self, destination: Destination) -> VecDeque<CallId> {
         self.pools.remove(&destination).map(|pool| pool.queue).unwrap_or_default()
     }
 
-    /// Removes the pools of workers that have no connection and no call.
+    /// Removes the pools of workers that have no open connection and no waiting call.
     pub(super) fn drop_unused_pools(&mut self) {
         self.pools.retain(|destination, pool| {
             !destination.is_worker() || pool.open > 0 || !pool.queue.is_empty()
         });
     }
 
-    /// A call that has not been answered.
+    /// Returns a pending call.
     pub(super) fn get_mut(&mut self, id: CallId) -> Option<&mut Call> {
         self.in_flight.get_mut(&id)
     }
 
-    /// Removes a call that has ended.
+    /// Removes a call that has ended, with its deadline.
     pub(super) fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.in_flight.remove(&id)?;
         self.deadlines.remove(&Deadline { at: call.deadline, call: id });
         Some(call)
     }
 
-    /// Takes out the earliest deadline that has passed, and gives its call.
+    /// Removes the earliest deadline that has passed and returns its call.
     pub(super) fn next_overdue(&mut self, now: Micros) -> Option<CallId> {
         let first = self.deadlines.first().copied().filter(|deadline| deadline.at <= now)?;
         self.deadlines.remove(&first);
         Some(first.call)
     }
 
-    /// Removes a call from the queues in which it waits to be sent.
+    /// Removes a call from every queue in which it may wait to be sent.
     pub(super) fn dequeue(&mut self, id: CallId, destination: Destination) {
         self.throttle.remove(id);
         self.pool(destination).queue.retain(|waiting| *waiting != id);
--- a/src/runtime/connection.rs
+++ b/src/runtime/connection.rs
@@ -1,9 +1,9 @@
-//! One open connection: what it is for, its buffers and its age.
+//! One open connection: its role, its buffers and its timeouts.
 
 use super::destination::Destination;
 use super::limits::{
-    CONNECT_TIMEOUT, IDLE_COMMAND_TIMEOUT, IDLE_SENDER_TIMEOUT, PEER_BUFFER_BYTES,
-    QUIET_BUFFER_BYTES, SLOW_SENDER_TIMEOUT, STALLED_PEER_TIMEOUT,
+    CONNECT_TIMEOUT, IDLE_CLIENT_TIMEOUT, IDLE_COMMAND_TIMEOUT, MAX_IDLE_BUFFER_BYTES,
+    MAX_IDLE_PEER_BUFFER_BYTES, SLOW_CLIENT_TIMEOUT, STALLED_PEER_TIMEOUT,
 };
 use crate::controller::CallId;
 use crate::time::Micros;
@@ -11,74 +11,76 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Names a connection; never used twice in a process.
+/// Identifies a connection; never reused within a process.
 pub(super) type ConnectionId = u64;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// Requests from a user, a worker or the load balancer.
-    Sender {
-        /// A request has not been answered.
+    /// Carries requests from a user, a worker or the load balancer.
+    Client {
+        /// A request is being processed.
         busy: bool,
-        /// When that request arrived, or when the last one was answered.
+        /// When that request arrived; while not busy, when the last one was answered, or when the
+        /// connection was accepted.
         since: Micros,
-        /// The request is a worker's heartbeat.
-        heartbeats: bool,
+        /// The current or last request is a worker's heartbeat.
+        is_heartbeat: bool,
     },
-    /// Frames from a peer.
+    /// Carries frames from a peer.
     PeerIn {
-        /// Which peer, once its first frame has said so.
+        /// Member number of the peer; `None` until its first frame identifies it.
         member: Option<usize>,
     },
-    /// Frames to a peer.
+    /// Carries frames to a peer.
     PeerOut {
-        /// Which peer.
+        /// Member number of the peer.
         member: usize,
     },
-    /// Calls to an outside system or a worker.
+    /// Carries calls to the key-value store, the cloud or a worker.
     Outgoing {
-        /// Where they go.
+        /// The target of the calls.
         destination: Destination,
-        /// The call whose answer is awaited.
+        /// The call whose response is pending; `None` while idle.
         call: Option<CallId>,
     },
 }
 
 impl Role {
-    /// Whether it carries commands to a worker.
+    /// Whether the connection carries commands to a worker.
     pub(super) fn is_command(&self) -> bool {
         matches!(self, Role::Outgoing { destination, .. } if destination.is_worker())
     }
 }
 
-/// An open socket and what waits to be read from it or written to it.
+/// An open socket with its inbound and outbound buffers.
 pub(super) struct Connection {
     pub(super) stream: Rc<TcpStream>,
-    /// Its registration with the event loop.
+    /// The socket's registration with the event loop.
     pub(super) registration: RegistrationToken,
     pub(super) role: Role,
     /// The connection has been established.
     pub(super) connected: bool,
-    /// What was received and is no whole message yet.
+    /// Received bytes that have not been parsed into a complete message.
     pub(super) inbound: Vec<u8>,
-    /// What is to be written.
+    /// Bytes to be written, including the first `written` ones.
     pub(super) outbound: Vec<u8>,
-    /// Bytes at the front of `outbound` that have been written.
+    /// Number of bytes at the front of `outbound` that have been written.
     pub(super) written: usize,
-    /// It is closed once its answer has been written.
-    pub(super) close_after: bool,
-    /// Last time that something arrived, or that a peer took something.
+    /// The connection is closed once the response has been written.
+    pub(super) close_after_response: bool,
+    /// When data last arrived, a call was last assigned, or a peer last accepted data; initially
+    /// when the connection was opened.
     pub(super) last_active: Micros,
-    /// Since when it has awaited no answer, for connections with commands.
+    /// When a command connection became idle; `None` while busy and for all other roles.
     pub(super) idle_since: Option<Micros>,
-    /// When the message that is arriving began. A sender that drips its bytes
-    /// is always active and would never be closed by that.
-    pub(super) message_began: Micros,
+    /// When the first byte of the incomplete message arrived. `last_active` is not enough: a
+    /// client that sends a few bytes at a time is always active and would never time out.
+    pub(super) message_started_at: Micros,
 }
 
 impl Connection {
-    /// A connection on which nothing was sent yet.
+    /// Creates a connection on which nothing has been sent.
     pub(super) fn new(
         stream: Rc<TcpStream>,
         registration: RegistrationToken,
@@ -94,70 +96,72 @@
             inbound: Vec::new(),
             outbound: Vec::new(),
             written: 0,
-            close_after: false,
+            close_after_response: false,
             last_active: now,
             idle_since: None,
-            message_began: now,
+            message_started_at: now,
         }
     }
 
-    /// Bytes that wait to be written.
+    /// Number of bytes that wait to be written.
     pub(super) fn unwritten(&self) -> usize {
         self.outbound.len() - self.written
     }
 
-    /// Takes in bytes that were received.
+    /// Appends received bytes to the inbound buffer.
     pub(super) fn receive(&mut self, bytes: &[u8], now: Micros) {
         self.last_active = now;
         if self.inbound.is_empty() {
-            self.message_began = now;
+            self.message_started_at = now;
         }
         self.inbound.extend_from_slice(bytes);
     }
 
-    /// Empties the buffer of what was written; a large one is given back.
+    /// Clears the outbound buffer once all of it has been written; frees a large one.
     pub(super) fn clear_written(&mut self) {
         self.outbound.clear();
         self.written = 0;
-        let kept = match self.role {
-            Role::PeerIn { .. } | Role::PeerOut { .. } => PEER_BUFFER_BYTES,
-            _ => QUIET_BUFFER_BYTES,
+        let max_capacity = match self.role {
+            Role::PeerIn { .. } | Role::PeerOut { .. } => MAX_IDLE_PEER_BUFFER_BYTES,
+            _ => MAX_IDLE_BUFFER_BYTES,
         };
-        if self.outbound.capacity() > kept {
+        if self.outbound.capacity() > max_capacity {
             self.outbound = Vec::new();
         }
     }
 
-    /// Whether connecting has taken too long.
-    pub(super) fn is_connecting_slowly(&self, now: Micros) -> bool {
+    /// Whether the connection attempt has exceeded its timeout.
+    pub(super) fn connect_timed_out(&self, now: Micros) -> bool {
         !self.connected && now > self.last_active + CONNECT_TIMEOUT
     }
 
-    /// Whether it has been slow or idle for too long.
+    /// Whether the connection has been slow or idle for too long and is to be closed.
     pub(super) fn has_expired(&self, now: Micros) -> bool {
-        let quiet_for_more_than = |span: Micros| now > self.last_active + span;
-        let unread = !self.inbound.is_empty();
+        let inactive_for = |span: Micros| now > self.last_active + span;
+        let partial_message = !self.inbound.is_empty();
         let unwritten = !self.outbound.is_empty();
         match self.role {
-            Role::Sender { busy: false, .. } => {
-                let slow_to_send = unread && now > self.message_began + SLOW_SENDER_TIMEOUT;
-                let slow_to_read = unwritten && quiet_for_more_than(SLOW_SENDER_TIMEOUT);
-                slow_to_send || slow_to_read || quiet_for_more_than(IDLE_SENDER_TIMEOUT)
+            Role::Client { busy: false, .. } => {
+                let slow_to_send =
+                    partial_message && now > self.message_started_at + SLOW_CLIENT_TIMEOUT;
+                let slow_to_read = unwritten && inactive_for(SLOW_CLIENT_TIMEOUT);
+                slow_to_send || slow_to_read || inactive_for(IDLE_CLIENT_TIMEOUT)
             }
             Role::Outgoing { call: None, destination } if destination.is_worker() => {
-                quiet_for_more_than(IDLE_COMMAND_TIMEOUT)
+                inactive_for(IDLE_COMMAND_TIMEOUT)
             }
-            Role::Outgoing { call: Some(_), .. } => self.is_connecting_slowly(now),
+            Role::Outgoing { call: Some(_), .. } => self.connect_timed_out(now),
             Role::PeerOut { .. } => {
-                self.connected && unwritten && quiet_for_more_than(STALLED_PEER_TIMEOUT)
+                self.connected && unwritten && inactive_for(STALLED_PEER_TIMEOUT)
             }
             _ => false,
         }
     }
 }
 
-/// Removes what has been written from a buffer that is never quite empty: between
-/// busy controllers it would grow with all that was ever sent.
+/// Discards the written front of a buffer once it makes up more than half of the buffer. Between
+/// busy controllers the buffer may never become empty, and would otherwise grow with everything
+/// ever sent.
 pub fn drop_written(buffer: &mut Vec<u8>, written: &mut usize) {
     if *written > buffer.len() / 2 {
         buffer.drain(..*written);
@@ -166,10 +170,11 @@
     }
 }
 
-/// Removes what has been read; a buffer that is empty then is given back.
-pub(super) fn take_front(buffer: &mut Vec<u8>, used: usize) {
+/// Removes the `used` bytes that have been parsed from the front of a buffer; frees a large
+/// buffer that is then empty.
+pub(super) fn discard_consumed(buffer: &mut Vec<u8>, used: usize) {
     buffer.drain(..used);
-    if buffer.is_empty() && buffer.capacity() > QUIET_BUFFER_BYTES {
+    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
         *buffer = Vec::new();
     }
 }
--- a/src/runtime/destination.rs
+++ b/src/runtime/destination.rs
@@ -1,4 +1,4 @@
-//! Where outgoing calls go, and how many connections each destination may have.
+//! Targets of outgoing calls, and the connection limit of each.
 
 use super::limits::{
     MAX_CLOUD_CONNECTIONS, MAX_KV_STORE_CONNECTIONS, MAX_LEASE_CONNECTIONS, MAX_WATCH_CONNECTIONS,
@@ -8,35 +8,36 @@
 use crate::kv_store::KvRequest;
 use std::net::SocketAddrV4;
 
-/// Where a call goes; each destination has its own connections.
+/// The target of a call; each destination has its own connection pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Destination {
-    /// The key-value store, for calls that are answered at once.
+    /// The key-value store, for requests that it answers at once.
     KvStore,
-    /// The key-value store, for calls that wait for changes.
+    /// The key-value store, for watches, which wait for changes.
     Watch,
-    /// The key-value store, for leases.
+    /// The key-value store, for requests about leases.
     Lease,
     /// The cloud.
     Cloud,
-    /// A worker, for commands.
+    /// A worker, for commands and status requests.
     Worker(SocketAddrV4),
 }
 
 impl Destination {
-    /// The destination of a call to the key-value store: a watch occupies its connection,
-    /// and a renewal must not wait behind other calls.
-    pub(super) fn of_store_call(call: &KvRequest) -> Destination {
-        if call.is_watch() {
+    /// The destination of a request to the key-value store. Watches and lease requests have their
+    /// own connections: a watch occupies its connection while it waits, and a lease renewal must
+    /// not wait behind other requests.
+    pub(super) fn for_kv_request(request: &KvRequest) -> Destination {
+        if request.is_watch() {
             Destination::Watch
-        } else if call.is_urgent() {
+        } else if request.is_urgent() {
             Destination::Lease
         } else {
             Destination::KvStore
         }
     }
 
-    /// Connections that may be open at once.
+    /// Maximum number of connections that may be open at once.
     pub(super) fn max_connections(self) -> usize {
         match self {
             Destination::KvStore => MAX_KV_STORE_CONNECTIONS,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether its connections are for commands to a worker, which are bounded together.
+    /// Whether the destination is a worker. The command connections to all workers share one limit.
     pub(super) fn is_worker(self) -> bool {
         matches!(self, Destination::Worker(_))
     }
--- a/src/runtime/error.rs
+++ b/src/runtime/error.rs
@@ -1,4 +1,4 @@
-//! What ends the process at its start. The texts are what operators see.
+//! Errors that prevent startup or stop the event loop; operators see their texts.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -7,21 +7,21 @@
 /// Why the runtime cannot run.
 #[derive(Debug, Error)]
 pub enum RuntimeError {
-    /// No event loop can be made, or it has failed.
+    /// The event loop cannot be created, or it has failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
-    /// The event loop cannot watch a socket or a timer.
-    #[error("error inserting event source: {0}")]
+    /// A socket or a timer cannot be registered with the event loop.
+    #[error("cannot register an event source with the event loop: {0}")]
     Register(#[source] calloop::Error),
-    /// A socket to listen on cannot be made.
+    /// A listening socket cannot be created, or a connection cannot be started.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// An address is taken, or is none of this host's.
+    /// The address is in use, or is not an address of this host.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,24 +1,26 @@
-//! The process's only thread: sockets and timers on `calloop`, around the pure
-//! controller. It turns input into events and carries out effects; it decides nothing
-//! about jobs or machines. Everything here is bounded and timed.
+//! Event loop around the pure controller: all sockets and timers, on one `calloop` thread.
+//!
+//! The runtime turns input into controller events and carries out the effects that the
+//! controller returns. It makes no decision about jobs or machines. Every queue and buffer
+//! is bounded, and every wait has a timeout.
 //!
 //! State:
-//! - `connection`, `connections`: an open connection, and all of them with their counts;
-//! - `call`, `calls`: an outgoing call, and all of them with deadlines and pools;
-//! - `destination`: where calls go, and how many connections each may have;
-//! - `throttle`: calls that wait for their share of the store's rate;
+//! - `connection`, `connections`: one open connection; all open connections and their counts;
+//! - `call`, `calls`: one outgoing call; all pending calls with deadlines and connection pools;
+//! - `destination`: targets of calls, and the connection limit of each;
+//! - `throttle`: calls that wait for the key-value store's rate limit;
 //! - `stats`: latencies and counters.
 //!
-//! What is done with it:
-//! - `limits`: how many connections and bytes there may be, and all time limits;
-//! - `socket`: listening and connecting;
-//! - `sockets`: accepting, reading, writing and closing;
+//! Operations:
+//! - `limits`: limits on connections, buffers and time;
+//! - `socket`: creates listening and connecting sockets;
+//! - `socket_events`: accepts, reads, writes and closes connections;
 //! - `requests`: requests from users, workers and the load balancer;
-//! - `outgoing`: calls from their start to their end;
+//! - `outgoing`: sends calls and delivers their outcomes;
 //! - `peers`: frames from and to the other controllers;
-//! - `timers`: what is done at every turn of the timer;
-//! - `pages`: the pages for people;
-//! - `error`: what ends the process at its start.
+//! - `timers`: periodic work;
+//! - `pages`: the `/status` and `/queue` pages;
+//! - `error`: errors that prevent startup or stop the event loop.
 
 mod call;
 mod calls;
@@ -32,7 +34,7 @@
 mod peers;
 mod requests;
 pub mod socket;
-mod sockets;
+mod socket_events;
 mod stats;
 mod throttle;
 mod timers;
@@ -54,7 +56,7 @@
 use limits::{BUSY_TICK_INTERVAL, READ_BUFFER_BYTES};
 use log::info;
 use pages::PageCache;
-use peers::{EncodedFrame, PeerLink, peer_links};
+use peers::{EncodedFrameCache, PeerLink, peer_links};
 use requests::JSON;
 use socket::ListenerKind;
 use stats::Stats;
@@ -62,34 +64,34 @@
 use std::net::TcpListener;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the steady clock begins: no point in time is zero.
+/// Initial value of the monotonic clock. It is not zero, so that no point in time is zero.
 const CLOCK_START: Micros = Micros::secs(1);
 
-/// Everything that the loop's callbacks work on.
+/// State shared by all callbacks of the event loop.
 pub struct Runtime {
     handle: LoopHandle<'static, Runtime>,
     controller: Controller,
     config: Config,
-    /// When the steady clock was at [`CLOCK_START`].
+    /// The instant at which the monotonic clock was at [`CLOCK_START`].
     started: Instant,
-    /// Time by the steady clock, as last read.
+    /// The monotonic clock when it was last read.
     now: Micros,
     connections: Connections,
     calls: Calls,
-    /// The other controllers by their number among the members.
+    /// The other controllers, by member number.
     peers: BTreeMap<usize, PeerLink>,
-    /// Bytes that may wait for a peer.
+    /// Maximum number of unwritten bytes per peer connection.
     max_peer_backlog_bytes: usize,
     last_tick: Micros,
-    /// No call times out before this.
+    /// No call times out before this time.
     timeouts_paused_until: Micros,
-    /// When slow and idle connections are searched for again.
+    /// Time of the next search for slow and idle connections.
     next_sweep: Micros,
-    /// An empty list, kept for its capacity.
+    /// Empty between uses; kept to reuse its allocation.
     effects: Vec<Effect>,
     stats: Stats,
     pages: PageCache,
-    /// What has just been read from a socket.
+    /// Scratch buffer for reads from sockets.
     buffer: Vec<u8>,
 }
 
@@ -97,18 +99,18 @@
 ///
 /// # Errors
 ///
-/// If it cannot listen, or if the event loop fails.
+/// Returns an error if the process cannot listen or the event loop fails.
 pub fn run(config: Config, options: Options, seed: u64) -> Result<(), RuntimeError> {
     let mut event_loop: EventLoop<'static, Runtime> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    let senders = socket::listen(config.bind)?;
-    let peers = socket::listen(config.peer_bind)?;
-    add_listener(&handle, senders, ListenerKind::Senders)?;
-    add_listener(&handle, peers, ListenerKind::Peers)?;
+    let client_listener = socket::listen(config.bind)?;
+    let peer_listener = socket::listen(config.peer_bind)?;
+    add_listener(&handle, client_listener, ListenerKind::Clients)?;
+    add_listener(&handle, peer_listener, ListenerKind::Peers)?;
     add_timer(&handle)?;
     let mut runtime = Runtime::new(handle, config, options, seed);
-    info!("{} listens on {}", runtime.config.member, runtime.config.bind);
-    event_loop.run(None, &mut runtime, |runtime| runtime.finish_turn())?;
+    info!("member {} listening on {}", runtime.config.member, runtime.config.bind);
+    event_loop.run(None, &mut runtime, |runtime| runtime.finish_iteration())?;
     Ok(())
 }
 
@@ -138,10 +140,10 @@
     Ok(())
 }
 
-/// The time of day, less the point at which the steady clock begins.
-fn time_of_day() -> Micros {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Micros(u64::try_from(since.as_micros()).unwrap_or(0)).since(CLOCK_START)
+/// Wall-clock time at which the monotonic clock, which begins at [`CLOCK_START`], would be zero.
+fn wall_time_at_clock_zero() -> Micros {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Micros(u64::try_from(since_epoch.as_micros()).unwrap_or(0)).since(CLOCK_START)
 }
 
 impl Runtime {
@@ -154,7 +156,7 @@
         let limits = &config.settings.kv_store;
         Runtime {
             handle,
-            controller: Controller::new(&config, options, seed, time_of_day()),
+            controller: Controller::new(&config, options, seed, wall_time_at_clock_zero()),
             started: Instant::now(),
             now: CLOCK_START,
             connections: Connections::new(config.settings.machine_limits.fd_limit),
@@ -172,33 +174,33 @@
         }
     }
 
-    /// Reads the steady clock; what follows acts by this time.
+    /// Updates `now`, the time that everything acts by until the clock is read again.
     fn read_clock(&mut self) {
         let elapsed = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX / 8);
         self.now = Micros(elapsed) + CLOCK_START;
     }
 
-    /// Passes an event to the controller and carries out what it decides.
+    /// Passes an event to the controller and carries out the resulting effects.
     fn dispatch(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
         self.controller.handle(self.now, event, &mut effects);
         self.perform(effects);
     }
 
-    /// Carries out effects in order; the list is kept for its capacity.
+    /// Carries out effects in order; keeps the emptied list to reuse its allocation.
     fn perform(&mut self, mut effects: Vec<Effect>) {
-        let mut encoded = EncodedFrame::default();
+        let mut encoded = EncodedFrameCache::default();
         for effect in effects.drain(..) {
             match effect {
                 Effect::Respond { ticket, status, retry_after, body } => {
-                    let answer = OutgoingAnswer {
+                    let response = OutgoingAnswer {
                         status,
                         retry_after,
                         content_type: JSON,
                         body: &body,
                         close: false,
                     };
-                    self.answer(ticket.0, answer);
+                    self.respond(ticket.0, response);
                 }
                 Effect::KvStore { id, call } => self.start_kv_store(id, call),
                 Effect::Cloud { id, call } => self.start_cloud(id, call),
@@ -212,11 +214,11 @@
         }
     }
 
-    /// After every turn of the loop: calls whose share has come, and one frame
-    /// for each peer with all that has changed.
-    fn finish_turn(&mut self) {
-        // The turn may have been long, or the process may have stood still in
-        // it: what follows acts by the clock as it is now.
+    /// Runs after every iteration of the event loop: sends the throttled calls that the rate
+    /// limit now allows, and flushes the controller, which sends one frame with all changes to
+    /// each peer.
+    fn finish_iteration(&mut self) {
+        // The iteration may have taken long, or the process may have been suspended during it.
         self.read_clock();
         self.admit_throttled();
         let mut effects = std::mem::take(&mut self.effects);
--- a/src/runtime/outgoing.rs
+++ b/src/runtime/outgoing.rs
@@ -1,8 +1,8 @@
-//! Sending calls to the key-value store, the cloud and the workers, and their ends.
+//! Sends calls to the key-value store, the cloud and the workers, and delivers their outcomes.
 
 use super::Runtime;
-use super::call::{Call, CallEnd, CallKind};
-use super::connection::{ConnectionId, Role, take_front};
+use super::call::{Call, CallKind, CallOutcome};
+use super::connection::{ConnectionId, Role, discard_consumed};
 use super::destination::Destination;
 use super::error::RuntimeError;
 use super::limits::{COMMAND_TIMEOUT, INSPECT_TIMEOUT};
@@ -17,10 +17,11 @@
 use std::net::SocketAddrV4;
 
 impl Runtime {
-    /// Starts a call to the key-value store, or lets it wait for the rate.
+    /// Starts a call to the key-value store, or queues it until the rate limit allows it. If too
+    /// many calls wait, it ends as not executed.
     pub(super) fn start_kv_store(&mut self, id: CallId, request: KvRequest) {
         let bytes = request.encode().to_bytes(self.config.endpoints.kv_store);
-        let destination = Destination::of_store_call(&request);
+        let destination = Destination::for_kv_request(&request);
         let deadline = self.now + request.timeout();
         let admission = self.calls.admit(self.now, id, &request);
         let call = Call::new(CallKind::KvStore(request), destination, bytes, deadline);
@@ -51,7 +52,7 @@
         self.start_call(id, Call::new(CallKind::Direct, destination, bytes, deadline));
     }
 
-    /// Asks a worker for its status, without a command.
+    /// Requests a worker's status, without sending commands.
     pub(super) fn start_inspect(&mut self, id: CallId, address: SocketAddrV4) {
         let bytes = OutgoingRequest::get(wire::path::INSPECT.into()).to_bytes(address);
         let deadline = self.now + INSPECT_TIMEOUT;
@@ -66,7 +67,7 @@
         self.assign_calls(destination);
     }
 
-    /// Starts the calls whose share of the store's rate has come.
+    /// Starts the throttled calls that the rate limit now allows.
     pub(super) fn admit_throttled(&mut self) {
         for queue in ThrottledQueue::ALL {
             while let Some((id, destination)) = self.calls.next_throttled(self.now, queue) {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Gives a destination's waiting calls to its connections.
+    /// Assigns a destination's waiting calls to free connections.
     pub(super) fn assign_calls(&mut self, destination: Destination) {
         while !self.calls.pool(destination).queue.is_empty() {
             let Some(connection) = self.free_connection(destination) else {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// An idle connection, or a new one if there may be one more.
+    /// Returns an idle connection, or a new one if the limits allow it.
     fn free_connection(&mut self, destination: Destination) -> Option<ConnectionId> {
         let pool = self.calls.pool(destination);
         if let Some(idle) = pool.idle.pop() {
@@ -99,16 +100,17 @@
             return None;
         }
         if destination.is_worker() && !self.make_room_for_command() {
-            // Surely not sent; the answer to the worker's next heartbeat has it too.
+            // Definitely not sent; the response to the worker's next heartbeat also carries the
+            // commands.
             for call in self.calls.remove_pool(destination) {
-                self.finish_call(call, CallEnd::NotSent);
+                self.finish_call(call, CallOutcome::NotSent);
             }
             return None;
         }
         self.open_connection(destination)
     }
 
-    /// Begins to connect. If that fails at once, the first waiting call ends.
+    /// Starts to connect. If that fails at once, the first waiting call ends as not sent.
     fn open_connection(&mut self, destination: Destination) -> Option<ConnectionId> {
         self.calls.pool(destination).open += 1;
         let address = destination.address(&self.config.endpoints);
@@ -119,11 +121,11 @@
         match opened {
             Ok(connection) => Some(connection),
             Err(error) => {
-                debug!("cannot connect to {address}: {error}");
+                debug!("cannot connect to {destination:?} at {address}: {error}");
                 let pool = self.calls.pool(destination);
                 pool.open -= 1;
                 if let Some(call) = pool.queue.pop_front() {
-                    self.finish_call(call, CallEnd::NotSent);
+                    self.finish_call(call, CallOutcome::NotSent);
                 }
                 None
             }
@@ -146,14 +148,13 @@
         self.write(id);
     }
 
-    /// Whether a further connection with commands may be made; one that has been
-    /// idle for long is closed for it. Some sockets are always left for senders.
+    /// Whether one more command connection may be opened. At the limit, the one that has been idle
+    /// for longest is closed first. Some sockets always stay free for clients.
     fn make_room_for_command(&mut self) -> bool {
         self.connections.command_fits() || self.close_idle_command()
     }
 
-    /// Closes the connection with commands that has been idle for longest; false if
-    /// none is idle.
+    /// Closes the command connection that has been idle for longest; returns false if none is idle.
     pub(super) fn close_idle_command(&mut self) -> bool {
         let longest_idle = self.connections.longest_idle_command();
         if let Some(id) = longest_idle {
@@ -162,8 +163,9 @@
         longest_idle.is_some()
     }
 
-    /// Takes an answer from an outgoing connection; true if there was one.
-    pub(super) fn consume_answer(&mut self, id: ConnectionId) -> bool {
+    /// Parses one response from an outgoing connection. Returns false if it has not arrived in
+    /// full.
+    pub(super) fn consume_response(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(id) else {
             return true;
         };
@@ -172,48 +174,50 @@
         };
         match http::parse_answer(&connection.inbound) {
             Ok(None) => false,
-            Ok(Some(http::Received { message: answer, length })) => {
-                take_front(&mut connection.inbound, length);
+            Ok(Some(http::Received { message: response, length })) => {
+                discard_consumed(&mut connection.inbound, length);
                 let Some(call_id) = call else {
-                    // An answer to nothing: the connection is out of step.
+                    // A response without a pending call: the connection is out of sync.
                     self.close(id);
                     return true;
                 };
                 connection.role = Role::Outgoing { destination, call: None };
-                if answer.close || !connection.inbound.is_empty() {
+                if response.close || !connection.inbound.is_empty() {
                     self.close(id);
                 } else {
-                    self.keep_idle(id, destination);
+                    self.return_to_pool(id, destination);
                 }
-                self.finish_call(call_id, CallEnd::Answered(answer));
+                self.finish_call(call_id, CallOutcome::Answered(response));
                 self.assign_calls(destination);
                 true
             }
             Err(error) => {
-                warn!("unreadable answer from {destination:?}: {error}");
+                warn!("connection closed: cannot parse response from {destination:?}: {error}");
                 self.close(id);
                 true
             }
         }
     }
 
-    /// Keeps an answered connection for the next call.
-    fn keep_idle(&mut self, id: ConnectionId, destination: Destination) {
+    /// Returns a connection to its pool for the next call.
+    fn return_to_pool(&mut self, id: ConnectionId, destination: Destination) {
         if destination.is_worker() {
             self.connections.mark_idle_command(id, self.now);
         }
         self.calls.pool(destination).idle.push(id);
     }
 
-    /// Ends a call and passes what that proves to the controller.
-    pub(super) fn finish_call(&mut self, id: CallId, end: CallEnd) {
+    /// Ends a call and passes the reply that results from its outcome to the controller.
+    pub(super) fn finish_call(&mut self, id: CallId, outcome: CallOutcome) {
         let Some(call) = self.calls.remove(id) else {
             return;
         };
-        if let (CallEnd::Answered(_), Some(latency)) = (&end, call.store_latency(self.now)) {
+        if let (CallOutcome::Answered(_), Some(latency)) =
+            (&outcome, call.kv_store_latency(self.now))
+        {
             self.stats.record_kv_store_call(latency);
         }
-        self.dispatch(Event::Reply { id, reply: call.into_reply(end) });
+        self.dispatch(Event::Reply { id, reply: call.into_reply(outcome) });
     }
 
     /// Ends the calls whose deadline has passed.
@@ -223,12 +227,12 @@
                 continue;
             };
             match call.connection {
-                // Closing the connection ends the call.
+                // Ends the call as unanswered, or as not sent if the connection was never made.
                 Some(connection) => self.close(connection),
                 None => {
                     let destination = call.destination;
                     self.calls.dequeue(id, destination);
-                    self.finish_call(id, CallEnd::NotSent);
+                    self.finish_call(id, CallOutcome::NotSent);
                 }
             }
         }
--- a/src/runtime/pages.rs
+++ b/src/runtime/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for people: made by the controller, and kept for a moment.
+//! The `/status` and `/queue` pages for operators, and a short-lived cache of them.
 
 use super::Runtime;
 use super::limits::MAX_PAGE_AGE;
@@ -9,38 +9,39 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Pages for people.
+/// The pages for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Page {
-    /// The state of this controller, in JSON.
+    /// `/status`: the state of this controller, in JSON.
     Status,
-    /// The jobs that wait, in text.
+    /// `/queue`: the waiting jobs, as plain text.
     Queue,
 }
 
-/// A page as it was last made.
+/// A rendered page.
 struct CachedPage {
-    made_at: Micros,
+    rendered_at: Micros,
     body: Rc<Vec<u8>>,
 }
 
-/// Pages as they were last made.
+/// The last rendered version of each page.
 #[derive(Default)]
 pub(super) struct PageCache(BTreeMap<Page, CachedPage>);
 
 impl PageCache {
-    /// A page, unless it is too old.
+    /// Returns the cached page unless it is older than [`MAX_PAGE_AGE`].
     fn get(&self, page: Page, now: Micros) -> Option<Rc<Vec<u8>>> {
-        let cached = self.0.get(&page).filter(|cached| now.since(cached.made_at) < MAX_PAGE_AGE)?;
+        let cached =
+            self.0.get(&page).filter(|cached| now.since(cached.rendered_at) < MAX_PAGE_AGE)?;
         Some(Rc::clone(&cached.body))
     }
 
-    fn insert(&mut self, page: Page, made_at: Micros, body: Rc<Vec<u8>>) {
-        self.0.insert(page, CachedPage { made_at, body });
+    fn insert(&mut self, page: Page, rendered_at: Micros, body: Rc<Vec<u8>>) {
+        self.0.insert(page, CachedPage { rendered_at, body });
     }
 }
 
-/// What the status page shows of a histogram, in microseconds.
+/// Count and quantiles of a latency histogram on the status page, in microseconds.
 #[derive(Serialize)]
 struct LatencySummary {
     count: u64,
@@ -62,21 +63,23 @@
     }
 }
 
-/// Latencies, by what was answered.
+/// Latencies on the status page.
 #[derive(Serialize)]
 struct LatencyPage {
-    answers: LatencySummary,
+    #[serde(rename = "answers")]
+    responses: LatencySummary,
     #[serde(rename = "reports")]
     heartbeats: LatencySummary,
     #[serde(rename = "state_calls")]
     kv_store_calls: LatencySummary,
 }
 
-/// Connections and what went wrong on them.
+/// Numbers of connections and of failures on them, on the status page.
 #[derive(Serialize)]
 struct ConnectionsPage {
     open: usize,
-    senders: usize,
+    #[serde(rename = "senders")]
+    clients: usize,
     commands: usize,
     refused: u64,
     bad_requests: u64,
@@ -85,30 +88,30 @@
 }
 
 impl Runtime {
-    /// A page, made at most once a second whoever requests it: it lists all
-    /// jobs or machines, and dashboards that refresh it would take the processor.
+    /// Returns a page, rendered at most once a second regardless of the number of requests: it
+    /// lists all jobs or machines, and dashboards that refresh it often would use too much CPU.
     pub(super) fn page(&mut self, page: Page) -> Rc<Vec<u8>> {
         if let Some(body) = self.pages.get(page, self.now) {
             return body;
         }
         let body = Rc::new(match page {
-            Page::Status => self.status(),
+            Page::Status => self.render_status(),
             Page::Queue => self.controller.queue_page(self.now).into_bytes(),
         });
         self.pages.insert(page, self.now, Rc::clone(&body));
         body
     }
 
-    fn status(&mut self) -> Vec<u8> {
+    fn render_status(&mut self) -> Vec<u8> {
         let mut page = self.controller.status(self.now);
         let latency = LatencyPage {
-            answers: LatencySummary::of(&self.stats.answers),
+            responses: LatencySummary::of(&self.stats.responses),
             heartbeats: LatencySummary::of(&self.stats.heartbeats),
             kv_store_calls: LatencySummary::of(&self.stats.kv_store_calls),
         };
         let connections = ConnectionsPage {
             open: self.connections.len(),
-            senders: self.connections.senders(),
+            clients: self.connections.clients(),
             commands: self.connections.commands(),
             refused: self.stats.refused_connections,
             bad_requests: self.stats.bad_requests,
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -1,4 +1,4 @@
-//! Connections with the other controllers, and the frames on them.
+//! Connections to and from the other controllers, and the frames on them.
 
 use super::Runtime;
 use super::connection::{Connection, ConnectionId, Role};
@@ -14,29 +14,29 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// Another controller and the connection on which frames go to it.
+/// Another controller, with the connection that carries frames to it.
 pub(super) struct PeerLink {
     address: SocketAddrV4,
     pub(super) connection: Option<ConnectionId>,
-    /// When to connect, while there is no connection.
+    /// Earliest time of the next attempt to connect, while there is no connection.
     pub(super) connect_at: Micros,
-    /// Its incarnation by its last frame; 0 before that.
+    /// The peer's incarnation in its last frame; 0 until one has arrived.
     incarnation: u64,
 }
 
 impl PeerLink {
-    /// A peer that has not been reached yet.
+    /// Creates a link that is not connected yet.
     fn new(address: SocketAddrV4) -> PeerLink {
         PeerLink { address, connection: None, connect_at: Micros::ZERO, incarnation: 0 }
     }
 }
 
-/// The frame that was encoded last: the same one often goes to several peers.
+/// The last encoded frame, cached because the same frame often goes to several peers.
 #[derive(Default)]
-pub(super) struct EncodedFrame(Option<(Rc<Frame>, Vec<u8>)>);
+pub(super) struct EncodedFrameCache(Option<(Rc<Frame>, Vec<u8>)>);
 
-impl EncodedFrame {
-    /// Appends the bytes of `frame`, encoding it unless it is the last one again.
+impl EncodedFrameCache {
+    /// Appends the bytes of `frame` to `out`; encodes it unless it is the cached one.
     fn append_to(&mut self, out: &mut Vec<u8>, frame: &Rc<Frame>) {
         match &self.0 {
             Some((last, bytes)) if Rc::ptr_eq(last, frame) => out.extend_from_slice(bytes),
@@ -50,7 +50,7 @@
     }
 }
 
-/// The other controllers by their number among the members.
+/// Creates the links to the other controllers, by member number.
 pub(super) fn peer_links(config: &Config) -> BTreeMap<usize, PeerLink> {
     let members = config.members();
     config
@@ -64,8 +64,8 @@
 }
 
 impl Runtime {
-    /// Takes whole frames from a peer's connection; true once the connection is
-    /// gone, false when the next frame has not arrived in full.
+    /// Parses all complete frames from a peer's connection. Returns true if the connection is
+    /// closed, false if the next frame has not arrived in full.
     pub(super) fn consume_frames(&mut self, id: ConnectionId) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(id) else {
@@ -83,7 +83,7 @@
                     }
                 }
                 Err(error) => {
-                    warn!("connection of a peer closed: {error}");
+                    warn!("inbound peer connection closed (member {member:?}): {error}");
                     self.close(id);
                     return true;
                 }
@@ -91,28 +91,27 @@
         }
     }
 
-    /// Passes a frame to the controller. False, with the connection closed, if it
-    /// comes from nobody who may send on it: `member` is the peer that sent the
-    /// earlier ones.
+    /// Passes a frame to the controller. `member` is the peer that sent the earlier frames on this
+    /// connection. If the frame comes from another member or from an unknown one, closes the
+    /// connection and returns false.
     fn accept_frame(&mut self, id: ConnectionId, member: Option<usize>, frame: Frame) -> bool {
         let number = self.controller.member_number(&frame.member);
-        let known = number.filter(|number| self.peers.contains_key(number));
-        let Some(from) = known.filter(|number| member.is_none_or(|m| m == *number)) else {
-            warn!("frame from unknown member {:?}", frame.member);
+        let peer = number.filter(|number| self.peers.contains_key(number));
+        let Some(from) = peer.filter(|number| member.is_none_or(|m| m == *number)) else {
+            warn!("connection closed: frame from unexpected member {:?}", frame.member);
             self.close(id);
             return false;
         };
         if member.is_none() {
             self.identify_peer(id, from);
         }
-        self.note_incarnation(from, frame.incarnation);
+        self.update_incarnation(from, frame.incarnation);
         self.dispatch(Event::Peer { from, frame: Box::new(frame) });
         true
     }
 
-    /// A connection's first frame has said which peer it comes from. Only the
-    /// newest connection of a peer counts: frames held back on an older one would
-    /// arrive after newer ones.
+    /// Records which peer a connection comes from, after its first frame, and closes older
+    /// connections from that peer: frames delayed on them would arrive after newer ones.
     fn identify_peer(&mut self, id: ConnectionId, from: usize) {
         let role = Role::PeerIn { member: Some(from) };
         if let Some(connection) = self.connections.get_mut(id) {
@@ -124,23 +123,29 @@
         }
     }
 
-    /// Closes the connection to a peer that has started anew: what was sent to
-    /// its earlier incarnation is lost.
-    fn note_incarnation(&mut self, from: usize, incarnation: u64) {
+    /// Records a peer's incarnation. If the peer has restarted, closes the connection to it: frames
+    /// sent to its earlier incarnation are lost.
+    fn update_incarnation(&mut self, from: usize, incarnation: u64) {
         let Some(link) = self.peers.get_mut(&from) else {
             return;
         };
-        let earlier = std::mem::replace(&mut link.incarnation, incarnation);
-        if earlier != 0
-            && earlier != incarnation
+        let previous = std::mem::replace(&mut link.incarnation, incarnation);
+        if previous != 0
+            && previous != incarnation
             && let Some(connection) = link.connection
         {
             self.close(connection);
         }
     }
 
-    /// Sends a frame, or drops it while the peer is not reached.
-    pub(super) fn send_frame(&mut self, to: usize, frame: &Rc<Frame>, encoded: &mut EncodedFrame) {
+    /// Sends a frame, or drops it while the peer is not connected. Closes the connection if too
+    /// many bytes wait on it.
+    pub(super) fn send_frame(
+        &mut self,
+        to: usize,
+        frame: &Rc<Frame>,
+        encoded: &mut EncodedFrameCache,
+    ) {
         let Some(id) = self.peers.get(&to).and_then(|link| link.connection) else {
             return;
         };
@@ -151,7 +156,10 @@
             return;
         }
         if connection.unwritten() > self.max_peer_backlog_bytes {
-            debug!("peer {to} does not read; connection closed");
+            debug!(
+                "connection to peer {to} closed: {} bytes wait to be written",
+                connection.unwritten()
+            );
             self.close(id);
             return;
         }
@@ -159,15 +167,15 @@
         self.write(id);
     }
 
-    /// Connects to a peer that is not reached, and gives up an attempt that
-    /// takes too long.
+    /// Connects to a peer that is not connected, and closes a connection attempt that has timed
+    /// out.
     pub(super) fn maintain_peer(&mut self, member: usize) {
         let now = self.now;
         let Some(link) = self.peers.get(&member) else {
             return;
         };
         match link.connection {
-            Some(id) if self.connections.get(id).is_some_and(|c| c.is_connecting_slowly(now)) => {
+            Some(id) if self.connections.get(id).is_some_and(|c| c.connect_timed_out(now)) => {
                 self.close(id);
             }
             None if now >= link.connect_at => {
--- a/src/runtime/socket.rs
+++ b/src/runtime/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets that listen and sockets that connect, all without blocking.
+//! Creates non-blocking TCP sockets that listen or connect.
 
 use super::error::RuntimeError;
 use super::limits::LISTEN_BACKLOG;
@@ -6,23 +6,23 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 
-/// Linux's EINPROGRESS: the connection is being made.
+/// `EINPROGRESS` on Linux: the connection is being established.
 const IN_PROGRESS: i32 = 115;
 
-/// Who connects to a listening socket.
+/// Which connections a listening socket accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListenerKind {
-    /// Users, workers and the load balancer.
-    Senders,
-    /// Other controllers.
+    /// Those of users, workers and the load balancer.
+    Clients,
+    /// Those of other controllers.
     Peers,
 }
 
-/// Listens with an address that a quick restart may use again at once.
+/// Listens on an address, with `SO_REUSEADDR` so that a restarted process can bind it at once.
 ///
 /// # Errors
 ///
-/// Those of the system, with the address named where it is at fault.
+/// Returns the error of the operating system; if binding or listening fails, it names the address.
 pub fn listen(address: SocketAddrV4) -> Result<TcpListener, RuntimeError> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -34,11 +34,11 @@
     Ok(socket.into())
 }
 
-/// Starts to connect; the socket becomes writable once that is done.
+/// Starts to connect; the socket becomes writable once the connection is established.
 ///
 /// # Errors
 ///
-/// Those of the system, where it refuses at once.
+/// Returns the error of the operating system if the attempt fails at once.
 pub fn begin_connect(address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/src/runtime/sockets.rs
+++ b/src/runtime/socket_events.rs
@@ -1,10 +1,10 @@
-//! Sockets that are ready: accepting, reading, writing and closing.
+//! Handles readiness events of sockets: accepts, reads, writes and closes connections.
 
 use super::Runtime;
-use super::call::CallEnd;
+use super::call::CallOutcome;
 use super::connection::{Connection, ConnectionId, Role, drop_written};
 use super::error::RuntimeError;
-use super::limits::{MAX_ACCEPTED_PER_TURN, PEER_RETRY_INTERVAL};
+use super::limits::{MAX_ACCEPTS_PER_EVENT, PEER_RETRY_INTERVAL};
 use super::socket::ListenerKind;
 use crate::controller::Event;
 use crate::http;
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 
 impl Runtime {
-    /// Registers a socket with the event loop.
+    /// Adds a connection and registers its socket with the event loop.
     ///
     /// # Errors
     ///
-    /// If the event loop cannot watch it.
+    /// Returns an error if the event loop cannot register the socket.
     pub(super) fn add_connection(
         &mut self,
         stream: TcpStream,
@@ -42,14 +42,15 @@
         Ok(id)
     }
 
-    /// Accepts connections that wait at a listener.
+    /// Accepts the connections that wait at a listener, up to [`MAX_ACCEPTS_PER_EVENT`]. At the
+    /// socket limit, a client replaces an idle command connection or is refused.
     pub(super) fn accept(&mut self, listener: &TcpListener, kind: ListenerKind) {
         self.read_clock();
-        for _ in 0..MAX_ACCEPTED_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
             let Ok((stream, _)) = listener.accept() else {
                 return;
             };
-            let fits = kind == ListenerKind::Peers || self.connections.sender_fits();
+            let fits = kind == ListenerKind::Peers || self.connections.client_fits();
             if !fits && !self.close_idle_command() {
                 self.stats.refused_connections += 1;
                 continue;
@@ -59,17 +60,17 @@
             }
             let role = match kind {
                 ListenerKind::Peers => Role::PeerIn { member: None },
-                ListenerKind::Senders => {
-                    Role::Sender { busy: false, since: self.now, heartbeats: false }
+                ListenerKind::Clients => {
+                    Role::Client { busy: false, since: self.now, is_heartbeat: false }
                 }
             };
             if let Err(error) = self.add_connection(stream, role, true) {
-                debug!("cannot watch a connection: {error}");
+                debug!("cannot add an accepted connection: {error}");
             }
         }
     }
 
-    /// The event loop says that a socket may be read or written.
+    /// Handles a readiness event of a socket.
     fn socket_ready(&mut self, id: ConnectionId, readable: bool, writable: bool) {
         self.read_clock();
         let Some(connection) = self.connections.get_mut(id) else {
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Reads all that there is, since the event loop signals it only once.
+    /// Reads until the socket would block: readiness is edge-triggered, so the event loop reports
+    /// available data only once.
     fn read(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(id) else {
@@ -112,8 +114,8 @@
                 }
                 Ok(length) => {
                     connection.receive(&self.buffer[..length], self.now);
-                    // A short read with a whole message in it: more would
-                    // raise a new edge, so a further call is saved.
+                    // After a short read that completed a message, skip the read that would
+                    // return `WouldBlock`: data that arrives later raises a new edge.
                     if self.consume(id) && length < self.buffer.len() {
                         return;
                     }
@@ -128,31 +130,33 @@
         }
     }
 
-    /// Takes whole messages from a connection; true if there was one.
+    /// Parses received bytes by the connection's role. Returns true if a message was handled or the
+    /// connection is closed.
     pub(super) fn consume(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(id) else {
             return true;
         };
         match connection.role {
-            Role::Sender { busy: true, .. } => {
-                // One request at a time; what a sender piles up meanwhile is bounded.
+            Role::Client { busy: true, .. } => {
+                // Requests are handled one at a time; a client that sends too many bytes ahead is
+                // disconnected.
                 if connection.inbound.len() > http::MAX_BODY + http::MAX_HEAD {
                     self.close(id);
                 }
                 false
             }
-            Role::Sender { .. } => self.consume_request(id),
-            Role::Outgoing { .. } => self.consume_answer(id),
+            Role::Client { .. } => self.consume_request(id),
+            Role::Outgoing { .. } => self.consume_response(id),
             Role::PeerIn { .. } => self.consume_frames(id),
             Role::PeerOut { .. } => {
-                // Peers do not talk on this direction.
+                // Peers send nothing on outbound connections.
                 connection.inbound.clear();
                 false
             }
         }
     }
 
-    /// Writes as much of what waits as the socket takes.
+    /// Writes as many of the waiting bytes as the socket accepts.
     pub(super) fn write(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -184,20 +188,20 @@
             }
         }
         connection.clear_written();
-        let busy = matches!(connection.role, Role::Sender { busy: true, .. });
-        if connection.close_after && !busy {
+        let busy = matches!(connection.role, Role::Client { busy: true, .. });
+        if connection.close_after_response && !busy {
             self.close(id);
         }
     }
 
-    /// Closes a connection and ends the call that awaited an answer on it.
+    /// Closes a connection and ends the call that is pending on it.
     pub(super) fn close(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(id) else {
             return;
         };
         self.handle.remove(connection.registration);
         match connection.role {
-            Role::Sender { .. } | Role::PeerIn { .. } => {}
+            Role::Client { .. } | Role::PeerIn { .. } => {}
             Role::PeerOut { member } => {
                 if let Some(link) = self.peers.get_mut(&member)
                     && link.connection == Some(id)
@@ -212,10 +216,10 @@
                 pool.open = pool.open.saturating_sub(1);
                 pool.idle.retain(|idle| *idle != id);
                 if let Some(call) = call {
-                    // What was never connected has sent nothing.
+                    // Nothing was sent if the connection was never established.
                     let sent = connection.connected;
-                    let end = if sent { CallEnd::Unanswered } else { CallEnd::NotSent };
-                    self.finish_call(call, end);
+                    let outcome = if sent { CallOutcome::Unanswered } else { CallOutcome::NotSent };
+                    self.finish_call(call, outcome);
                 }
                 self.assign_calls(destination);
             }
--- a/src/runtime/throttle.rs
+++ b/src/runtime/throttle.rs
@@ -1,4 +1,4 @@
-//! Calls to the key-value store that wait for their share of its rate.
+//! Queues of calls to the key-value store that wait for the rate limit.
 
 use super::limits::MAX_THROTTLED_CALLS;
 use crate::controller::CallId;
@@ -6,60 +6,61 @@
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// What becomes of a call to the key-value store.
+/// The decision on a new call to the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It may be sent now; its cost is taken.
+    /// Send it now; its cost has been taken from the budget.
     Send,
-    /// It waits for its share.
+    /// It waits in a queue for the rate limit.
     Wait,
-    /// Too many wait: it is not sent.
+    /// The queue is full: it is not sent.
     Refuse,
 }
 
-/// The calls that wait: changes wait longer and must not hold up the reads.
+/// The waiting calls. Reads and writes have separate queues: writes wait longer and must not delay
+/// reads.
 pub(super) struct Throttle {
     budget: Budget,
     reads: VecDeque<CallId>,
-    changes: VecDeque<CallId>,
+    writes: VecDeque<CallId>,
 }
 
-/// Which of the queues.
+/// Selects one of the two queues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ThrottledQueue {
-    /// Calls that change nothing.
+    /// Calls that write no keys.
     Reads,
-    /// Calls that change something.
-    Changes,
+    /// Calls that write keys.
+    Writes,
 }
 
 impl ThrottledQueue {
     /// All queues, in the order in which they are served.
-    pub(super) const ALL: [ThrottledQueue; 2] = [ThrottledQueue::Reads, ThrottledQueue::Changes];
+    pub(super) const ALL: [ThrottledQueue; 2] = [ThrottledQueue::Reads, ThrottledQueue::Writes];
 
-    fn of(call: &KvRequest) -> ThrottledQueue {
-        if call.writes() > 0 { ThrottledQueue::Changes } else { ThrottledQueue::Reads }
+    fn of(request: &KvRequest) -> ThrottledQueue {
+        if request.writes() > 0 { ThrottledQueue::Writes } else { ThrottledQueue::Reads }
     }
 }
 
 impl Throttle {
-    /// No call waits.
+    /// Creates empty queues with this budget.
     pub(super) fn new(budget: Budget) -> Throttle {
-        Throttle { budget, reads: VecDeque::new(), changes: VecDeque::new() }
+        Throttle { budget, reads: VecDeque::new(), writes: VecDeque::new() }
     }
 
     fn queue(&mut self, queue: ThrottledQueue) -> &mut VecDeque<CallId> {
         match queue {
             ThrottledQueue::Reads => &mut self.reads,
-            ThrottledQueue::Changes => &mut self.changes,
+            ThrottledQueue::Writes => &mut self.writes,
         }
     }
 
-    /// Decides about a new call; one that is to wait is added to its queue.
-    pub(super) fn admit(&mut self, now: Micros, id: CallId, call: &KvRequest) -> Admission {
-        let queue = ThrottledQueue::of(call);
-        let may_go_first = self.queue(queue).is_empty() || call.is_urgent();
-        if may_go_first && self.budget.admit(now, call) {
+    /// Decides whether a new call is sent now; adds it to its queue if it has to wait.
+    pub(super) fn admit(&mut self, now: Micros, id: CallId, request: &KvRequest) -> Admission {
+        let queue = ThrottledQueue::of(request);
+        let may_skip_queue = self.queue(queue).is_empty() || request.is_urgent();
+        if may_skip_queue && self.budget.admit(now, request) {
             return Admission::Send;
         }
         let queue = self.queue(queue);
@@ -70,29 +71,30 @@
         Admission::Wait
     }
 
-    /// The call that is next in a queue.
+    /// Returns the next call in a queue.
     pub(super) fn front(&mut self, queue: ThrottledQueue) -> Option<CallId> {
         self.queue(queue).front().copied()
     }
 
-    /// Takes a call's cost if it may be sent now.
-    pub(super) fn take_cost(&mut self, now: Micros, call: &KvRequest) -> bool {
-        self.budget.admit(now, call)
+    /// Takes a call's cost from the budget; returns false, and takes nothing, if the rate limit
+    /// does not allow the call now.
+    pub(super) fn take_cost(&mut self, now: Micros, request: &KvRequest) -> bool {
+        self.budget.admit(now, request)
     }
 
-    /// Removes the call that is next in a queue.
+    /// Removes the next call from a queue.
     pub(super) fn pop_front(&mut self, queue: ThrottledQueue) {
         self.queue(queue).pop_front();
     }
 
-    /// Removes a call that waits no more.
+    /// Removes a call from its queue.
     pub(super) fn remove(&mut self, id: CallId) {
         self.reads.retain(|waiting| *waiting != id);
-        self.changes.retain(|waiting| *waiting != id);
+        self.writes.retain(|waiting| *waiting != id);
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub(super) fn len(&self) -> usize {
-        self.reads.len() + self.changes.len()
+        self.reads.len() + self.writes.len()
     }
 }
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -1,19 +1,19 @@
-//! What is done at every turn of the timer: deadlines, peers, slow connections.
+//! Periodic work: call deadlines, connections to peers, slow and idle connections.
 
 use super::Runtime;
 use super::limits::{
-    BUSY_TICK_INTERVAL, QUIET_TICK_INTERVAL, STANDSTILL_GAP, SWEEP_INTERVAL, TIMEOUT_PAUSE,
+    BUSY_TICK_INTERVAL, IDLE_TICK_INTERVAL, STALL_THRESHOLD, SWEEP_INTERVAL, TIMEOUT_PAUSE,
 };
 use crate::controller::Event;
 use crate::time::Micros;
 use log::info;
 
 impl Runtime {
-    /// The timer has fired. Returns the time until it fires again.
+    /// Runs the work of one tick and returns the time until the next one.
     pub(super) fn tick(&mut self) -> Micros {
         self.read_clock();
         let gap = self.now.since(std::mem::replace(&mut self.last_tick, self.now));
-        if gap > STANDSTILL_GAP {
+        if gap > STALL_THRESHOLD {
             info!("this process stood still for {} ms", gap.as_millis());
             self.timeouts_paused_until = self.now + TIMEOUT_PAUSE;
         }
@@ -30,10 +30,10 @@
         }
         self.dispatch(Event::Tick);
         let busy = self.controller.has_waiting_submissions() || self.calls.throttled() > 0;
-        if busy { BUSY_TICK_INTERVAL } else { QUIET_TICK_INTERVAL }
+        if busy { BUSY_TICK_INTERVAL } else { IDLE_TICK_INTERVAL }
     }
 
-    /// Closes the connections that are slow or have long been idle.
+    /// Closes connections that have been slow or idle for too long, and drops unused pools.
     fn sweep_connections(&mut self) {
         let now = self.now;
         for id in self.connections.matching(|_, connection| connection.has_expired(now)) {
