--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -1,7 +1,7 @@
-//! The key-value store: its requests, what each outcome proves, and the rates to keep.
+//! Requests to the key-value store, their outcomes, and the client-side rate limit.
 //!
-//! Nothing here takes an unknown outcome for a failure: what may have been executed is
-//! told apart from what surely was not.
+//! An unknown outcome is never treated as a failure: requests that may have been executed are
+//! distinguished from those that definitely were not.
 
 mod rate;
 
@@ -14,93 +14,97 @@
     WatchResponse, path,
 };
 
-/// Keys in a page of a list.
+/// Maximum number of keys per page of a list.
 const PAGE_KEYS: usize = 100;
-/// How long the answer to a watch may take beyond the time for which it waits.
+/// How long the response to a watch may take beyond the time for which the store waits.
 const WATCH_GRACE_PERIOD: Micros = Micros::secs(5);
-/// How long the answer to a request about a lease may take: short, so that another try
-/// fits before the lease expires.
+/// How long the response to a lease request may take. It is short, so that a retry fits before the
+/// lease expires.
 const LEASE_TIMEOUT: Micros = Micros::millis(1_200);
-/// How long any other answer may take.
+/// How long the response to any other request may take.
 const REQUEST_TIMEOUT: Micros = Micros::millis(2_500);
-/// How the store's reason begins where a transaction names a lease that has expired.
+/// Beginning of the error text with which the store rejects a transaction that names an expired
+/// lease.
 const NO_SUCH_LEASE: &[u8] = b"no such ";
 
 /// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
-    /// Read a key.
+    /// Reads a key.
     Get(String),
-    /// Read a page of keys.
+    /// Reads one page of the keys with a prefix.
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// Begin after this key.
+        /// The page begins after this key; at the first key if absent.
         after: Option<String>,
     },
-    /// Compare-and-swap: change keys if all conditions hold.
+    /// Compare-and-swap: writes keys if all conditions hold.
     Txn(Txn),
-    /// Grant a lease with this time to live.
+    /// Requests a lease with this time to live.
     GrantLease(Micros),
-    /// Renew the lease of this number.
+    /// Renews the lease with this number.
     RenewLease(u64),
-    /// End the lease of this number, and remove the keys attached to it.
+    /// Revokes the lease with this number, which also deletes the keys attached to it.
     RevokeLease(u64),
-    /// Wait for changes of keys.
+    /// Waits for changes to keys (long poll).
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Only changes after this revision.
+        /// Only changes after this revision are returned.
         after: u64,
-        /// How long the store may wait for a change.
+        /// How long the store waits for a change before it responds with none.
         block: Micros,
     },
 }
 
-/// The outcome of a request, and what it proves.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvResponse {
-    /// The key's value when the store answered; `None` if it had none.
+    /// The key's value; `None` if the key does not exist.
     Value(Option<KeyValue>),
     /// A page of a list.
     Page {
-        /// The keys with their values, in order.
+        /// The keys with their values, in key order.
         items: Vec<KeyValue>,
-        /// Another follows.
+        /// Another page follows.
         more: bool,
-        /// Revision of the whole store: all changes up to it are in the page.
+        /// Revision of the whole store; the page includes all changes up to it.
         revision: u64,
     },
-    /// The transaction was applied, at this revision.
+    /// The transaction was applied at this revision.
     Applied(u64),
-    /// Conditions on these keys failed: nothing was changed. Others may have failed too.
+    /// Conditions on these keys failed and nothing was changed. Conditions on other keys may have
+    /// failed too.
     Conflict(Vec<String>),
-    /// The lease of this number was granted.
+    /// The lease with this number was granted.
     LeaseGranted(u64),
-    /// The lease was renewed or ended.
+    /// The lease was renewed or revoked.
     LeaseRenewed,
-    /// The lease has expired or was revoked: keys attached to it are gone. For a
-    /// transaction: it was not applied.
+    /// The lease has expired or was revoked, and the keys attached to it are deleted. A transaction
+    /// that names it was not applied.
     LeaseNotFound,
-    /// Changes, which may be none.
+    /// Response to a watch; `events` is empty if nothing has changed.
     WatchEvents {
-        /// The events are complete up to here.
+        /// The events are complete up to this revision.
         revision: u64,
-        /// In order of their revisions.
+        /// The changes, in order of their revisions.
         events: Vec<WatchEvent>,
     },
-    /// The store does not keep the changes since so early a revision: list the keys anew.
+    /// The store no longer keeps the changes since the requested revision: list the keys again.
     Compacted,
-    /// Surely not executed, and never will be: refused by the store, or not sent.
+    /// Definitely not executed, and never will be: refused by the store, or not sent.
     NotExecuted,
-    /// No answer that could be read: it may have been executed, or may still be.
+    /// No readable response: the request may have been executed, or may still be.
     OutcomeUnknown,
-    /// Surely not executed: the store takes no such request, which is a defect here.
+    /// Definitely not executed: the store rejects the request as invalid, which is a bug in this
+    /// program.
     Rejected,
 }
 
 impl KvRequest {
-    /// Whether it must not wait for the rate: without renewals every shard is lost.
+    /// Whether the request is never held back by the rate limit: without lease renewals this member
+    /// loses all its shards.
     pub fn is_urgent(&self) -> bool {
         matches!(
             self,
@@ -108,12 +112,12 @@
         )
     }
 
-    /// Whether it is a watch, which occupies its connection while it waits.
+    /// Whether the request is a watch, which occupies its connection while it waits.
     pub fn is_watch(&self) -> bool {
         matches!(self, KvRequest::Watch { .. })
     }
 
-    /// Changes that it would make, which count towards the rate of changes.
+    /// Number of keys that the request would write, counted against the write rate.
     pub fn writes(&self) -> usize {
         match self {
             KvRequest::Txn(txn) => txn.writes.len(),
@@ -121,7 +125,7 @@
         }
     }
 
-    /// How long its answer may take before its outcome is unknown.
+    /// How long the response may take before the outcome counts as unknown.
     pub fn timeout(&self) -> Micros {
         match self {
             KvRequest::Watch { block, .. } => *block + WATCH_GRACE_PERIOD,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The HTTP request that it is sent as.
+    /// Encodes the request as HTTP.
     pub fn encode(&self) -> OutgoingRequest {
         match self {
             KvRequest::Get(key) => OutgoingRequest::get(format!("{}/{key}", path::KV)),
@@ -157,10 +161,10 @@
         }
     }
 
-    /// The outcome by the store's answer; an answer that cannot be read proves nothing.
+    /// Decodes the store's response. If it cannot be parsed, the outcome is unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> KvResponse {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
-            wire::read_answer("state", body)
+            wire::read_answer("key-value store", body)
         }
         let unknown = KvResponse::OutcomeUnknown;
         match (status, self) {
@@ -193,7 +197,10 @@
             }
             (410, KvRequest::Watch { .. }) => KvResponse::Compacted,
             (400..=499, _) => {
-                log::error!("state: {status} for {self:?}: {}", String::from_utf8_lossy(body));
+                log::error!(
+                    "key-value store rejected {self:?} with status {status}: {}",
+                    String::from_utf8_lossy(body)
+                );
                 KvResponse::Rejected
             }
             _ => unknown,
