--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, which creates and removes machines, and its replies.
+//! Calls to the cloud, which creates and removes machines, and their outcomes.
 
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
@@ -7,11 +7,11 @@
     path,
 };
 
-/// Machines requested on one page of the list.
+/// Maximum number of machines per page of the list.
 const MACHINES_PER_PAGE: usize = 500;
-/// How long a reply may take.
+/// How long the response to a call may take.
 const CALL_TIMEOUT: Micros = Micros::secs(5);
-/// What the body of a refusal contains where the cloud has no such machines left.
+/// Text that the body of a refused scale-out contains if the cloud has no such machines available.
 const NO_CAPACITY_WORD: &[u8] = b"capacity";
 
 /// A call to the cloud.
@@ -19,48 +19,49 @@
 pub enum CloudCall {
     /// Lists the machine types and their prices.
     ListMachineTypes,
-    /// Creates machines. The same request under the same name creates them once.
+    /// Creates machines. Retries with the same request name are idempotent: the machines are
+    /// created once.
     ScaleOut(ScaleOutRequest),
-    /// Removes the machines of these names, with everything on them.
+    /// Removes the machines with these names, including everything that runs on them.
     ScaleIn(Vec<String>),
-    /// Lists the machines, one page a call.
+    /// Lists one page of the machines.
     ListMachines {
-        /// The page begins after this name; at the beginning without one.
+        /// The page begins after this machine name; at the first machine if absent.
         after: Option<String>,
     },
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// All machine types.
     MachineTypes(Vec<MachineType>),
-    /// The names of the machines that were created; they may be fewer than requested.
+    /// The names of the created machines; there may be fewer than requested.
     ScaledOut(Vec<String>),
     /// None of the requested machines are available.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines were removed.
     ScaledIn,
     /// A page of the machines.
     Machines {
-        /// The machines, by name.
+        /// The machines, ordered by name.
         machines: Vec<ListedMachine>,
         /// Another page follows.
         more: bool,
     },
-    /// Surely not executed: refused, an outage, or never sent.
+    /// Definitely not executed: refused, unavailable, or not sent.
     NotExecuted,
-    /// May have been executed, or may still be.
+    /// No readable response: the call may have been executed, or may still be.
     Unknown,
 }
 
 impl CloudCall {
-    /// How long its reply may take.
+    /// How long the response may take before the outcome counts as unknown.
     pub fn timeout(&self) -> Micros {
         CALL_TIMEOUT
     }
 
-    /// The HTTP request that it is sent as.
+    /// Encodes the call as an HTTP request.
     pub fn encode(&self) -> OutgoingRequest {
         match self {
             CloudCall::ListMachineTypes => OutgoingRequest::get(path::TYPES.into()),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reads the reply. What cannot be read counts as unknown.
+    /// Decodes the cloud's response. If it cannot be parsed, the outcome is unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudReply {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
             wire::read_answer("cloud", body)
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,100 +1,102 @@
-//! HTTP/1.1 messages over `httparse`: bounded, no pipelining, no chunked bodies.
+//! Parses and writes HTTP/1.1 messages, with `httparse`.
 //!
-//! Reads and writes bytes only; it knows no path and no connection.
+//! Messages are bounded, there is no pipelining, and chunked bodies are rejected. The module works
+//! on byte buffers only and is independent of paths and connections.
 
 use serde::Serialize;
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request's body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Largest head of a message, in bytes.
+/// Maximum size of a message's head, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Headers that a message may have.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
-/// Largest body of an answer of an outside system, in bytes. Answers to watches have
-/// no limit in the protocol: this one guards the memory.
-pub const MAX_ANSWER: usize = 8 * 1024 * 1024;
+/// Maximum size of a response's body, in bytes. The protocol does not limit responses to watches;
+/// this limit bounds the memory that they use.
+pub const MAX_RESPONSE_BODY: usize = 8 * 1024 * 1024;
 
-/// Why a message cannot be read. Each ends its connection; the texts go to the sender.
+/// Reasons for which a message is rejected. Each closes the connection; for requests, the text is
+/// sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// Not HTTP, or a part of it that this service does not speak.
+    /// Not HTTP, or a feature of HTTP that is not supported.
     #[error("malformed HTTP")]
     Malformed,
-    /// The body is larger than allowed.
+    /// The body exceeds its maximum size.
     #[error("body too large")]
     TooLarge,
 }
 
-/// A request that has arrived in full.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path with its query.
     pub path: String,
-    /// Body.
+    /// Body; empty if absent.
     pub body: Vec<u8>,
-    /// The sender requests that the connection is closed.
+    /// The client expects the connection to be closed after the response.
     pub close: bool,
 }
 
-/// A message that was read from the front of a buffer.
+/// A message that was parsed from the front of a buffer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received<M> {
-    /// The message.
+    /// The parsed message.
     pub message: M,
-    /// Bytes of the buffer that it took.
+    /// Size of the message with its head, in bytes; the caller removes them from the buffer.
     pub length: usize,
 }
 
-/// An answer that has arrived in full.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Body; empty if absent.
     pub body: Vec<u8>,
-    /// The sender will close.
+    /// The server closes the connection after this response.
     pub close: bool,
 }
 
 /// A request to an outside system or a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path with its query.
     pub path: String,
-    /// Body, in JSON.
+    /// JSON body, if any.
     pub body: Option<Vec<u8>>,
 }
 
-/// An answer to a sender.
+/// A response to a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingAnswer<'a> {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Seconds after which the sender should repeat its request.
+    /// Seconds after which the client should retry, sent as `Retry-After`.
     pub retry_after: Option<u64>,
-    /// Media type of the body.
+    /// Media type of the body, sent as `Content-Type`.
     pub content_type: &'a str,
-    /// Body.
+    /// Body, which may be empty.
     pub body: &'a [u8],
-    /// The connection is closed afterwards.
+    /// The connection is closed after this response.
     pub close: bool,
 }
 
-/// What a message's headers say of its body and its connection.
+/// The headers that determine a message's length and the lifetime of its connection.
 struct Framing {
-    /// Bytes of the body.
+    /// Size of the body in bytes; 0 without a `Content-Length` header.
     length: usize,
     close: bool,
     chunked: bool,
 }
 
-fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
+fn parse_framing(headers: &[httparse::Header<'_>]) -> Result<Framing, HttpError> {
     let mut length = None;
     let mut close = false;
     let mut chunked = false;
@@ -115,7 +117,7 @@
     Ok(Framing { length: length.unwrap_or(0), close, chunked })
 }
 
-/// Length of the head in `buffer`, or `None` while it has not arrived in full.
+/// Length of the head in `buffer`; `None` if it has not arrived in full.
 fn head_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     match parsed.map_err(|_| HttpError::Malformed)? {
         httparse::Status::Complete(length) => Ok(Some(length)),
@@ -124,10 +126,10 @@
     }
 }
 
-/// The body behind a head of this length, or `None` while it has not arrived in full.
+/// The body after a head of this length; `None` if it has not arrived in full.
 fn body<'a>(
     buffer: &'a [u8],
-    head: usize,
+    head_length: usize,
     framing: &Framing,
     max_bytes: usize,
 ) -> Result<Option<&'a [u8]>, HttpError> {
@@ -137,21 +139,21 @@
     if framing.length > max_bytes {
         return Err(HttpError::TooLarge);
     }
-    Ok(buffer.get(head..head + framing.length))
+    Ok(buffer.get(head_length..head_length + framing.length))
 }
 
-/// Reads a request from the front of `buffer`; `None` while it has not arrived in full.
+/// Parses a request from the front of `buffer`; `None` if it has not arrived in full.
 ///
 /// # Errors
 ///
-/// If it cannot be read, however it goes on.
+/// Returns an error if the request is malformed or too large, whatever bytes follow.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<Received<Request>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
         return Ok(None);
     };
-    let framing = framing(head.headers)?;
+    let framing = parse_framing(head.headers)?;
     let Some(body) = body(buffer, head_length, &framing, MAX_BODY)? else {
         return Ok(None);
     };
@@ -164,27 +166,27 @@
     Ok(Some(Received { message: request, length: head_length + body.len() }))
 }
 
-/// Reads an answer from the front of `buffer`, as [`parse_request`] reads a request.
+/// Parses a response from the front of `buffer`; `None` if it has not arrived in full.
 ///
 /// # Errors
 ///
-/// If it cannot be read, however it goes on.
+/// Returns an error if the response is malformed or too large, whatever bytes follow.
 pub fn parse_answer(buffer: &[u8]) -> Result<Option<Received<Answer>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
         return Ok(None);
     };
-    let framing = framing(head.headers)?;
-    let Some(body) = body(buffer, head_length, &framing, MAX_ANSWER)? else {
+    let framing = parse_framing(head.headers)?;
+    let Some(body) = body(buffer, head_length, &framing, MAX_RESPONSE_BODY)? else {
         return Ok(None);
     };
     let status = head.code.ok_or(HttpError::Malformed)?;
-    let answer = Answer { status, body: body.to_vec(), close: framing.close };
-    Ok(Some(Received { message: answer, length: head_length + body.len() }))
+    let response = Answer { status, body: body.to_vec(), close: framing.close };
+    Ok(Some(Received { message: response, length: head_length + body.len() }))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -201,9 +203,9 @@
 }
 
 impl OutgoingAnswer<'_> {
-    /// Appends its bytes to `out`.
+    /// Appends the encoded response to `out`.
     pub fn write_to(&self, out: &mut Vec<u8>) {
-        let reason = reason(self.status);
+        let reason = reason_phrase(self.status);
         let mut head = format!(
             "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
             self.status,
@@ -223,23 +225,23 @@
 }
 
 impl OutgoingRequest {
-    /// A request to read.
+    /// Creates a `GET` request.
     pub fn get(path: String) -> OutgoingRequest {
         OutgoingRequest { method: "GET", path, body: None }
     }
 
-    /// A request with a body, encoded as JSON.
+    /// Creates a `POST` request with `body` encoded as JSON.
     pub fn post<T: Serialize>(path: String, body: &T) -> OutgoingRequest {
         let body = serde_json::to_vec(body).unwrap_or_default();
         OutgoingRequest { method: "POST", path, body: Some(body) }
     }
 
-    /// A request to remove.
+    /// Creates a `DELETE` request.
     pub fn delete(path: String) -> OutgoingRequest {
         OutgoingRequest { method: "DELETE", path, body: None }
     }
 
-    /// Its bytes, as sent to `host`.
+    /// Encodes the request with `host` as its `Host` header.
     pub fn to_bytes(&self, host: SocketAddrV4) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.path);
         if let Some(body) = &self.body {
@@ -253,7 +255,7 @@
     }
 }
 
-/// Whether a body contains a text.
+/// Whether `body` contains `text`, which must not be empty.
 pub fn contains(body: &[u8], text: &[u8]) -> bool {
     body.windows(text.len()).any(|window| window == text)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,18 @@
 //! millethold: a cluster scheduler whose controllers share the work.
 //!
-//! The [`controller`] is pure: time and events go in, effects come out. The
-//! [`runtime`] does all input and output around it. See `docs/architecture.md`.
+//! The [`controller`] is pure: it takes the current time and an event, and returns effects. The
+//! [`runtime`] does all I/O. See `docs/architecture.md`.
 //!
-//! - [`runtime`]: sockets, timers and rate limits; turns input into events and carries out
-//!   effects;
-//! - [`controller`]: what a controller knows and decides, a component a concern;
-//! - [`wire`]: the JSON of users, workers, the cloud and the key-value store;
+//! - [`runtime`]: event loop with sockets, timers and rate limits; turns input into events and
+//!   carries out effects;
+//! - [`controller`]: state and decisions of a controller, with one component per concern;
+//! - [`wire`]: JSON formats of users, workers, the cloud and the key-value store;
 //! - [`peer`]: messages between controllers;
-//! - [`kv_store`]: requests to the key-value store, what their outcomes prove, its rates;
-//! - [`cloud`]: requests to the cloud and their outcomes;
-//! - [`http`]: HTTP messages;
+//! - [`kv_store`]: requests to the key-value store, their outcomes, and its rate limits;
+//! - [`cloud`]: calls to the cloud and their outcomes;
+//! - [`http`]: parsing and writing of HTTP messages;
 //! - [`config`]: settings and options;
-//! - [`logging`]: the form of log lines;
+//! - [`logging`]: format of log lines;
 //! - [`resources`]: amounts of CPUs, GPUs and memory;
 //! - [`time`]: points in time and durations.
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,10 +1,10 @@
-//! The form of log lines: level, target and text, then `key=value` fields.
+//! Formats log lines: level, target and text, followed by `key=value` fields.
 
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 use std::io::{self, Write};
 
-/// Writes the fields of a line, one after the other.
+/// Writes each field of a record as ` key=value`.
 struct Fields<'a, W: Write>(&'a mut W);
 
 impl<'kvs, W: Write> VisitSource<'kvs> for Fields<'_, W> {
@@ -14,11 +14,11 @@
     }
 }
 
-/// Writes one line of the log.
+/// Writes a record as one line.
 ///
 /// # Errors
 ///
-/// Those of the writer.
+/// Returns an error if writing to `out` fails.
 pub fn write_line<W: Write>(out: &mut W, record: &Record<'_>) -> io::Result<()> {
     write!(out, "{} {}: {}", record.level(), record.target(), record.args())?;
     record.key_values().visit(&mut Fields(out)).map_err(io::Error::other)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The program: reads its command line and settings, then runs a controller.
+//! The `millethold` program: reads the command line and the settings, then runs a controller.
 //!
-//! It exits with status 2 and one line on standard error if a setting cannot be used, and
-//! with status 1 if it cannot run. [`millethold::config`] reads the settings,
+//! It exits with status 2 and one line on standard error if the settings or options are invalid,
+//! and with status 1 if the controller cannot run. [`millethold::config`] reads the settings,
 //! [`millethold::runtime`] runs the controller, [`millethold::logging`] writes its log.
 
 use clap::Parser;
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,37 +1,39 @@
-//! Amounts of CPUs, GPUs and memory: of tasks, of machines, and of what is free on these.
+//! Amounts of CPUs, GPUs and memory that tasks need and machines have or have free.
 
 use crate::peer::{Demand, Shape};
 use crate::wire::{JobSpec, MachineType};
 use std::ops::{AddAssign, Mul, Sub, SubAssign};
 
-/// Amounts are sums of decimal numbers; differences below this are none.
+/// Differences below this are rounding errors: amounts are sums of decimal fractions, which
+/// floating point does not represent exactly.
 pub const TOLERANCE: f64 = 1e-6;
 
-/// Added to free amounts before they are divided by a task's: a task must not miss a machine
-/// that is exactly large enough by a rounding error.
+/// Added to free amounts before they are divided by a task's amounts. Without it, rounding errors
+/// could keep a task off a machine that is exactly large enough.
 const DIVISION_TOLERANCE: f64 = 1e-9;
 
-/// CPUs, GPUs and memory.
+/// Amounts of CPUs, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// CPUs, also parts of one.
+    /// CPUs; may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs; may be fractional.
     pub gpus: f64,
     /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Nothing.
+    /// No resources.
     pub const ZERO: Resources = Resources::new(0.0, 0.0, 0.0);
 
-    /// So many CPUs, GPUs and gigabytes of memory.
+    /// Creates an amount from CPUs, GPUs and gigabytes of memory.
     pub const fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources { cpus, gpus, memory_gb }
     }
 
-    /// How many tasks that need `task` each fit into these free resources.
+    /// Number of tasks that fit into these free resources if each needs `task`; `u32::MAX` if it
+    /// needs nothing.
     pub fn tasks_that_fit(&self, task: &Resources) -> u32 {
         let mut count = f64::from(u32::MAX);
         for (free, needed) in
@@ -75,7 +77,7 @@
     }
 }
 
-/// The resources of so many tasks.
+/// The resources of N tasks, where `self` is what one of them needs.
 impl Mul<u32> for Resources {
     type Output = Resources;
 
@@ -85,28 +87,28 @@
     }
 }
 
-/// What one task of a job needs.
+/// The resources that one task of a job needs.
 impl From<&JobSpec> for Resources {
     fn from(spec: &JobSpec) -> Resources {
         Resources::new(spec.cpus, spec.gpus, spec.memory_gb)
     }
 }
 
-/// What one task of a job in the desired state needs.
+/// The resources that one task of a job in the desired state needs.
 impl From<&Shape> for Resources {
     fn from(shape: &Shape) -> Resources {
         Resources::new(shape.cpus, shape.gpus, shape.memory_gb)
     }
 }
 
-/// What each of the waiting tasks needs.
+/// The resources that each of the waiting tasks needs.
 impl From<&Demand> for Resources {
     fn from(demand: &Demand) -> Resources {
         Resources::new(demand.cpus, demand.gpus, demand.memory_gb)
     }
 }
 
-/// What a machine of the type has.
+/// The resources of a machine of this type.
 impl From<&MachineType> for Resources {
     fn from(machine_type: &MachineType) -> Resources {
         Resources::new(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,30 +1,33 @@
-//! Points in time and durations, in whole microseconds. Nothing here reads a clock.
+//! Points in time and durations, in whole microseconds; does not read a clock.
 
 use serde::Serialize;
 use std::ops::{Add, AddAssign, Sub};
 
-/// A duration, or a point on this process's steady clock, in microseconds.
+/// A duration or a point in time, in microseconds. Points in time are on this process's monotonic
+/// clock unless stated otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize)]
 #[serde(transparent)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time at all.
+    /// Zero duration, or the zero of the clock.
     pub const ZERO: Micros = Micros(0);
-    /// Later than every point in time that occurs; sums of it do not overflow.
+    /// Later than every point in time that occurs; small enough that adding to it does not
+    /// overflow.
     pub const FAR: Micros = Micros(u64::MAX / 4);
 
-    /// Whole seconds.
+    /// Creates a duration from whole seconds.
     pub const fn secs(seconds: u64) -> Micros {
         Micros(seconds * 1_000_000)
     }
 
-    /// Whole milliseconds.
+    /// Creates a duration from whole milliseconds.
     pub const fn millis(milliseconds: u64) -> Micros {
         Micros(milliseconds * 1_000)
     }
 
-    /// From the decimal seconds of the protocol; negative and non-finite become zero.
+    /// Creates a duration from the protocol's decimal seconds; negative and non-finite values
+    /// become zero.
     pub fn from_secs_f64(seconds: f64) -> Micros {
         if seconds.is_finite() && seconds > 0.0 {
             Micros((seconds * 1e6).min(1e18).round() as u64)
@@ -33,32 +36,34 @@
         }
     }
 
-    /// Decimal seconds, for messages and logs.
+    /// Converts to decimal seconds, for messages and logs.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Whole milliseconds, rounded down.
+    /// Converts to whole milliseconds, rounded down.
     pub fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The duration since `earlier`, zero if that is later.
+    /// The duration since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Lengthened by the parts per thousand by which two steady clocks may differ.
+    /// Lengthens a duration by `per_mille` thousandths, the maximum drift between two monotonic
+    /// clocks; never rounds below the exact result.
     pub fn stretched(self, per_mille: u64) -> Micros {
         Micros(self.0 + self.0 / 1_000 * per_mille + per_mille)
     }
 
-    /// Shortened by the parts per thousand by which two steady clocks may differ.
+    /// Shortens a duration by `per_mille` thousandths, the maximum drift between two monotonic
+    /// clocks; never rounds above the exact result.
     pub fn shortened(self, per_mille: u64) -> Micros {
         Micros(self.0.saturating_sub(self.0 / 1_000 * per_mille + per_mille))
     }
 
-    /// As the standard library's duration, for timers.
+    /// Converts to the standard library's duration, for timers.
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
