--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -1,17 +1,18 @@
-//! Jobs: their progress, what waits, what it lacks and what should be preempted.
+//! Messages about jobs: progress, waiting tasks, missing quota, preemptions and inherited
+//! urgency.
 
 use prost::Message;
 
-/// A job's progress, for display.
+/// Progress of a job: shown to users, and used to tell a failing job from a faulty machine.
 #[derive(Clone, PartialEq, Message)]
 pub struct Progress {
     /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Tasks done.
+    /// Number of completed tasks.
     #[prost(uint32, tag = "2")]
     pub done: u32,
-    /// Tasks running.
+    /// Number of running tasks.
     #[prost(uint32, tag = "3")]
     pub running: u32,
 }
@@ -19,36 +20,37 @@
 /// Waiting tasks with the same requirements.
 #[derive(Clone, PartialEq, Message)]
 pub struct Demand {
-    /// How many tasks wait.
+    /// Number of waiting tasks, as far as the team's limit lets them run.
     #[prost(uint32, tag = "1")]
     pub tasks: u32,
-    /// CPUs of each.
+    /// CPUs of each task.
     #[prost(double, tag = "2")]
     pub cpus: f64,
-    /// GPUs of each.
+    /// GPUs of each task.
     #[prost(double, tag = "3")]
     pub gpus: f64,
-    /// Memory of each, in GB.
+    /// Memory of each task, in GB.
     #[prost(double, tag = "4")]
     pub memory_gb: f64,
-    /// Allowed machine types; none named: all.
+    /// Names of the allowed machine types; empty if all types are allowed.
     #[prost(string, repeated, tag = "5")]
     pub types: Vec<String>,
-    /// Allowed zone.
+    /// The only allowed zone; `None` if all zones are allowed.
     #[prost(string, optional, tag = "6")]
     pub zone: Option<String>,
-    /// May use spot machines.
+    /// Whether the tasks may run on spot machines.
     #[prost(bool, tag = "7")]
     pub spot: bool,
-    /// Rank of service: lower is more urgent.
+    /// Scheduling rank: lower is more urgent.
     #[prost(uint32, tag = "8")]
     pub rank: u32,
-    /// Its team uses its whole guarantee, so that others go first.
+    /// Whether one more task would take the team beyond its guarantee, so that tasks of teams
+    /// within their guarantee go first.
     #[prost(bool, tag = "9")]
     pub beyond_guarantee: bool,
 }
 
-/// What a shard lacks of a team's limit.
+/// What waiting tasks of a shard need of a team's limit beyond the shard's grant.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaDemand {
     /// Number of the shard.
@@ -57,44 +59,46 @@
     /// Name of the team.
     #[prost(string, tag = "2")]
     pub team: String,
-    /// CPUs that waiting tasks lack.
+    /// Missing CPUs.
     #[prost(double, tag = "3")]
     pub cpus: f64,
-    /// GPUs that they lack.
+    /// Missing GPUs.
     #[prost(double, tag = "4")]
     pub gpus: f64,
-    /// Rank of these tasks.
+    /// Scheduling rank of the tasks: lower is more urgent.
     #[prost(uint32, tag = "5")]
     pub rank: u32,
 }
 
-/// A task whose preemption is requested.
+/// A task that is to be preempted for more urgent ones.
 #[derive(Clone, PartialEq, Message)]
 pub struct Preempt {
-    /// Id of its job.
+    /// Id of the task's job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Number of its attempt.
+    /// Number of the attempt; a later attempt of the task is not preempted.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// There is time for it to save a checkpoint first.
+    /// Whether there is time for the task to save a checkpoint before it stops.
     #[prost(bool, tag = "4")]
     pub save: bool,
 }
 
-/// A job on which others depend, and how urgent the most urgent of them is.
+/// The most urgent rank and the earliest deadline of the sender's waiting jobs that depend on a
+/// job.
 #[derive(Clone, PartialEq, Message)]
 pub struct InheritedUrgency {
-    /// Id of the job.
+    /// Id of the job that inherits the urgency.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Rank of service: lower is more urgent.
+    /// Scheduling rank: lower is more urgent.
     #[prost(uint32, tag = "2")]
     pub rank: u32,
-    /// Time of day of the deadline, in microseconds.
+    /// Deadline in microseconds since the Unix epoch; [`Micros::FAR`](crate::time::Micros::FAR)
+    /// if there is none.
     #[prost(uint64, tag = "3")]
     pub due_us: u64,
 }
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -1,4 +1,7 @@
-//! What a shard desires on machines: the desired state, as it is sent and as it is kept.
+//! The desired state of a shard: the tasks that its leader wants on each machine.
+//!
+//! The wire forms (`...Message`) refer to a task's [`Shape`] by index; the in-memory forms share
+//! it through an [`Rc`].
 
 use crate::wire::WorkerIncarnation;
 use prost::Message;
@@ -7,7 +10,7 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// What the tasks of a job have in common, as far as the desired state says it.
+/// The part of the desired state that all tasks of a job have in common.
 #[derive(Clone, PartialEq, Message)]
 pub struct Shape {
     /// Id of the job.
@@ -28,50 +31,52 @@
     /// Size of the image, in GB.
     #[prost(double, tag = "6")]
     pub image_gb: f64,
-    /// Rank of service: lower is more urgent.
+    /// Scheduling rank: lower is more urgent.
     #[prost(uint32, tag = "7")]
     pub rank: u32,
     /// Name of the team.
     #[prost(string, tag = "8")]
     pub team: String,
-    /// Seconds between a task's checkpoints, 0 if it saves none.
+    /// Seconds between two checkpoints of a task; 0 if it saves none.
     #[prost(double, tag = "9")]
     pub checkpoint_s: f64,
-    /// Seconds that a task is expected to run.
+    /// Expected run time of a task, in seconds.
     #[prost(double, tag = "10")]
     pub expected_s: f64,
 }
 
-/// A task that a shard desires on a machine, or desires to be stopped there, as it is sent:
-/// an array of thousands would repeat its job's description in each.
+/// Wire form of [`DesiredTask`].
+///
+/// The shape is an index, since a job with thousands of tasks would repeat it in each of them.
 #[derive(Clone, PartialEq, Message)]
 pub struct DesiredTaskMessage {
-    /// Index of its job among the message's shapes.
+    /// Index of the task's shape in [`DesiredStateMessage::shapes`].
     #[prost(uint32, tag = "1")]
     pub shape: u32,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Number of its attempt.
+    /// Number of the attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// Incarnation of the worker for which it was stored.
+    /// Incarnation of the worker that the placement was stored for.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Stop it, with this many milliseconds to save a checkpoint.
+    /// Stop the task, with this many milliseconds to save a checkpoint; `None` if it is not to
+    /// be stopped.
     #[prost(uint64, optional, tag = "5")]
     pub stop_ms: Option<u64>,
-    /// Time of day at which it was placed, in seconds.
+    /// Wall-clock time at which the task was placed, in seconds since the Unix epoch.
     #[prost(uint64, tag = "6")]
     pub placed_s: u64,
-    /// See [`Phase`]. Only what is surely stored may be started, so a value of a later version
-    /// must not read as that: it reads as `Ahead`.
+    /// A [`Phase`]. Only a placement that is definitely stored may be started, so an unknown
+    /// value of a later version must not count as stored: it reads as [`Phase::Ahead`].
     #[prost(enumeration = "Phase", tag = "7")]
     pub phase: i32,
 }
 
 impl DesiredTaskMessage {
-    /// As it is kept.
+    /// Converts the task to its in-memory form; `shapes` are those of its message.
     fn decode(self, shapes: &[Rc<Shape>]) -> Result<DesiredTask, DesiredStateError> {
         let Some(shape) = shapes.get(self.shape as usize) else {
             return Err(DesiredStateError { index: self.index, shape: self.shape });
@@ -88,79 +93,86 @@
     }
 }
 
-/// Why a desired state cannot be decoded: a task names a job that the message does not have.
+/// A task of a desired state refers to a shape that the message does not contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("task {index} is of job {shape} of the message, which has fewer")]
+#[error("task {index} refers to shape {shape}, which the message does not contain")]
 pub struct DesiredStateError {
     /// Number of the task in its job.
     index: u32,
-    /// Index of its job among the message's shapes.
+    /// Index of the missing shape.
     shape: u32,
 }
 
-/// How far a desired task is, by the shard that desires it.
+/// Lifecycle phase of a desired task, decided by the leader of the shard that desires it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Phase {
-    /// Decided and not stored yet: its resources are reserved, it is not started.
+    /// The placement is decided but not stored yet: its resources are reserved, and the task
+    /// must not be started.
     Ahead = 0,
-    /// Stored: to be started, or to go on.
+    /// The placement is stored: the task is to be started, or to continue.
     DesiredHere = 1,
-    /// Its attempt has ended, which is not stored yet: it is not started again, and what is
-    /// observed of it is kept.
+    /// The attempt has ended, but its end is not stored yet: the task is not started again, and
+    /// its observed state is kept.
     Over = 2,
 }
 
-/// All that a shard desires on one machine, as it is sent.
+/// Wire form of [`MachineDesired`].
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineDesiredMessage {
     /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
-    /// The tasks.
+    /// All tasks that the shard desires on the machine.
     #[prost(message, repeated, tag = "2")]
     pub tasks: Vec<DesiredTaskMessage>,
-    /// Highest term of the machine's shard that this desired state has taken into account, where
-    /// it is sent again; 0: as the message's `terms` say.
+    /// Highest term of the machine's shard that these tasks take into account. Set when a full
+    /// sync repeats them; 0 if [`DesiredStateMessage::terms`] applies.
     #[prost(uint64, tag = "3")]
     pub known_term: u64,
 }
 
-/// A shard's desired state: of some machines, or of all, as it is sent.
+/// Wire form of [`DesiredUpdate`].
 #[derive(Clone, PartialEq, Message)]
 pub struct DesiredStateMessage {
     /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Term under which its leader sends it.
+    /// Term under which the shard's leader sends the message.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Order of the shard's messages within the term.
+    /// Sequence number of the shard's updates within the term; a full sync repeats the number of
+    /// the newest update.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// True: machines that are not named have no desired tasks of this shard.
+    /// Whether the message covers all machines: one that is absent has no desired tasks of this
+    /// shard.
     #[prost(bool, tag = "4")]
     pub complete: bool,
-    /// The machines.
+    /// Machines whose desired tasks are replaced.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineDesiredMessage>,
-    /// Terms of all shards, by number, as the sender knew them. What it had concluded from views
-    /// under earlier terms is in the message, so the leader of a machine's shard starts nothing
-    /// of it under a later term than the named.
+    /// Latest terms of all shards that the sender knew, by shard number; empty in a full sync.
+    /// The message includes all that the sender concluded from views of earlier terms. The leader
+    /// of a machine's shard therefore starts no task of the message under a later term than the
+    /// one given here.
     #[prost(uint64, repeated, tag = "6")]
     pub terms: Vec<u64>,
-    /// Jobs of the tasks, which name them by index.
+    /// Shapes of the tasks, which refer to them by index.
     #[prost(message, repeated, tag = "7")]
     pub shapes: Vec<Shape>,
-    /// Terms of all shards that the sender knew when it made this, or the newest
-    /// change that is in it. Only from one who knows the term of a machine's shard
-    /// does it follow that a task which is not named is not desired there.
+    /// Latest terms of all shards, by shard number, that the sender knew when it made the newest
+    /// update that the message includes. The absence of a task proves that it is not desired on a
+    /// machine only if the sender knew the current term of the machine's shard.
     #[prost(uint64, repeated, tag = "9")]
     pub known_terms: Vec<u64>,
 }
 
 impl DesiredStateMessage {
-    /// As it is kept.
+    /// Converts the message to its in-memory form.
+    ///
+    /// # Errors
+    /// A task refers to a shape that the message does not contain.
     pub fn decode(self) -> Result<DesiredUpdate, DesiredStateError> {
         let shapes: Vec<Rc<Shape>> = self.shapes.into_iter().map(Rc::new).collect();
         let mut machines = Vec::with_capacity(self.machines.len());
@@ -184,22 +196,23 @@
     }
 }
 
-/// A task that a shard desires on a machine, as it is kept: see [`DesiredTaskMessage`].
+/// A task that a shard desires on a machine, or wants to be stopped there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredTask {
-    /// Its job.
+    /// Shape that the task shares with the other tasks of its job.
     pub shape: Rc<Shape>,
     /// Number of the task in its job.
     pub index: u32,
-    /// Number of its attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Incarnation of the worker for which it was stored.
+    /// Incarnation of the worker that the placement was stored for.
     pub incarnation: WorkerIncarnation,
-    /// Stop it, with this many milliseconds to save a checkpoint.
+    /// Stop the task, with this many milliseconds to save a checkpoint; `None` if it is not to
+    /// be stopped.
     pub stop_ms: Option<u64>,
-    /// Time of day at which it was placed, in seconds.
+    /// Wall-clock time at which the task was placed, in seconds since the Unix epoch.
     pub placed_s: u64,
-    /// A [`Phase`], or what a later version sent as one.
+    /// The number of a [`Phase`], possibly one that only a later version knows.
     pub phase: i32,
 }
 
@@ -212,12 +225,12 @@
 }
 
 impl DesiredTask {
-    /// How far it is, by the shard that desires it.
+    /// Phase of the task; [`Phase::Ahead`] if a later version sent an unknown one.
     pub fn phase(&self) -> Phase {
         Phase::try_from(self.phase).unwrap_or(Phase::Ahead)
     }
 
-    /// As it is sent; `shape` is the index of its job among the message's shapes.
+    /// Converts the task to its wire form; `shape` is the index of its shape in the message.
     fn to_message(&self, shape: u32) -> DesiredTaskMessage {
         DesiredTaskMessage {
             shape,
@@ -231,57 +244,59 @@
     }
 }
 
-/// All that a shard desires on one machine, as it is kept.
+/// All tasks that a shard desires on one machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineDesired {
     /// Name of the machine.
     pub machine: String,
-    /// Highest term of the machine's shard that was taken into account; 0: as
-    /// [`DesiredUpdate::terms`] says.
+    /// Highest term of the machine's shard that the tasks take into account; 0 if
+    /// [`DesiredUpdate::terms`] applies.
     pub known_term: u64,
-    /// The tasks.
+    /// Empty if the shard desires nothing on the machine any more.
     pub tasks: Vec<DesiredTask>,
 }
 
-/// A shard's desired state, as it is kept: see [`DesiredStateMessage`].
+/// An update of a shard's desired state, for some machines or for all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredUpdate {
     /// Number of the shard.
     pub shard: usize,
-    /// Term under which its leader sends it.
+    /// Term under which the shard's leader sends the update.
     pub term: u64,
-    /// Order of the shard's messages within the term.
+    /// Sequence number of the shard's updates within the term.
     pub seq: u64,
-    /// Machines that are not named have no desired tasks of this shard.
+    /// Whether the update covers all machines: one that is absent has no desired tasks of this
+    /// shard.
     pub complete: bool,
-    /// The machines.
+    /// Machines whose desired tasks are replaced.
     pub machines: Vec<MachineDesired>,
-    /// Terms of all shards, as the sender knew them.
+    /// Latest terms of all shards that the sender knew, by shard number; see
+    /// [`DesiredStateMessage::terms`].
     pub terms: Vec<u64>,
-    /// Terms of all shards that the sender knew when it made this, or the newest change that is
-    /// in it.
+    /// Latest terms of all shards that the sender knew when it made the newest included update;
+    /// see [`DesiredStateMessage::known_terms`].
     pub known_terms: Vec<u64>,
 }
 
 impl DesiredUpdate {
-    /// As it is sent.
+    /// Converts the update to its wire form, with each shape once.
     pub fn to_message(&self) -> DesiredStateMessage {
         let mut shapes: Vec<Shape> = Vec::new();
-        let mut indices: BTreeMap<*const Shape, u32> = BTreeMap::new();
+        let mut shape_indices: BTreeMap<*const Shape, u32> = BTreeMap::new();
         let mut machines = Vec::with_capacity(self.machines.len());
-        for on_machine in &self.machines {
-            let mut tasks = Vec::with_capacity(on_machine.tasks.len());
-            for task in &on_machine.tasks {
-                let shape = *indices.entry(Rc::as_ptr(&task.shape)).or_insert_with(|| {
+        for desired in &self.machines {
+            let mut tasks = Vec::with_capacity(desired.tasks.len());
+            for task in &desired.tasks {
+                let shape = *shape_indices.entry(Rc::as_ptr(&task.shape)).or_insert_with(|| {
                     shapes.push((*task.shape).clone());
                     shapes.len() as u32 - 1
                 });
                 tasks.push(task.to_message(shape));
             }
             machines.push(MachineDesiredMessage {
-                machine: on_machine.machine.clone(),
+                machine: desired.machine.clone(),
                 tasks,
-                known_term: on_machine.known_term,
+                known_term: desired.known_term,
             });
         }
         DesiredStateMessage {
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! One message between controllers.
+//! The message that controllers exchange.
 
 use super::{
     AddressHint, Demand, DesiredStateMessage, InheritedUrgency, MachineView, MisdirectedHeartbeats,
@@ -6,85 +6,90 @@
 };
 use prost::Message;
 
-/// Format of what this version stores and sends: a number that rises with each change which
-/// operators should see during an upgrade. Versions that send none count as 0.
+/// Format of the data that this version stores and sends. It increases with each change that
+/// operators should see during an upgrade; a version that sends no format counts as 0.
 pub const FORMAT: u32 = 1;
 
-/// One message between controllers.
+/// A message from a controller to its peers: the sender's state, and what has changed since its
+/// last frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// Name of the sender.
+    /// Member name of the sender.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// The sender's incarnation: a number drawn when its process started.
+    /// Incarnation of the sender, drawn at random when its process starts; never 0.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Shards that the sender leads at present, as far as it may act.
+    /// Shards that the sender currently leads; none while its controller lease is not valid.
     #[prost(message, repeated, tag = "3")]
     pub shard_claims: Vec<ShardClaim>,
-    /// The sender's controller lease is valid.
+    /// Whether the sender's controller lease is valid.
     #[prost(bool, tag = "4")]
     pub state_ok: bool,
-    /// Desired state of shards that the sender leads.
+    /// Desired state of the shards that the sender leads: changes, or all of it in a full sync.
     #[prost(message, repeated, tag = "5")]
     pub desired: Vec<DesiredStateMessage>,
-    /// Machines of these shards.
+    /// Observed state of machines of the shards that the sender leads.
     #[prost(message, repeated, tag = "6")]
     pub views: Vec<MachineView>,
-    /// Progress of jobs.
+    /// Jobs whose progress has changed; all jobs in a full sync.
     #[prost(message, repeated, tag = "7")]
     pub progress: Vec<Progress>,
-    /// All tasks that wait at the sender; replaces what it said before.
+    /// All tasks that wait on the sender's shards; replaces the sender's earlier demand.
     #[prost(message, repeated, tag = "8")]
     pub demand: Vec<Demand>,
-    /// True if `demand`, `quota_demand` and `misdirected` are said: empty, they mean none.
+    /// Whether `demand`, `quota_demand` and `misdirected` are set. If so, an empty list means
+    /// none; otherwise the lists of an earlier frame stay valid.
     #[prost(bool, tag = "9")]
     pub has_demand: bool,
-    /// What its shards lack of the teams' limits.
+    /// What the sender's shards need beyond their grants; set together with `demand`.
     #[prost(message, repeated, tag = "10")]
     pub quota_demand: Vec<QuotaDemand>,
-    /// Jobs whose cancellation the sender has confirmed, sent again until all know of them.
+    /// Jobs whose cancellation the sender has confirmed, repeated until all members know of it.
     #[prost(string, repeated, tag = "11")]
     pub cancelled: Vec<String>,
-    /// Machines that the sender knows to be terminated.
+    /// Machines that have been terminated.
     #[prost(string, repeated, tag = "12")]
     pub terminated: Vec<String>,
-    /// Machines that the autoscaler drains before it scales in; all of them.
+    /// All machines that the autoscaler drains before it removes them.
     #[prost(string, repeated, tag = "13")]
     pub draining: Vec<String>,
-    /// True if the sender is the autoscaler and says `draining`.
+    /// Whether the sender runs the autoscaler, so that `draining` is set.
     #[prost(bool, tag = "14")]
     pub is_autoscaler: bool,
-    /// Tasks of other shards whose preemption the sender requests, for more urgent ones.
+    /// Tasks of other shards whose preemption the sender requests, for more urgent tasks.
     #[prost(message, repeated, tag = "15")]
     pub preempt: Vec<Preempt>,
-    /// Where machines of shards that the sender does not lead were last known to be.
+    /// Last known addresses of machines of shards that the sender does not lead.
     #[prost(message, repeated, tag = "16")]
     pub address_hints: Vec<AddressHint>,
-    /// Machines of others' shards that send their heartbeats to the sender; said with `demand`.
+    /// Machines of other members' shards that send their heartbeats to the sender; set together
+    /// with `demand`.
     #[prost(message, repeated, tag = "17")]
     pub misdirected: Vec<MisdirectedHeartbeats>,
-    /// The sender and its workers cannot reach each other: it hands its shards over, and none
-    /// is handed back to it.
+    /// Whether the sender and its workers cannot reach each other. It then hands over its shards,
+    /// and no shard fails back to it.
     #[prost(bool, tag = "18")]
     pub partitioned: bool,
-    /// Members of whom the sender missed a frame: they are to send it everything.
+    /// Numbers of the members from which the sender missed a frame. Each of them answers with a
+    /// full sync.
     #[prost(uint32, repeated, tag = "19")]
     pub missed: Vec<u32>,
-    /// Counts the sender's frames, the same for all peers: one that was lost with a
-    /// connection shows as a gap.
+    /// Sequence number of the sender's frames, common to all peers. A gap shows that frames were
+    /// lost with a connection.
     #[prost(uint64, tag = "20")]
     pub number: u64,
-    /// It says everything: what was missed before does not matter any more.
+    /// Whether the frame is a full sync, which makes up for all frames that were missed before.
     #[prost(bool, tag = "21")]
     pub full: bool,
-    /// Revision of the key-value store up to which the sender has followed the jobs.
+    /// Revision of the key-value store up to which the sender has followed changes of jobs.
     #[prost(uint64, tag = "22")]
     pub watched: u64,
-    /// Jobs on which the sender's waiting jobs depend.
+    /// Urgency of the jobs that the sender's waiting jobs depend on.
     #[prost(message, repeated, tag = "23")]
     pub inherited_urgency: Vec<InheritedUrgency>,
-    /// The sender's [`FORMAT`]: shows which members still run an earlier version.
+    /// The sender's [`FORMAT`], which shows operators the members that still run an earlier
+    /// version.
     #[prost(uint32, tag = "24")]
     pub format: u32,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,15 +1,15 @@
-//! What controllers send each other, as length-prefixed `prost` frames.
+//! Messages between controllers, sent as length-prefixed `prost` frames.
 //!
-//! Everything here is whole-state: a lost frame is made good by the next one
-//! about the same thing, so nothing needs an answer. A gap in a sender's frames is
-//! known by their numbers, and everything is requested anew. Tags and types of fields never
-//! change, since controllers of different versions talk to each other during an upgrade.
+//! Each value replaces the earlier value for the same subject, so the next frame makes up for a
+//! lost one and no frame needs a reply. Frames are numbered: a receiver that sees a gap requests
+//! a full sync. Tags and types of fields never change, since controllers of different versions
+//! exchange frames during an upgrade.
 //!
-//! - `frame`: one message, with all that it may hold;
-//! - `desired_state`: what a shard desires on machines;
-//! - `views`: how machines and their tasks stand, the observed state;
-//! - `demand`: what waits, and what it lacks;
-//! - `shards`: who leads what, and whose heartbeats came to whom;
+//! - `frame`: the message with all its fields;
+//! - `desired_state`: the tasks that a shard desires on each machine;
+//! - `views`: the observed state of machines and their tasks;
+//! - `demand`: progress of jobs, waiting tasks, missing quota and preemptions;
+//! - `shards`: shard leadership, addresses of machines and misdirected heartbeats;
 //! - `encoding`: the bytes on a connection.
 
 mod demand;
--- a/src/peer/shards.rs
+++ b/src/peer/shards.rs
@@ -1,4 +1,4 @@
-//! Which shards a controller leads, and what it knows of others' shards.
+//! Messages about shards: leadership claims, addresses of machines, misdirected heartbeats.
 
 use prost::Message;
 
@@ -13,29 +13,29 @@
     pub term: u64,
 }
 
-/// Where a machine was last known to be, for a controller that may acquire its
-/// shard without having known of it.
+/// Last known address of a machine, for a controller that may acquire the machine's shard without
+/// having received a view of the machine.
 #[derive(Clone, PartialEq, Message)]
 pub struct AddressHint {
     /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
-    /// Incarnation of its worker.
+    /// Last known incarnation of its worker.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Address for direct commands.
+    /// Address for direct commands, as `IP:port`.
     #[prost(string, tag = "3")]
     pub address: String,
 }
 
-/// Machines of somebody else's shard that sent their heartbeats to the sender lately: their
-/// leader does not answer them.
+/// Machines of another member's shard that recently sent their heartbeats to the sender: a sign
+/// that the shard's leader does not answer them.
 #[derive(Clone, PartialEq, Message)]
 pub struct MisdirectedHeartbeats {
     /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// How many machines.
+    /// Number of such machines.
     #[prost(uint32, tag = "2")]
     pub machines: u32,
 }
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -1,52 +1,52 @@
-//! Machines and their tasks as the leaders of their shards know them: the observed state.
+//! The observed state: machines and their tasks as the leaders of the machines' shards see them.
 
 use crate::wire::WorkerIncarnation;
 use prost::Message;
 
-/// A task on a machine, as the leader of the machine's shard knows it.
+/// Observed state of an attempt on a machine.
 #[derive(Clone, PartialEq, Message)]
 pub struct ObservedTask {
-    /// Id of its job.
+    /// Id of the job.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Number of the task in its job.
     #[prost(uint32, tag = "2")]
     pub index: u32,
-    /// Number of its attempt.
+    /// Number of the attempt.
     #[prost(uint64, tag = "3")]
     pub attempt: u64,
-    /// See [`ObservedState`]; a value of a later version reads as the first one, from
-    /// which nothing is concluded.
+    /// An [`ObservedState`]. An unknown value of a later version reads as
+    /// [`ObservedState::Sent`], from which nothing is concluded.
     #[prost(enumeration = "ObservedState", tag = "4")]
     pub observed: i32,
 }
 
-/// How a task stands on its machine.
+/// State of a task on its machine, as observed by the leader of the machine's shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ObservedState {
-    /// A start may be on its way.
+    /// A start command may be in flight.
     Sent = 0,
-    /// Waits for its image.
+    /// Waiting for its image.
     Fetching = 1,
-    /// Runs.
+    /// Running.
     Running = 2,
-    /// Saves a checkpoint before it stops.
+    /// Saving a checkpoint before it stops.
     Saving = 3,
     /// Completed.
     Done = 4,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped = 5,
-    /// Failed.
+    /// Ended with an error.
     Failed = 6,
-    /// The machine had no capacity for it: it never ran there.
+    /// Refused for lack of capacity: the task never ran there.
     Refused = 7,
-    /// Admitted, waiting for the resources of a task that stops.
+    /// Not started yet: the task waits for the resources of a task that is stopping.
     Waiting = 8,
 }
 
 impl ObservedState {
-    /// Whether it has ended on this machine.
+    /// Whether the task has ended on this machine.
     pub fn over(self) -> bool {
         matches!(
             self,
@@ -58,80 +58,84 @@
     }
 }
 
-/// Which desired state of a shard the leader of the machine's shard acts on.
+/// The newest update of a shard's desired state that a machine's view takes into account.
 #[derive(Clone, PartialEq, Message)]
 pub struct AppliedUpdate {
-    /// Number of the shard that desires it.
+    /// Number of the shard that sent the update.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Term under which it was sent.
+    /// Term under which the update was sent.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Number of its newest message.
+    /// Sequence number of the update.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
 }
 
-/// A machine as the leader of its shard knows it.
+/// Observed state of a machine, sent by the leader of its shard.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineView {
     /// Name of the machine.
     #[prost(string, tag = "1")]
     pub machine: String,
-    /// Its shard's term.
+    /// Term under which the machine's shard is led.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Order of the machine's views within the term.
+    /// Sequence number of the machine's views within the term.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
-    /// It has sent a heartbeat under this term.
+    /// Whether the machine has sent a heartbeat with this term's fencing token.
     #[prost(bool, tag = "4")]
     pub known: bool,
-    /// Incarnation of the newest heartbeat.
+    /// Incarnation that the newest heartbeat shows; 0 if there is none.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    /// Incarnations up to this one are surely over.
+    /// Incarnations up to and including this one have definitely ended.
     #[prost(uint64, tag = "6")]
     pub over_through: u64,
-    /// It has sent no heartbeat under this term, and every earlier incarnation is over.
+    /// Whether the machine has sent no heartbeat under this term for longer than any worker
+    /// lease, so that every earlier incarnation has ended.
     #[prost(bool, tag = "7")]
     pub vanished: bool,
-    /// Machine type.
+    /// Name of the machine type.
     #[prost(string, tag = "8")]
     pub machine_type: String,
-    /// Zone of the cloud.
+    /// Zone of the machine.
     #[prost(string, tag = "9")]
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     #[prost(bool, tag = "10")]
     pub spot: bool,
-    /// Address for direct commands.
+    /// Address for direct commands, as `IP:port`; empty if it is not known.
     #[prost(string, tag = "11")]
     pub address: String,
-    /// Milliseconds until the cloud reclaims it, after a spot notice.
+    /// Milliseconds until the cloud reclaims the machine; `None` without a spot notice.
     #[prost(uint64, optional, tag = "12")]
     pub notice_ms: Option<u64>,
-    /// It sends heartbeats in time and is not in quarantine.
+    /// Whether the machine sends heartbeats in time, responds to commands and is not in
+    /// quarantine.
     #[prost(bool, tag = "13")]
     pub healthy: bool,
-    /// Its tasks.
+    /// Attempts on the machine, including refused ones and starts that may be in flight.
     #[prost(message, repeated, tag = "14")]
     pub tasks: Vec<ObservedTask>,
-    /// Desired state that this view takes into account.
+    /// Updates of desired state that this view takes into account, one per shard; a shard whose
+    /// desired state is incomplete is absent.
     #[prost(message, repeated, tag = "15")]
     pub applied: Vec<AppliedUpdate>,
-    /// It fails what it starts, and is to be scaled in.
+    /// Whether the machine fails the tasks that it starts, and has been in quarantine for long
+    /// enough to be scaled in.
     #[prost(bool, tag = "16")]
     pub faulty: bool,
 }
 
 impl MachineView {
-    /// Incarnation of the newest heartbeat.
+    /// Incarnation that the newest heartbeat shows; [`WorkerIncarnation::NONE`] if there is none.
     pub fn worker_incarnation(&self) -> WorkerIncarnation {
         WorkerIncarnation(self.incarnation)
     }
 
-    /// Whether an incarnation of its worker is surely over.
+    /// Whether an incarnation of the machine's worker has definitely ended.
     pub fn has_ended(&self, incarnation: WorkerIncarnation) -> bool {
         self.over_through >= incarnation.0
     }
