--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,31 +1,31 @@
-//! The cloud: machine types, and requests to scale out, list and scale in.
+//! The protocol of the cloud: machine types, lists of machines, scaling out and in.
 
 use serde::{Deserialize, Serialize};
 
 /// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Unique name of the type.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Memory of a machine, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Disk for images, in GB.
+    /// Disk space for images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// Nominal rate at which images are fetched.
+    /// Nominal rate at which a machine fetches images, in GB per second.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price of an on-demand machine per hour.
     #[serde(default)]
     pub price: f64,
-    /// Spot price per hour.
+    /// Price of a spot machine per hour.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
     /// Nominal boot time, in seconds.
@@ -36,10 +36,10 @@
     pub zones: Vec<String>,
 }
 
-/// The cloud's machine types.
+/// Response to a request for the machine types.
 #[derive(Debug, Deserialize)]
 pub struct MachineTypes {
-    /// All of them.
+    /// All machine types that the cloud offers.
     #[serde(rename = "benches")]
     pub types: Vec<MachineType>,
 }
@@ -47,42 +47,42 @@
 /// A request to scale out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
-    /// Name of the request, never used again: a repeat of it is idempotent.
+    /// Unique name of the request, which makes its repetition idempotent.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "bench")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, 50 at most.
+    /// Number of machines, at most 50.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
-/// Names of machines: those of a request to scale out, or those to scale in.
+/// Names of machines: those that a request to scale out has created, or those to remove.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names as in the cloud's list.
     #[serde(rename = "lathes")]
     pub machines: Vec<String>,
 }
 
-/// Stage of a listed machine.
+/// Stage of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStage {
-    /// Not up yet, as far as the list knows.
+    /// Not running yet according to the list, which may lag behind.
     Booting,
-    /// Up.
+    /// Booted.
     Running,
-    /// Stopped by itself.
+    /// Stopped without having been removed.
     Failed,
-    /// A word that this version does not know.
+    /// A value that this version does not know.
     #[serde(other)]
     Other,
 }
@@ -90,36 +90,36 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
+    /// Unique name of the machine.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     #[serde(default)]
     pub address: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "bench")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// State.
+    /// Stage when the list was made.
     #[serde(rename = "stage")]
     pub stage: MachineStage,
-    /// Seconds since it was requested.
+    /// Seconds since the machine was requested.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// A page of the cloud's list of machines.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines, in order of their names.
+    /// Machines in name order.
     #[serde(rename = "lathes")]
     pub machines: Vec<ListedMachine>,
-    /// Another page follows.
+    /// Whether another page follows.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
 }
--- a/src/wire/kv_store.rs
+++ b/src/wire/kv_store.rs
@@ -1,90 +1,90 @@
-//! The key-value store: keys, transactions, leases and watches.
+//! The protocol of the key-value store: keys, transactions, leases and watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction: compare.
+/// Condition of a transaction: the key's last change has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// Key.
+    /// Key to compare.
     #[serde(rename = "k")]
     pub key: String,
-    /// Revision of its last change that it must have, 0 for no value.
+    /// Expected revision of the key's last change; 0 if the key must not exist.
     #[serde(rename = "mark")]
     pub revision: u64,
 }
 
-/// A change in a transaction: swap.
+/// Change of one key in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Set a key.
+    /// Sets a key.
     Put {
-        /// Key.
+        /// Key to set.
         #[serde(rename = "set")]
         key: String,
-        /// Value.
+        /// New value of the key.
         value: Value,
-        /// Lease that the key is attached to.
+        /// Id of the lease that the key is attached to; `None` if the key never expires.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Remove a key.
+    /// Removes a key.
     Delete {
-        /// Key.
+        /// Key to remove.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// A transaction: compare-and-swap of several keys.
+/// Transaction: an atomic compare-and-swap of several keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// Then all of these are made.
+    /// Changes, all of which are made if the conditions hold.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
 
-/// A stored value.
+/// A key with its stored value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Value.
+    /// JSON value of the key.
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     #[serde(rename = "mark")]
     pub revision: u64,
 }
 
-/// A page of stored values.
+/// A page of a list of keys.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct KeyValuePage {
-    /// The values, in order of their keys.
+    /// Keys with their values, in key order.
     #[serde(rename = "pairs")]
     pub items: Vec<KeyValue>,
-    /// Another page follows.
+    /// Whether another page follows.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    /// Revision of the whole store.
+    /// Revision of the whole store: the page includes all changes up to it.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// A change that a watch shows.
+/// A change of one key, received from a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Key that was set.
+    /// Key that was set; `None` for a removal.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
-    /// Key that was removed.
+    /// Key that was removed; `None` if a key was set.
     #[serde(rename = "drop", default)]
     pub delete: Option<String>,
-    /// New value.
+    /// New value of the key; null for a removal.
     #[serde(default)]
     pub value: Value,
     /// Revision of the change.
@@ -92,37 +92,37 @@
     pub revision: u64,
 }
 
-/// Answer of a watch.
+/// Response to a watch.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which it is complete.
+    /// Revision up to which the events are complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes.
+    /// Changes after the requested revision; may be empty.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// Any answer that carries a revision: a transaction's, or a missing key's.
+/// Response that carries a revision: to a transaction, or to a read of a missing key.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Revision {
-    /// The revision.
+    /// Revision of the transaction if it was applied, otherwise of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// Keys whose condition failed.
+    /// Keys whose condition failed; empty if the transaction was applied.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A lease that was granted.
+/// Response to a request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Its number.
+    /// Id of the granted lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// A body without content: `{}`.
+/// An empty JSON object, for requests without parameters.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Empty {}
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The protocol's JSON, and the only place with the protocol's own words.
+//! JSON types of the external protocols, and the only place that uses the protocols' own terms.
 //!
-//! Names of fields, verbs and paths that users, workers, the cloud and the key-value
-//! store use are mapped here by serde; the rest of the program says job, task, machine,
-//! heartbeat, incarnation, fencing token, lease, revision. It has no logic.
+//! Serde maps the names of fields and verbs that users, workers, the cloud and the key-value store
+//! use; [`path`] maps their paths. The rest of the program uses job, task, machine, heartbeat,
+//! incarnation, fencing token, lease and revision. Apart from the checks of submissions there is
+//! no logic here.
 
 mod cloud;
 mod kv_store;
@@ -19,12 +20,13 @@
 
 use serde::de::DeserializeOwned;
 
-/// Reads an answer of an outside system; one that cannot be read is logged.
+/// Decodes the JSON body of a response from an external system; `system` names it in the log.
+/// Returns `None` after a warning if the body cannot be decoded.
 pub fn read_answer<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
     match serde_json::from_slice(body) {
         Ok(answer) => Some(answer),
         Err(error) => {
-            log::warn!("{system}: unreadable answer: {error}");
+            log::warn!("{system}: cannot decode the response: {error}");
             None
         }
     }
--- a/src/wire/path.rs
+++ b/src/wire/path.rs
@@ -1,22 +1,22 @@
-//! Paths of the protocol: those that this service answers, and those that it calls.
+//! Paths of the external protocols: those that this service answers, and those that it calls.
 
-/// Users' jobs.
+/// Users: jobs; a job's id may follow.
 pub const JOBS: &str = "/work";
-/// Last part of the path that cancels a job.
+/// Users: last segment of the path that cancels a job.
 pub const CANCEL: &str = "abort";
-/// The load balancer's health check.
+/// Load balancer: health check.
 pub const HEALTH: &str = "/healthz";
-/// Workers' heartbeats.
+/// Workers: heartbeats to the controller.
 pub const HEARTBEAT: &str = "/v1/report";
-/// Direct commands to a worker.
+/// Workers: direct commands to a worker.
 pub const COMMANDS: &str = "/do";
-/// A worker's status, without a command.
+/// Workers: status of a worker, requested without commands.
 pub const INSPECT: &str = "/inspect";
 /// Cloud: machine types.
 pub const TYPES: &str = "/flavors";
-/// Cloud: list machines, and scale out.
+/// Cloud: list of machines (GET) and scaling out (POST).
 pub const MACHINES: &str = "/machines";
-/// Cloud: scale in.
+/// Cloud: scaling in.
 pub const RETURN: &str = "/machines/return";
 /// Key-value store: keys.
 pub const KV: &str = "/kv";
@@ -24,9 +24,9 @@
 pub const TXN: &str = "/txn";
 /// Key-value store: leases.
 pub const LEASES: &str = "/leases";
-/// Key-value store: renewal, after the lease's number.
+/// Key-value store: last segment of the path that renews a lease, after the lease's id.
 pub const EXTEND: &str = "extend";
 /// Key-value store: watches.
 pub const FOLLOW: &str = "/follow";
-/// Key-value store: how long a watch waits, in its query.
+/// Key-value store: query parameter of a watch with the time that it may wait, in milliseconds.
 pub const WAIT: &str = "blockMs";
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,77 +1,80 @@
-//! Reads submissions, field by field, so that an answer can name the field at fault.
+//! Parses submissions field by field, so that the response can name the first invalid field.
 
 use super::users::{JobSpec, Priority, valid_job_id};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Longest text in a submission, in bytes.
+/// Length limit of a text in a submission, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
 /// Largest number in a submission.
 const MAX_AMOUNT: f64 = 1e9;
-/// Most tasks of a job.
+/// Maximum number of tasks of a job.
 pub(crate) const MAX_TASKS: u64 = 100_000;
-/// Most machine types that a job may name.
+/// Maximum number of machine types that a job may name.
 const MAX_TYPES: usize = 50;
-/// Longest name of a machine type, in bytes.
+/// Length limit of the name of a machine type, in bytes.
 const MAX_TYPE_NAME_BYTES: usize = 100;
 
-/// What is wrong with a field of a submission. The texts go to the user.
+/// Problem with a field of a submission. The texts are part of the response to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FieldProblem {
-    /// The body cannot be read at all.
+    /// The body is not JSON.
     #[error("not JSON")]
     NotJson,
-    /// The body is JSON, and no object.
+    /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The id has not the form of the protocol.
+    /// The id does not have the protocol's form; see [`valid_job_id`].
     #[error("must be j- and digits")]
     NotAJobId,
     /// The field is absent or null.
     #[error("missing")]
     Missing,
-    /// Texts are short, since they are stored with the job.
+    /// The field is not a text, or is empty or too long. The length is limited, since texts are
+    /// stored with the job.
     #[error("must be a text of 1 to 200 bytes")]
     NotAText,
-    /// No number, or one that is out of bounds.
+    /// The field is not a number, or is out of range.
     #[error("must be a number from 0 to 1e9")]
     NotAnAmount,
-    /// No boolean.
+    /// The field is not a boolean.
     #[error("must be true or false")]
     NotAFlag,
-    /// There is one kind of jobs.
+    /// The kind of job is not `batch`, the only one.
     #[error("unknown kind")]
     UnknownKind,
-    /// None of the four priorities.
+    /// The priority is none of the four in [`Priority`].
     #[error("unknown priority")]
     UnknownPriority,
-    /// No whole number, or one that is out of bounds.
+    /// The number of tasks is not a whole number, or is out of range.
     #[error("must be a whole number from 1 to 100000")]
     NotATaskCount,
-    /// No list of machine types, or one that is too long.
+    /// The field is not a list of machine type names, or the list or a name is too long.
     #[error("must be a list of type names")]
     NotTypeNames,
-    /// No list of ids of the protocol's form.
+    /// The field is not a list of job ids of the protocol's form.
     #[error("must be a list of job ids")]
     NotJobIds,
 }
 
-/// A submission that is malformed: its first field at fault.
+/// Why a submission is malformed: its first invalid field.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{field} {problem}")]
 pub struct InvalidJob {
-    /// The field at fault, empty for the body as a whole.
+    /// Name of the invalid field in the protocol; empty for the body as a whole.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Problem with the field.
     pub problem: FieldProblem,
-    /// The job id if that at least could be read: a repeat of a known job is
-    /// answered 200 whatever else its body holds.
+    /// Id of the job; `None` if it could not be read. The repeated submission of a known job is
+    /// answered 200, whatever the rest of its body contains.
     pub id: Option<String>,
 }
 
-/// Reads and checks a submission field by field, so that the answer can name
-/// the first field at fault. Only what may be null may be left out.
+/// Parses and checks a submission. Only fields that may be null may be absent.
+///
+/// # Errors
+/// The first invalid field, which the response to the user names.
 pub fn parse_job(body: &[u8]) -> Result<JobSpec, InvalidJob> {
     let fields = Fields::read(body)?;
     let class = fields.text("grade")?;
@@ -118,13 +121,13 @@
     })
 }
 
-/// The fields of a submission whose id could be read, by the protocol's names.
+/// Fields of a submission whose id is valid, by their names in the protocol.
 struct Fields {
     id: String,
     map: Map<String, Value>,
 }
 
-/// The value of a field, unless it is absent or null.
+/// Returns the value of a field, or `None` if it is absent or null.
 fn get<'a>(map: &'a Map<String, Value>, field: &str) -> Option<&'a Value> {
     map.get(field).filter(|value| !value.is_null())
 }
@@ -157,7 +160,7 @@
         self.get(field).ok_or_else(|| self.invalid(field, FieldProblem::Missing))
     }
 
-    /// A field that may be left out, read like one that may not.
+    /// Reads a field that may be absent or null; `read` reads it if it is present.
     fn optional<T>(
         &self,
         field: &'static str,
@@ -192,7 +195,7 @@
         value.as_bool().ok_or_else(|| self.invalid(field, FieldProblem::NotAFlag))
     }
 
-    /// Checks the job's kind, of which there is one.
+    /// Checks the kind of the job: there is only `batch`.
     fn check_kind(&self) -> Result<(), InvalidJob> {
         if self.text("cut")? != "batch" {
             return Err(self.invalid("cut", FieldProblem::UnknownKind));
@@ -231,7 +234,7 @@
         }
     }
 
-    /// The jobs that have to be done first: each once, in order.
+    /// Reads the ids of the jobs that must be done first, sorted and without duplicates.
     fn dependencies(&self) -> Result<Vec<String>, InvalidJob> {
         let invalid = || self.invalid("upstream", FieldProblem::NotJobIds);
         let id = |v: &Value| v.as_str().filter(|s| valid_job_id(s)).map(String::from);
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,40 +1,40 @@
-//! Users: the jobs that they submit and the answers to them.
+//! The protocol of users: submitted jobs and the responses about them.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest job id, in bytes: ids become keys of the store.
+/// Length limit of a job id, in bytes: ids become keys of the key-value store.
 const MAX_JOB_ID_BYTES: usize = 40;
-/// Every job id starts with this and goes on in digits.
-pub const JOB_PREFIX: &str = "j-";
+/// Prefix of every job id; the rest is digits.
+pub const JOB_ID_PREFIX: &str = "j-";
 
-/// How urgent a job is; the order of the variants is the order of service.
+/// Priority of a job. The order of the variants is the scheduling order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Before everything else.
+    /// Scheduled before all other jobs.
     Production,
-    /// Urgent.
+    /// For urgent jobs.
     High,
-    /// The usual.
+    /// For ordinary jobs.
     #[serde(rename = "standard")]
     Normal,
-    /// When there is capacity left.
+    /// Uses capacity that jobs of higher priority leave.
     Low,
 }
 
-/// A job as its user describes it, checked by [`parse_job`].
+/// Specification of a job as submitted by its user, checked by [`parse_job`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Unique id chosen by the user.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Class that the service-level objectives name.
+    /// Class of the job, by which service-level objectives select jobs.
     #[serde(rename = "grade")]
     pub class: String,
     /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How urgent.
+    /// Priority of all tasks.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks.
@@ -48,93 +48,94 @@
     /// Memory of each task, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Image that the machine needs first.
+    /// Image that a machine must have before a task can start.
     #[serde(rename = "pattern")]
     pub image: String,
     /// Size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Allowed machine types.
+    /// Allowed machine types; `None` allows all.
     #[serde(rename = "benches", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// Allowed zone.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "together", default)]
     pub one_zone: bool,
-    /// At most half of the tasks in a zone.
+    /// Whether at most half of the tasks, rounded up, may run in any one zone.
     #[serde(rename = "apart", default)]
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The user's estimate of a task's run time, in seconds.
+    /// Run time of a task as estimated by the user, in seconds.
     #[serde(rename = "expectedS", default)]
     pub estimate_s: f64,
-    /// Seconds between checkpoints, 0 for none.
+    /// Seconds between two checkpoints of a task; 0 if it saves none.
     #[serde(rename = "notchS", default)]
     pub checkpoint_s: f64,
     /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stackS", default)]
     pub save_s: f64,
-    /// Deadline, in seconds after submission.
+    /// Deadline, in seconds after submission; `None` if there is none.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts. They are stored
-    /// with the job's record, where every node follows them.
+    /// Ids of the jobs that must be done before any task of this one starts. They are not
+    /// serialized here but stored in the job's record, which every member watches.
     #[serde(skip)]
     pub dependencies: Vec<String>,
 }
 
-/// True for ids of the protocol's form. Bounded, since ids become keys.
+/// Whether an id has the protocol's form: [`JOB_ID_PREFIX`], then digits. Its length is limited,
+/// since ids become keys of the key-value store.
 pub fn valid_job_id(id: &str) -> bool {
     id.len() <= MAX_JOB_ID_BYTES
         && id
-            .strip_prefix(JOB_PREFIX)
+            .strip_prefix(JOB_ID_PREFIX)
             .is_some_and(|d| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// A job's stage as users know it.
+/// Stage of a job in responses to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStage {
-    /// No task runs.
+    /// Accepted, and no task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks have completed.
     Done,
-    /// The user cancelled it.
+    /// Cancelled by a user, or with a job that it depends on.
     Cancelled,
 }
 
-/// Answer to a request about a job.
+/// Response to a request about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct JobAnswer<'a> {
-    /// Id.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: &'a str,
-    /// Stage.
+    /// Current stage of the job.
     pub stage: JobStage,
-    /// Tasks that have completed.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// Answer to a request that is refused.
+/// Response to a request that is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusal<'a> {
-    /// The reason.
+    /// Reason for the refusal.
     pub error: &'a str,
-    /// The field at fault, where there is one.
+    /// The invalid field; `None` if the refusal is not about a field.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<&'a str>,
 }
 
 impl<'a> Refusal<'a> {
-    /// A refusal that concerns no field.
+    /// Creates a refusal that is not about a field.
     pub fn new(error: &'a str) -> Refusal<'a> {
         Refusal { error, field: None }
     }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,17 +1,17 @@
-//! Workers: their heartbeats and the commands to them.
+//! The protocol of workers: heartbeats, their responses and commands.
 
 use serde::{Deserialize, Serialize};
 
-/// The number by which a worker refuses commands that are out of date: it executes none
-/// with a lower one than it has been shown.
+/// Fencing token of commands to a worker. The worker executes no command whose token is lower
+/// than the highest one it has received, so commands of an earlier leader have no effect.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
 
-/// Number of a worker's incarnation: it rises when the worker starts anew or its lease
-/// expires, and all tasks of earlier incarnations are gone then.
+/// Incarnation number of a worker. It increases when the worker restarts or its lease expires;
+/// all tasks of earlier incarnations are gone then.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -19,11 +19,11 @@
 pub struct WorkerIncarnation(pub u64);
 
 impl WorkerIncarnation {
-    /// Stands for none: incarnations count from 1.
+    /// No incarnation: real ones start at 1.
     pub const NONE: WorkerIncarnation = WorkerIncarnation(0);
 }
 
-/// A task's state on a machine, by its heartbeat.
+/// State of a task, as the worker reports it in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
@@ -32,10 +32,10 @@
     Fetching,
     /// Running.
     Running,
-    /// Was commanded to stop and saves a checkpoint.
+    /// Saving a checkpoint after a command to stop.
     #[serde(rename = "flushing")]
     Saving,
-    /// Over; see the cause.
+    /// Ended; [`ReportedTask::cause`] says why.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -46,19 +46,19 @@
 pub enum Cause {
     /// Completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped,
-    /// Failed.
+    /// Ended with an error.
     Error,
-    /// Start refused for want of capacity.
+    /// Start refused: the machine lacks capacity.
     #[serde(rename = "full")]
     NoRoom,
-    /// Start refused: there with another attempt.
+    /// Start refused: the machine has another attempt of the task.
     Busy,
     /// Start refused: no such job or task.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A word that this version does not know; handled as a failure.
+    /// A value that this version does not know; handled as a failure.
     #[serde(other)]
     Other,
 }
@@ -66,50 +66,50 @@
 /// One task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// `job/index`.
+    /// Name of the task: `job/index`.
     #[serde(rename = "plank")]
     pub task: String,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// Current state of the attempt.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why the attempt ended; `None` before that.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
 }
 
-/// A worker's heartbeat with its status.
+/// Heartbeat of a worker, with the full status of its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Machine's name.
+    /// Name of the machine.
     #[serde(rename = "lathe")]
     pub machine: String,
-    /// Where direct commands go.
+    /// Address for direct commands, as `IP:port`.
     pub address: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "bench")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Incarnation of the worker.
+    /// Current incarnation of the worker.
     #[serde(rename = "shift")]
     pub incarnation: WorkerIncarnation,
-    /// Order of its heartbeats within an incarnation.
+    /// Sequence number of the heartbeats within the incarnation.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest fencing token that it was shown.
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes a spot machine back.
+    /// Seconds until the cloud reclaims the machine; `None` without a spot notice.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
-    /// Everything on the machine.
+    /// All tasks on the machine, including exited ones until [`Command::Forget`].
     #[serde(rename = "planks", default)]
     pub tasks: Vec<ReportedTask>,
 }
@@ -121,67 +121,67 @@
     /// Start a task.
     #[serde(rename = "run")]
     Start {
-        /// `job/index`.
+        /// Name of the task: `job/index`.
         #[serde(rename = "plank")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop a task.
     #[serde(rename = "halt")]
     Stop {
-        /// `job/index`.
+        /// Name of the task: `job/index`.
         #[serde(rename = "plank")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it may take to save a checkpoint.
+        /// Seconds that the task may take to save a checkpoint.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Leave an exited task out of further heartbeats.
+    /// Omit an exited task from further heartbeats.
     #[serde(rename = "clear")]
     Forget {
-        /// `job/index`.
+        /// Name of the task: `job/index`.
         #[serde(rename = "plank")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a worker whose machine another member commands.
+/// Response to a heartbeat if another member leads the machine's shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct HeartbeatRedirect<'a> {
-    /// That member.
+    /// Name of the member that leads the shard.
     #[serde(rename = "foreman")]
     pub member: &'a str,
 }
 
-/// Answer to a heartbeat.
+/// Response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token of the shard's leader that answers.
+    /// Fencing token of the commands.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands that are sent to a worker without waiting for its heartbeat.
+/// Commands that a shard's leader sends to a worker without waiting for a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Fencing token of the shard's leader.
+    /// Fencing token of the commands.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Incarnation of the worker that they are meant for.
+    /// Incarnation of the worker that the commands are meant for.
     #[serde(rename = "shift")]
     pub incarnation: WorkerIncarnation,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
