--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,101 +1,102 @@
-//! What can be wrong with settings and options. The texts are what operators see.
+//! Errors in settings and options. Operators see their texts.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A setting or option that cannot be used, in one line.
+/// Why settings or options cannot be used. Each error is displayed as one line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file cannot be read.
+    /// A file cannot be read.
     #[error("{}: {source}", .file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Something in a file is wrong.
+    /// The content of a file is invalid.
     #[error("{}: {source}", .file.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong.
+        /// Error in the content.
         source: Box<ConfigError>,
     },
-    /// The settings are not TOML, or a setting is missing or of the wrong type.
+    /// The settings are not valid TOML, or a setting is missing or of the wrong type.
     #[error("line {line}, {text}: {message}")]
     Toml {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// Its beginning.
+        /// Beginning of the line.
         text: String,
-        /// What the parser says.
+        /// Message of the parser.
         message: String,
     },
-    /// The options are not INI.
+    /// The options are not valid INI.
     #[error(transparent)]
     Ini(#[from] ini::ParseError),
-    /// A setting has a value that cannot be used.
+    /// A setting has an invalid value.
     #[error("{key}: {problem}")]
     Setting {
-        /// Its name with its tables.
+        /// Key of the setting, including its tables.
         key: &'static str,
-        /// What is wrong.
+        /// Problem with the value.
         problem: SettingProblem,
     },
-    /// An option is unknown or has a value that cannot be used.
+    /// An option is unknown or has an invalid value.
     #[error("[{section}] {key} = {value}: {problem}")]
     Option {
-        /// Its section.
+        /// Section of the option; empty outside of all sections.
         section: String,
-        /// Its name.
+        /// Key of the option.
         key: String,
-        /// Its value as written.
+        /// Value as written in the file.
         value: String,
-        /// What is wrong.
+        /// Problem with the key or the value.
         problem: OptionProblem,
     },
 }
 
-/// What is wrong with the value of a setting.
+/// Problem with the value of a setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingProblem {
-    /// Zero, negative or no number.
+    /// The value is zero, negative, infinite or not a number.
     #[error("must be a positive number")]
     NotPositive,
-    /// Negative or no number.
+    /// The value is negative, infinite or not a number.
     #[error("must not be negative")]
     Negative,
-    /// Less than what the controller needs.
+    /// The value is less than the controller needs.
     #[error("must be at least {min}")]
     TooSmall {
-        /// The least that is enough.
+        /// Smallest allowed value.
         min: usize,
     },
     /// A name is empty.
-    #[error("is empty")]
+    #[error("must not be empty")]
     Empty,
-    /// Members are told apart by their names.
+    /// Two members have the same name. Members are identified by their names.
     #[error("two members have the same name")]
     DuplicateMember,
-    /// Teams are told apart by their names.
+    /// Two teams have the same name. Teams are identified by their names.
     #[error("two teams have the same name")]
     DuplicateTeam,
-    /// A team has no name, or an amount that is negative or no number.
-    #[error("a team needs a name and amounts from 0 up")]
+    /// A team has no name, or an amount that is negative, infinite or not a number.
+    #[error("every team needs a name and amounts that are not negative")]
     InvalidTeam,
 }
 
-/// What is wrong with an option.
+/// Problem with an option.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OptionProblem {
-    /// No such option; a misspelt one must not keep its default silently.
+    /// The option does not exist. Unknown options are errors, so that a misspelt one does not
+    /// silently keep its default.
     #[error("unknown option")]
     Unknown,
-    /// No number, or one that is out of bounds.
+    /// The value is not a number, or is out of range.
     #[error("not a number in the allowed range")]
     OutOfRange,
-    /// Steps must come in order.
-    #[error("must be three rising numbers")]
-    NotRising,
+    /// The value is not three numbers, or one of them is smaller than the one before it.
+    #[error("must be three numbers in ascending order")]
+    NotAscending,
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,7 @@
-//! Settings: the platform's TOML file and the operators' own INI options, read and
-//! checked once at the start. What cannot be used ends the program with one line.
+//! Configuration: the platform's settings (TOML) and the operators' options (INI).
+//!
+//! Both are read and checked once at startup. An invalid value ends the program with a one-line
+//! error.
 
 mod error;
 mod options;
@@ -14,7 +16,7 @@
 
 use std::path::Path;
 
-/// Reads a file with `parse`; errors name the file.
+/// Reads a file and passes its text to `parse`; errors name the file.
 fn load<T>(path: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, ConfigError> {
     let file = || path.to_path_buf();
     let text = std::fs::read_to_string(path)
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file, in TOML.
+//! The platform's settings, a TOML file.
 
 use super::{ConfigError, SettingProblem, load};
 use serde::Deserialize;
@@ -6,14 +6,15 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Characters of a line at fault that an error shows.
+/// Maximum number of characters that an error shows of the invalid line.
 const MAX_SHOWN_CHARS: usize = 80;
-/// Changes that a transaction must take at least: a shard's lease and its term.
+/// Minimum number of changes that a transaction must allow: the acquisition of a shard writes
+/// the shard's lease and its term.
 const MIN_TXN_OPS: usize = 2;
-/// Sockets with which a controller can work at least.
+/// Minimum number of sockets with which a controller can work.
 const MIN_SOCKETS: usize = 32;
 
-fn fail(key: &'static str, problem: SettingProblem) -> Result<(), ConfigError> {
+fn invalid_setting(key: &'static str, problem: SettingProblem) -> Result<(), ConfigError> {
     Err(ConfigError::Setting { key, problem })
 }
 
@@ -21,53 +22,53 @@
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    fail(key, SettingProblem::NotPositive)
+    invalid_setting(key, SettingProblem::NotPositive)
 }
 
 fn check_min(key: &'static str, value: usize, min: usize) -> Result<(), ConfigError> {
     if value >= min {
         return Ok(());
     }
-    fail(key, SettingProblem::TooSmall { min })
+    invalid_setting(key, SettingProblem::TooSmall { min })
 }
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name among the members.
+    /// Member name of the controller.
     pub member: String,
-    /// Its zone.
+    /// Zone that the controller runs in; empty if not given.
     #[serde(default)]
     pub location: String,
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub address: SocketAddrV4,
 }
 
-/// Outside systems.
+/// Addresses of the external systems.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's interface.
+    /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub kv_store: SocketAddrV4,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// Guarantee and limit of a team; 0 means that there is no guarantee, or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Unique name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPUs at any moment.
+    /// Maximum number of CPUs that the team's tasks may use at the same time.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs at any moment.
+    /// Maximum number of GPUs that the team's tasks may use at the same time.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -76,29 +77,29 @@
     fn check(&self) -> Result<(), ConfigError> {
         let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
         if self.name.is_empty() || amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
-            return fail("settings.teams", SettingProblem::InvalidTeam);
+            return invalid_setting("settings.teams", SettingProblem::InvalidTeam);
         }
         Ok(())
     }
 }
 
-/// A service-level objective of a class of jobs.
+/// Service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// `finished`, `deadline`, `wait` or a kind that a later version knows.
+    /// Kind of objective: `finished`, `deadline`, `wait`, or one that only later versions know.
     pub kind: String,
-    /// The class, where the kind has one.
+    /// Class of jobs; empty if the kind of objective applies to no class.
     #[serde(default)]
     pub class: String,
-    /// Time allowed, in seconds.
+    /// Allowed time, in seconds; `None` if the kind of objective has none.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of the jobs that must meet it, from 0 to 1.
+    /// Share of the jobs that must meet the objective, from 0 to 1.
     #[serde(default)]
     pub share: f64,
 }
 
-/// How workers behave.
+/// Intervals and time limits of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Seconds between two heartbeats.
@@ -106,50 +107,51 @@
     pub heartbeat_interval_s: f64,
     /// Seconds after which a worker whose heartbeats are not answered kills its tasks.
     pub lease_s: f64,
-    /// Seconds after which the tasks of a cancelled job must be gone.
+    /// Seconds after the cancellation of a job by which its tasks must have stopped.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KvStoreLimits {
-    /// Requests per second, of all members together.
+    /// Maximum number of requests per second, all members together.
     pub rps: f64,
-    /// Changes per second, of all members together.
+    /// Maximum number of changes per second, all members together.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes that a transaction may make.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice; what is absent stays.
+    /// Limits that take effect at an unannounced time; `None` if no change is planned.
     #[serde(default)]
     pub next: Option<UpcomingKvStoreLimits>,
-    /// Largest value until then, in KiB.
+    /// Maximum size of a value until the upcoming limits take effect, in KiB. Set when the
+    /// settings are read.
     #[serde(skip)]
     pub current_value_kb: f64,
 }
 
-/// Limits that the key-value store will have later.
+/// Upcoming limits of the key-value store. A limit that is absent does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct UpcomingKvStoreLimits {
-    /// Requests per second, of all members together.
+    /// Maximum number of requests per second, all members together.
     pub rps: Option<f64>,
-    /// Changes per second, of all members together.
+    /// Maximum number of changes per second, all members together.
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// Changes that a transaction may make.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl UpcomingKvStoreLimits {
     fn check(&self) -> Result<(), ConfigError> {
-        let amounts = [
+        let positive_limits = [
             ("settings.state.next.rps", self.rps),
             ("settings.state.next.write_rps", self.write_rps),
             ("settings.state.next.value_kb", self.value_kb),
         ];
-        for (key, value) in amounts {
+        for (key, value) in positive_limits {
             value.map_or(Ok(()), |value| check_positive(key, value))?;
         }
         let operations = self.txn_ops.unwrap_or(MIN_TXN_OPS);
@@ -158,15 +160,16 @@
 }
 
 impl KvStoreLimits {
-    /// The limits to keep: the smaller of those of now and of later, since the change
-    /// comes unannounced, and what is larger is refused from then on.
-    fn kept(&self) -> KvStoreLimits {
+    /// Returns the limits to observe: the smaller of the current and the upcoming ones, since the
+    /// change comes unannounced and the store refuses whatever exceeds the new limits from then
+    /// on.
+    fn effective(&self) -> KvStoreLimits {
         let next = self.next.clone().unwrap_or_default();
-        let least = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
+        let smaller = |current: f64, next: Option<f64>| next.map_or(current, |n| n.min(current));
         KvStoreLimits {
-            rps: least(self.rps, next.rps),
-            write_rps: least(self.write_rps, next.write_rps),
-            value_kb: least(self.value_kb, next.value_kb),
+            rps: smaller(self.rps, next.rps),
+            write_rps: smaller(self.write_rps, next.write_rps),
+            value_kb: smaller(self.value_kb, next.value_kb),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
             next: self.next.clone(),
             current_value_kb: self.value_kb,
@@ -177,32 +180,32 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second, of all members together.
+    /// Maximum number of requests per second, all members together.
     pub rps: f64,
-    /// Seconds by which its list of machines may be out of date.
+    /// Seconds by which the cloud's list of machines may lag behind.
     pub list_lag_s: f64,
 }
 
-/// What a controller may use of its host.
+/// Limits of the resources that a controller may use on its host.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Cores, and shares of one.
+    /// CPU cores; may be a fraction.
     pub cores: f64,
     /// Memory, in MiB.
     pub mem_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub fd_limit: usize,
 }
 
-/// Everything of the deployment that all members share.
+/// Settings of the deployment, the same for all members.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// Zones with machines.
+    /// Names of the zones that have machines.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Teams.
+    /// All teams that may submit jobs.
     pub teams: Vec<Team>,
-    /// Service-level objectives.
+    /// Service-level objectives of the job classes.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
     /// Intervals and time limits of workers.
@@ -212,7 +215,7 @@
     pub kv_store: KvStoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// Limits of a controller's process.
+    /// Resource limits of a controller on its host.
     pub machine_limits: MachineLimits,
 }
 
@@ -231,7 +234,7 @@
             next.check()?;
         }
         if !(self.cloud.list_lag_s.is_finite() && self.cloud.list_lag_s >= 0.0) {
-            return fail("settings.cloud.list_lag_s", SettingProblem::Negative);
+            return invalid_setting("settings.cloud.list_lag_s", SettingProblem::Negative);
         }
         check_min("settings.state.txn_ops", self.kv_store.txn_ops, MIN_TXN_OPS)?;
         let sockets = self.machine_limits.fd_limit;
@@ -239,70 +242,70 @@
         for (number, team) in self.teams.iter().enumerate() {
             team.check()?;
             if self.teams[..number].iter().any(|other| other.name == team.name) {
-                return fail("settings.teams", SettingProblem::DuplicateTeam);
+                return invalid_setting("settings.teams", SettingProblem::DuplicateTeam);
             }
         }
         Ok(())
     }
 }
 
-/// The platform's settings file.
+/// Content of the platform's settings file: the settings of this controller and the shared ones.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// This controller's name among the members.
+    /// Member name of this controller.
     pub member: String,
-    /// Its zone.
+    /// Zone that this controller runs in; empty if not given.
     #[serde(default)]
     pub location: String,
-    /// Where it listens for users, workers and the load balancer.
+    /// Address on which it listens for users, workers and the load balancer.
     pub bind: SocketAddrV4,
-    /// Where it listens for other controllers.
+    /// Address on which it listens for other controllers.
     pub peer_bind: SocketAddrV4,
-    /// The other controllers.
+    /// All other controllers of the deployment.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Outside systems.
+    /// Addresses of the external systems.
     pub endpoints: Endpoints,
-    /// What all members share.
+    /// Settings that all members share.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads and checks the platform's file.
+    /// Reads and checks the settings file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         load(path, Config::parse)
     }
 
-    /// Reads and checks the platform's settings.
+    /// Parses and checks the text of the settings file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let mut config: Config = toml::from_str(text).map_err(|e| {
-            let before = |span: Range<usize>| text[..span.start.min(text.len())].lines().count();
-            let at = e.span().map_or(0, before);
-            let shown = text.lines().nth(at.saturating_sub(1)).unwrap_or_default().trim();
+            let line_of = |span: Range<usize>| text[..span.start.min(text.len())].lines().count();
+            let line = e.span().map_or(0, line_of);
+            let shown = text.lines().nth(line.saturating_sub(1)).unwrap_or_default().trim();
             ConfigError::Toml {
-                line: at,
+                line,
                 text: shown.chars().take(MAX_SHOWN_CHARS).collect(),
                 message: e.message().replace('\n', " "),
             }
         })?;
         config.check()?;
-        config.settings.kv_store = config.settings.kv_store.kept();
+        config.settings.kv_store = config.settings.kv_store.effective();
         Ok(config)
     }
 
     fn check(&self) -> Result<(), ConfigError> {
         if self.member.is_empty() {
-            return fail("member", SettingProblem::Empty);
+            return invalid_setting("member", SettingProblem::Empty);
         }
         let names = self.members();
         if names.windows(2).any(|pair| pair[0] == pair[1]) {
-            return fail("peers", SettingProblem::DuplicateMember);
+            return invalid_setting("peers", SettingProblem::DuplicateMember);
         }
         self.settings.check()
     }
 
-    /// All members' names in order: a member's place is its number, and its
-    /// shard's number, on every node alike.
+    /// Returns the sorted names of all members. The index of a member is its number and the number
+    /// of its home shard, the same on every member.
     pub fn members(&self) -> Vec<String> {
         let mut names: Vec<String> = self.peers.iter().map(|p| p.member.clone()).collect();
         names.push(self.member.clone());
