--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/run/users.rs
@@ -1,7 +1,7 @@
-//! Users: what they submit, query and cancel, at all controllers, and which answers they get.
+//! Users: the jobs that they submit, query and cancel at all controllers, and the answers to them.
 
-use super::machines::{NO_REQUEST, empty};
-use super::{Action, World};
+use super::machines::{UNAWAITED_REQUEST, empty_object};
+use super::{Action, Run};
 use crate::history::{Observation, RequestKind, UserAnswer};
 use crate::links::{Delivery, Direction, Link};
 use crate::net::{ConnectionId, Role};
@@ -12,53 +12,53 @@
 use rand::RngExt;
 use serde::Deserialize;
 
-/// Between two questions about a job.
+/// Interval between two status queries about a job.
 const POLL_INTERVAL_MS: (u64, u64) = (700, 1_300);
-/// After an answer that says to come back, or none.
+/// Delay of a retry after a refusal or a timeout.
 const RETRY_DELAY_MS: (u64, u64) = (500, 1_200);
-/// A connection that is refused is tried elsewhere soon.
+/// Delay of a retry after a refused or reset connection, usually at another controller.
 const RECONNECT_DELAY_MS: (u64, u64) = (50, 300);
-/// How long users wait for an answer.
+/// How long users wait for the answer to a status query, and to any other request.
 const POLL_TIMEOUT: Micros = Micros::secs(2);
 const REQUEST_TIMEOUT: Micros = Micros::secs(5);
-/// Questions about a job after its end.
+/// Status queries about a job after its end.
 const POLLS_AFTER_END: u32 = 3;
-/// One in so many users queries all controllers at once.
+/// One first acceptance or end of a job in this many makes its user query all controllers at once.
 const CONCURRENT_POLL_ONE_IN: u32 = 4;
-/// A job that nobody submits begins like this; those of users have six digits.
+/// Prefix of the ids of jobs that no user submits. They have eight digits, submitted jobs have six.
 const UNKNOWN_JOB_PREFIX: &str = "j-9";
 
-/// Something that a user does.
+/// An action of a user.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum UserStep {
-    /// Hands a job in, or once more.
+    /// Submits a job, for the first time or repeatedly.
     Submit(String),
-    /// Asks how a job stands.
+    /// Queries a job's stage.
     Poll(String),
-    /// Calls a job off.
+    /// Cancels a job.
     Cancel(String),
-    /// Asks all controllers at once how a job stands.
+    /// Queries a job's stage at all controllers at once, and repeats the submission at one of them.
     PollAllControllers(String),
-    /// Asks about a job that nobody submitted.
+    /// Queries the stage of a job that no user submitted.
     PollUnknownJob,
 }
 
-/// A job, as its user sees it.
+/// The state of a job as its user has observed it.
 #[derive(Debug, Default)]
 pub(super) struct UserJob {
     submitted: bool,
     accepted: bool,
-    /// Refused for good.
-    refused: Option<u16>,
+    /// Status of a permanent refusal.
+    refused_status: Option<u16>,
     cancel_requested: bool,
     cancel_answered: bool,
     ended: Option<JobStage>,
     polls_after_end: u32,
-    /// A question is planned or under way.
+    /// A status query is scheduled or pending.
     polling: bool,
 }
 
-/// A request that awaits its answer.
+/// A request whose answer is pending.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct UserRequest {
     job: String,
@@ -66,30 +66,30 @@
     controller: usize,
     sent: Micros,
     connection: Option<ConnectionId>,
-    /// It is a health check of the beginning.
-    health: bool,
-    /// It stands alone: nothing follows from its answer.
+    /// It is a health check before the workload starts.
+    is_health_check: bool,
+    /// It is neither retried nor followed by another request.
     detached: bool,
 }
 
-/// The part of an answer that users read.
+/// The part of an answer's body that users read.
 #[derive(Deserialize)]
 struct JobAnswer {
     stage: Option<JobStage>,
 }
 
-impl World {
-    fn soon(&mut self, range: (u64, u64)) -> Micros {
+impl Run {
+    fn random_time_in(&mut self, range: (u64, u64)) -> Micros {
         self.now + Micros::millis(self.rng.random_range(range.0..range.1))
     }
 
-    pub(super) fn user_step(&mut self, step: UserStep) {
+    pub(super) fn perform_user_step(&mut self, step: UserStep) {
         match step {
-            UserStep::Submit(job) => self.user_submits(job),
+            UserStep::Submit(job) => self.submit_job(job),
             UserStep::Poll(job) => {
                 self.send_to_any(job, RequestKind::Poll, false);
             }
-            UserStep::Cancel(job) => self.user_cancels(job),
+            UserStep::Cancel(job) => self.cancel_job(job),
             UserStep::PollAllControllers(job) => {
                 for controller in 0..self.controllers.len() {
                     self.send_request(controller, job.clone(), RequestKind::Poll, true);
@@ -105,12 +105,12 @@
         }
     }
 
-    fn user_submits(&mut self, job: String) {
+    fn submit_job(&mut self, job: String) {
         let dependencies = self.jobs.plans[&job].dependencies.clone();
         let accepted = |up: &String| self.user_jobs.get(up).is_some_and(|up| up.accepted);
         if !dependencies.iter().all(accepted) {
-            let at = self.soon(RETRY_DELAY_MS);
-            return self.at(at, Action::User(UserStep::Submit(job)));
+            let at = self.random_time_in(RETRY_DELAY_MS);
+            return self.schedule(at, Action::User(UserStep::Submit(job)));
         }
         let user_job = self.user_jobs.entry(job.clone()).or_default();
         if !std::mem::replace(&mut user_job.submitted, true) {
@@ -120,14 +120,14 @@
         self.send_to_any(job, RequestKind::Submit, false);
     }
 
-    fn user_cancels(&mut self, job: String) {
+    fn cancel_job(&mut self, job: String) {
         let user_job = self.user_jobs.entry(job.clone()).or_default();
         if user_job.cancel_answered {
             return;
         }
         if !user_job.accepted {
-            let at = self.soon(RETRY_DELAY_MS);
-            return self.at(at, Action::User(UserStep::Cancel(job)));
+            let at = self.random_time_in(RETRY_DELAY_MS);
+            return self.schedule(at, Action::User(UserStep::Cancel(job)));
         }
         if !std::mem::replace(&mut user_job.cancel_requested, true) {
             let request_kind = RequestKind::Cancel;
@@ -136,7 +136,7 @@
         self.send_to_any(job, RequestKind::Cancel, false);
     }
 
-    /// Asks any controller.
+    /// Sends a request to any controller.
     fn send_to_any(&mut self, job: String, request_kind: RequestKind, detached: bool) {
         let controller = self.rng.random_range(0..self.controllers.len());
         self.send_request(controller, job, request_kind, detached);
@@ -158,21 +158,22 @@
             RequestKind::Cancel => OutgoingRequest {
                 method: "POST",
                 path: format!("{}/{job}/{}", path::JOBS, path::CANCEL),
-                body: Some(empty()),
+                body: Some(empty_object()),
             },
         };
         let number = self.new_request(controller, job, request_kind, detached);
-        let patience =
+        let timeout =
             if request_kind == RequestKind::Poll { POLL_TIMEOUT } else { REQUEST_TIMEOUT };
-        self.at(self.now + patience, Action::UserGivesUp { request: number });
-        // Users sit beside the controllers: what holds their messages only lets them wait.
+        self.schedule(self.now + timeout, Action::UserRequestTimedOut { request: number });
+        // Users are close to the controllers: a delayed message would only make them wait, so
+        // delays of their link have no effect.
         if self.transmit(Link::User { controller }, Direction::Request) == Delivery::Reset {
             return self.user_connection_closed(number);
         }
         let host = self.controller_address(controller);
         match self.net.connect(host, Role::User { request: number }) {
             Ok(id) => {
-                if let Some(request) = self.requests.get_mut(&number) {
+                if let Some(request) = self.user_requests.get_mut(&number) {
                     request.connection = Some(id);
                 }
                 self.net.request(id, &request, host);
@@ -188,44 +189,49 @@
         request_kind: RequestKind,
         detached: bool,
     ) -> u64 {
-        self.next_request += 1;
+        self.next_request_id += 1;
         let request = UserRequest {
             job,
             request_kind,
             controller,
             sent: self.now,
             connection: None,
-            health: false,
+            is_health_check: false,
             detached,
         };
-        self.requests.insert(self.next_request, request);
-        self.next_request
+        self.user_requests.insert(self.next_request_id, request);
+        self.next_request_id
     }
 
-    /// A health check of the beginning.
+    /// Registers a health check.
     pub(super) fn new_health_request(&mut self, controller: usize) -> u64 {
         let number = self.new_request(controller, String::new(), RequestKind::Poll, true);
-        if let Some(request) = self.requests.get_mut(&number) {
-            request.health = true;
+        if let Some(request) = self.user_requests.get_mut(&number) {
+            request.is_health_check = true;
         }
         number
     }
 
-    /// A controller has answered a user.
-    pub(super) fn user_answer_sent(&mut self, id: ConnectionId, number: u64, answer: http::Answer) {
+    /// Processes a controller's answer to a user.
+    pub(super) fn receive_user_answer(
+        &mut self,
+        id: ConnectionId,
+        number: u64,
+        answer: http::Answer,
+    ) {
         self.net.close(id);
-        if number == NO_REQUEST {
+        if number == UNAWAITED_REQUEST {
             return;
         }
-        let Some(request) = self.requests.remove(&number) else {
+        let Some(request) = self.user_requests.remove(&number) else {
             return;
         };
-        if request.health {
+        if request.is_health_check {
             self.healthy[request.controller] |= answer.status == 200;
             return;
         }
         let stage = serde_json::from_slice::<JobAnswer>(&answer.body).ok().and_then(|a| a.stage);
-        let known = matches!(answer.status, 200 | 201);
+        let found = matches!(answer.status, 200 | 201);
         self.record(
             self.now,
             Observation::Answer(UserAnswer {
@@ -234,110 +240,111 @@
                 controller: request.controller,
                 sent: request.sent,
                 status: answer.status,
-                stage: stage.filter(|_| known),
+                stage: stage.filter(|_| found),
             }),
         );
-        if known {
-            self.user_learns_stage(&request, stage);
+        if found {
+            self.apply_job_answer(&request, stage);
         } else {
-            self.user_request_refused(&request, answer.status);
+            self.handle_refusal(&request, answer.status);
         }
     }
 
-    fn user_learns_stage(&mut self, request: &UserRequest, stage: Option<JobStage>) {
+    fn apply_job_answer(&mut self, request: &UserRequest, stage: Option<JobStage>) {
         let Some(user_job) = self.user_jobs.get_mut(&request.job) else {
             return;
         };
-        let first = !std::mem::replace(&mut user_job.accepted, true);
+        let newly_accepted = !std::mem::replace(&mut user_job.accepted, true);
         let ends = stage.filter(|s| matches!(s, JobStage::Done | JobStage::Cancelled));
         let ended = ends.is_some() && user_job.ended.is_none();
         user_job.ended = user_job.ended.or(ends);
         user_job.cancel_answered |= request.request_kind == RequestKind::Cancel;
-        let plain_poll = request.request_kind == RequestKind::Poll && !request.detached;
-        if plain_poll {
+        let is_regular_poll = request.request_kind == RequestKind::Poll && !request.detached;
+        if is_regular_poll {
             user_job.polling = false;
             user_job.polls_after_end += u32::from(user_job.ended.is_some());
         }
-        if (first || ended) && self.rng.random_range(0..CONCURRENT_POLL_ONE_IN) == 0 {
+        if (newly_accepted || ended) && self.rng.random_range(0..CONCURRENT_POLL_ONE_IN) == 0 {
             let wait = Micros::millis(self.rng.random_range(0..6));
-            self.at(
+            self.schedule(
                 self.now + wait,
                 Action::User(UserStep::PollAllControllers(request.job.clone())),
             );
         }
-        self.plan_poll(&request.job, POLL_INTERVAL_MS);
+        self.schedule_poll(&request.job, POLL_INTERVAL_MS);
     }
 
-    fn user_request_refused(&mut self, request: &UserRequest, status: u16) {
+    fn handle_refusal(&mut self, request: &UserRequest, status: u16) {
         if self.user_jobs.contains_key(&request.job) {
             let request_kind = request.request_kind;
             self.record(self.now, Observation::NoAnswer { job: request.job.clone(), request_kind });
         }
-        let for_good = matches!(status, 400 | 422) && request.request_kind == RequestKind::Submit;
-        if for_good
+        let is_permanent =
+            matches!(status, 400 | 422) && request.request_kind == RequestKind::Submit;
+        if is_permanent
             && !request.detached
             && let Some(job) = self.user_jobs.get_mut(&request.job)
         {
-            job.refused = Some(status);
+            job.refused_status = Some(status);
             return;
         }
-        self.try_again(request, RETRY_DELAY_MS);
+        self.retry_request(request, RETRY_DELAY_MS);
     }
 
-    /// A user's connection is refused or reset.
+    /// Handles a refused or reset connection of a user.
     pub(super) fn user_connection_closed(&mut self, number: u64) {
-        if let Some(request) = self.requests.remove(&number)
-            && !request.health
+        if let Some(request) = self.user_requests.remove(&number)
+            && !request.is_health_check
         {
-            self.unanswered(&request, RECONNECT_DELAY_MS);
+            self.handle_no_answer(&request, RECONNECT_DELAY_MS);
         }
     }
 
-    /// A user has waited long enough.
-    pub(super) fn user_unanswered(&mut self, number: u64) {
-        if let Some(request) = self.requests.remove(&number) {
+    /// Handles a user's request that was not answered in time.
+    pub(super) fn user_request_timed_out(&mut self, number: u64) {
+        if let Some(request) = self.user_requests.remove(&number) {
             if let Some(id) = request.connection {
                 self.net.close(id);
             }
-            self.unanswered(&request, RETRY_DELAY_MS);
+            self.handle_no_answer(&request, RETRY_DELAY_MS);
         }
     }
 
-    fn unanswered(&mut self, request: &UserRequest, again: (u64, u64)) {
+    fn handle_no_answer(&mut self, request: &UserRequest, again: (u64, u64)) {
         if self.user_jobs.contains_key(&request.job) {
             let request_kind = request.request_kind;
             self.record(self.now, Observation::NoAnswer { job: request.job.clone(), request_kind });
         }
-        self.try_again(request, again);
+        self.retry_request(request, again);
     }
 
-    /// The user repeats the request some time later.
-    fn try_again(&mut self, request: &UserRequest, wait: (u64, u64)) {
+    /// Schedules a repetition of a request, unless it is detached.
+    fn retry_request(&mut self, request: &UserRequest, wait: (u64, u64)) {
         if request.detached {
             return;
         }
         let job = request.job.clone();
         match request.request_kind {
             RequestKind::Submit => {
-                let at = self.soon(wait);
-                self.at(at, Action::User(UserStep::Submit(job)));
+                let at = self.random_time_in(wait);
+                self.schedule(at, Action::User(UserStep::Submit(job)));
             }
             RequestKind::Cancel => {
-                let at = self.soon(wait);
-                self.at(at, Action::User(UserStep::Cancel(job)));
+                let at = self.random_time_in(wait);
+                self.schedule(at, Action::User(UserStep::Cancel(job)));
             }
             RequestKind::Poll => {
                 if let Some(user_job) = self.user_jobs.get_mut(&job) {
                     user_job.polling = false;
                 }
-                self.plan_poll(&job, wait);
+                self.schedule_poll(&job, wait);
             }
         }
     }
 
-    /// Plans the next question about a job, if one is to follow.
-    fn plan_poll(&mut self, job: &str, wait: (u64, u64)) {
-        let at = self.soon(wait);
+    /// Schedules the next status query about a job, unless one is pending or enough were sent.
+    fn schedule_poll(&mut self, job: &str, wait: (u64, u64)) {
+        let at = self.random_time_in(wait);
         let Some(user_job) = self.user_jobs.get_mut(job) else {
             return;
         };
@@ -345,23 +352,24 @@
             return;
         }
         user_job.polling = true;
-        self.at(at, Action::User(UserStep::Poll(job.to_string())));
+        self.schedule(at, Action::User(UserStep::Poll(job.to_string())));
     }
 
-    /// Whether every job is over and its user has queried it afterwards.
-    pub(super) fn users_are_done(&self) -> bool {
+    /// Whether every job was refused permanently, or has ended and its user's queries and
+    /// cancellation have been answered.
+    pub(super) fn all_jobs_served(&self) -> bool {
         let done = |job: &UserJob| {
             let cancelled = !job.cancel_requested || job.cancel_answered;
-            job.refused.is_some()
+            job.refused_status.is_some()
                 || (job.ended.is_some() && job.polls_after_end >= POLLS_AFTER_END && cancelled)
         };
         self.user_jobs.values().all(done)
     }
 
-    /// Tells of the jobs that were not served.
-    pub(super) fn record_unserved(&mut self) {
+    /// Records a failure for each job that was refused or has not ended.
+    pub(super) fn record_unserved_jobs(&mut self) {
         for (id, job) in &self.user_jobs {
-            if let Some(status) = job.refused {
+            if let Some(status) = job.refused_status {
                 self.failures.push(Failure::Refused { job: id.clone(), status });
             } else if job.ended.is_none() {
                 let accepted = job.accepted;
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -1,59 +1,60 @@
-//! A soak: runs with one seed after the other, some beside each other.
+//! Runs of a soak: one seed after another, several at the same time.
 
 use crate::options::SoakOptions;
 use crate::report::SoakReport;
-use crate::world::{RunError, World};
+use crate::run::{Run, RunError};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::thread;
 use thiserror::Error;
 
-/// Tries of a run whose addresses are somebody else's.
+/// Tries to execute a run. The second one uses other addresses, since those of the first may be
+/// taken by another process.
 const SETUP_TRIES: usize = 2;
 
 /// Why a soak ended early.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// It was requested to stop.
+    /// The user interrupted it.
     #[error("interrupted")]
     Interrupted,
-    /// A run could not be played.
+    /// A run could not be executed.
     #[error("seed {seed}: {source}")]
     Run {
         /// Seed of the run.
         seed: u64,
-        /// Why.
+        /// The cause.
         source: RunError,
     },
 }
 
-/// Plays all runs; `on_run` is called with each as it is over. All processes that were
-/// started have ended when this returns.
+/// Executes all runs, and calls `on_run` after each. All started processes have ended when this
+/// returns.
 ///
 /// # Errors
 ///
-/// If `stop` is set, or a run cannot be set up.
-pub fn soak(
+/// If `stop` is set, or a run cannot be executed.
+pub fn run_seeds(
     options: &SoakOptions,
     stop: &AtomicBool,
     on_run: impl Fn(&crate::report::RunReport) + Sync,
 ) -> Result<SoakReport, SoakError> {
-    let next = AtomicU64::new(0);
-    let run_numbers = AtomicUsize::new(0);
+    let next_run = AtomicU64::new(0);
+    let next_address_slot = AtomicUsize::new(0);
     let runs = Mutex::new(BTreeMap::new());
     let error: Mutex<Option<SoakError>> = Mutex::new(None);
-    let halted = AtomicBool::new(false);
+    let aborted = AtomicBool::new(false);
     thread::scope(|scope| {
         for _ in 0..options.parallel {
             scope.spawn(|| {
                 loop {
-                    let number = next.fetch_add(1, Ordering::Relaxed);
-                    if number >= options.seeds || halted.load(Ordering::Relaxed) {
+                    let number = next_run.fetch_add(1, Ordering::Relaxed);
+                    if number >= options.seeds || aborted.load(Ordering::Relaxed) {
                         return;
                     }
                     let seed = options.first_seed + number;
-                    match play(options, seed, &run_numbers, stop) {
+                    match run_seed(options, seed, &next_address_slot, stop) {
                         Ok(run) => {
                             on_run(&run);
                             if let Ok(mut runs) = runs.lock() {
@@ -61,7 +62,7 @@
                             }
                         }
                         Err(failure) => {
-                            halted.store(true, Ordering::Relaxed);
+                            aborted.store(true, Ordering::Relaxed);
                             if let Ok(mut error) = error.lock() {
                                 error.get_or_insert(failure);
                             }
@@ -78,17 +79,17 @@
     Ok(SoakReport { runs: runs.into_values().collect() })
 }
 
-fn play(
+fn run_seed(
     options: &SoakOptions,
     seed: u64,
-    run_numbers: &AtomicUsize,
+    next_address_slot: &AtomicUsize,
     stop: &AtomicBool,
 ) -> Result<crate::report::RunReport, SoakError> {
-    // Addresses that were given as options are not exchanged for others.
+    // Addresses from a block given as an option are not replaced by others.
     let tries = if options.block.is_some() { 1 } else { SETUP_TRIES };
     for try_number in 1.. {
-        let run_number = run_numbers.fetch_add(1, Ordering::Relaxed);
-        match World::play(options, seed, run_number, stop) {
+        let address_slot = next_address_slot.fetch_add(1, Ordering::Relaxed);
+        match Run::execute(options, seed, address_slot, stop) {
             Ok(run) => return Ok(run),
             Err(RunError::Interrupted) => break,
             Err(source) if try_number >= tries => return Err(SoakError::Run { seed, source }),
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a worker, by the protocol's text. It knows no sockets: time, commands and
-//! answers go in; what was seen on the machine, and heartbeats, come out.
+//! Stand-in for a worker, by the text of the protocol. It has no sockets: its inputs are time,
+//! commands and answers; its outputs are heartbeats, and observations of tasks on the machine.
 
 use crate::cloud::{CPUS, MACHINE_TYPE, MEMORY_GB};
 use crate::history::{Observation, TaskEnd, TaskId};
@@ -12,25 +12,25 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Heartbeats about changes come at most this often.
+/// Shortest interval between two heartbeats, also when the state changes more often.
 const MIN_HEARTBEAT_INTERVAL: Micros = Micros::millis(500);
-/// How long an image takes to fetch.
+/// Time to fetch an image.
 const IMAGE_FETCH_TIME: Micros = Micros::millis(300);
-/// Rounding of sums of resources.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of resources.
+const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// An attempt, as the worker keeps it.
+/// State of an attempt on the worker.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     state: TaskState,
     cause: Option<Cause>,
-    /// When its present state is over; `None` if it stays.
+    /// When the current state ends; `None` if it lasts.
     due: Option<Micros>,
     cpus: f64,
     memory_gb: f64,
-    runs: Micros,
-    saves: Micros,
-    mistake: bool,
+    run_time: Micros,
+    save_time: Micros,
+    always_fails: bool,
 }
 
 impl Attempt {
@@ -41,171 +41,173 @@
             due: None,
             cpus: 0.0,
             memory_gb: 0.0,
-            runs: Micros::ZERO,
-            saves: Micros::ZERO,
-            mistake: false,
+            run_time: Micros::ZERO,
+            save_time: Micros::ZERO,
+            always_fails: false,
         }
     }
 
-    /// Whether it counts as on the machine.
-    fn on(&self) -> bool {
+    /// Whether the attempt counts as on the machine: running, or saving its checkpoint.
+    fn is_running(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
 }
 
-/// A heartbeat that is under way.
+/// A heartbeat whose answer is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatInFlight {
-    /// Its number.
+    /// Number of the heartbeat, counted by the worker from 1.
     pub number: u64,
-    /// When it was sent.
+    /// When it was sent. Its answer renews the lease from then.
     pub sent: Micros,
-    /// The incarnation that it reports.
+    /// The worker's incarnation when it was sent.
     pub incarnation: WorkerIncarnation,
 }
 
-/// Something seen on the machine, and when.
+/// An observation and its time.
 pub type TimedObservation = (Micros, Observation);
 
-/// A machine's worker.
+/// State of a machine's worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// Machine.
+    /// Name of the machine.
     pub name: String,
     zone: String,
     spot: bool,
-    /// The cloud has taken it.
-    pub gone: bool,
+    /// The machine was returned or reclaimed.
+    pub terminated: bool,
     incarnation: WorkerIncarnation,
     sequence: u64,
     fencing_token: FencingToken,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
     images: BTreeSet<String>,
     fetching: BTreeMap<TaskId, String>,
-    lease_from: Micros,
-    hangs_until: Micros,
-    /// The controller that it heartbeats to.
+    lease_start: Micros,
+    hung_until: Micros,
+    /// Number of the controller that receives the heartbeats.
     pub controller: usize,
-    /// When it heartbeats next, if nothing changes.
+    /// When the next heartbeat is due if no task changes.
     pub next_heartbeat: Micros,
     last_heartbeat: Micros,
     changed: bool,
-    /// The report that awaits its answer.
+    /// The heartbeat whose answer is pending, if any.
     pub heartbeat_in_flight: Option<HeartbeatInFlight>,
-    heartbeats: u64,
+    heartbeat_count: u64,
 }
 
 impl Worker {
-    /// A worker that has just come up.
+    /// A worker that has just started, in its first incarnation.
     pub fn new(name: String, zone: &str, spot: bool, now: Micros, controller: usize) -> Worker {
         Worker {
             name,
             zone: zone.to_string(),
             spot,
-            gone: false,
+            terminated: false,
             incarnation: WorkerIncarnation(1),
             sequence: 0,
             fencing_token: FencingToken(0),
             attempts: BTreeMap::new(),
             images: BTreeSet::new(),
             fetching: BTreeMap::new(),
-            lease_from: now,
-            hangs_until: Micros::ZERO,
+            lease_start: now,
+            hung_until: Micros::ZERO,
             controller,
             next_heartbeat: now,
             last_heartbeat: Micros::ZERO,
             changed: true,
             heartbeat_in_flight: None,
-            heartbeats: 0,
+            heartbeat_count: 0,
         }
     }
 
-    /// Whether the machine hangs.
+    /// Whether the machine hangs at this time.
     pub fn is_hanging(&self, now: Micros) -> bool {
-        now < self.hangs_until
+        now < self.hung_until
     }
 
-    /// Whether any task is on it.
-    pub fn busy(&self) -> bool {
+    /// Whether any attempt on it has not exited.
+    pub fn is_busy(&self) -> bool {
         self.attempts.values().any(|attempt| attempt.state != TaskState::Exited)
     }
 
-    /// The jobs whose tasks are on it.
+    /// The jobs with attempts on the machine, once for each attempt.
     pub fn running_jobs(&self) -> impl Iterator<Item = &str> {
-        let on = self.attempts.iter().filter(|(_, attempt)| attempt.on());
+        let on = self.attempts.iter().filter(|(_, attempt)| attempt.is_running());
         on.map(|((task, _), _)| task.job.as_str())
     }
 
-    /// It hangs until a time: what it runs goes on that much later, its lease does not.
+    /// Hangs the machine until a time. Its tasks are delayed by as much; its lease is not.
     pub fn hang(&mut self, now: Micros, until: Micros) {
-        let longer = until.since(now.max(self.hangs_until));
-        self.hangs_until = self.hangs_until.max(until);
+        let extension = until.since(now.max(self.hung_until));
+        self.hung_until = self.hung_until.max(until);
         for due in self.attempts.values_mut().filter_map(|attempt| attempt.due.as_mut()) {
-            *due += longer;
+            *due += extension;
         }
     }
 
-    /// The machine is gone, with all that ran there.
-    pub fn take(&mut self, now: Micros) -> Vec<TimedObservation> {
-        self.gone = true;
-        self.end_all(now, TaskEnd::MachineGone)
+    /// Terminates the machine with everything on it.
+    pub fn terminate(&mut self, now: Micros) -> Vec<TimedObservation> {
+        self.terminated = true;
+        self.end_all_attempts(now, TaskEnd::MachineGone)
     }
 
-    fn end_all(&mut self, now: Micros, how: TaskEnd) -> Vec<TimedObservation> {
+    fn end_all_attempts(&mut self, now: Micros, how: TaskEnd) -> Vec<TimedObservation> {
         let attempts = std::mem::take(&mut self.attempts);
         self.fetching.clear();
-        let on = attempts.into_iter().filter(|(_, attempt)| attempt.on());
-        on.map(|((task, number), _)| (now, self.off(task, number, how))).collect()
+        let on = attempts.into_iter().filter(|(_, attempt)| attempt.is_running());
+        on.map(|((task, number), _)| (now, self.ended_observation(task, number, how))).collect()
     }
 
-    fn off(&self, task: TaskId, attempt: u64, how: TaskEnd) -> Observation {
+    fn ended_observation(&self, task: TaskId, attempt: u64, how: TaskEnd) -> Observation {
         Observation::TaskEnded { task, attempt, machine: self.name.clone(), how }
     }
 
-    /// When something changes by itself.
+    /// When the next change without a command happens: an attempt's state or the lease ends.
     pub fn next_change(&self) -> Micros {
-        let lease_over = self.lease_from + WORKER_LEASE + Micros(1);
+        let lease_expires_at = self.lease_start + WORKER_LEASE + Micros(1);
         let due = self.attempts.values().filter_map(|attempt| attempt.due).min();
-        due.map_or(lease_over, |due| due.min(lease_over))
+        due.map_or(lease_expires_at, |due| due.min(lease_expires_at))
     }
 
-    /// Lets time pass, each change at its own time.
+    /// Applies all changes up to `now`, each at its own time.
     pub fn advance(&mut self, now: Micros) -> Vec<TimedObservation> {
         let mut observations = Vec::new();
-        while !self.gone && self.next_change() <= now {
-            let lease_over = self.lease_from + WORKER_LEASE + Micros(1);
+        while !self.terminated && self.next_change() <= now {
+            let lease_expires_at = self.lease_start + WORKER_LEASE + Micros(1);
             let first = self
                 .attempts
                 .iter()
                 .filter_map(|(key, attempt)| attempt.due.map(|due| (due, key.clone())))
                 .min();
             match first {
-                Some((due, key)) if due < lease_over => observations.extend(self.change(due, &key)),
-                _ => observations.extend(self.end_incarnation(lease_over)),
+                Some((due, key)) if due < lease_expires_at => {
+                    observations.extend(self.advance_attempt(due, &key))
+                }
+                _ => observations.extend(self.end_incarnation(lease_expires_at)),
             }
         }
         observations
     }
 
-    /// The lease ran out: all tasks are killed and forgotten, and a incarnation begins.
+    /// Starts a new incarnation because the lease has expired: all tasks are killed and forgotten.
     fn end_incarnation(&mut self, at: Micros) -> Vec<TimedObservation> {
-        let observations = self.end_all(at, TaskEnd::LeaseExpired);
+        let observations = self.end_all_attempts(at, TaskEnd::LeaseExpired);
         self.incarnation.0 += 1;
         self.sequence = 0;
-        self.lease_from = at;
+        self.lease_start = at;
         self.heartbeat_in_flight = None;
         self.changed = true;
         observations
     }
 
-    fn change(&mut self, at: Micros, key: &(TaskId, u64)) -> Option<TimedObservation> {
+    fn advance_attempt(&mut self, at: Micros, key: &(TaskId, u64)) -> Option<TimedObservation> {
         let (task, number) = key.clone();
         let attempt = self.attempts.get_mut(key)?;
         self.changed = true;
         match attempt.state {
             TaskState::Fetching => {
                 attempt.state = TaskState::Running;
-                attempt.due = Some(at + attempt.runs);
+                attempt.due = Some(at + attempt.run_time);
                 if let Some(image) = self.fetching.remove(&task) {
                     self.images.insert(image);
                 }
@@ -213,16 +215,16 @@
                 Some((at, Observation::TaskStarted { task, attempt: number, machine }))
             }
             TaskState::Running => {
-                let (cause, how) = match attempt.mistake {
+                let (cause, how) = match attempt.always_fails {
                     true => (Cause::Error, TaskEnd::Stopped),
                     false => (Cause::Done, TaskEnd::Done),
                 };
                 *attempt = Attempt::exited(cause);
-                Some((at, self.off(task, number, how)))
+                Some((at, self.ended_observation(task, number, how)))
             }
             TaskState::Saving => {
                 *attempt = Attempt::exited(Cause::Stopped);
-                Some((at, self.off(task, number, TaskEnd::Stopped)))
+                Some((at, self.ended_observation(task, number, TaskEnd::Stopped)))
             }
             TaskState::Exited => {
                 attempt.due = None;
@@ -231,7 +233,7 @@
         }
     }
 
-    /// When it wants to report.
+    /// When the next heartbeat is due.
     pub fn heartbeat_due(&self) -> Micros {
         match self.changed {
             true => self.next_heartbeat.min(self.last_heartbeat + MIN_HEARTBEAT_INTERVAL),
@@ -239,20 +241,24 @@
         }
     }
 
-    /// Makes a heartbeat to be sent now, `spread` after which the next one is due.
-    pub fn make_heartbeat(&mut self, now: Micros, spread: Micros, address: String) -> Heartbeat {
-        self.heartbeats += 1;
+    /// Creates a heartbeat that is sent now. The next one is due three quarters of the interval
+    /// plus `jitter` later.
+    pub fn make_heartbeat(&mut self, now: Micros, jitter: Micros, address: String) -> Heartbeat {
+        self.heartbeat_count += 1;
         self.changed = false;
         self.last_heartbeat = now;
-        self.next_heartbeat = now + Micros(HEARTBEAT_INTERVAL.0 * 3 / 4) + spread;
-        let heartbeat_in_flight =
-            HeartbeatInFlight { number: self.heartbeats, sent: now, incarnation: self.incarnation };
+        self.next_heartbeat = now + Micros(HEARTBEAT_INTERVAL.0 * 3 / 4) + jitter;
+        let heartbeat_in_flight = HeartbeatInFlight {
+            number: self.heartbeat_count,
+            sent: now,
+            incarnation: self.incarnation,
+        };
         self.heartbeat_in_flight = Some(heartbeat_in_flight);
-        self.body(address)
+        self.report(address)
     }
 
-    /// How the machine stands.
-    pub fn body(&mut self, address: String) -> Heartbeat {
+    /// Reports the machine's state, as the body of a heartbeat or of an answer to a controller.
+    pub fn report(&mut self, address: String) -> Heartbeat {
         self.sequence += 1;
         let task = |((task, number), attempt): (&(TaskId, u64), &Attempt)| ReportedTask {
             task: format!("{}/{}", task.job, task.index),
@@ -274,8 +280,9 @@
         }
     }
 
-    /// Its report was answered with 200.
-    pub fn answered(
+    /// Processes an answer with status 200 to a heartbeat: renews the lease and executes the
+    /// commands.
+    pub fn heartbeat_answered(
         &mut self,
         now: Micros,
         heartbeat: HeartbeatInFlight,
@@ -283,18 +290,18 @@
         commands: Vec<Command>,
         jobs: &Jobs,
     ) -> Vec<TimedObservation> {
-        // Of an earlier incarnation, or by one whose time is over.
+        // The heartbeat is of an earlier incarnation, or the answer is from a former leader.
         if heartbeat.incarnation != self.incarnation || fencing_token < self.fencing_token {
             return Vec::new();
         }
         self.changed |= fencing_token > self.fencing_token;
         self.fencing_token = fencing_token;
-        self.lease_from = self.lease_from.max(heartbeat.sent);
+        self.lease_start = self.lease_start.max(heartbeat.sent);
         self.execute(now, commands, jobs)
     }
 
-    /// Direct commands arrive: whether they are executed, and what was seen.
-    pub fn direct(
+    /// Processes direct commands. Returns whether they were executed, and the observations.
+    pub fn execute_direct(
         &mut self,
         now: Micros,
         direct: DirectCommands,
@@ -365,7 +372,7 @@
         if !cached {
             self.fetching.insert(task.clone(), job.image.clone());
         }
-        let wait = if cached { job.runs } else { IMAGE_FETCH_TIME };
+        let wait = if cached { job.run_time } else { IMAGE_FETCH_TIME };
         self.attempts.insert(
             key,
             Attempt {
@@ -374,9 +381,9 @@
                 due: Some(now + wait),
                 cpus: job.cpus,
                 memory_gb: 2.0 * job.cpus,
-                runs: job.runs,
-                saves: job.saves,
-                mistake: job.mistake,
+                run_time: job.run_time,
+                save_time: job.save_time,
+                always_fails: job.always_fails,
             },
         );
         let machine = self.name.clone();
@@ -391,7 +398,8 @@
     fn fits(&self, job: &JobPlan) -> bool {
         let cpus: f64 = self.attempts.values().map(|attempt| attempt.cpus).sum();
         let memory: f64 = self.attempts.values().map(|attempt| attempt.memory_gb).sum();
-        cpus + job.cpus <= CPUS + ROUNDING && memory + 2.0 * job.cpus <= MEMORY_GB + ROUNDING
+        cpus + job.cpus <= CPUS + RESOURCE_TOLERANCE
+            && memory + 2.0 * job.cpus <= MEMORY_GB + RESOURCE_TOLERANCE
     }
 
     fn stop(
@@ -403,9 +411,9 @@
     ) -> Option<TimedObservation> {
         let attempt = self.attempts.get_mut(&(task.clone(), number))?;
         let saves = attempt.state == TaskState::Running
-            && attempt.saves > Micros::ZERO
-            && grace >= attempt.saves;
-        let on = attempt.on();
+            && attempt.save_time > Micros::ZERO
+            && grace >= attempt.save_time;
+        let on = attempt.is_running();
         if attempt.state == TaskState::Exited
             || (attempt.state == TaskState::Saving && grace > Micros::ZERO)
         {
@@ -414,12 +422,12 @@
         self.changed = true;
         if saves {
             attempt.state = TaskState::Saving;
-            attempt.due = Some(now + attempt.saves);
+            attempt.due = Some(now + attempt.save_time);
             return None;
         }
         *attempt = Attempt::exited(Cause::Stopped);
         self.fetching.remove(&task);
-        on.then(|| (now, self.off(task, number, TaskEnd::Stopped)))
+        on.then(|| (now, self.ended_observation(task, number, TaskEnd::Stopped)))
     }
 
     fn forget(&mut self, task: TaskId, number: u64) {
@@ -431,7 +439,7 @@
     }
 }
 
-/// Reads the protocol's name of a task.
+/// Parses a task's name in the protocol, `job/index`.
 fn task_id(name: &str) -> Option<TaskId> {
     let (job, index) = name.split_once('/')?;
     Some(TaskId { job: job.to_string(), index: index.parse().ok()? })
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule's check tells of a history that breaks it, and says nothing a moment before.
+//! Tests that each rule is violated by some history, and holds until the violating entry.
 
 #![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
 
@@ -10,14 +10,14 @@
 use millethold_rehearsal::rules::{Facts, JobFacts, MachineFacts, RULES, Rule, check};
 use std::collections::BTreeSet;
 
-/// The job that is looked at, one that needs it, and one that nobody submitted.
+/// The job under test, a job that depends on it, and an id that no user submitted.
 const JOB: &str = "j-1";
-const AFTER: &str = "j-2";
-const NOBODYS: &str = "j-9";
-/// Time that a cancellation has.
+const DEPENDENT: &str = "j-2";
+const UNSUBMITTED: &str = "j-9";
+/// Cancellation deadline in the facts.
 const CANCEL_DEADLINE: Micros = Micros::secs(18);
-/// From when on no fault is left.
-const CALM: Micros = Micros::secs(50);
+/// When the last effect of a fault ends.
+const FAULTS_END: Micros = Micros::secs(50);
 
 fn facts() -> Facts {
     let job = JobFacts {
@@ -25,15 +25,15 @@
         tasks: 3,
         cpus: 1.0,
         zone: None,
-        together: false,
-        apart: false,
+        one_zone: false,
+        spread: false,
         spot: false,
         dependencies: Vec::new(),
     };
-    let after = JobFacts { dependencies: vec![JOB.into()], team: "blue".into(), ..job.clone() };
+    let dependent = JobFacts { dependencies: vec![JOB.into()], team: "blue".into(), ..job.clone() };
     let machine = |zone: &str, spot| MachineFacts { zone: zone.into(), spot };
     Facts {
-        jobs: [(JOB.to_string(), job), (AFTER.to_string(), after)].into(),
+        jobs: [(JOB.to_string(), job), (DEPENDENT.to_string(), dependent)].into(),
         machines: [
             ("vm-0".to_string(), machine("a", false)),
             ("vm-1".to_string(), machine("b", false)),
@@ -41,13 +41,13 @@
         ]
         .into(),
         limits: [("red".to_string(), 8.0)].into(),
-        cancel: CANCEL_DEADLINE,
-        faults_over_at: CALM,
+        cancel_deadline: CANCEL_DEADLINE,
+        faults_end_at: FAULTS_END,
         end: Micros::secs(200),
     }
 }
 
-/// Facts of which one thing about the job differs.
+/// The facts with a change to the job.
 fn facts_with(change: fn(&mut JobFacts)) -> Facts {
     let mut facts = facts();
     change(facts.jobs.get_mut(JOB).expect("the job"));
@@ -58,12 +58,12 @@
     Entry { at: Micros::secs(s), observation }
 }
 
-fn on(s: u64, job: &str, index: u32, attempt: u64, machine: &str) -> Entry {
+fn started(s: u64, job: &str, index: u32, attempt: u64, machine: &str) -> Entry {
     let task = TaskId { job: job.into(), index };
     at(s, Observation::TaskStarted { task, attempt, machine: machine.into() })
 }
 
-fn off(s: u64, job: &str, index: u32, attempt: u64, machine: &str, how: TaskEnd) -> Entry {
+fn ended(s: u64, job: &str, index: u32, attempt: u64, machine: &str, how: TaskEnd) -> Entry {
     let task = TaskId { job: job.into(), index };
     at(s, Observation::TaskEnded { task, attempt, machine: machine.into(), how })
 }
@@ -72,7 +72,7 @@
     at(s, Observation::Requested { job: job.into(), request_kind })
 }
 
-/// An answer that came a second after its request was sent.
+/// An answer that arrived one second after its request was sent.
 fn answer(
     s: u64,
     job: &str,
@@ -101,7 +101,7 @@
     vec![requested(1, job, RequestKind::Submit), answer(2, job, RequestKind::Submit, 201, queued)]
 }
 
-/// The job is answered as cancelled at second 10.
+/// The job is submitted, and answered as cancelled at second 10.
 fn cancelled(job: &str) -> Vec<Entry> {
     let mut entries = submitted(job);
     entries.push(requested(9, job, RequestKind::Cancel));
@@ -109,18 +109,18 @@
     entries
 }
 
-/// All three tasks of the job complete, one after the other.
+/// The job is submitted, and its three tasks complete one after another.
 fn completed(job: &str) -> Vec<Entry> {
     let mut entries = submitted(job);
     for index in 0..3 {
         let s = 3 + 2 * u64::from(index);
-        entries.push(on(s, job, index, 1, "vm-0"));
-        entries.push(off(s + 1, job, index, 1, "vm-0", TaskEnd::Done));
+        entries.push(started(s, job, index, 1, "vm-0"));
+        entries.push(ended(s + 1, job, index, 1, "vm-0", TaskEnd::Done));
     }
     entries
 }
 
-fn with(mut entries: Vec<Entry>, more: Vec<Entry>) -> Vec<Entry> {
+fn concat(mut entries: Vec<Entry>, more: Vec<Entry>) -> Vec<Entry> {
     entries.extend(more);
     entries
 }
@@ -129,95 +129,108 @@
     name: &'static str,
     rule: Rule,
     facts: Facts,
-    /// What breaks nothing yet.
-    before: Vec<Entry>,
-    /// What then breaks the rule.
-    then: Entry,
+    /// The history up to the violation.
+    preceding: Vec<Entry>,
+    /// The entry that violates the rule.
+    violating: Entry,
 }
 
 fn cases() -> Vec<Case> {
     use JobStage::{Cancelled, Done, Queued, Running};
-    let case = |name, rule, facts, before, then| Case { name, rule, facts, before, then };
+    let case =
+        |name, rule, facts, preceding, violating| Case { name, rule, facts, preceding, violating };
     let poll = |s, job, stage| answer(s, job, RequestKind::Poll, 200, Some(stage));
     vec![
         case(
-            "on a second machine",
+            "started on a second machine",
             Rule::RanTwice,
             facts(),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0"), on(5, JOB, 1, 2, "vm-1")]),
-            on(6, JOB, 0, 3, "vm-1"),
+            concat(
+                submitted(JOB),
+                vec![started(5, JOB, 0, 1, "vm-0"), started(5, JOB, 1, 2, "vm-1")],
+            ),
+            started(6, JOB, 0, 3, "vm-1"),
         ),
         case(
-            "begun too late after its cancellation",
+            "started too long after its cancellation",
             Rule::RanCancelled,
             facts(),
-            with(
+            concat(
                 cancelled(JOB),
-                vec![on(28, JOB, 0, 1, "vm-0"), off(28, JOB, 0, 1, "vm-0", TaskEnd::Stopped)],
+                vec![
+                    started(28, JOB, 0, 1, "vm-0"),
+                    ended(28, JOB, 0, 1, "vm-0", TaskEnd::Stopped),
+                ],
             ),
-            on(29, JOB, 1, 2, "vm-0"),
+            started(29, JOB, 1, 2, "vm-0"),
         ),
         case(
-            "there for too long after its cancellation",
+            "ended too long after its cancellation",
             Rule::RanCancelled,
             facts(),
-            with(submitted(JOB), with(vec![on(5, JOB, 0, 1, "vm-0")], cancelled(JOB))),
-            off(29, JOB, 0, 1, "vm-0", TaskEnd::LeaseExpired),
+            concat(submitted(JOB), concat(vec![started(5, JOB, 0, 1, "vm-0")], cancelled(JOB))),
+            ended(29, JOB, 0, 1, "vm-0", TaskEnd::LeaseExpired),
         ),
         case(
             "above the team's limit",
             Rule::Quota,
             facts_with(|job| job.cpus = 4.0),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0"), on(5, JOB, 1, 2, "vm-1")]),
-            on(6, JOB, 2, 3, "vm-0"),
+            concat(
+                submitted(JOB),
+                vec![started(5, JOB, 0, 1, "vm-0"), started(5, JOB, 1, 2, "vm-1")],
+            ),
+            started(6, JOB, 2, 3, "vm-0"),
         ),
         case(
-            "in another zone",
+            "in a zone that the job does not allow",
             Rule::WrongPlace,
             facts_with(|job| job.zone = Some("a".into())),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0")]),
-            on(6, JOB, 1, 2, "vm-1"),
+            concat(submitted(JOB), vec![started(5, JOB, 0, 1, "vm-0")]),
+            started(6, JOB, 1, 2, "vm-1"),
         ),
         case(
             "on a spot machine",
             Rule::WrongPlace,
             facts(),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0")]),
-            on(6, JOB, 1, 2, "vm-2"),
+            concat(submitted(JOB), vec![started(5, JOB, 0, 1, "vm-0")]),
+            started(6, JOB, 1, 2, "vm-2"),
         ),
         case(
-            "not together",
+            "in a second zone, though the job needs one",
             Rule::WrongPlace,
-            facts_with(|job| job.together = true),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0")]),
-            on(6, JOB, 1, 2, "vm-1"),
+            facts_with(|job| job.one_zone = true),
+            concat(submitted(JOB), vec![started(5, JOB, 0, 1, "vm-0")]),
+            started(6, JOB, 1, 2, "vm-1"),
         ),
         case(
-            "not apart",
+            "more than half of the tasks in one zone",
             Rule::WrongPlace,
-            facts_with(|job| job.apart = true),
-            with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0"), on(5, JOB, 1, 2, "vm-0")]),
-            on(6, JOB, 2, 3, "vm-0"),
+            facts_with(|job| job.spread = true),
+            concat(
+                submitted(JOB),
+                vec![started(5, JOB, 0, 1, "vm-0"), started(5, JOB, 1, 2, "vm-0")],
+            ),
+            started(6, JOB, 2, 3, "vm-0"),
         ),
         case(
-            "not known any more",
+            "answered 404 after acceptance",
             Rule::Forgotten,
             facts(),
             submitted(JOB),
             answer(5, JOB, RequestKind::Poll, 404, None),
         ),
         case(
-            "a repeat is refused",
+            "a repeated submission is refused",
             Rule::Forgotten,
             facts(),
             submitted(JOB),
             answer(5, JOB, RequestKind::Submit, 422, None),
         ),
         case(
-            "no answer for long, all faults being over",
+            "no answer for too long after all faults have ended",
             Rule::Forgotten,
             facts(),
-            with(
+            concat(
                 submitted(JOB),
                 vec![at(
                     125,
@@ -227,21 +240,21 @@
             at(126, Observation::NoAnswer { job: JOB.into(), request_kind: RequestKind::Poll }),
         ),
         case(
-            "nobody's job",
+            "a job that no user submitted is reported",
             Rule::Invented,
             facts(),
-            vec![answer(5, NOBODYS, RequestKind::Poll, 404, None)],
-            poll(6, NOBODYS, Queued),
+            vec![answer(5, UNSUBMITTED, RequestKind::Poll, 404, None)],
+            poll(6, UNSUBMITTED, Queued),
         ),
         case(
-            "nobody's task",
+            "a task of a job that no user submitted",
             Rule::Invented,
             facts(),
             submitted(JOB),
-            on(6, NOBODYS, 0, 1, "vm-0"),
+            started(6, UNSUBMITTED, 0, 1, "vm-0"),
         ),
         case(
-            "done too early",
+            "done before all tasks have completed",
             Rule::NotDone,
             facts(),
             completed(JOB)[..7].to_vec(),
@@ -251,7 +264,7 @@
             "queued after cancelled",
             Rule::WentBack,
             facts(),
-            with(
+            concat(
                 cancelled(JOB),
                 vec![sent_answer(9, 11, JOB, RequestKind::Poll, 200, Some(Queued))],
             ),
@@ -261,39 +274,39 @@
             "running after done",
             Rule::WentBack,
             facts(),
-            with(completed(JOB), vec![poll(20, JOB, Done)]),
+            concat(completed(JOB), vec![poll(20, JOB, Done)]),
             sent_answer(21, 22, JOB, RequestKind::Poll, 200, Some(Running)),
         ),
         case(
-            "done after cancelled, whenever it was asked",
+            "done after cancelled, even to an earlier request",
             Rule::WentBack,
             facts(),
-            with(completed(JOB), cancelled(JOB)[2..].to_vec()),
+            concat(completed(JOB), cancelled(JOB)[2..].to_vec()),
             sent_answer(8, 11, JOB, RequestKind::Poll, 200, Some(Done)),
         ),
         case(
-            "cancelled by nobody",
+            "cancelled without a request",
             Rule::WentBack,
             facts(),
             submitted(JOB),
             poll(5, JOB, Cancelled),
         ),
         case(
-            "before what it needs",
+            "started before its dependency is done",
             Rule::TooEarly,
             facts(),
-            with(completed(JOB)[..7].to_vec(), submitted(AFTER)),
-            on(20, AFTER, 0, 1, "vm-0"),
+            concat(completed(JOB)[..7].to_vec(), submitted(DEPENDENT)),
+            started(20, DEPENDENT, 0, 1, "vm-0"),
         ),
         case(
-            "queued long after one before it was cancelled",
+            "queued too long after its dependency was cancelled",
             Rule::Orphaned,
             facts(),
-            with(
-                with(submitted(AFTER), cancelled(JOB)),
-                vec![sent_answer(28, 30, AFTER, RequestKind::Poll, 200, Some(Queued))],
+            concat(
+                concat(submitted(DEPENDENT), cancelled(JOB)),
+                vec![sent_answer(28, 30, DEPENDENT, RequestKind::Poll, 200, Some(Queued))],
             ),
-            sent_answer(29, 31, AFTER, RequestKind::Poll, 200, Some(Queued)),
+            sent_answer(29, 31, DEPENDENT, RequestKind::Poll, 200, Some(Queued)),
         ),
     ]
 }
@@ -301,26 +314,27 @@
 #[test]
 fn every_check_can_fail() {
     let mut shown = BTreeSet::new();
-    for Case { name, rule, facts, before, then } in cases() {
-        let mut history = History { entries: before };
-        let last = history.entries.last().map_or(then.at, |entry| entry.at);
+    for Case { name, rule, facts, preceding, violating } in cases() {
+        let mut history = History { entries: preceding };
+        let last = history.entries.last().map_or(violating.at, |entry| entry.at);
         let facts = Facts { end: last, ..facts };
-        assert_eq!(check(&facts, &history), Vec::new(), "{name}: before");
-        let facts = Facts { end: then.at, ..facts };
-        history.entries.push(then);
+        assert_eq!(check(&facts, &history), Vec::new(), "{name}: before the violation");
+        let facts = Facts { end: violating.at, ..facts };
+        history.entries.push(violating);
         let violations = check(&facts, &history);
         let rules: BTreeSet<Rule> = violations.iter().map(|violation| violation.rule).collect();
         assert_eq!(rules, BTreeSet::from([rule]), "{name}: {violations:?}");
-        assert!(!history.about(&violations[0].job, 10).is_empty(), "{name}: no evidence");
+        assert!(!history.lines_about(&violations[0].job, 10).is_empty(), "{name}: no evidence");
         shown.insert(rule);
     }
-    assert_eq!(shown, BTreeSet::from(RULES), "a rule that no history breaks");
+    assert_eq!(shown, BTreeSet::from(RULES), "a rule without a history that breaks it");
 }
 
-/// What is still on its machine when the run ends is judged, too.
+/// An attempt that is still on its machine at the end of the run is checked too.
 #[test]
-fn overstay_at_the_end() {
-    let entries = with(with(submitted(JOB), vec![on(5, JOB, 0, 1, "vm-0")]), cancelled(JOB));
+fn cancelled_task_still_running_at_the_end() {
+    let entries =
+        concat(concat(submitted(JOB), vec![started(5, JOB, 0, 1, "vm-0")]), cancelled(JOB));
     let history = History { entries };
     for (end, want) in [(28, 0), (29, 1)] {
         let facts = Facts { end: Micros::secs(end), ..facts() };
--- a/crates/rehearsal/tests/soak.rs
+++ b/crates/rehearsal/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The program itself: a short seeded soak, and what it cannot be asked for.
+//! Tests of the program: a short seeded soak, invalid options, and an interrupt.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -7,12 +7,12 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Patience with the program, also on a machine that is busy otherwise.
+/// Time that the program may take, also on a loaded machine.
 const PROGRAM_TIMEOUT: Duration = Duration::from_secs(600);
-/// Runs of the program beside each other would share its addresses.
+/// Instances of the program at the same time would use the same addresses.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// The service's program of this build; it is built if only this package was.
+/// The service's binary of this build. It is built here, in case only this package was built.
 fn service() -> PathBuf {
     let rehearsal = PathBuf::from(env!("CARGO_BIN_EXE_millethold-rehearsal"));
     let service = rehearsal.with_file_name("millethold");
@@ -33,8 +33,8 @@
     command
 }
 
-/// Processes whose command line names this copy of the service. The whole path is compared:
-/// the same test may run elsewhere on the machine at the same time.
+/// Number of processes whose command line names this copy of the service. The whole path is
+/// compared, since the same test may run elsewhere on the machine at the same time.
 fn processes_with(binary: &Path) -> usize {
     let binary = binary.to_str().expect("a path");
     let mut count = 0;
@@ -46,7 +46,7 @@
     count
 }
 
-/// A copy of the service under a name that no other test's processes have.
+/// Copies the service to a path that no other test uses.
 fn own_service(directory: &Path, name: &str) -> PathBuf {
     let copy = directory.join(name);
     std::fs::copy(service(), &copy).expect("a copy of the service");
@@ -54,7 +54,7 @@
 }
 
 fn wait(mut child: Child) -> Output {
-    let begun = Instant::now();
+    let start = Instant::now();
     loop {
         if let Some(status) = child.try_wait().expect("the program") {
             let (mut stdout, mut stderr) = (Vec::new(), Vec::new());
@@ -62,12 +62,12 @@
             child.stderr.take().expect("piped").read_to_end(&mut stderr).expect("its errors");
             return Output { status, stdout, stderr };
         }
-        assert!(begun.elapsed() < PROGRAM_TIMEOUT, "the program does not end");
+        assert!(start.elapsed() < PROGRAM_TIMEOUT, "the program does not end");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Two runs, scaled down for CI to six seconds of faults and a few workers.
+/// Two runs, reduced for CI to six seconds of faults and ten workers.
 #[test]
 fn short_seeded_soak() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
@@ -100,7 +100,7 @@
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(text.lines().last(), Some("2 passed, 0 failed"), "{text}");
-    assert_eq!(processes_with(&binary), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is still running");
 
     let json = std::fs::read_to_string(&report).expect("a report");
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
@@ -113,15 +113,15 @@
     }
 }
 
-/// One line, a status other than 0, and no process left.
+/// The program prints one line to standard error, fails, and leaves no process running.
 #[test]
-fn what_cannot_be_played() {
+fn invalid_options_and_taken_ports() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
     let binary = own_service(directory.path(), "unplayed-service");
-    // Somebody else's: a controller's port, and one of a stand-in.
-    let users = TcpListener::bind("127.251.1.1:8080").expect("a port");
-    let state = TcpListener::bind("127.252.1.66:2379").expect("a port");
+    // Occupied by another process: a controller's port, and one of the simulated key-value store.
+    let api_port = TcpListener::bind("127.251.1.1:8080").expect("a port");
+    let kv_store_port = TcpListener::bind("127.252.1.66:2379").expect("a port");
     let table: [(&str, &[&str], &str); 9] = [
         ("no seeds", &["--seeds", "0"], "--seeds"),
         ("no seconds", &["--seconds", "0"], "--seconds"),
@@ -133,7 +133,7 @@
         ("a controller's port is taken", &["--block", "251"], "127.251.1.1:8080"),
         ("a stand-in's port is taken", &["--block", "252"], "127.252.1.66:2379"),
     ];
-    for (name, arguments, named) in table {
+    for (name, arguments, expected) in table {
         let mut command = rehearsal(arguments);
         if !arguments.contains(&"--binary") {
             command.arg("--binary").arg(&binary);
@@ -142,27 +142,27 @@
         let errors = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{name}");
         assert_eq!(errors.lines().count(), 1, "{name}: {errors}");
-        assert!(errors.contains(named), "{name}: {errors}");
+        assert!(errors.contains(expected), "{name}: {errors}");
     }
-    drop((users, state));
+    drop((api_port, kv_store_port));
     let unknown = wait(rehearsal(&["--sseeds", "1"]).spawn().expect("the program"));
     assert!(!unknown.status.success());
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("--sseeds"));
-    assert_eq!(processes_with(&binary), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is still running");
 }
 
-/// Told to stop in the middle of a run it leaves nothing behind.
+/// An interrupt in the middle of a run leaves no process running.
 #[test]
-fn interrupted() {
+fn interrupt_leaves_no_process() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
     let binary = own_service(directory.path(), "interrupted-service");
     let child =
         rehearsal(&["--seeds", "3"]).arg("--binary").arg(&binary).spawn().expect("the program");
-    let begun = Instant::now();
-    // The program itself names the binary, too.
+    let start = Instant::now();
+    // Counts the three controllers and the program itself, which names the binary as an argument.
     while processes_with(&binary) < 4 {
-        assert!(begun.elapsed() < PROGRAM_TIMEOUT, "the controllers do not start");
+        assert!(start.elapsed() < PROGRAM_TIMEOUT, "the controllers do not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     let id = child.id().to_string();
@@ -171,5 +171,5 @@
     let output = wait(child);
     assert!(!output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
-    assert_eq!(processes_with(&binary), 0, "a process is left");
+    assert_eq!(processes_with(&binary), 0, "a process is still running");
 }
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep to the protocol's text, and faults do to messages what they say.
+//! Tests that the stand-ins follow the protocol, and that each fault has its effect on messages.
 
 #![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
 
@@ -10,7 +10,7 @@
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
 use millethold_rehearsal::history::{Observation, TaskEnd};
 use millethold_rehearsal::jobs::{JobPlan, Jobs, draw_jobs};
-use millethold_rehearsal::kv_store::{KvStore, Outcome};
+use millethold_rehearsal::kv_store::{KvStore, TxnOutcome};
 use millethold_rehearsal::links::{
     Delivery, Direction, Link, StoreBehavior, store_behavior, transmit,
 };
@@ -23,21 +23,21 @@
 
 const NOW: Micros = Micros::secs(100);
 
-fn plan(id: &str, cpus: f64, saves: Micros) -> JobPlan {
+fn plan(id: &str, cpus: f64, save_time: Micros) -> JobPlan {
     JobPlan {
         id: id.into(),
         team: 2,
         tasks: 4,
         cpus,
-        runs: Micros::secs(5),
-        urgency: "standard",
+        run_time: Micros::secs(5),
+        priority: "standard",
         image: "img".into(),
         zone: None,
-        together: false,
-        apart: false,
+        one_zone: false,
+        spread: false,
         spot: true,
-        saves,
-        mistake: false,
+        save_time,
+        always_fails: false,
         dependencies: Vec::new(),
         submit_at: Micros::ZERO,
         cancel_at: None,
@@ -77,9 +77,9 @@
     }
 }
 
-/// What the worker reports: task, attempt, state, cause.
+/// The tasks that the worker reports: task, attempt, state, cause.
 fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<Cause>)> {
-    let heartbeat = worker.body("10.1.0.1:1".into());
+    let heartbeat = worker.report("10.1.0.1:1".into());
     heartbeat.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
 }
 
@@ -90,23 +90,23 @@
         .count()
 }
 
-/// Commands are carried out in order, once each, as the protocol says.
+/// A worker executes commands in order, and each once, as the protocol requires.
 #[test]
-fn commands() {
+fn commands_execute_once_in_order() {
     use TaskState::{Exited, Fetching, Running};
     let exited = |attempt, cause| ("j-1/0".to_string(), attempt, Exited, Some(cause));
     let fetching = |attempt| ("j-1/0".to_string(), attempt, Fetching, None);
-    // Commands, what is reported then.
+    // Commands, and the tasks reported after them.
     let table = [
         ("a start", vec![start("j-1/0", 1)], vec![fetching(1)]),
         ("the same again", vec![start("j-1/0", 1), start("j-1/0", 1)], vec![fetching(1)]),
         (
-            "another attempt of what is there",
+            "another attempt of a task that is already there",
             vec![start("j-1/0", 1), start("j-1/0", 2)],
             vec![fetching(1), exited(2, Cause::Busy)],
         ),
         (
-            "a job that nobody submitted",
+            "a job that no user submitted",
             vec![start("j-7/0", 1)],
             vec![("j-7/0".to_string(), 1, Exited, Some(Cause::Unknown))],
         ),
@@ -121,73 +121,82 @@
             vec![exited(1, Cause::Stopped)],
         ),
         (
-            "cleared, and started again",
+            "stopped, forgotten and started again",
             vec![start("j-1/0", 1), stop("j-1/0", 1, 0.0), forget("j-1/0", 1), start("j-1/0", 1)],
             vec![fetching(1)],
         ),
         (
-            "what has not ended is not cleared",
+            "a task that has not exited is not forgotten",
             vec![start("j-1/0", 1), forget("j-1/0", 1)],
             vec![fetching(1)],
         ),
     ];
     for (name, commands, want) in table {
         let mut worker = worker();
-        let (executed, _) = worker.direct(NOW, direct(1, 1, commands), &jobs());
+        let (executed, _) = worker.execute_direct(NOW, direct(1, 1, commands), &jobs());
         assert!(executed, "{name}");
         assert_eq!(reported(&mut worker), want, "{name}");
     }
-    let mut full = worker();
-    full.direct(NOW, direct(1, 1, vec![start("j-2/0", 1), start("j-1/0", 1)]), &jobs());
-    assert!(reported(&mut full).contains(&exited(1, Cause::NoRoom)), "fetching tasks count");
+    let mut full_worker = worker();
+    full_worker.execute_direct(
+        NOW,
+        direct(1, 1, vec![start("j-2/0", 1), start("j-1/0", 1)]),
+        &jobs(),
+    );
+    assert!(reported(&mut full_worker).contains(&exited(1, Cause::NoRoom)), "fetching tasks count");
 
-    // A task that saves ends later, or at once by a second stop.
-    for (second, ends) in [(None, Micros::secs(1)), (Some(0.0), Micros::ZERO)] {
+    // A stopped task that saves a checkpoint ends after saving, or at once on a second stop.
+    for (second_grace, delay) in [(None, Micros::secs(1)), (Some(0.0), Micros::ZERO)] {
         let mut saving = worker();
-        saving.direct(NOW, direct(1, 1, vec![start("j-3/0", 1)]), &jobs());
-        let on = NOW + Micros::millis(300);
-        assert_eq!(started_tasks(&saving.advance(on)), 1, "the image is there");
+        saving.execute_direct(NOW, direct(1, 1, vec![start("j-3/0", 1)]), &jobs());
+        let started_at = NOW + Micros::millis(300);
+        assert_eq!(
+            started_tasks(&saving.advance(started_at)),
+            1,
+            "the task starts once its image is fetched"
+        );
         assert_eq!(reported(&mut saving)[0].2, Running);
-        saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, 2.0)]), &jobs());
+        saving.execute_direct(started_at, direct(1, 1, vec![stop("j-3/0", 1, 2.0)]), &jobs());
         let mut observations = Vec::new();
-        if let Some(grace) = second {
-            observations =
-                saving.direct(on, direct(1, 1, vec![stop("j-3/0", 1, grace)]), &jobs()).1;
+        if let Some(grace) = second_grace {
+            observations = saving
+                .execute_direct(started_at, direct(1, 1, vec![stop("j-3/0", 1, grace)]), &jobs())
+                .1;
         }
-        observations.extend(saving.advance(on + Micros::secs(2)));
-        let off: Vec<Micros> = observations.iter().map(|(at, _)| *at).collect();
-        assert_eq!(off, [on + ends], "{second:?}");
+        observations.extend(saving.advance(started_at + Micros::secs(2)));
+        let end_times: Vec<Micros> = observations.iter().map(|(at, _)| *at).collect();
+        assert_eq!(end_times, [started_at + delay], "{second_grace:?}");
     }
 }
 
-/// Fencing tokens, incarnations and leases.
+/// Fencing tokens and incarnations decide whether commands are executed; answers renew the lease.
 #[test]
-fn who_may_command() {
-    // Token and incarnation of the commands, whether a worker in its first incarnation that has
-    // seen fencing token 5 executes them.
+fn fencing_tokens_incarnations_and_leases() {
+    // Token and incarnation of the commands, and whether they are executed by a worker in its first
+    // incarnation that has received fencing token 5.
     for (fencing_token, incarnation, want) in
         [(5, 1, true), (6, 1, true), (4, 1, false), (5, 2, false)]
     {
         let mut worker = worker();
-        worker.direct(NOW, direct(5, 1, Vec::new()), &jobs());
+        worker.execute_direct(NOW, direct(5, 1, Vec::new()), &jobs());
         let commands = direct(fencing_token, incarnation, vec![start("j-1/0", 1)]);
-        let (executed, _) = worker.direct(NOW, commands, &jobs());
-        assert_eq!(executed, want, "token {fencing_token}, session {incarnation}");
+        let (executed, _) = worker.execute_direct(NOW, commands, &jobs());
+        assert_eq!(executed, want, "token {fencing_token}, incarnation {incarnation}");
         assert_eq!(reported(&mut worker).len(), usize::from(want));
     }
-    // An answer renews the lease from when its heartbeat was sent; one below the fencing token, or
-    // to a heartbeat of an earlier incarnation, does not.
+    // An answer renews the lease from when its heartbeat was sent. An answer with a lower fencing
+    // token, or to a heartbeat of an earlier incarnation, does not.
     let mut worker = worker();
     worker.make_heartbeat(NOW + Micros::secs(4), Micros::ZERO, String::new());
     let heartbeat = worker.heartbeat_in_flight.expect("a heartbeat");
-    worker.answered(
+    worker.heartbeat_answered(
         NOW + Micros::secs(7),
         heartbeat,
         FencingToken(5),
         vec![start("j-1/0", 1)],
         &jobs(),
     );
-    let low = worker.answered(
+    let low = worker.heartbeat_answered(
         NOW + Micros::secs(7),
         heartbeat,
         FencingToken(4),
@@ -195,109 +204,117 @@
         &jobs(),
     );
     assert_eq!((low.len(), reported(&mut worker).len()), (0, 1));
-    let over = NOW + Micros::secs(4) + WORKER_LEASE;
-    let observations = worker.advance(over);
-    assert_eq!(worker.body(String::new()).incarnation, WorkerIncarnation(1), "{observations:?}");
-    worker.advance(over + Micros(1));
+    let lease_expires_at = NOW + Micros::secs(4) + WORKER_LEASE;
+    let observations = worker.advance(lease_expires_at);
+    assert_eq!(worker.report(String::new()).incarnation, WorkerIncarnation(1), "{observations:?}");
+    worker.advance(lease_expires_at + Micros(1));
     assert_eq!(
-        (worker.body(String::new()).incarnation, reported(&mut worker).len()),
+        (worker.report(String::new()).incarnation, reported(&mut worker).len()),
         (WorkerIncarnation(2), 0)
     );
-    let late = worker.answered(
-        over + Micros(2),
+    let late = worker.heartbeat_answered(
+        lease_expires_at + Micros(2),
         heartbeat,
         FencingToken(5),
         vec![start("j-1/2", 1)],
         &jobs(),
     );
-    assert_eq!((late.len(), reported(&mut worker).len()), (0, 0), "an earlier session's");
+    assert_eq!(
+        (late.len(), reported(&mut worker).len()),
+        (0, 0),
+        "the heartbeat of an earlier incarnation"
+    );
 }
 
-/// A machine that hangs goes on later; its lease runs on.
+/// The tasks of a hung machine continue later; its lease runs on.
 #[test]
-fn hanging() {
-    // How long it hangs, when and how its task of five seconds is off.
+fn lease_runs_on_while_the_machine_hangs() {
+    // How long the machine hangs, and when and how its task of five seconds ends.
     let image = Micros::millis(300);
     let table = [
         (Micros::ZERO, image + Micros::secs(5), TaskEnd::Done),
         (Micros::secs(2), image + Micros::secs(7), TaskEnd::Done),
         (Micros::secs(20), WORKER_LEASE + Micros(1), TaskEnd::LeaseExpired),
     ];
-    for (hanging_time, after, want) in table {
+    for (hang_time, after, want) in table {
         let mut worker = worker();
-        worker.direct(NOW, direct(1, 1, vec![start("j-1/0", 1)]), &jobs());
+        worker.execute_direct(NOW, direct(1, 1, vec![start("j-1/0", 1)]), &jobs());
         worker.advance(NOW + image);
-        worker.hang(NOW + image, NOW + image + hanging_time);
+        worker.hang(NOW + image, NOW + image + hang_time);
         let observations = worker.advance(NOW + Micros::secs(30));
-        let off = observations.iter().find_map(|(at, observation)| match observation {
+        let ended = observations.iter().find_map(|(at, observation)| match observation {
             Observation::TaskEnded { how, .. } => Some((*at, *how)),
             _ => None,
         });
-        assert_eq!(off, Some((NOW + after, want)), "{hanging_time:?}");
+        assert_eq!(ended, Some((NOW + after, want)), "{hang_time:?}");
     }
 }
 
-/// Transactions compare and change at once; keys go with their lease.
+/// Transactions compare and swap atomically; keys are removed with their lease.
 #[test]
-fn kv_store() {
+fn kv_store_transactions_and_leases() {
     let put = |key: &str, lease| Write::Put { key: key.into(), value: json!(1), lease };
-    let on = |key: &str, version| Condition { key: key.into(), revision: version };
-    let mut state = KvStore::default();
-    let lease = state.grant(NOW, Micros::secs(5));
-    // Conditions, writes, what becomes of it.
+    let condition = |key: &str, revision| Condition { key: key.into(), revision };
+    let mut kv_store = KvStore::default();
+    let lease = kv_store.grant_lease(NOW, Micros::secs(5));
+    // Conditions, writes, expected outcome.
     let table = [
-        (vec![on("a", 0)], vec![put("a", Some(lease))], Outcome::Applied(1)),
-        (vec![on("a", 0)], vec![put("a", None)], Outcome::Failed(vec!["a".into()])),
-        (vec![on("a", 1), on("b", 0)], vec![put("b", None), put("c", None)], Outcome::Applied(2)),
-        (vec![on("b", 2)], vec![], Outcome::Applied(2)),
-        (vec![], vec![put("d", Some(lease + 1))], Outcome::NoLease),
-        (vec![], vec![Write::Delete { key: "c".into() }], Outcome::Applied(3)),
+        (vec![condition("a", 0)], vec![put("a", Some(lease))], TxnOutcome::Applied(1)),
+        (vec![condition("a", 0)], vec![put("a", None)], TxnOutcome::Failed(vec!["a".into()])),
+        (
+            vec![condition("a", 1), condition("b", 0)],
+            vec![put("b", None), put("c", None)],
+            TxnOutcome::Applied(2),
+        ),
+        (vec![condition("b", 2)], vec![], TxnOutcome::Applied(2)),
+        (vec![], vec![put("d", Some(lease + 1))], TxnOutcome::NoLease),
+        (vec![], vec![Write::Delete { key: "c".into() }], TxnOutcome::Applied(3)),
     ];
     for (conditions, writes, want) in table {
         let txn = Txn { conditions, writes };
-        assert_eq!(state.transact(&txn), want, "{txn:?}");
+        assert_eq!(kv_store.transact(&txn), want, "{txn:?}");
     }
-    let versions = |state: &KvStore| {
-        state
+    let revisions = |kv_store: &KvStore| {
+        kv_store
             .list("", None, 9)
             .items
             .iter()
             .map(|i| (i.key.clone(), i.revision))
             .collect::<Vec<_>>()
     };
-    assert_eq!(versions(&state), [("a".to_string(), 1), ("b".to_string(), 2)]);
-    assert!(state.extend(NOW + Micros::secs(4), lease));
-    assert!(!state.expire(NOW + Micros::secs(9)));
-    assert!(state.expire(NOW + Micros::secs(9) + Micros(1)));
-    assert_eq!(versions(&state), [("b".to_string(), 2)]);
-    assert!(!state.extend(NOW + Micros::secs(10), lease));
-    let changes = state.changes("", 2).expect("kept");
-    let gone: Vec<Option<&str>> = changes.iter().map(|c| c.delete.as_deref()).collect();
-    assert_eq!(gone, [Some("c"), Some("a")], "in order, with the lease's");
+    assert_eq!(revisions(&kv_store), [("a".to_string(), 1), ("b".to_string(), 2)]);
+    assert!(kv_store.renew_lease(NOW + Micros::secs(4), lease));
+    assert!(!kv_store.expire_leases(NOW + Micros::secs(9)));
+    assert!(kv_store.expire_leases(NOW + Micros::secs(9) + Micros(1)));
+    assert_eq!(revisions(&kv_store), [("b".to_string(), 2)]);
+    assert!(!kv_store.renew_lease(NOW + Micros::secs(10), lease));
+    let changes = kv_store.changes_since("", 2).expect("kept");
+    let deleted: Vec<Option<&str>> = changes.iter().map(|c| c.delete.as_deref()).collect();
+    assert_eq!(deleted, [Some("c"), Some("a")], "in order, the key of the expired lease included");
 }
 
-/// What each fault does to a message, and that it does so only while it is there.
+/// Each fault has its effect on messages only while it is active.
 #[test]
-fn faults_and_messages() {
+fn faults_affect_messages() {
     let some = SomeWorkers { of: 2, rest: 1 };
     let heartbeat = Link::Heartbeat { worker: 1, controller: 0 };
     let command = Link::Command { worker: 1, controller: 0 };
     let peers = Link::Peer { from: 0, to: 1 };
-    let state = Link::KvStore { controller: 0 };
+    let kv_store = Link::KvStore { controller: 0 };
     let until = NOW + Micros::secs(3);
     let later = Delivery::At(until + Micros::millis(3));
     let held = Micros::secs(30);
     let all_held = Fault::DelayedCommands { percent: 100, least: held, most: held };
     let (request, answer) = (Direction::Request, Direction::Answer);
-    // Fault, link, direction, what becomes of the message.
+    // Fault, link, direction, expected fate of the message.
     let table = [
         (Fault::CutPeers { controller: 1, cut: Cut::Held }, peers, request, later),
         (Fault::CutPeers { controller: 2, cut: Cut::Held }, peers, request, Delivery::At(NOW)),
         (Fault::CutPeers { controller: 0, cut: Cut::Reset }, peers, request, Delivery::Reset),
         (Fault::CutOneWay { from: 0, to: 1 }, peers, request, later),
         (Fault::CutOneWay { from: 1, to: 0 }, peers, request, Delivery::At(NOW)),
-        (Fault::CutKvStore { controller: 0, cut: Cut::Held }, state, request, later),
-        (Fault::CutKvStore { controller: 1, cut: Cut::Held }, state, request, Delivery::At(NOW)),
+        (Fault::CutKvStore { controller: 0, cut: Cut::Held }, kv_store, request, later),
+        (Fault::CutKvStore { controller: 1, cut: Cut::Held }, kv_store, request, Delivery::At(NOW)),
         (Fault::CutWorkers { controller: 0, cut: Cut::Reset }, heartbeat, request, Delivery::Reset),
         (
             Fault::CutWorkers { controller: 1, cut: Cut::Reset },
@@ -311,24 +328,24 @@
         (Fault::Deaf { workers: some }, command, request, Delivery::Lost),
         (Fault::Mute { workers: some }, heartbeat, request, Delivery::Reset),
         (Fault::Mute { workers: some }, command, request, Delivery::At(NOW)),
-        // Heartbeats go on while commands are held.
+        // Heartbeats arrive as usual while commands are held.
         (all_held, command, request, Delivery::At(NOW + held)),
         (all_held, command, answer, Delivery::At(NOW)),
         (all_held, heartbeat, request, Delivery::At(NOW)),
         (Fault::CutUsers { controller: 0 }, Link::User { controller: 0 }, request, Delivery::Reset),
-        (Fault::RefuseAll, state, request, Delivery::At(NOW)),
+        (Fault::RefuseAll, kv_store, request, Delivery::At(NOW)),
     ];
     let mut rng = StdRng::seed_from_u64(1);
     for (fault, link, direction, want) in table {
         let planned = [PlannedFault { at: NOW, until, fault }];
         let got = transmit(&planned, &mut rng, NOW, link, direction);
         assert_eq!(got, want, "{fault:?} {link:?} {direction:?}");
-        for services in [NOW - Micros(1), until] {
-            let got = transmit(&planned, &mut rng, services, link, direction);
-            assert_eq!(got, Delivery::At(services), "{fault:?} at {services:?}");
+        for outside in [NOW - Micros(1), until] {
+            let got = transmit(&planned, &mut rng, outside, link, direction);
+            assert_eq!(got, Delivery::At(outside), "{fault:?} at {outside:?}");
         }
     }
-    // Fault, whether the call changes something, what becomes of it.
+    // Fault, whether the call is a write, expected behavior of the key-value store.
     let table = [
         (Fault::RefuseAll, false, StoreBehavior::Refused),
         (Fault::RefuseOne { controller: 0 }, false, StoreBehavior::Refused),
@@ -350,14 +367,14 @@
     assert!(matches!(served, StoreBehavior::Late(at) if at > NOW), "{served:?}");
 }
 
-/// The same seed draws the same, another one something else; faults overlap, and every
-/// kind of fault is drawn by some seed.
+/// The same seed draws the same faults and jobs, and another seed draws others. Faults overlap, and
+/// every kind of fault is drawn by some seed.
 #[test]
-fn drawn_by_the_seed() {
-    let over = Micros::secs(25);
+fn seed_determines_faults_and_jobs() {
+    let duration = Micros::secs(25);
     let draw = |seed: u64| {
         let mut rng = StdRng::seed_from_u64(seed);
-        (draw_faults(&mut rng, over, 3), draw_jobs(&mut rng, over, 24).plans)
+        (draw_faults(&mut rng, duration, 3), draw_jobs(&mut rng, duration, 24).plans)
     };
     assert!(draw(5) == draw(5));
     assert!(draw(5) != draw(6));
@@ -366,15 +383,16 @@
         let (faults, jobs) = draw(seed);
         let overlap = |f: &PlannedFault| faults.iter().filter(|g| g.active(f.at)).count() > 1;
         assert!(faults.iter().any(overlap), "seed {seed}");
-        let of_controllers = |f: &PlannedFault| f.effects_over_at(3) >= f.until || f.at < f.until;
-        assert!(faults.iter().all(of_controllers), "seed {seed}");
+        let ends_after_start = |f: &PlannedFault| f.effects_end_at(3) >= f.until || f.at < f.until;
+        assert!(faults.iter().all(ends_after_start), "seed {seed}");
         for fault in &faults {
             let json = serde_json::to_value(fault).expect("JSON");
             kinds.insert(json["fault"].as_str().expect("a kind").to_string());
         }
         assert!(jobs.values().any(|job| job.cancel_at.is_some()), "seed {seed}");
-        let before = |job: &JobPlan| job.dependencies.iter().all(|up| jobs.contains_key(up));
-        assert!(jobs.values().all(before), "seed {seed}");
+        let known_dependencies =
+            |job: &JobPlan| job.dependencies.iter().all(|dependency| jobs.contains_key(dependency));
+        assert!(jobs.values().all(known_dependencies), "seed {seed}");
     }
     assert_eq!(kinds.len(), 24, "{kinds:?}");
 }
