--- a/crates/rehearsal/src/addresses.rs
+++ b/crates/rehearsal/src/addresses.rs
@@ -13,10 +13,10 @@
 const FIRST_RELAY_PORT: u16 = 8100;
 /// First port of the workers; the worker's number is added.
 const FIRST_WORKER_PORT: u16 = 10_000;
-/// Number of blocks (second bytes) to choose from. The first block, 127.0.x.y, is left to other
-/// programs.
+/// Number of blocks to choose from; a block is the second byte of the addresses. 127.0.x.y is not
+/// among them, since all other programs use it.
 const BLOCK_COUNT: u32 = 200;
-/// The first block.
+/// Second byte of the first of these blocks.
 const FIRST_BLOCK: u32 = 32;
 /// Runs that a block has addresses for. Later runs reuse the addresses of the first ones, which
 /// have ended by then.
--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -121,8 +121,9 @@
     /// The machines as they were [`CLOUD_LIST_LAG`] ago.
     fn list(&self, now: Micros, after: Option<&str>) -> Vec<ListedMachine> {
         let then = now.since(CLOUD_LIST_LAG);
-        let existing =
-            |m: &Machine| m.created_at <= then && m.deleted_at.is_none_or(|until| until > then);
+        let existing = |m: &Machine| {
+            m.created_at <= then && m.deleted_at.is_none_or(|deleted_at| deleted_at > then)
+        };
         let matching = self.machines.iter().filter(|(name, machine)| {
             existing(machine) && after.is_none_or(|after| name.as_str() > after)
         });
--- a/crates/rehearsal/src/kv_store.rs
+++ b/crates/rehearsal/src/kv_store.rs
@@ -8,7 +8,7 @@
 
 /// Changes that are always kept for watches. Older ones are dropped when twice as many have
 /// collected.
-const KEPT_EVENTS: usize = 10_000;
+const KEPT_CHANGES: usize = 10_000;
 /// Most values on a page.
 const MAX_PAGE_SIZE: usize = 1_000;
 
@@ -183,8 +183,8 @@
     }
 
     fn drop_old_changes(&mut self) {
-        if self.changes.len() > 2 * KEPT_EVENTS {
-            let dropped = self.changes.drain(..KEPT_EVENTS);
+        if self.changes.len() > 2 * KEPT_CHANGES {
+            let dropped = self.changes.drain(..KEPT_CHANGES);
             self.compacted_revision = dropped
                 .into_iter()
                 .next_back()
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fault-injection soak tests: real controller processes over loopback, simulated services and
 //! workers, and faults drawn from a seed.
 //!
-//! The controllers' own claims prove nothing: the [`rules`] of the protocol are checked against the
-//! [`history`] of what workers and users observed.
+//! The controllers' own reports are not trusted: the [`rules`] of the protocol are checked against
+//! the [`history`] of what workers and users observed.
 //!
 //! - [`options`], [`settings`], [`addresses`]: options of a soak, and settings and addresses of the
 //!   controller processes;
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -58,7 +58,7 @@
     Answer,
 }
 
-/// The fate of a message.
+/// Whether and when a message arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     /// It arrives at this time.
@@ -82,7 +82,7 @@
     Late(Micros),
 }
 
-/// Decides the fate of a message that is sent now.
+/// Determines whether and when a message that is sent now arrives.
 pub fn transmit(
     faults: &[PlannedFault],
     rng: &mut StdRng,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Decides how the key-value store treats a controller's call. `is_write` says that the call
+/// Determines how the key-value store treats a controller's call. `is_write` says that the call
 /// changes stored data; only such calls are delayed or lose their answers.
 pub fn store_behavior(
     faults: &[PlannedFault],
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -127,7 +127,7 @@
     /// The report could not be encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("{}: {source}", file.display())]
+    #[error("cannot write the report to {}: {source}", file.display())]
     /// The report file could not be written.
     Report {
         /// Path of the report file.
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -163,20 +163,20 @@
         let at = entry.at;
         match &entry.observation {
             Observation::TaskStarted { task, attempt, machine } => {
-                let running = RunningAttempt {
+                let attempt_on_machine = RunningAttempt {
                     task: task.clone(),
                     attempt: *attempt,
                     machine: machine.clone(),
                 };
-                self.task_started(at, running);
+                self.task_started(at, attempt_on_machine);
             }
             Observation::TaskEnded { task, attempt, machine, how } => {
-                let running = RunningAttempt {
+                let attempt_on_machine = RunningAttempt {
                     task: task.clone(),
                     attempt: *attempt,
                     machine: machine.clone(),
                 };
-                self.task_ended(at, &running, *how);
+                self.task_ended(at, &attempt_on_machine, *how);
             }
             Observation::Requested { job, request_kind } => {
                 let answers = self.answers_by_job.entry(job.clone()).or_default();
@@ -273,15 +273,16 @@
 
     /// Checks that an attempt which is on its machine until `at` has not run past its job's
     /// cancellation deadline.
-    fn check_ran_after_cancellation(&mut self, at: Micros, running: &RunningAttempt) {
-        let job = &running.task.job;
+    fn check_ran_after_cancellation(&mut self, at: Micros, attempt: &RunningAttempt) {
+        let job = &attempt.task.job;
         if let Some(cancelled_at) = self.cancelled_at(job)
             && at > cancelled_at + self.facts.cancel_deadline
         {
             let late = at.since(cancelled_at).as_secs_f64();
             let what = format!(
-                "{job}/{} attempt {} ran on {} until {late:.1} s after the job was reported cancelled",
-                running.task.index, running.attempt, running.machine
+                "{job}/{} attempt {} ran on {} until {late:.1} s after the job was reported \
+                 cancelled",
+                attempt.task.index, attempt.attempt, attempt.machine
             );
             self.add_violation(Rule::RanCancelled, at, job, what);
         }
@@ -295,10 +296,9 @@
         if machine.spot && !job.spot {
             return Some("the job does not allow spot machines".to_string());
         }
-        let job_attempts =
-            self.running.iter().filter(|running| running.task.job == started.task.job);
+        let job_attempts = self.running.iter().filter(|other| other.task.job == started.task.job);
         let zones: Vec<&str> = job_attempts
-            .filter_map(|p| self.facts.machines.get(&p.machine))
+            .filter_map(|other| self.facts.machines.get(&other.machine))
             .map(|m| m.zone.as_str())
             .collect();
         if job.one_zone && zones.iter().any(|zone| *zone != machine.zone) {
@@ -315,7 +315,8 @@
         let Some(limit) = self.facts.limits.get(team).copied() else {
             return;
         };
-        let team_jobs = self.running.iter().filter_map(|p| self.facts.jobs.get(&p.task.job));
+        let team_jobs =
+            self.running.iter().filter_map(|other| self.facts.jobs.get(&other.task.job));
         let used: f64 = team_jobs.filter(|j| j.team == team).map(|j| j.cpus).sum();
         if used > limit + CPU_TOLERANCE {
             self.add_violation(
@@ -381,11 +382,11 @@
             self.add_violation(Rule::NotDone, at, job, what);
         }
         if stage == JobStage::Cancelled && before.is_none() {
-            let dependencies = self.with_dependencies(job);
+            let job_and_dependencies = self.with_dependencies(job);
             let cancel_requested = |id: &String| {
                 self.answers_by_job.get(id).is_some_and(|answers| answers.cancel_requested)
             };
-            if !dependencies.iter().any(cancel_requested) {
+            if !job_and_dependencies.iter().any(cancel_requested) {
                 let what = "reported Cancelled, but no user requested to cancel it or a dependency"
                     .to_string();
                 self.add_violation(Rule::WentBack, at, job, what);
@@ -409,7 +410,8 @@
         {
             let late = answer.sent.since(cancelled_at).as_secs_f64();
             let what = format!(
-                "reported {stage:?} to a request sent {late:.1} s after a dependency was reported cancelled"
+                "reported {stage:?} to a request sent {late:.1} s after a dependency was reported \
+                 cancelled"
             );
             self.add_violation(Rule::Orphaned, at, &answer.job, what);
         }
@@ -434,8 +436,8 @@
 
     /// Checks the attempts that are still on their machines at the end of the run.
     fn finish(&mut self) {
-        for running in self.running.clone() {
-            self.check_ran_after_cancellation(self.facts.end, &running);
+        for attempt in self.running.clone() {
+            self.check_ran_after_cancellation(self.facts.end, &attempt);
         }
     }
 }
--- a/crates/rehearsal/src/run/mod.rs
+++ b/crates/rehearsal/src/run/mod.rs
@@ -152,13 +152,13 @@
     #[error("interrupted")]
     Interrupted,
     /// The event loop failed.
-    #[error("event loop: {0}")]
+    #[error("the event loop failed: {0}")]
     EventLoop(#[from] calloop::Error),
     /// A file could not be written, or a socket could not be opened.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The service's binary could not be started.
-    #[error("{}: {source}", binary.display())]
+    #[error("cannot start {}: {source}", binary.display())]
     Start {
         /// Path of the binary.
         binary: PathBuf,
@@ -254,7 +254,7 @@
         self.history.add(at, observation);
     }
 
-    /// Decides the fate of a message that is sent now.
+    /// Determines whether and when a message that is sent now arrives.
     fn transmit(&mut self, link: Link, direction: Direction) -> Delivery {
         links::transmit(&self.faults, &mut self.rng, self.now, link, direction)
     }
--- a/crates/rehearsal/src/run/setup.rs
+++ b/crates/rehearsal/src/run/setup.rs
@@ -24,7 +24,8 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Workers at the start of a run without the option. Most runs are small, some have hundreds.
+/// Ranges for the number of workers at the start of a run, if the options leave it out. Most runs
+/// are small, some have hundreds.
 const SMALL_RUN_WORKERS: (usize, usize) = (12, 40);
 const LARGE_RUN_WORKERS: (usize, usize) = (150, 300);
 /// One run in this many has a large number of workers.
@@ -96,8 +97,8 @@
     fn listen(&mut self) -> io::Result<()> {
         let count = self.controllers.len();
         for controller in 0..count {
-            let state = ListenerRole::Fixed(Role::KvStore { controller });
-            self.net.listen(self.addresses.kv_store(controller), state)?;
+            let kv_store = ListenerRole::Fixed(Role::KvStore { controller });
+            self.net.listen(self.addresses.kv_store(controller), kv_store)?;
             let cloud = ListenerRole::Fixed(Role::Cloud { controller });
             self.net.listen(self.addresses.cloud(controller), cloud)?;
             for to in (0..count).filter(|to| *to != controller) {
@@ -116,8 +117,8 @@
             self.net.listen(self.addresses.worker(controller, worker), role)?;
         }
         let (zone, spot) = self.cloud.zone_and_spot(&name).unwrap_or((ZONES[0], false));
-        let first = self.rng.random_range(0..self.controllers.len());
-        self.workers.push(Worker::new(name, zone, spot, self.now, first));
+        let first_controller = self.rng.random_range(0..self.controllers.len());
+        self.workers.push(Worker::new(name, zone, spot, self.now, first_controller));
         self.schedule(self.now, Action::AdvanceWorker { worker });
         Ok(())
     }
@@ -208,7 +209,7 @@
     }
 }
 
-/// Draws the number of workers of a run without the option.
+/// Draws the number of workers of a run whose options leave it out.
 fn draw_worker_count(rng: &mut StdRng) -> usize {
     match rng.random_range(0..LARGE_RUN_ONE_IN) {
         0 => rng.random_range(LARGE_RUN_WORKERS.0..LARGE_RUN_WORKERS.1),
--- a/crates/rehearsal/src/run/users.rs
+++ b/crates/rehearsal/src/run/users.rs
@@ -23,7 +23,8 @@
 const REQUEST_TIMEOUT: Micros = Micros::secs(5);
 /// Status queries about a job after its end.
 const POLLS_AFTER_END: u32 = 3;
-/// One first acceptance or end of a job in this many makes its user query all controllers at once.
+/// When a user first learns that a job is accepted or has ended, it queries all controllers at once
+/// in one case out of this many.
 const CONCURRENT_POLL_ONE_IN: u32 = 4;
 /// Prefix of the ids of jobs that no user submits. They have eight digits, submitted jobs have six.
 const UNKNOWN_JOB_PREFIX: &str = "j-9";
@@ -79,7 +80,7 @@
 }
 
 impl Run {
-    fn random_time_in(&mut self, range: (u64, u64)) -> Micros {
+    fn random_time_after(&mut self, range: (u64, u64)) -> Micros {
         self.now + Micros::millis(self.rng.random_range(range.0..range.1))
     }
 
@@ -107,9 +108,9 @@
 
     fn submit_job(&mut self, job: String) {
         let dependencies = self.jobs.plans[&job].dependencies.clone();
-        let accepted = |up: &String| self.user_jobs.get(up).is_some_and(|up| up.accepted);
+        let accepted = |id: &String| self.user_jobs.get(id).is_some_and(|job| job.accepted);
         if !dependencies.iter().all(accepted) {
-            let at = self.random_time_in(RETRY_DELAY_MS);
+            let at = self.random_time_after(RETRY_DELAY_MS);
             return self.schedule(at, Action::User(UserStep::Submit(job)));
         }
         let user_job = self.user_jobs.entry(job.clone()).or_default();
@@ -126,7 +127,7 @@
             return;
         }
         if !user_job.accepted {
-            let at = self.random_time_in(RETRY_DELAY_MS);
+            let at = self.random_time_after(RETRY_DELAY_MS);
             return self.schedule(at, Action::User(UserStep::Cancel(job)));
         }
         if !std::mem::replace(&mut user_job.cancel_requested, true) {
@@ -255,16 +256,17 @@
             return;
         };
         let newly_accepted = !std::mem::replace(&mut user_job.accepted, true);
-        let ends = stage.filter(|s| matches!(s, JobStage::Done | JobStage::Cancelled));
-        let ended = ends.is_some() && user_job.ended.is_none();
-        user_job.ended = user_job.ended.or(ends);
+        let final_stage = stage.filter(|s| matches!(s, JobStage::Done | JobStage::Cancelled));
+        let newly_ended = final_stage.is_some() && user_job.ended.is_none();
+        user_job.ended = user_job.ended.or(final_stage);
         user_job.cancel_answered |= request.request_kind == RequestKind::Cancel;
         let is_regular_poll = request.request_kind == RequestKind::Poll && !request.detached;
         if is_regular_poll {
             user_job.polling = false;
             user_job.polls_after_end += u32::from(user_job.ended.is_some());
         }
-        if (newly_accepted || ended) && self.rng.random_range(0..CONCURRENT_POLL_ONE_IN) == 0 {
+        if (newly_accepted || newly_ended) && self.rng.random_range(0..CONCURRENT_POLL_ONE_IN) == 0
+        {
             let wait = Micros::millis(self.rng.random_range(0..6));
             self.schedule(
                 self.now + wait,
@@ -310,41 +312,41 @@
         }
     }
 
-    fn handle_no_answer(&mut self, request: &UserRequest, again: (u64, u64)) {
+    fn handle_no_answer(&mut self, request: &UserRequest, delay: (u64, u64)) {
         if self.user_jobs.contains_key(&request.job) {
             let request_kind = request.request_kind;
             self.record(self.now, Observation::NoAnswer { job: request.job.clone(), request_kind });
         }
-        self.retry_request(request, again);
+        self.retry_request(request, delay);
     }
 
     /// Schedules a repetition of a request, unless it is detached.
-    fn retry_request(&mut self, request: &UserRequest, wait: (u64, u64)) {
+    fn retry_request(&mut self, request: &UserRequest, delay: (u64, u64)) {
         if request.detached {
             return;
         }
         let job = request.job.clone();
         match request.request_kind {
             RequestKind::Submit => {
-                let at = self.random_time_in(wait);
+                let at = self.random_time_after(delay);
                 self.schedule(at, Action::User(UserStep::Submit(job)));
             }
             RequestKind::Cancel => {
-                let at = self.random_time_in(wait);
+                let at = self.random_time_after(delay);
                 self.schedule(at, Action::User(UserStep::Cancel(job)));
             }
             RequestKind::Poll => {
                 if let Some(user_job) = self.user_jobs.get_mut(&job) {
                     user_job.polling = false;
                 }
-                self.schedule_poll(&job, wait);
+                self.schedule_poll(&job, delay);
             }
         }
     }
 
     /// Schedules the next status query about a job, unless one is pending or enough were sent.
-    fn schedule_poll(&mut self, job: &str, wait: (u64, u64)) {
-        let at = self.random_time_in(wait);
+    fn schedule_poll(&mut self, job: &str, delay: (u64, u64)) {
+        let at = self.random_time_after(delay);
         let Some(user_job) = self.user_jobs.get_mut(job) else {
             return;
         };
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use thiserror::Error;
 
-/// Tries to execute a run. The second one uses other addresses, since those of the first may be
-/// taken by another process.
+/// Number of tries to execute a run. The second try uses other addresses, since those of the first
+/// may be taken by another process.
 const SETUP_TRIES: usize = 2;
 
 /// Why a soak ended early.
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a worker, by the text of the protocol. It has no sockets: its inputs are time,
+//! Stand-in for a worker, as the protocol specifies it. It has no sockets: its inputs are time,
 //! commands and answers; its outputs are heartbeats, and observations of tasks on the machine.
 
 use crate::cloud::{CPUS, MACHINE_TYPE, MEMORY_GB};
@@ -89,7 +89,7 @@
     /// When the next heartbeat is due if no task changes.
     pub next_heartbeat: Micros,
     last_heartbeat: Micros,
-    changed: bool,
+    changed_since_heartbeat: bool,
     /// The heartbeat whose answer is pending, if any.
     pub heartbeat_in_flight: Option<HeartbeatInFlight>,
     heartbeat_count: u64,
@@ -114,7 +114,7 @@
             controller,
             next_heartbeat: now,
             last_heartbeat: Micros::ZERO,
-            changed: true,
+            changed_since_heartbeat: true,
             heartbeat_in_flight: None,
             heartbeat_count: 0,
         }
@@ -132,8 +132,8 @@
 
     /// The jobs with attempts on the machine, once for each attempt.
     pub fn running_jobs(&self) -> impl Iterator<Item = &str> {
-        let on = self.attempts.iter().filter(|(_, attempt)| attempt.is_running());
-        on.map(|((task, _), _)| task.job.as_str())
+        let running = self.attempts.iter().filter(|(_, attempt)| attempt.is_running());
+        running.map(|((task, _), _)| task.job.as_str())
     }
 
     /// Hangs the machine until a time. Its tasks are delayed by as much; its lease is not.
@@ -154,8 +154,10 @@
     fn end_all_attempts(&mut self, now: Micros, how: TaskEnd) -> Vec<TimedObservation> {
         let attempts = std::mem::take(&mut self.attempts);
         self.fetching.clear();
-        let on = attempts.into_iter().filter(|(_, attempt)| attempt.is_running());
-        on.map(|((task, number), _)| (now, self.ended_observation(task, number, how))).collect()
+        let running = attempts.into_iter().filter(|(_, attempt)| attempt.is_running());
+        running
+            .map(|((task, number), _)| (now, self.ended_observation(task, number, how)))
+            .collect()
     }
 
     fn ended_observation(&self, task: TaskId, attempt: u64, how: TaskEnd) -> Observation {
@@ -196,14 +198,14 @@
         self.sequence = 0;
         self.lease_start = at;
         self.heartbeat_in_flight = None;
-        self.changed = true;
+        self.changed_since_heartbeat = true;
         observations
     }
 
     fn advance_attempt(&mut self, at: Micros, key: &(TaskId, u64)) -> Option<TimedObservation> {
         let (task, number) = key.clone();
         let attempt = self.attempts.get_mut(key)?;
-        self.changed = true;
+        self.changed_since_heartbeat = true;
         match attempt.state {
             TaskState::Fetching => {
                 attempt.state = TaskState::Running;
@@ -235,7 +237,7 @@
 
     /// When the next heartbeat is due.
     pub fn heartbeat_due(&self) -> Micros {
-        match self.changed {
+        match self.changed_since_heartbeat {
             true => self.next_heartbeat.min(self.last_heartbeat + MIN_HEARTBEAT_INTERVAL),
             false => self.next_heartbeat,
         }
@@ -245,7 +247,7 @@
     /// plus `jitter` later.
     pub fn make_heartbeat(&mut self, now: Micros, jitter: Micros, address: String) -> Heartbeat {
         self.heartbeat_count += 1;
-        self.changed = false;
+        self.changed_since_heartbeat = false;
         self.last_heartbeat = now;
         self.next_heartbeat = now + Micros(HEARTBEAT_INTERVAL.0 * 3 / 4) + jitter;
         let heartbeat_in_flight = HeartbeatInFlight {
@@ -294,7 +296,7 @@
         if heartbeat.incarnation != self.incarnation || fencing_token < self.fencing_token {
             return Vec::new();
         }
-        self.changed |= fencing_token > self.fencing_token;
+        self.changed_since_heartbeat |= fencing_token > self.fencing_token;
         self.fencing_token = fencing_token;
         self.lease_start = self.lease_start.max(heartbeat.sent);
         self.execute(now, commands, jobs)
@@ -310,7 +312,7 @@
         if direct.fencing_token < self.fencing_token || direct.incarnation != self.incarnation {
             return (false, Vec::new());
         }
-        self.changed |= direct.fencing_token > self.fencing_token;
+        self.changed_since_heartbeat |= direct.fencing_token > self.fencing_token;
         self.fencing_token = direct.fencing_token;
         (true, self.execute(now, direct.commands, jobs))
     }
@@ -325,18 +327,18 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    if let Some(task) = task_id(&task) {
+                    if let Some(task) = parse_task_id(&task) {
                         observations.extend(self.start(now, task, attempt, jobs));
                     }
                 }
                 Command::Stop { task, attempt, grace_s } => {
-                    if let Some(task) = task_id(&task) {
+                    if let Some(task) = parse_task_id(&task) {
                         let grace = Micros::from_secs_f64(grace_s);
                         observations.extend(self.stop(now, task, attempt, grace));
                     }
                 }
                 Command::Forget { task, attempt } => {
-                    if let Some(task) = task_id(&task) {
+                    if let Some(task) = parse_task_id(&task) {
                         self.forget(task, attempt);
                     }
                 }
@@ -356,7 +358,7 @@
         if self.attempts.contains_key(&key) {
             return None;
         }
-        self.changed = true;
+        self.changed_since_heartbeat = true;
         let job = jobs.plans.get(&task.job).filter(|job| task.index < job.tasks);
         let refusal = match job {
             None => Some(Cause::Unknown),
@@ -391,8 +393,8 @@
     }
 
     fn has_other_attempt(&self, task: &TaskId) -> bool {
-        let of_task = self.attempts.range((task.clone(), 0)..=(task.clone(), u64::MAX));
-        of_task.into_iter().any(|(_, attempt)| attempt.state != TaskState::Exited)
+        let attempts = self.attempts.range((task.clone(), 0)..=(task.clone(), u64::MAX));
+        attempts.into_iter().any(|(_, attempt)| attempt.state != TaskState::Exited)
     }
 
     fn fits(&self, job: &JobPlan) -> bool {
@@ -410,37 +412,37 @@
         grace: Micros,
     ) -> Option<TimedObservation> {
         let attempt = self.attempts.get_mut(&(task.clone(), number))?;
-        let saves = attempt.state == TaskState::Running
+        let saves_checkpoint = attempt.state == TaskState::Running
             && attempt.save_time > Micros::ZERO
             && grace >= attempt.save_time;
-        let on = attempt.is_running();
+        let was_running = attempt.is_running();
         if attempt.state == TaskState::Exited
             || (attempt.state == TaskState::Saving && grace > Micros::ZERO)
         {
             return None;
         }
-        self.changed = true;
-        if saves {
+        self.changed_since_heartbeat = true;
+        if saves_checkpoint {
             attempt.state = TaskState::Saving;
             attempt.due = Some(now + attempt.save_time);
             return None;
         }
         *attempt = Attempt::exited(Cause::Stopped);
         self.fetching.remove(&task);
-        on.then(|| (now, self.ended_observation(task, number, TaskEnd::Stopped)))
+        was_running.then(|| (now, self.ended_observation(task, number, TaskEnd::Stopped)))
     }
 
     fn forget(&mut self, task: TaskId, number: u64) {
         let key = (task, number);
         if self.attempts.get(&key).is_some_and(|attempt| attempt.state == TaskState::Exited) {
             self.attempts.remove(&key);
-            self.changed = true;
+            self.changed_since_heartbeat = true;
         }
     }
 }
 
 /// Parses a task's name in the protocol, `job/index`.
-fn task_id(name: &str) -> Option<TaskId> {
+fn parse_task_id(name: &str) -> Option<TaskId> {
     let (job, index) = name.split_once('/')?;
     Some(TaskId { job: job.to_string(), index: index.parse().ok()? })
 }
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -80,10 +80,10 @@
     status: u16,
     stage: Option<JobStage>,
 ) -> Entry {
-    sent_answer(s - 1, s, job, request_kind, status, stage)
+    answer_sent_at(s - 1, s, job, request_kind, status, stage)
 }
 
-fn sent_answer(
+fn answer_sent_at(
     sent: u64,
     s: u64,
     job: &str,
@@ -266,23 +266,23 @@
             facts(),
             concat(
                 cancelled(JOB),
-                vec![sent_answer(9, 11, JOB, RequestKind::Poll, 200, Some(Queued))],
+                vec![answer_sent_at(9, 11, JOB, RequestKind::Poll, 200, Some(Queued))],
             ),
-            sent_answer(11, 12, JOB, RequestKind::Poll, 200, Some(Queued)),
+            answer_sent_at(11, 12, JOB, RequestKind::Poll, 200, Some(Queued)),
         ),
         case(
             "running after done",
             Rule::WentBack,
             facts(),
             concat(completed(JOB), vec![poll(20, JOB, Done)]),
-            sent_answer(21, 22, JOB, RequestKind::Poll, 200, Some(Running)),
+            answer_sent_at(21, 22, JOB, RequestKind::Poll, 200, Some(Running)),
         ),
         case(
             "done after cancelled, even to an earlier request",
             Rule::WentBack,
             facts(),
             concat(completed(JOB), cancelled(JOB)[2..].to_vec()),
-            sent_answer(8, 11, JOB, RequestKind::Poll, 200, Some(Done)),
+            answer_sent_at(8, 11, JOB, RequestKind::Poll, 200, Some(Done)),
         ),
         case(
             "cancelled without a request",
@@ -304,9 +304,9 @@
             facts(),
             concat(
                 concat(submitted(DEPENDENT), cancelled(JOB)),
-                vec![sent_answer(28, 30, DEPENDENT, RequestKind::Poll, 200, Some(Queued))],
+                vec![answer_sent_at(28, 30, DEPENDENT, RequestKind::Poll, 200, Some(Queued))],
             ),
-            sent_answer(29, 31, DEPENDENT, RequestKind::Poll, 200, Some(Queued)),
+            answer_sent_at(29, 31, DEPENDENT, RequestKind::Poll, 200, Some(Queued)),
         ),
     ]
 }
--- a/crates/rehearsal/tests/soak.rs
+++ b/crates/rehearsal/tests/soak.rs
@@ -13,7 +13,7 @@
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 /// The service's binary of this build. It is built here, in case only this package was built.
-fn service() -> PathBuf {
+fn build_service() -> PathBuf {
     let rehearsal = PathBuf::from(env!("CARGO_BIN_EXE_millethold-rehearsal"));
     let service = rehearsal.with_file_name("millethold");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -27,7 +27,7 @@
     service
 }
 
-fn rehearsal(arguments: &[&str]) -> Command {
+fn soak_command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_millethold-rehearsal"));
     command.arg("soak").args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
     command
@@ -35,7 +35,7 @@
 
 /// Number of processes whose command line names this copy of the service. The whole path is
 /// compared, since the same test may run elsewhere on the machine at the same time.
-fn processes_with(binary: &Path) -> usize {
+fn count_processes(binary: &Path) -> usize {
     let binary = binary.to_str().expect("a path");
     let mut count = 0;
     for entry in std::fs::read_dir("/proc").expect("a list of processes").flatten() {
@@ -47,13 +47,13 @@
 }
 
 /// Copies the service to a path that no other test uses.
-fn own_service(directory: &Path, name: &str) -> PathBuf {
+fn copy_service(directory: &Path, name: &str) -> PathBuf {
     let copy = directory.join(name);
-    std::fs::copy(service(), &copy).expect("a copy of the service");
+    std::fs::copy(build_service(), &copy).expect("a copy of the service");
     copy
 }
 
-fn wait(mut child: Child) -> Output {
+fn wait_for_output(mut child: Child) -> Output {
     let start = Instant::now();
     loop {
         if let Some(status) = child.try_wait().expect("the program") {
@@ -72,7 +72,7 @@
 fn short_seeded_soak() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
-    let binary = own_service(directory.path(), "soaked-service");
+    let binary = copy_service(directory.path(), "soaked-service");
     let report = directory.path().join("report.json");
     let keep = directory.path().join("keep");
     let arguments = [
@@ -87,7 +87,7 @@
         "--parallel",
         "2",
     ];
-    let child = rehearsal(&arguments)
+    let child = soak_command(&arguments)
         .arg("--binary")
         .arg(&binary)
         .arg("--report")
@@ -96,11 +96,11 @@
         .arg(&keep)
         .spawn()
         .expect("the program");
-    let output = wait(child);
+    let output = wait_for_output(child);
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(text.lines().last(), Some("2 passed, 0 failed"), "{text}");
-    assert_eq!(processes_with(&binary), 0, "a process is still running");
+    assert_eq!(count_processes(&binary), 0, "a process is still running");
 
     let json = std::fs::read_to_string(&report).expect("a report");
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
@@ -118,7 +118,7 @@
 fn invalid_options_and_taken_ports() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
-    let binary = own_service(directory.path(), "unplayed-service");
+    let binary = copy_service(directory.path(), "rejected-service");
     // Occupied by another process: a controller's port, and one of the simulated key-value store.
     let api_port = TcpListener::bind("127.251.1.1:8080").expect("a port");
     let kv_store_port = TcpListener::bind("127.252.1.66:2379").expect("a port");
@@ -134,21 +134,21 @@
         ("a stand-in's port is taken", &["--block", "252"], "127.252.1.66:2379"),
     ];
     for (name, arguments, expected) in table {
-        let mut command = rehearsal(arguments);
+        let mut command = soak_command(arguments);
         if !arguments.contains(&"--binary") {
             command.arg("--binary").arg(&binary);
         }
-        let output = wait(command.spawn().expect("the program"));
+        let output = wait_for_output(command.spawn().expect("the program"));
         let errors = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{name}");
         assert_eq!(errors.lines().count(), 1, "{name}: {errors}");
         assert!(errors.contains(expected), "{name}: {errors}");
     }
     drop((api_port, kv_store_port));
-    let unknown = wait(rehearsal(&["--sseeds", "1"]).spawn().expect("the program"));
+    let unknown = wait_for_output(soak_command(&["--sseeds", "1"]).spawn().expect("the program"));
     assert!(!unknown.status.success());
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("--sseeds"));
-    assert_eq!(processes_with(&binary), 0, "a process is still running");
+    assert_eq!(count_processes(&binary), 0, "a process is still running");
 }
 
 /// An interrupt in the middle of a run leaves no process running.
@@ -156,20 +156,20 @@
 fn interrupt_leaves_no_process() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let directory = tempfile::tempdir().expect("a folder");
-    let binary = own_service(directory.path(), "interrupted-service");
+    let binary = copy_service(directory.path(), "interrupted-service");
     let child =
-        rehearsal(&["--seeds", "3"]).arg("--binary").arg(&binary).spawn().expect("the program");
+        soak_command(&["--seeds", "3"]).arg("--binary").arg(&binary).spawn().expect("the program");
     let start = Instant::now();
     // Counts the three controllers and the program itself, which names the binary as an argument.
-    while processes_with(&binary) < 4 {
+    while count_processes(&binary) < 4 {
         assert!(start.elapsed() < PROGRAM_TIMEOUT, "the controllers do not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     let id = child.id().to_string();
     let signalled = Command::new("kill").args(["-INT", &id]).status().expect("kill");
     assert!(signalled.success());
-    let output = wait(child);
+    let output = wait_for_output(child);
     assert!(!output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
-    assert_eq!(processes_with(&binary), 0, "a process is still running");
+    assert_eq!(count_processes(&binary), 0, "a process is still running");
 }
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -306,7 +306,7 @@
     let held = Micros::secs(30);
     let all_held = Fault::DelayedCommands { percent: 100, least: held, most: held };
     let (request, answer) = (Direction::Request, Direction::Answer);
-    // Fault, link, direction, expected fate of the message.
+    // Fault, link, direction, expected delivery of the message.
     let table = [
         (Fault::CutPeers { controller: 1, cut: Cut::Held }, peers, request, later),
         (Fault::CutPeers { controller: 2, cut: Cut::Held }, peers, request, Delivery::At(NOW)),
@@ -354,12 +354,12 @@
         (Fault::LostAnswers { percent: 100 }, false, StoreBehavior::Served),
         (Fault::LateWrites { percent: 100 }, false, StoreBehavior::Served),
     ];
-    for (fault, changes, want) in table {
+    for (fault, is_write, want) in table {
         let planned = [PlannedFault { at: NOW, until, fault }];
         assert_eq!(
-            store_behavior(&planned, &mut rng, NOW, 0, changes),
+            store_behavior(&planned, &mut rng, NOW, 0, is_write),
             want,
-            "{fault:?} {changes}"
+            "{fault:?} {is_write}"
         );
     }
     let late = [PlannedFault { at: NOW, until, fault: Fault::LateWrites { percent: 100 } }];
