--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Reads all available bytes, and returns the complete messages in them.
+    /// Reads all available bytes, and returns the complete messages in them. [`NetEvent::Closed`]
+    /// is last if the connection has ended.
     pub fn read(&mut self, id: ConnectionId) -> Vec<NetEvent> {
         let mut events = Vec::new();
         let Some(connection) = self.connections.get_mut(&id) else {
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -40,7 +40,7 @@
     Orphaned,
 }
 
-/// All rules.
+/// All rules, in the order of their declaration.
 pub const RULES: [Rule; 10] = [
     Rule::RanTwice,
     Rule::RanCancelled,
--- a/crates/rehearsal/src/run/setup.rs
+++ b/crates/rehearsal/src/run/setup.rs
@@ -32,8 +32,8 @@
 const LARGE_RUN_ONE_IN: u32 = 8;
 /// The cloud's spare capacity is the number of initial machines divided by this.
 const SPARE_MACHINES_DIVISOR: usize = 4;
-/// Interval between status queries about jobs that no user submitted, from the first submission
-/// until the last effect of a fault.
+/// Interval between status queries about jobs that no user submitted, from the start of the
+/// workload until the last effect of a fault.
 const UNKNOWN_JOB_POLL_INTERVAL: Micros = Micros::millis(1_700);
 
 impl Run {
