--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -1,4 +1,4 @@
-//! Machines that are rented and returned, and how long tasks run.
+//! Tests of the autoscaler's fleet and scale-out plans, and of task duration estimates.
 
 use millethold::controller::autoscaler::fleet::Fleet;
 use millethold::controller::autoscaler::offer::{FreeCapacity, MachineOffer};
@@ -26,7 +26,8 @@
 fn machines_that_leave_the_list() {
     let lag = Micros::secs(10);
     let s = Micros::secs;
-    // First listed at 100 s. Asked at, listed again, counted as gone.
+    // The machine is first listed at 100 s. When the list is requested again, whether it contains
+    // the machine, whether the machine counts as gone.
     let table = [
         (s(110), false, false),
         (s(120), false, false),
@@ -34,23 +35,23 @@
         (s(121), true, false),
         (s(500), false, true),
     ];
-    for (asked, again, want) in table {
-        let mut autoscaler = Fleet::default();
-        autoscaler.apply_list(s(100), s(99), &[listed("vm-1", 50.0)], lag);
-        let list = if again { vec![listed("vm-1", 70.0)] } else { Vec::new() };
-        let gone = autoscaler.apply_list(asked, asked, &list, lag);
-        assert_eq!(!gone.is_empty(), want, "asked at {asked:?}, listed {again}");
+    for (requested_at, listed_again, want) in table {
+        let mut fleet = Fleet::default();
+        fleet.apply_list(s(100), s(99), &[listed("vm-1", 50.0)], lag);
+        let list = if listed_again { vec![listed("vm-1", 70.0)] } else { Vec::new() };
+        let gone = fleet.apply_list(requested_at, requested_at, &list, lag);
+        assert_eq!(!gone.is_empty(), want, "requested at {requested_at:?}, listed {listed_again}");
     }
-    // Rented and never listed: a lagging list says nothing of it.
-    let mut autoscaler = Fleet::default();
-    autoscaler.apply_list(s(100), s(99), &[listed("vm-1", 5.0)], lag);
-    autoscaler.machines.get_mut("vm-1").expect("just listed").first_listed_at = None;
-    assert!(autoscaler.apply_list(s(400), s(400), &[], lag).is_empty());
+    // A machine that was rented but never listed is not gone: the list lags.
+    let mut fleet = Fleet::default();
+    fleet.apply_list(s(100), s(99), &[listed("vm-1", 5.0)], lag);
+    fleet.machines.get_mut("vm-1").expect("just listed").first_listed_at = None;
+    assert!(fleet.apply_list(s(400), s(400), &[], lag).is_empty());
 }
 
 #[test]
 fn scale_out_requests() {
-    let kind = |name: &str, cpus, price, spot_price| MachineType {
+    let machine_type = |name: &str, cpus, price, spot_price| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
@@ -63,11 +64,11 @@
         zones: vec!["a".into(), "b".into()],
     };
     let types: BTreeMap<String, MachineType> =
-        [kind("small", 4.0, 1.0, 0.5), kind("big", 8.0, 2.2, 1.1)]
+        [machine_type("small", 4.0, 1.0, 0.5), machine_type("big", 8.0, 2.2, 1.1)]
             .into_iter()
             .map(|t| (t.name.clone(), t))
             .collect();
-    let wait = |tasks, cpus, spot, zone: Option<&str>| Demand {
+    let demand = |tasks, cpus, spot, zone: Option<&str>| Demand {
         tasks,
         cpus,
         gpus: 0.0,
@@ -78,62 +79,64 @@
         rank: 2,
         beyond_guarantee: false,
     };
-    let room = |cpus: f64, spot| FreeCapacity {
+    let free = |cpus: f64, spot| FreeCapacity {
         machine_type: "small".into(),
         zone: "a".into(),
         spot,
         free: Resources::new(cpus, 0.0, 16.0),
     };
-    // What waits, what is free, tasks left without room.
+    // Demand, free capacity, number of tasks that remain without capacity.
     let table = [
-        (vec![wait(4, 1.0, true, None)], vec![room(4.0, true)], 0),
-        (vec![wait(5, 1.0, true, None)], vec![room(4.0, true)], 1),
-        (vec![wait(4, 1.0, false, None)], vec![room(4.0, true)], 4),
-        (vec![wait(4, 1.0, true, Some("b"))], vec![room(4.0, true)], 4),
-        (vec![wait(2, 1.0, true, None), wait(1, 4.0, true, None)], vec![room(4.0, true)], 2),
+        (vec![demand(4, 1.0, true, None)], vec![free(4.0, true)], 0),
+        (vec![demand(5, 1.0, true, None)], vec![free(4.0, true)], 1),
+        (vec![demand(4, 1.0, false, None)], vec![free(4.0, true)], 4),
+        (vec![demand(4, 1.0, true, Some("b"))], vec![free(4.0, true)], 4),
+        (vec![demand(2, 1.0, true, None), demand(1, 4.0, true, None)], vec![free(4.0, true)], 2),
     ];
-    for (demand, mut rooms, want) in table {
-        let left: u32 = scale_out::unmet_demand(&demand, &mut rooms).iter().map(|d| d.tasks).sum();
-        assert_eq!(left, want, "{demand:?}");
+    for (demands, mut free, want) in table {
+        let unmet: u32 = scale_out::unmet_demand(&demands, &mut free).iter().map(|d| d.tasks).sum();
+        assert_eq!(unmet, want, "{demands:?}");
     }
-    let mut refused = BTreeMap::new();
+    let mut exhausted_until = BTreeMap::new();
     let now = Micros::secs(9);
-    let request = |demand: &[Demand], refused: &BTreeMap<MachineOffer, Micros>| {
-        let offers = Offers { machine_types: &types, exhausted_until: refused, now };
-        scale_out::plan_scale_out(demand, offers, &BTreeMap::new())
+    let plan_for_all = |demands: &[Demand], exhausted_until: &BTreeMap<MachineOffer, Micros>| {
+        let offers = Offers { machine_types: &types, exhausted_until, now };
+        scale_out::plan_scale_out(demands, offers, &BTreeMap::new())
+    };
+    let plan_for = |demand: Demand, exhausted_until: &BTreeMap<MachineOffer, Micros>| {
+        plan_for_all(&[demand], exhausted_until)
     };
-    let send_request = |d: Demand, refused: &BTreeMap<MachineOffer, Micros>| request(&[d], refused);
     let offer =
         |t: &str, z: &str, spot| MachineOffer { machine_type: t.into(), zone: z.into(), spot };
     let plan = |offer, count| ScaleOutPlan { offer, count };
     assert_eq!(
-        send_request(wait(9, 1.0, true, None), &refused),
+        plan_for(demand(9, 1.0, true, None), &exhausted_until),
         Some(plan(offer("small", "a", true), 3))
     );
     assert_eq!(
-        send_request(wait(1, 8.0, false, Some("b")), &refused),
+        plan_for(demand(1, 8.0, false, Some("b")), &exhausted_until),
         Some(plan(offer("big", "b", false), 1))
     );
-    assert_eq!(send_request(wait(1, 9.0, true, None), &refused), None);
-    // Shapes that the same kind serves best are rented for together: 15 and 20.
-    let both = [wait(60, 1.0, true, None), wait(20, 4.0, true, None)];
-    let got = request(&both, &refused);
+    assert_eq!(plan_for(demand(1, 9.0, true, None), &exhausted_until), None);
+    // Demands for which the same offer is best are planned together: 15 and 20 machines.
+    let both = [demand(60, 1.0, true, None), demand(20, 4.0, true, None)];
+    let got = plan_for_all(&both, &exhausted_until);
     assert_eq!(got, Some(plan(offer("small", "a", true), 12)), "a third of 35");
-    refused.insert(offer("small", "a", true), now + Micros(1));
+    exhausted_until.insert(offer("small", "a", true), now + Micros(1));
     assert_eq!(
-        send_request(wait(1, 1.0, true, None), &refused),
+        plan_for(demand(1, 1.0, true, None), &exhausted_until),
         Some(plan(offer("small", "b", true), 1))
     );
-    refused.insert(offer("small", "a", true), now);
+    exhausted_until.insert(offer("small", "a", true), now);
     assert_eq!(
-        send_request(wait(1, 1.0, true, None), &refused),
+        plan_for(demand(1, 1.0, true, None), &exhausted_until),
         Some(plan(offer("small", "a", true), 1))
     );
 }
 
 #[test]
-fn estimates() {
-    // Ratios learnt, correction.
+fn duration_estimates() {
+    // Recorded ratios of actual to expected duration, resulting correction.
     let table = [
         (vec![], 1.0),
         (vec![2.0; 4], 1.0),
@@ -153,5 +156,5 @@
     for r in [vec![1.0; 50], vec![3.0; 50]].concat() {
         e.record_ratio("c", r);
     }
-    assert_eq!(e.correction("c"), 3.0, "what is long past does not count");
+    assert_eq!(e.correction("c"), 3.0, "old ratios do not count");
 }
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and answers, as they are read and written.
+//! Tests of parsing and writing HTTP messages.
 
 use millethold::cloud::CloudCall;
 use millethold::http::{self, HttpError, OutgoingAnswer, OutgoingRequest};
@@ -48,22 +48,22 @@
                 Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\n";
     assert_eq!(text, format!("{head}{{}}"));
     let http::Received { message: answer, length: used } =
-        http::parse_answer(&out).expect("HTTP").expect("whole");
+        http::parse_answer(&out).expect("HTTP").expect("a complete answer");
     assert_eq!((answer.status, answer.close, used), (503, true, out.len()));
 }
 
-/// The bytes of a request.
-fn text(request: OutgoingRequest) -> String {
+/// The text of a request as sent.
+fn request_text(request: OutgoingRequest) -> String {
     let host = "10.2.0.1:70".parse().expect("an address");
     String::from_utf8(request.to_bytes(host)).expect("text")
 }
 
-/// A request without a body.
-fn plain(line: &str) -> String {
+/// The expected text of a request without a body.
+fn without_body(line: &str) -> String {
     format!("{line} HTTP/1.1\r\nHost: 10.2.0.1:70\r\n\r\n")
 }
 
-/// A request with a body.
+/// The expected text of a request with a body.
 fn with_body(line: &str, body: &str) -> String {
     format!(
         "{line} HTTP/1.1\r\nHost: 10.2.0.1:70\r\nContent-Type: application/json\r\n\
@@ -79,26 +79,26 @@
         let after = after.map(String::from);
         KvRequest::List { prefix: "j/".into(), after }
     };
-    let watches = KvRequest::Watch { prefix: "j/".into(), after: 3, block: second };
+    let watch = KvRequest::Watch { prefix: "j/".into(), after: 3, block: second };
     let txn = Txn {
         conditions: vec![Condition { key: "a".into(), revision: 4 }],
         writes: vec![Write::Delete { key: "b".into() }],
     };
     let table = [
-        (KvRequest::Get("j/1".into()), plain("GET /kv/j/1")),
-        (list(None), plain("GET /kv?prefix=j/&limit=100")),
-        (list(Some("j/7")), plain("GET /kv?prefix=j/&after=j/7&limit=100")),
-        (watches, plain("GET /follow?prefix=j/&after=3&blockMs=1000")),
+        (KvRequest::Get("j/1".into()), without_body("GET /kv/j/1")),
+        (list(None), without_body("GET /kv?prefix=j/&limit=100")),
+        (list(Some("j/7")), without_body("GET /kv?prefix=j/&after=j/7&limit=100")),
+        (watch, without_body("GET /follow?prefix=j/&after=3&blockMs=1000")),
         (
             KvRequest::Txn(txn),
             with_body("POST /txn", r#"{"if":[{"k":"a","mark":4}],"writes":[{"drop":"b"}]}"#),
         ),
         (KvRequest::GrantLease(second), with_body("POST /leases", r#"{"ttlMs":1000}"#)),
         (KvRequest::RenewLease(9), with_body("POST /leases/9/extend", "{}")),
-        (KvRequest::RevokeLease(9), plain("DELETE /leases/9")),
+        (KvRequest::RevokeLease(9), without_body("DELETE /leases/9")),
     ];
     for (call, want) in table {
-        assert_eq!(text(call.encode()), want, "{call:?}");
+        assert_eq!(request_text(call.encode()), want, "{call:?}");
     }
 }
 
@@ -111,17 +111,17 @@
         spot: true,
         count: 2,
     };
-    let rent = r#"{"hire":"r1","bench":"t4","yard":"a","loaners":true,"howMany":2}"#;
-    let names = r#"{"lathes":["vm-1"]}"#;
-    let later = CloudCall::ListMachines { after: Some("vm-1".into()) };
+    let scale_out = r#"{"hire":"r1","bench":"t4","yard":"a","loaners":true,"howMany":2}"#;
+    let scale_in = r#"{"lathes":["vm-1"]}"#;
+    let next_page = CloudCall::ListMachines { after: Some("vm-1".into()) };
     let table = [
-        (CloudCall::ListMachineTypes, plain("GET /flavors")),
-        (CloudCall::ScaleOut(request), with_body("POST /machines", rent)),
-        (CloudCall::ScaleIn(vec!["vm-1".into()]), with_body("POST /machines/return", names)),
-        (CloudCall::ListMachines { after: None }, plain("GET /machines?limit=500")),
-        (later, plain("GET /machines?limit=500&after=vm-1")),
+        (CloudCall::ListMachineTypes, without_body("GET /flavors")),
+        (CloudCall::ScaleOut(request), with_body("POST /machines", scale_out)),
+        (CloudCall::ScaleIn(vec!["vm-1".into()]), with_body("POST /machines/return", scale_in)),
+        (CloudCall::ListMachines { after: None }, without_body("GET /machines?limit=500")),
+        (next_page, without_body("GET /machines?limit=500&after=vm-1")),
     ];
     for (call, want) in table {
-        assert_eq!(text(call.encode()), want, "{call:?}");
+        assert_eq!(request_text(call.encode()), want, "{call:?}");
     }
 }
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -1,4 +1,4 @@
-//! What a machine's shard concludes from reports, and what it starts.
+//! Tests of what the leader of a machine's shard concludes from heartbeats, and of start permits.
 
 use millethold::controller::jobs::job::StoredStage;
 use millethold::controller::leadership::fencing_token::{TERM_STRIDE, next_term};
@@ -49,32 +49,33 @@
 }
 
 #[test]
-fn heartbeats_and_what_they_prove() {
+fn conclusions_from_heartbeats() {
     use HeartbeatSource::{DirectResponse, Request};
     let now = Micros::secs(50);
-    let mut post = ManagedMachine::default();
-    // A report that has not seen the term proves nothing; the next one does.
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 3, &[]), 4, Request).is_some());
-    assert!(!post.heartbeat_under_term);
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_some());
-    assert!(post.heartbeat_under_term);
-    // Older and repeated messages are dropped.
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_none());
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request).is_none());
+    let mut machine = ManagedMachine::default();
+    // A heartbeat without this term's fencing token proves nothing; the next one has it.
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 1, 3, &[]), 4, Request).is_some());
+    assert!(!machine.heartbeat_under_term);
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_some());
+    assert!(machine.heartbeat_under_term);
+    // Older and repeated heartbeats are dropped.
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 2, 4, &[]), 4, Request).is_none());
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request).is_none());
 
-    // A start in an answer is open until the next report, which alone shows
-    // that the answer was executed or dropped; a direct answer does not.
-    post.starts
+    // A start in a heartbeat response is in flight until the next heartbeat request, which shows
+    // that the response was executed or dropped. A direct response does not show that.
+    machine
+        .starts
         .in_flight
         .insert(key(1), StartInFlight { in_response: true, ..StartInFlight::default() });
-    post.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, DirectResponse);
-    assert!(post.starts.in_flight[&key(1)].may_still_arrive());
-    post.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, Request);
-    assert!(!post.starts.in_flight[&key(1)].may_still_arrive());
+    machine.apply_heartbeat(now, &heartbeat(1, 3, 4, &[]), 4, DirectResponse);
+    assert!(machine.starts.in_flight[&key(1)].may_still_arrive());
+    machine.apply_heartbeat(now, &heartbeat(1, 4, 4, &[]), 4, Request);
+    assert!(!machine.starts.in_flight[&key(1)].may_still_arrive());
 
-    // A direct start without an answer stays open, and once it is reported
-    // the attempt must not be cleared: the late command would start it anew.
-    post.starts.in_flight.insert(
+    // A direct start without a response stays in flight. Once the attempt is reported, the worker
+    // must not forget it, or the late command would start it again.
+    machine.starts.in_flight.insert(
         key(2),
         StartInFlight {
             direct_commands: 1,
@@ -82,14 +83,14 @@
             ..StartInFlight::default()
         },
     );
-    post.record_direct_outcome(&[key(2)], CommandOutcome::Unknown);
-    post.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
-    assert!(post.starts.in_flight[&key(2)].may_still_arrive());
+    machine.record_direct_outcome(&[key(2)], CommandOutcome::Unknown);
+    machine.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
+    assert!(machine.starts.in_flight[&key(2)].may_still_arrive());
     let ended = [(2, TaskState::Exited, Some(Cause::Done))];
-    post.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, Request);
-    assert!(post.starts.may_start_again.contains_key(&key(2)));
-    // An answered one closes it.
-    post.starts.in_flight.insert(
+    machine.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, Request);
+    assert!(machine.starts.may_start_again.contains_key(&key(2)));
+    // A direct command that was executed cannot arrive again.
+    machine.starts.in_flight.insert(
         key(3),
         StartInFlight {
             direct_commands: 1,
@@ -98,77 +99,97 @@
         },
     );
     let running = [(3, TaskState::Running, None)];
-    post.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, Request);
-    post.record_direct_outcome(&[key(3)], CommandOutcome::Executed);
-    assert!(!post.starts.may_start_again.contains_key(&key(3)));
+    machine.apply_heartbeat(now, &heartbeat(1, 7, 4, &running), 4, Request);
+    machine.record_direct_outcome(&[key(3)], CommandOutcome::Executed);
+    assert!(!machine.starts.may_start_again.contains_key(&key(3)));
 
-    // A new session ends everything before it and fences what is late.
-    post.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, Request);
+    // A new incarnation ends all attempts of the earlier one, whose late heartbeats are dropped.
+    machine.apply_heartbeat(now, &heartbeat(2, 1, 4, &[]), 4, Request);
     assert_eq!(
-        (post.last_ended_incarnation, post.tasks.len(), post.starts.may_start_again.len()),
+        (machine.last_ended_incarnation, machine.tasks.len(), machine.starts.may_start_again.len()),
         (WorkerIncarnation(1), 0, 0)
     );
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, Request).is_none());
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 99, 4, &[]), 4, Request).is_none());
 
-    // Silence for a lease, and not less, ends the session; its reports, come
-    // late, are not answered any more.
+    // An incarnation ends after more than a lease without an answered heartbeat. Its late heartbeats
+    // are dropped.
     let lease = Micros::secs(12);
-    assert!(!post.expire_incarnation(now + lease, now, lease));
-    assert!(post.expire_incarnation(now + lease + Micros(1), now, lease));
+    assert!(!machine.expire_incarnation(now + lease, now, lease));
+    assert!(machine.expire_incarnation(now + lease + Micros(1), now, lease));
     assert_eq!(
-        (post.last_ended_incarnation, post.heartbeat_under_term),
+        (machine.last_ended_incarnation, machine.heartbeat_under_term),
         (WorkerIncarnation(2), false)
     );
-    assert!(post.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, Request).is_none());
-    // A session that only a direct command's answer told of has a lease of its own,
-    // though no report was answered for long: what it was given still runs.
-    let mut mute = ManagedMachine::default();
-    mute.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
-    let heard = now + lease + Micros::secs(3);
-    assert!(mute.apply_heartbeat(heard, &heartbeat(2, 1, 4, &[]), 4, DirectResponse).is_some());
-    assert!(!mute.expire_incarnation(heard + lease, now, lease), "its lease may still run");
-    assert!(mute.expire_incarnation(heard + lease + Micros(1), now, lease));
-    // Nothing new is put where reports are not answered, however well it hears.
-    let silent = Micros::secs(5);
-    for (base, want) in [(heard, true), (now, false)] {
-        assert_eq!(mute.reports_in_time(heard + Micros::secs(1), base, silent), want, "{base:?}");
+    assert!(machine.apply_heartbeat(now, &heartbeat(2, 2, 4, &[]), 4, Request).is_none());
+    // An incarnation that is observed only in the response to a direct command has a lease of its
+    // own, even if no heartbeat was answered for long: its tasks still run.
+    let mut direct_only = ManagedMachine::default();
+    direct_only.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
+    let observed_at = now + lease + Micros::secs(3);
+    assert!(
+        direct_only
+            .apply_heartbeat(observed_at, &heartbeat(2, 1, 4, &[]), 4, DirectResponse)
+            .is_some()
+    );
+    assert!(
+        !direct_only.expire_incarnation(observed_at + lease, now, lease),
+        "its lease may not have expired"
+    );
+    assert!(direct_only.expire_incarnation(observed_at + lease + Micros(1), now, lease));
+    // No task is placed where heartbeats are not answered, even if direct commands are.
+    let timeout = Micros::secs(5);
+    for (answered_at, want) in [(observed_at, true), (now, false)] {
+        assert_eq!(
+            direct_only.reports_in_time(observed_at + Micros::secs(1), answered_at, timeout),
+            want,
+            "{answered_at:?}"
+        );
     }
-    let mut never = ManagedMachine::default();
-    assert!(!never.expire_incarnation(now + lease, now, lease) && !never.expired_without_heartbeat);
+    let mut never_reported = ManagedMachine::default();
+    assert!(
+        !never_reported.expire_incarnation(now + lease, now, lease)
+            && !never_reported.expired_without_heartbeat
+    );
     assert!(
-        never.expire_incarnation(now + lease + Micros(1), now, lease)
-            && never.expired_without_heartbeat
+        never_reported.expire_incarnation(now + lease + Micros(1), now, lease)
+            && never_reported.expired_without_heartbeat
     );
 
-    // Sessions that end although reports are answered: it hears nothing. An
-    // answered direct command, a start that it has, or a session that lasts
-    // for twice its lease shows that it hears again.
-    let mut post = ManagedMachine::default();
-    post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now, WorkerIncarnation(0), lease);
-    assert!(!post.unresponsive, "the first session says nothing");
-    post.answered_at = Some(now);
-    post.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now + lease, WorkerIncarnation(1), lease);
-    assert!(!post.unresponsive, "nothing was answered for long: it was away");
-    post.answered_at = Some(now + lease);
-    post.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, Request);
-    post.update_responsiveness(now + lease + Micros(9), WorkerIncarnation(2), lease);
-    assert!(post.unresponsive);
+    // If incarnations end although their heartbeats are answered, the worker does not receive
+    // commands. An answered direct command, a start that it reports, or an incarnation that lasts
+    // for twice its lease shows that it receives them again.
+    let mut machine = ManagedMachine::default();
+    machine.apply_heartbeat(now, &heartbeat(1, 1, 4, &[]), 4, Request);
+    machine.update_responsiveness(now, WorkerIncarnation(0), lease);
+    assert!(!machine.unresponsive, "the first incarnation proves nothing");
+    machine.answered_at = Some(now);
+    machine.apply_heartbeat(now + lease, &heartbeat(2, 1, 4, &[]), 4, Request);
+    machine.update_responsiveness(now + lease, WorkerIncarnation(1), lease);
+    assert!(!machine.unresponsive, "no heartbeat was answered for long: it was unreachable");
+    machine.answered_at = Some(now + lease);
+    machine.apply_heartbeat(now + lease + Micros(9), &heartbeat(3, 1, 4, &[]), 4, Request);
+    machine.update_responsiveness(now + lease + Micros(9), WorkerIncarnation(2), lease);
+    assert!(machine.unresponsive);
     let later = now + lease + lease;
-    post.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, Request);
-    post.update_responsiveness(later, WorkerIncarnation(3), lease);
-    assert!(post.unresponsive, "a session that has not lasted yet");
+    machine.apply_heartbeat(later, &heartbeat(3, 2, 4, &[]), 4, Request);
+    machine.update_responsiveness(later, WorkerIncarnation(3), lease);
+    assert!(machine.unresponsive, "the incarnation has not lasted long enough");
     let lasted = later + lease + lease;
-    post.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, Request);
-    post.update_responsiveness(lasted, WorkerIncarnation(3), lease);
-    assert!(!post.unresponsive);
-    post.unresponsive = true;
-    post.starts
+    machine.apply_heartbeat(lasted, &heartbeat(3, 3, 4, &[]), 4, Request);
+    machine.update_responsiveness(lasted, WorkerIncarnation(3), lease);
+    assert!(!machine.unresponsive);
+    machine.unresponsive = true;
+    machine
+        .starts
         .in_flight
         .insert(key(1), StartInFlight { in_response: true, ..StartInFlight::default() });
-    post.apply_heartbeat(lasted, &heartbeat(3, 4, 4, &[(1, TaskState::Running, None)]), 4, Request);
-    assert!(!post.unresponsive, "it has what it was told to start");
+    machine.apply_heartbeat(
+        lasted,
+        &heartbeat(3, 4, 4, &[(1, TaskState::Running, None)]),
+        4,
+        Request,
+    );
+    assert!(!machine.unresponsive, "it reports a task that it was sent");
 
     let table = [
         (TaskState::Fetching, None, ObservedState::Fetching),
@@ -182,14 +203,14 @@
         (TaskState::Exited, None, ObservedState::Failed),
     ];
     for (state, cause, want) in table {
-        let mut post = ManagedMachine::default();
-        post.apply_heartbeat(now, &heartbeat(1, 1, 4, &[(1, state, cause)]), 4, Request);
-        assert_eq!(post.tasks[&key(1)], want, "{state:?} {cause:?}");
+        let mut machine = ManagedMachine::default();
+        machine.apply_heartbeat(now, &heartbeat(1, 1, 4, &[(1, state, cause)]), 4, Request);
+        assert_eq!(machine.tasks[&key(1)], want, "{state:?} {cause:?}");
     }
 }
 
-/// The rights of a manager under this term, towards a machine in its first session.
-fn manager(term: u64) -> CommandAuthority {
+/// The command authority of a leader in this term, for a machine in its first incarnation.
+fn authority(term: u64) -> CommandAuthority {
     CommandAuthority {
         now: Micros::secs(50),
         shard: 0,
@@ -201,7 +222,7 @@
     }
 }
 
-fn wanted(phase: Phase, stop_ms: Option<u64>, incarnation: u64) -> DesiredTask {
+fn desired(phase: Phase, stop_ms: Option<u64>, incarnation: u64) -> DesiredTask {
     let key = key(2);
     let shape = Shape { job: key.job, ..Shape::default() };
     DesiredTask {
@@ -218,56 +239,58 @@
 fn start_permits() {
     use StartRefusal::*;
     let stored = |stage| Some(JobEvidence { stage, revision: 7 });
-    let waits = stored(StoredStage::Accepted);
-    // Task, the term that its owner knew, its job, why it does not start.
+    let accepted = stored(StoredStage::Accepted);
+    // Task, the term that its owner knew, evidence about its job, why it must not start.
     let table = [
-        (wanted(Phase::DesiredHere, None, 1), 4, waits, None),
-        (wanted(Phase::DesiredHere, None, 1), 5, None, None),
-        (wanted(Phase::DesiredHere, None, 1), 3, waits, Some(OwnerUnawareOfTerm)),
-        (wanted(Phase::DesiredHere, None, 1), 0, waits, Some(OwnerUnawareOfTerm)),
-        (wanted(Phase::DesiredHere, Some(0), 1), 4, waits, Some(StopRequested)),
-        (wanted(Phase::Ahead, None, 1), 4, waits, Some(NotDesired)),
-        (wanted(Phase::Over, None, 1), 4, waits, Some(NotDesired)),
-        (wanted(Phase::DesiredHere, None, 2), 4, waits, Some(OtherIncarnation)),
-        (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
-        (wanted(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
-        // A phase of a later version must not read as one that starts.
+        (desired(Phase::DesiredHere, None, 1), 4, accepted, None),
+        (desired(Phase::DesiredHere, None, 1), 5, None, None),
+        (desired(Phase::DesiredHere, None, 1), 3, accepted, Some(OwnerUnawareOfTerm)),
+        (desired(Phase::DesiredHere, None, 1), 0, accepted, Some(OwnerUnawareOfTerm)),
+        (desired(Phase::DesiredHere, Some(0), 1), 4, accepted, Some(StopRequested)),
+        (desired(Phase::Ahead, None, 1), 4, accepted, Some(NotDesired)),
+        (desired(Phase::Over, None, 1), 4, accepted, Some(NotDesired)),
+        (desired(Phase::DesiredHere, None, 2), 4, accepted, Some(OtherIncarnation)),
+        (desired(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
+        (desired(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
+        // An unknown phase of a later version must not permit a start.
         (
-            DesiredTask { phase: 77, ..wanted(Phase::DesiredHere, None, 1) },
+            DesiredTask { phase: 77, ..desired(Phase::DesiredHere, None, 1) },
             4,
-            waits,
+            accepted,
             Some(NotDesired),
         ),
     ];
     for (task, known, job, want) in table {
-        let got = manager(4).permit_start(&task, known, job);
+        let got = authority(4).permit_start(&task, known, job);
         assert_eq!(got.err(), want, "{task:?} {known} {job:?}");
     }
-    let blind = CommandAuthority { cancellations_known: false, ..manager(4) };
-    let task = wanted(Phase::DesiredHere, None, 1);
-    assert_eq!(blind.permit_start(&task, 4, waits).err(), Some(CancellationsUnknown));
+    let unaware = CommandAuthority { cancellations_known: false, ..authority(4) };
+    let task = desired(Phase::DesiredHere, None, 1);
+    assert_eq!(unaware.permit_start(&task, 4, accepted).err(), Some(CancellationsUnknown));
 }
 
-/// What a right is used for must be what it was given for, by one who still may act.
+/// A permit may be used only for the attempt for which it was granted, before the lease expires,
+/// and with a fencing token that belongs to the term.
 #[test]
 fn violations_of_a_permit() {
     use StartViolation::*;
-    let over = CommandAuthority { now: Micros::secs(51), ..manager(4) };
-    let low = CommandAuthority { fencing_token: FencingToken(3), ..manager(4) };
+    let expired = CommandAuthority { now: Micros::secs(51), ..authority(4) };
+    let low_token = CommandAuthority { fencing_token: FencingToken(3), ..authority(4) };
     let table = [
-        ("as it should be", manager(4), key(2), None),
-        ("past the lease", over, key(2), Some(LeaseExpired)),
-        ("a token that fences nothing", low, key(2), Some(FencingTokenBelowTerm)),
-        ("another attempt", manager(4), key(3), Some(OtherAttempt)),
+        ("valid", authority(4), key(2), None),
+        ("lease expired", expired, key(2), Some(LeaseExpired)),
+        ("token below the term", low_token, key(2), Some(FencingTokenBelowTerm)),
+        ("another attempt", authority(4), key(3), Some(OtherAttempt)),
     ];
-    let task = wanted(Phase::DesiredHere, None, 1);
-    for (name, manager, used_for, want) in table {
-        let right = manager.permit_start(&task, 4, None).expect("nothing is known against it");
-        assert_eq!(right.command("vm-1", &used_for, CommandRoute::Direct).err(), want, "{name}");
+    let task = desired(Phase::DesiredHere, None, 1);
+    for (name, authority, used_for, want) in table {
+        let permit = authority.permit_start(&task, 4, None).expect("a permitted start");
+        assert_eq!(permit.command("vm-1", &used_for, CommandRoute::Direct).err(), want, "{name}");
     }
 }
 
-/// Which starts are made harmless by a higher token, and that they then are.
+/// Guards against a late start that must not be executed. Such a start is revoked with a higher
+/// fencing token, and counts as unable to arrive once the worker has reported that token.
 #[test]
 fn revoked_starts() {
     use HeartbeatSource::Request;
@@ -283,34 +306,34 @@
         fencing_token: FencingToken(4),
         ..StartInFlight::default()
     };
-    let answered = StartInFlight { in_response: true, ..StartInFlight::default() };
+    let in_response = StartInFlight { in_response: true, ..StartInFlight::default() };
     // How it was sent, why it must not be executed, whether the token is raised.
     let table = [
         (direct, Some(Refused(JobOver)), true),
         (late, Some(Refused(JobOver)), true),
-        // It mostly is answered within milliseconds.
+        // Most direct commands are answered within milliseconds.
         (direct, Some(Refused(StopRequested)), false),
         (late, Some(Refused(StopRequested)), true),
         (late, Some(DesiredByNoShard), true),
         (late, None, false),
-        // The worker drops late answers.
-        (answered, Some(Refused(JobOver)), false),
-        // Commands with this token are refused already.
+        // The worker drops late heartbeat responses.
+        (in_response, Some(Refused(JobOver)), false),
+        // The worker already refuses commands with this token.
         (StartInFlight { fencing_token: FencingToken(3), ..late }, Some(Refused(JobOver)), false),
     ];
     for (sent, refusal, want) in table {
-        let mut post = ManagedMachine::default();
-        post.starts.in_flight.insert(key(1), sent);
-        let revoked = post.starts.find_revocation(FencingToken(4), |_| refusal);
+        let mut machine = ManagedMachine::default();
+        machine.starts.in_flight.insert(key(1), sent);
+        let revoked = machine.starts.find_revocation(FencingToken(4), |_| refusal);
         assert_eq!(revoked.is_some(), want, "{sent:?} {refusal:?}");
     }
 
-    // Only what the worker itself says shows that it has the higher token.
+    // Only the worker's own report shows that it has received the higher token.
     let now = Micros::secs(50);
     let term = next_term(4);
-    let mut post = ManagedMachine::default();
-    assert!(post.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, Request).is_some());
-    post.starts.in_flight.insert(
+    let mut machine = ManagedMachine::default();
+    assert!(machine.apply_heartbeat(now, &heartbeat(1, 1, term, &[]), term, Request).is_some());
+    machine.starts.in_flight.insert(
         key(1),
         StartInFlight {
             may_arrive_late: true,
@@ -318,36 +341,40 @@
             ..StartInFlight::default()
         },
     );
-    post.raise_fencing_token();
-    let raised = post.fencing_token(term).expect("the first of many");
+    machine.raise_fencing_token();
+    let raised = machine.fencing_token(term).expect("a raised fencing token");
     assert!(raised > FencingToken(term) && raised < FencingToken(next_term(term)));
-    post.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, Request);
-    assert!(post.starts.in_flight[&key(1)].may_still_arrive(), "the answer may have been lost");
-    post.apply_heartbeat(now, &heartbeat(1, 3, raised.0, &[]), term, Request);
-    assert!(!post.starts.in_flight[&key(1)].may_still_arrive());
-    // A command of before that is given up now cannot be late any more, another can.
+    machine.apply_heartbeat(now, &heartbeat(1, 2, term, &[]), term, Request);
+    assert!(
+        machine.starts.in_flight[&key(1)].may_still_arrive(),
+        "the response may have been lost"
+    );
+    machine.apply_heartbeat(now, &heartbeat(1, 3, raised.0, &[]), term, Request);
+    assert!(!machine.starts.in_flight[&key(1)].may_still_arrive());
+    // Of the commands whose outcome becomes unknown now, one with the old token can no longer be
+    // executed; one with the raised token can.
     for (number, fencing_token, want) in [(2, FencingToken(term), false), (3, raised, true)] {
-        post.starts.in_flight.insert(
+        machine.starts.in_flight.insert(
             key(number),
             StartInFlight { direct_commands: 1, fencing_token, ..StartInFlight::default() },
         );
-        post.record_direct_outcome(&[key(number)], CommandOutcome::Unknown);
+        machine.record_direct_outcome(&[key(number)], CommandOutcome::Unknown);
         assert_eq!(
-            post.starts.in_flight[&key(number)].may_still_arrive(),
+            machine.starts.in_flight[&key(number)].may_still_arrive(),
             want,
             "{fencing_token:?}"
         );
     }
-    // An attempt that is listed may be cleared once its late start is harmless.
+    // The worker may forget a listed attempt once its late start can no longer be executed.
     let ended = [(3, TaskState::Exited, Some(Cause::Done))];
-    post.apply_heartbeat(now, &heartbeat(1, 4, raised.0, &ended), term, Request);
-    assert!(post.starts.may_start_again.contains_key(&key(3)));
-    post.raise_fencing_token();
-    post.apply_heartbeat(now, &heartbeat(1, 5, raised.0 + 1, &ended), term, Request);
-    assert!(!post.starts.may_start_again.contains_key(&key(3)));
-    // A term has no tokens without end, and none is another term's.
+    machine.apply_heartbeat(now, &heartbeat(1, 4, raised.0, &ended), term, Request);
+    assert!(machine.starts.may_start_again.contains_key(&key(3)));
+    machine.raise_fencing_token();
+    machine.apply_heartbeat(now, &heartbeat(1, 5, raised.0 + 1, &ended), term, Request);
+    assert!(!machine.starts.may_start_again.contains_key(&key(3)));
+    // The tokens of a term are limited, and none belongs to another term.
     for _ in 0..TERM_STRIDE {
-        post.raise_fencing_token();
+        machine.raise_fencing_token();
     }
-    assert_eq!(post.fencing_token(term), None);
+    assert_eq!(machine.fencing_token(term), None);
 }
--- a/tests/components/main.rs
+++ b/tests/components/main.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the pure parts, a file for each subject.
+//! Table-driven tests of components without I/O, one file per subject.
 
 #![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
 
@@ -18,7 +18,7 @@
 
 use serde_json::{Value, json};
 
-/// A submission that is accepted.
+/// A valid submission.
 fn submission() -> Value {
     json!({
         "ref": "j-000412", "grade": "train", "crew": "red", "cut": "batch", "urgency": "high",
--- a/tests/components/quota.rs
+++ b/tests/components/quota.rs
@@ -1,4 +1,4 @@
-//! Grants of teams' limits.
+//! Tests of quota grants.
 
 use millethold::config::Team;
 use millethold::controller::quota::amount::QuotaAmount;
@@ -12,63 +12,65 @@
 
 fn quota(limit: f64, grants: &[(usize, f64)]) -> TeamQuota {
     let team = Team { name: "t".into(), cpus: 4.0, cpus_max: limit, gpus: 0.0, gpus_max: 0.0 };
-    let mut q = TeamQuota::new(&team);
+    let mut team_quota = TeamQuota::new(&team);
     let map: serde_json::Map<String, Value> =
         grants.iter().map(|(s, g)| (s.to_string(), json!([g, 0.0]))).collect();
-    q.observe(&Value::Object(map), 1);
-    q
+    team_quota.observe(&Value::Object(map), 1);
+    team_quota
 }
 
 #[test]
-fn grants() {
-    let need = |rank, cpus| RankedDemand { rank, amount: cpus_only(cpus) };
-    // Limit, grants, used, own waits, others' lacks, wanted grant of shard 0.
+fn target_grants_and_changes() {
+    let demand = |rank, cpus| RankedDemand { rank, amount: cpus_only(cpus) };
+    // Limit, grants by shard, use of shard 0, its demand, unmet demand of other shards, target grant
+    // of shard 0.
     let table = [
-        (30.0, vec![], 0.0, vec![need(2, 50.0)], vec![], 30.0),
-        (30.0, vec![(1, 20.0)], 0.0, vec![need(2, 50.0)], vec![], 10.0),
-        (30.0, vec![(1, 10.0)], 0.0, vec![need(2, 50.0)], vec![need(2, 25.0)], 10.0),
-        (30.0, vec![(0, 12.0), (1, 18.0)], 4.0, vec![], vec![need(2, 5.0)], 4.0),
-        (30.0, vec![(0, 12.0)], 4.0, vec![], vec![need(2, 19.0)], 4.0),
+        (30.0, vec![], 0.0, vec![demand(2, 50.0)], vec![], 30.0),
+        (30.0, vec![(1, 20.0)], 0.0, vec![demand(2, 50.0)], vec![], 10.0),
+        (30.0, vec![(1, 10.0)], 0.0, vec![demand(2, 50.0)], vec![demand(2, 25.0)], 10.0),
+        (30.0, vec![(0, 12.0), (1, 18.0)], 4.0, vec![], vec![demand(2, 5.0)], 4.0),
+        (30.0, vec![(0, 12.0)], 4.0, vec![], vec![demand(2, 19.0)], 4.0),
         (30.0, vec![(0, 12.0)], 4.0, vec![], vec![], 12.0),
-        (30.0, vec![(0, 12.0), (1, 18.0)], 4.0, vec![need(3, 20.0)], vec![need(1, 5.0)], 4.0),
-        (30.0, vec![(0, 12.0)], 4.0, vec![need(1, 6.0)], vec![need(3, 19.0)], 10.0),
-        // With plenty free, an equal part at once and nothing back.
-        (30.0, vec![], 0.0, vec![need(2, 1.0)], vec![], 10.0),
-        (30.0, vec![], 0.0, vec![need(2, 1.0)], vec![need(1, 22.0)], 8.0),
-        (30.0, vec![(1, 10.0)], 0.0, vec![need(2, 50.0)], vec![need(2, 5.0)], 15.0),
-        (30.0, vec![(0, 12.0)], 4.0, vec![], vec![need(2, 5.0)], 12.0),
-        (30.0, vec![(0, 30.0)], 10.0, vec![need(2, 40.0)], vec![need(2, 9.0)], 15.0),
-        (30.0, vec![(0, 30.0)], 25.0, vec![need(2, 40.0)], vec![need(2, 9.0)], 25.0),
+        (30.0, vec![(0, 12.0), (1, 18.0)], 4.0, vec![demand(3, 20.0)], vec![demand(1, 5.0)], 4.0),
+        (30.0, vec![(0, 12.0)], 4.0, vec![demand(1, 6.0)], vec![demand(3, 19.0)], 10.0),
+        // While much of the limit is unassigned, shard 0 is granted an equal share at once and
+        // returns nothing.
+        (30.0, vec![], 0.0, vec![demand(2, 1.0)], vec![], 10.0),
+        (30.0, vec![], 0.0, vec![demand(2, 1.0)], vec![demand(1, 22.0)], 8.0),
+        (30.0, vec![(1, 10.0)], 0.0, vec![demand(2, 50.0)], vec![demand(2, 5.0)], 15.0),
+        (30.0, vec![(0, 12.0)], 4.0, vec![], vec![demand(2, 5.0)], 12.0),
+        (30.0, vec![(0, 30.0)], 10.0, vec![demand(2, 40.0)], vec![demand(2, 9.0)], 15.0),
+        (30.0, vec![(0, 30.0)], 25.0, vec![demand(2, 40.0)], vec![demand(2, 9.0)], 25.0),
     ];
-    for (limit, grants, used, waits, others, want) in table {
-        let q = quota(limit, &grants);
-        let got = q.target_grant(0, 3, cpus_only(used), &waits, &others).cpus;
-        assert!((got - want).abs() < 1e-9, "{grants:?} {used} {waits:?} {others:?}: {got}");
-        let granted = q.with_grant(0, cpus_only(got)).expect("within the limit");
+    for (limit, grants, used, own, others, want) in table {
+        let team_quota = quota(limit, &grants);
+        let got = team_quota.target_grant(0, 3, cpus_only(used), &own, &others).cpus;
+        assert!((got - want).abs() < 1e-9, "{grants:?} {used} {own:?} {others:?}: {got}");
+        let granted = team_quota.with_grant(0, cpus_only(got)).expect("within the limit");
         let sum: f64 =
             granted.as_object().expect("a map").values().filter_map(|v| v[0].as_f64()).sum();
         assert!(sum <= limit + 1e-6, "{sum} of {limit}");
     }
-    let mut q = quota(30.0, &[(0, 12.0), (1, 18.0)]);
-    assert!(q.with_grant(0, cpus_only(12.1)).is_none(), "past the limit");
-    // A lowering under way counts at once, and until the key has changed.
-    q.change_sent(0, cpus_only(5.0));
-    assert_eq!(q.grant(0).cpus, 5.0);
-    q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 2);
-    assert_eq!(q.grant(0).cpus, 12.0);
-    // Two changes on one version, the first without an answer: either may be the one
-    // that is carried out. A third that is refused changes nothing of that.
-    q.change_sent(0, cpus_only(4.0));
-    q.change_outcome_unknown();
-    q.change_sent(0, cpus_only(8.0));
-    assert_eq!(q.grant(0).cpus, 4.0);
-    q.change_not_executed();
-    assert_eq!((q.grant(0).cpus, q.change_in_flight()), (4.0, false));
-    q.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 3);
-    q.change_sent(0, cpus_only(8.0));
-    q.change_not_executed();
-    assert_eq!(q.grant(0).cpus, 12.0, "surely not carried out");
+    let mut team_quota = quota(30.0, &[(0, 12.0), (1, 18.0)]);
+    assert!(team_quota.with_grant(0, cpus_only(12.1)).is_none(), "past the limit");
+    // A change in flight that lowers the grant applies at once, until the key's revision changes.
+    team_quota.change_sent(0, cpus_only(5.0));
+    assert_eq!(team_quota.grant(0).cpus, 5.0);
+    team_quota.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 2);
+    assert_eq!(team_quota.grant(0).cpus, 12.0);
+    // Two changes at one revision, the first with an unknown outcome: either may be the one that is
+    // executed. Refusal of the second does not change that.
+    team_quota.change_sent(0, cpus_only(4.0));
+    team_quota.change_outcome_unknown();
+    team_quota.change_sent(0, cpus_only(8.0));
+    assert_eq!(team_quota.grant(0).cpus, 4.0);
+    team_quota.change_not_executed();
+    assert_eq!((team_quota.grant(0).cpus, team_quota.change_in_flight()), (4.0, false));
+    team_quota.observe(&json!({"0": [12.0, 0.0], "1": [17.0, 0.0]}), 3);
+    team_quota.change_sent(0, cpus_only(8.0));
+    team_quota.change_not_executed();
+    assert_eq!(team_quota.grant(0).cpus, 12.0, "definitely not executed");
     assert!(quota(0.0, &[]).grant(0).cpus.is_infinite(), "0 means no limit");
-    let rest = unmet_demand(cpus_only(6.0), &[need(3, 9.0), need(1, 4.0)]);
-    assert_eq!(rest, [need(3, 7.0)], "the more urgent is served first");
+    let unmet = unmet_demand(cpus_only(6.0), &[demand(3, 9.0), demand(1, 4.0)]);
+    assert_eq!(unmet, [demand(3, 7.0)], "the more urgent demand is met first");
 }
--- a/tests/components/settings.rs
+++ b/tests/components/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and options.
+//! Tests of parsing settings and options.
 
 use millethold::config::{Config, Options};
 use millethold::time::Micros;
@@ -37,9 +37,9 @@
 
 #[test]
 fn settings() {
-    let config = Config::parse(SETTINGS).expect("good settings");
+    let config = Config::parse(SETTINGS).expect("valid settings");
     assert_eq!(config.members(), ["n0", "n1"]);
-    // Replaced text, by what, and what the error must name.
+    // Replaced text, replacement, text that the error must contain.
     let table = [
         ("member = \"n0\"", "", "member"),
         ("member = \"n1\"", "member = \"n0\"", "peers"),
@@ -57,26 +57,27 @@
         ("[settings.cloud]", "[settings.clouds]", "cloud"),
         ("name = \"red\"", "name = \"red\"\ncpus = -1.0", "teams"),
     ];
-    // The smaller of the limits of now and later are kept; what is absent stays.
+    // Of the current and the announced limit, the lower one applies. Limits that are not announced
+    // stay as they are.
     let state = &config.settings.kv_store;
-    let later = |next: &str| {
+    let announced = |next: &str| {
         let text = SETTINGS.replace("txn_ops = 8", &format!("txn_ops = 8\nnext = {next}"));
-        Config::parse(&text).expect("good settings").settings.kv_store
+        Config::parse(&text).expect("valid settings").settings.kv_store
     };
-    let table_of_limits = [
+    let limits = [
         ("{}", state.value_kb, state.txn_ops, state.write_rps),
         ("{ value_kb = 2.0, txn_ops = 4, write_rps = 3.0 }", 2.0, 4, 3.0),
         ("{ value_kb = 900.0, txn_ops = 99, write_rps = 1e6 }", state.value_kb, 8, state.write_rps),
     ];
-    for (next, value_kb, txn_ops, write_rps) in table_of_limits {
-        let kept = later(next);
-        assert_eq!((kept.value_kb, kept.txn_ops, kept.write_rps), (value_kb, txn_ops, write_rps));
-        assert_eq!(kept.current_value_kb, state.value_kb, "{next}");
+    for (next, value_kb, txn_ops, write_rps) in limits {
+        let got = announced(next);
+        assert_eq!((got.value_kb, got.txn_ops, got.write_rps), (value_kb, txn_ops, write_rps));
+        assert_eq!(got.current_value_kb, state.value_kb, "{next}");
     }
-    for (from, to, named) in table {
+    for (from, to, expected) in table {
         assert!(SETTINGS.contains(from), "{from}");
         let error = Config::parse(&SETTINGS.replace(from, to)).expect_err(to).to_string();
-        assert!(error.contains(named) && !error.contains('\n'), "{from} -> {to}: {error}");
+        assert!(error.contains(expected) && !error.contains('\n'), "{from} -> {to}: {error}");
     }
 }
 
@@ -84,7 +85,7 @@
 fn options() {
     let o =
         Options::parse("[placement]\nslack_gb = 2, 3, 5\nindex_entries = 7\n[fleet]\nidle_s = 9\n")
-            .expect("good options");
+            .expect("valid options");
     assert_eq!((o.slack_gb, o.index_entries, o.idle), ([2.0, 3.0, 5.0], 7, Micros::secs(9)));
     let table = [
         ("[placement]\nslack = 1\n", "[placement] slack = 1"),
@@ -97,11 +98,12 @@
         ("[fleet]\nspare_share = -1\n", "spare_share"),
         ("[fleet]\nidle_s = NaN\n", "idle_s"),
     ];
-    for (text, named) in table {
+    for (text, expected) in table {
         let error = Options::parse(text).expect_err(text).to_string();
-        assert!(error.contains(named), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
-    // The example in the repository shows the defaults.
-    let example = Options::parse(include_str!("../../deploy/options.ini")).expect("the example");
+    // The example file in the repository lists the defaults.
+    let example =
+        Options::parse(include_str!("../../deploy/options.ini")).expect("a valid example file");
     assert_eq!(format!("{example:?}"), format!("{:?}", Options::default()));
 }
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -1,5 +1,6 @@
-//! What the version in production before pipelines had stored and sent, as its code
-//! wrote it: this one reads it, and writes the same where no job needs another.
+//! Tests of compatibility with the version that was in production before jobs could have
+//! dependencies. This version reads what that one stored and sent, and writes the same bytes
+//! where jobs have no dependencies. The constants below were written by that version's code.
 
 use millethold::controller::jobs::job::{
     self, ChunkLayout, Job, JobRecord, StoredChunkValue, StoredStage, TaskEnd, decode_batch,
@@ -13,8 +14,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const SUBMITTED: &str = r#"{"ref":"j-000412","grade":"train","crew":"red","cut":"batch","urgency":"high","planks":16,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"pattern":"img-07","pullGb":6.2,"benches":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,"expectedS":240.0,"notchS":30.0,"stackS":4.0,"dueS":900.0}"#;
-const PART: &str = r#"{"a":3,"b":1000,"d":"02","h":[["vm-",6]],"p":[0,0,231,1,1,0,0,1,0,232,3,2,1,0],"s":{"apart":false,"benches":["g8"],"cpus":8.0,"crew":"red","dueS":900.0,"expectedS":240.0,"gpus":1.0,"grade":"train","loaners":true,"notchS":30.0,"pattern":"img-07","planks":16,"pullGb":6.2,"ramGb":64.0,"ref":"j-000412","stackS":4.0,"together":true,"urgency":"high"},"t":77000000,"v":4,"y":["a","b"],"z":232}"#;
+const SUBMISSION: &str = r#"{"ref":"j-000412","grade":"train","crew":"red","cut":"batch","urgency":"high","planks":16,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"pattern":"img-07","pullGb":6.2,"benches":["g8"],"yard":null,"together":true,"apart":false,"loaners":true,"expectedS":240.0,"notchS":30.0,"stackS":4.0,"dueS":900.0}"#;
+const CHUNK: &str = r#"{"a":3,"b":1000,"d":"02","h":[["vm-",6]],"p":[0,0,231,1,1,0,0,1,0,232,3,2,1,0],"s":{"apart":false,"benches":["g8"],"cpus":8.0,"crew":"red","dueS":900.0,"expectedS":240.0,"gpus":1.0,"grade":"train","loaners":true,"notchS":30.0,"pattern":"img-07","planks":16,"pullGb":6.2,"ramGb":64.0,"ref":"j-000412","stackS":4.0,"together":true,"urgency":"high"},"t":77000000,"v":4,"y":["a","b"],"z":232}"#;
 const FRAME: &[&str] = &[
     "000000a20a076c617468652d3110071a040801100420012a4908011004180620012a190a09766d2d",
     "303030323331120c10031802200128053009380132030104023a1a0a086a2d303030343132110000",
@@ -24,11 +25,11 @@
 ];
 
 fn spec() -> JobSpec {
-    wire::parse_job(SUBMITTED.as_bytes()).expect("a good submission")
+    wire::parse_job(SUBMISSION.as_bytes()).expect("a valid submission")
 }
 
 fn chunk() -> Value {
-    serde_json::from_str(PART).expect("JSON")
+    serde_json::from_str(CHUNK).expect("JSON")
 }
 
 fn frame() -> Vec<u8> {
@@ -39,7 +40,8 @@
 
 #[test]
 fn stored_jobs_of_production() {
-    // Read, also by nodes that keep to smaller values, and written back unchanged.
+    // Read, also by controllers with a lower limit on the size of values, and written back
+    // unchanged.
     for value_kb in [8.0, 2.0] {
         let stored = BTreeMap::from([(0, StoredChunkValue { value: chunk(), revision: 5 })]);
         let job = Job::restore(2, 9, ChunkLayout::new(value_kb), &stored).expect("a stored job");
@@ -48,17 +50,17 @@
         assert_eq!(job.encode_chunk(0), chunk(), "{value_kb} KiB");
     }
     let mut job = Job::new(Rc::new(spec()), 2, 9, Micros::secs(77), ChunkLayout::new(8.0));
-    let wall = Micros::secs(1_000);
+    let wall_clock = Micros::secs(1_000);
     for (task, machine, incarnation, zone) in
         [(0, "vm-000231", 1, "a"), (1, "vm-000232", 3, "b"), (5, "vm-000233", 3, "b")]
     {
-        job.place(wall, task, machine, WorkerIncarnation(incarnation), zone);
+        job.place(wall_clock, task, machine, WorkerIncarnation(incarnation), zone);
     }
     job.end(5, TaskEnd::certain(ObservedState::Done));
     assert_eq!(job.encode_chunk(0), chunk());
-    let bundle = json!({ "jobs": [chunk()] });
-    assert_eq!(encode_batch(vec![job.encode_chunk(0)]), bundle);
-    assert_eq!(decode_batch(&bundle)[0].0, "j-000412");
+    let batch = json!({ "jobs": [chunk()] });
+    assert_eq!(encode_batch(vec![job.encode_chunk(0)]), batch);
+    assert_eq!(decode_batch(&batch)[0].0, "j-000412");
 
     let table = [
         (StoredStage::Accepted, r#"{"s":2,"g":"a","n":16}"#),
@@ -77,32 +79,33 @@
 fn frames_of_production() {
     let bytes = frame();
     let ReadFrame { frame: mut read, used } =
-        peer::read_frame(&bytes).expect("a frame").expect("all of it");
+        peer::read_frame(&bytes).expect("a frame").expect("a complete frame");
     assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
     assert_eq!((read.cancelled.len(), read.views.len(), read.inherited_urgency.len()), (1, 1, 0));
-    let wants = read.desired[0].clone().decode().expect("wants");
-    assert_eq!((wants.shard, wants.seq, wants.machines[0].tasks[0].attempt), (1, 6, 2));
+    let desired = read.desired[0].clone().decode().expect("desired state");
+    assert_eq!((desired.shard, desired.seq, desired.machines[0].tasks[0].attempt), (1, 6, 2));
     let mut written = Vec::new();
     peer::write_frame(&mut written, &read);
-    assert_eq!(written, bytes, "without pipelines it is the same");
-    // What an older version does not know it skips, as this one does with later words.
+    assert_eq!(written, bytes, "a frame without inherited urgency is unchanged");
+    // Unknown fields are skipped: by an older version the new field, by this one later fields.
     read.inherited_urgency.push(InheritedUrgency { job: "j-000001".into(), rank: 1, due_us: 7 });
     let mut later = read.encode_to_vec();
-    // Field 200, a text of two bytes.
+    // Field 200, a string of two bytes.
     later.extend([0xc2, 0x0c, 2, b'h', b'i']);
     assert_eq!(peer::Frame::decode(&later[..]).expect("unknown fields are skipped"), read);
 }
 
 #[test]
-fn smaller_values() {
-    // What fits in two KiB, from the first task to the last, with the longest description.
-    let size = ChunkLayout::new(2.0);
-    let mut long = spec();
-    long.image = "x".repeat(job::MAX_SPEC_BYTES - serde_json::to_vec(&spec()).expect("JSON").len());
-    long.tasks = 3 * size.tasks;
-    for spec in [spec(), long] {
-        let spec = JobSpec { tasks: 3 * size.tasks, ..spec };
-        let mut job = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), size);
+fn chunks_fit_in_smaller_values() {
+    // Every chunk fits in 2 KiB from the first placed task to the last, even with the longest spec.
+    let layout = ChunkLayout::new(2.0);
+    let mut longest = spec();
+    longest.image =
+        "x".repeat(job::MAX_SPEC_BYTES - serde_json::to_vec(&spec()).expect("JSON").len());
+    longest.tasks = 3 * layout.tasks;
+    for spec in [spec(), longest] {
+        let spec = JobSpec { tasks: 3 * layout.tasks, ..spec };
+        let mut job = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), layout);
         assert_eq!(job.chunks.len(), 3);
         while let Some(task) = job.first_pending() {
             let machine = format!("vm-{:06}", 900_000 + task);
@@ -117,20 +120,20 @@
             assert!(chunks.max() <= Some(2_048), "task {task}");
         }
         assert!(
-            job.reserved_tasks() >= 2 * size.tasks,
+            job.reserved_tasks() >= 2 * layout.tasks,
             "only {} of {}",
             job.reserved_tasks(),
-            3 * size.tasks
+            3 * layout.tasks
         );
-        // As some end, others have room.
+        // Once some tasks have ended, others fit.
         let first: Vec<u32> = job.chunks[0].placed.keys().copied().collect();
         first.iter().for_each(|i| drop(job.end(*i, TaskEnd::certain(ObservedState::Done))));
         assert!(job.pending() == 0 || job.first_pending().is_some());
     }
 }
 
-/// A job that was divided for larger values goes on in them as long as they are taken,
-/// and then places nothing more in a part that has no room.
+/// A job that was divided for larger values continues to use them while the store accepts them.
+/// Afterwards no more tasks are placed in a chunk whose value is full.
 #[test]
 fn chunks_of_larger_values() {
     let (small, previous_chunk_layout) = (ChunkLayout::new(2.0), ChunkLayout::new(8.0));
@@ -142,8 +145,8 @@
         (Some(previous_chunk_layout), 232),
         (None, 232),
     ];
-    for (taken, reserved_tasks) in table {
-        job.set_layout(small, taken);
+    for (previous, reserved_tasks) in table {
+        job.set_layout(small, previous);
         let free = (0..232).filter(|i| job.chunks[0].pending.contains(i)).collect::<Vec<u32>>();
         for task in free {
             if job.first_pending().is_some() && job.reserved_tasks() < reserved_tasks {
@@ -151,39 +154,39 @@
                 job.place(Micros::secs(1_000), task, &machine, WorkerIncarnation(3), "a");
             }
         }
-        assert_eq!(job.reserved_tasks(), reserved_tasks, "{taken:?}");
+        assert_eq!(job.reserved_tasks(), reserved_tasks, "{previous:?}");
         assert_eq!(
             job.first_pending().is_some(),
-            taken.is_some() && reserved_tasks < 232,
-            "{taken:?}"
+            previous.is_some() && reserved_tasks < 232,
+            "{previous:?}"
         );
     }
     assert!(job.encode_chunk(0).to_string().len() <= 8 * 1024);
-    // One that was divided for small ones has always had their room.
+    // A job that was divided for smaller values is not affected by the larger ones.
     let mut job = Job::new(spec, 2, 9, Micros::secs(77), small);
-    for taken in [Some(previous_chunk_layout), None] {
-        job.set_layout(small, taken);
-        assert_eq!(job.first_pending(), Some(0), "{taken:?}");
+    for previous in [Some(previous_chunk_layout), None] {
+        job.set_layout(small, previous);
+        assert_eq!(job.first_pending(), Some(0), "{previous:?}");
     }
 }
 
 #[test]
 fn dependencies_of_submissions() {
-    let with = |value: Value| {
-        let mut body: Value = serde_json::from_str(SUBMITTED).expect("JSON");
+    let parse_with = |value: Value| {
+        let mut body: Value = serde_json::from_str(SUBMISSION).expect("JSON");
         body["upstream"] = value;
         wire::parse_job(body.to_string().as_bytes())
     };
-    let good = [
+    let valid = [
         (Value::Null, vec![]),
         (json!([]), vec![]),
         (json!(["j-000398"]), vec!["j-000398"]),
         (json!(["j-000405", "j-000398", "j-000405"]), vec!["j-000398", "j-000405"]),
     ];
-    for (value, want) in good {
-        assert_eq!(with(value.clone()).expect("well-formed").dependencies, want, "{value}");
+    for (value, want) in valid {
+        assert_eq!(parse_with(value.clone()).expect("well-formed").dependencies, want, "{value}");
     }
-    let bad = [
+    let malformed = [
         json!("j-000398"),
         json!(7),
         json!({}),
@@ -196,12 +199,12 @@
         json!(["x-1"]),
         json!(["j-000398", "j-12a"]),
     ];
-    for value in bad {
-        let refused = with(value.clone()).expect_err("malformed");
+    for value in malformed {
+        let refused = parse_with(value.clone()).expect_err("malformed");
         assert_eq!(refused.field, "upstream", "{value}");
         assert_eq!(refused.id.as_deref(), Some("j-000412"));
     }
-    // It is stored with the record, and read from there.
+    // Dependencies are stored in the job's record and read from it.
     let record = JobRecord {
         shard: 1,
         stage: StoredStage::Accepted,
@@ -212,13 +215,13 @@
     let stored = serde_json::to_value(&record).expect("JSON");
     assert_eq!(stored, json!({"s": 1, "g": "a", "n": 2, "u": ["j-1"]}));
     assert_eq!(serde_json::from_value::<JobRecord>(stored).expect("a record"), record);
-    let kept = job::Job::new(
-        Rc::new(with(json!(["j-1"])).expect("well-formed")),
+    let job = job::Job::new(
+        Rc::new(parse_with(json!(["j-1"])).expect("well-formed")),
         0,
         1,
         Micros::ZERO,
         ChunkLayout::new(8.0),
     );
-    assert!(kept.awaits_dependencies && kept.placeable() == 0 && kept.pending() == 16);
-    assert_eq!(kept.encode_chunk(0)["s"].get("upstream"), None, "not with the description");
+    assert!(job.awaits_dependencies && job.placeable() == 0 && job.pending() == 16);
+    assert_eq!(job.encode_chunk(0)["s"].get("upstream"), None, "not in the chunk's spec");
 }
--- a/tests/components/submissions.rs
+++ b/tests/components/submissions.rs
@@ -1,17 +1,17 @@
-//! Submissions of jobs.
+//! Tests of parsing job submissions.
 
 use super::submission;
 use millethold::wire;
 use serde_json::{Value, json};
 
 #[test]
-fn submissions() {
-    let good = wire::parse_job(submission().to_string().as_bytes()).expect("a good submission");
+fn submission_fields() {
+    let valid = wire::parse_job(submission().to_string().as_bytes()).expect("a valid submission");
     assert_eq!(
-        (good.tasks, good.gpus, good.one_zone, good.deadline_s),
+        (valid.tasks, valid.gpus, valid.one_zone, valid.deadline_s),
         (16, 1.0, true, Some(900.0))
     );
-    // Field, value (null: left out), field named in the answer.
+    // Field, invalid value, field that the refusal names. Null counts as absent.
     let table = [
         ("ref", json!("x-1"), "ref"),
         ("ref", json!("j-"), "ref"),
@@ -49,17 +49,17 @@
     for (field, value, named) in table {
         let mut b = submission();
         b[field] = value.clone();
-        let bad = wire::parse_job(b.to_string().as_bytes()).expect_err(field);
-        assert_eq!(bad.field, named, "{field} = {value}");
-        // The id is kept, so that a known job's repeat can be told from it.
-        assert_eq!(bad.id.is_some(), named != "ref", "{field} = {value}");
+        let refusal = wire::parse_job(b.to_string().as_bytes()).expect_err(field);
+        assert_eq!(refusal.field, named, "{field} = {value}");
+        // The refusal contains the id, so that a repeat of an accepted job is recognized.
+        assert_eq!(refusal.id.is_some(), named != "ref", "{field} = {value}");
     }
     for field in ["benches", "yard", "dueS"] {
         let mut b = submission();
         b[field] = Value::Null;
         assert!(wire::parse_job(b.to_string().as_bytes()).is_ok(), "{field} may be null");
         b.as_object_mut().expect("an object").remove(field);
-        assert!(wire::parse_job(b.to_string().as_bytes()).is_ok(), "{field} may be left out");
+        assert!(wire::parse_job(b.to_string().as_bytes()).is_ok(), "{field} may be absent");
     }
     for text in ["", "{", "[]", "3", "\"x\"", "nul", "\u{0}"] {
         assert_eq!(wire::parse_job(text.as_bytes()).expect_err(text).field, "");
