--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) mod transaction;
 
 use crate::controller::api::Api;
-use crate::controller::api::counts::Counts;
+use crate::controller::api::counters::Counters;
 use crate::controller::api::pending::Submission;
 use crate::controller::context::Context;
 use crate::controller::jobs::job;
@@ -157,7 +157,7 @@
     pub(crate) fn expire_submissions(
         &mut self,
         context: &mut Context,
-        counts: &mut Counts,
+        counts: &mut Counters,
         holds_lease: bool,
     ) {
         if !holds_lease {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn refuse_waiting(&mut self, context: &mut Context, counts: &mut Counts, reason: &str) {
+    fn refuse_waiting(&mut self, context: &mut Context, counts: &mut Counters, reason: &str) {
         for submission in self.admission.take_waiting() {
             self.respond_retry_later(context, counts, submission.ticket, 503, reason);
         }
--- a/src/controller/api/counts.rs
+++ b/src/controller/api/counters.rs
@@ -5,7 +5,7 @@
 
 /// Counters since the start of this process. The serialized names appear on the status page.
 #[derive(Debug, Clone, Default, Serialize)]
-pub(crate) struct Counts {
+pub(crate) struct Counters {
     /// Jobs accepted by this process.
     pub(crate) accepted: u64,
     /// Requests refused as malformed, as infeasible, or to be retried later.
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -8,7 +8,7 @@
 
 pub(crate) mod admission;
 pub(crate) mod cancellation_requests;
-pub(crate) mod counts;
+pub(crate) mod counters;
 mod dependency_comparison;
 pub(crate) mod dependency_lookup;
 mod dependency_records;
--- a/src/controller/api/refusals.rs
+++ b/src/controller/api/refusals.rs
@@ -1,7 +1,7 @@
 //! Refusals that ask the client to retry, and the log lines that count refusals.
 
 use crate::controller::api::Api;
-use crate::controller::api::counts::Counts;
+use crate::controller::api::counters::Counters;
 use crate::controller::context::Context;
 use crate::controller::event::Ticket;
 use crate::wire::Refusal;
@@ -44,7 +44,7 @@
     pub(crate) fn respond_retry_later(
         &mut self,
         context: &mut Context,
-        counts: &mut Counts,
+        counts: &mut Counters,
         ticket: Ticket,
         status: u16,
         reason: &str,
@@ -56,7 +56,7 @@
 
     /// Counts a refusal. The log gets a periodic line for each cause instead of one for each
     /// request, since an outage refuses every request for the same reason.
-    pub(crate) fn note_refusal(&mut self, counts: &mut Counts, status: u16, reason: &str) {
+    pub(crate) fn note_refusal(&mut self, counts: &mut Counters, status: u16, reason: &str) {
         counts.refused += 1;
         self.refusals.note(status, reason);
     }
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -2,7 +2,7 @@
 //! Operators' tools read the names of its fields, which must not change.
 
 use crate::controller::Controller;
-use crate::controller::api::counts::Counts;
+use crate::controller::api::counters::Counters;
 use crate::controller::leadership::shard::Shard;
 use crate::controller::peers::PeerState;
 use crate::peer::{self, MachineView};
@@ -29,7 +29,7 @@
     rented: BTreeMap<&'static str, usize>,
     /// Cached pairs of an image and a machine that has it.
     image_entries: usize,
-    counts: &'a Counts,
+    counts: &'a Counters,
 }
 
 /// A peer, as last observed here.
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -7,7 +7,7 @@
 //! of all their records.
 
 use crate::controller::api::Api;
-use crate::controller::api::counts::Counts;
+use crate::controller::api::counters::Counters;
 use crate::controller::api::pending::{QueriedJobs, StatusQuery, WaitingUser};
 use crate::controller::api::record_reads::RecordRead;
 use crate::controller::calls::ApiCall;
@@ -125,7 +125,7 @@
 
 impl Api {
     /// Refuses status queries that have waited for longer than [`MAX_QUERY_WAIT`].
-    pub(crate) fn expire_status_queries(&mut self, context: &mut Context, counts: &mut Counts) {
+    pub(crate) fn expire_status_queries(&mut self, context: &mut Context, counts: &mut Counters) {
         for user in self.status_queries.take_expired(context.now) {
             let reason = "too many questions wait";
             self.respond_retry_later(context, counts, user.ticket, 503, reason);
--- a/src/controller/autoscaler/fleet.rs
+++ b/src/controller/autoscaler/fleet.rs
@@ -1,7 +1,7 @@
 //! Machines that the cloud has created, from its lists and its replies to requests.
 
+use super::machine_offer::{FreeCapacity, MachineOffer};
 use super::machine_types::MachineTypeCatalogue;
-use super::offer::{FreeCapacity, MachineOffer};
 use crate::resources::Resources;
 use crate::time::Micros;
 use crate::wire::{ListedMachine, MachineStage, ScaleOutRequest};
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -7,7 +7,7 @@
 //! known, nor remove a machine on which a task may still be placed.
 
 pub mod fleet;
-pub mod offer;
+pub mod machine_offer;
 pub mod scale_out;
 
 pub(crate) mod machine_types;
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -1,7 +1,7 @@
 //! Handling of the cloud's replies, and of the key-value store's about machine types.
 
+use super::machine_offer::MachineOffer;
 use super::machine_types::MACHINE_TYPES_KEY;
-use super::offer::MachineOffer;
 use super::{AUTOSCALER_SHARD, Autoscaler};
 use crate::cloud::{CloudCall, CloudReply};
 use crate::controller::Controller;
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -1,7 +1,7 @@
 //! Selection of the machines to request for tasks that no machine has capacity for.
 
 use super::fleet::FleetMachine;
-use super::offer::{FreeCapacity, MachineOffer, allows};
+use super::machine_offer::{FreeCapacity, MachineOffer, allows};
 use crate::peer::Demand;
 use crate::resources::Resources;
 use crate::time::Micros;
--- a/src/controller/jobs/mod.rs
+++ b/src/controller/jobs/mod.rs
@@ -14,8 +14,8 @@
 pub(crate) mod task_index;
 pub(crate) mod write_plan;
 
+mod attempt_evaluation;
 mod batch_writer;
-mod evaluation;
 mod further_dependencies;
 mod inherited_urgency;
 mod read_back;
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
-use crate::controller::scheduler::estimate::Estimates;
+use crate::controller::scheduler::run_time_estimates::Estimates;
 use crate::controller::timers::UNOBSERVED_REPEAT_INTERVAL;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -24,10 +24,10 @@
 pub mod scheduler;
 
 mod calls;
-mod changes;
 mod context;
 mod decision_log;
 pub mod event;
+mod pending_changes;
 mod timers;
 
 use crate::config::{Config, Options};
@@ -36,16 +36,16 @@
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
 use api::Api;
-use api::counts::Counts;
+use api::counters::Counters;
 use autoscaler::Autoscaler;
 use calls::{MachinesCall, PendingCall};
-use changes::PendingChanges;
 use context::Context;
 use jobs::Jobs;
 use jobs::stage_cache::CachedStage;
 use leadership::Leadership;
 use machines::{Machines, cancellation};
 use peers::Peers;
+use pending_changes::PendingChanges;
 use quota::Quotas;
 use scheduler::Scheduler;
 use timers::Timers;
@@ -65,7 +65,7 @@
     machines: Machines,
     quota: Quotas,
     autoscaler: Autoscaler,
-    counts: Counts,
+    counts: Counters,
     timers: Timers,
     changes: PendingChanges,
 }
@@ -90,7 +90,7 @@
             machines: Machines::new(members),
             quota: Quotas::new(&settings.teams),
             autoscaler: Autoscaler::default(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             timers: Timers::default(),
             changes: PendingChanges::default(),
             context,
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -1,6 +1,6 @@
 //! Pools of machines that pass the same filters, and the two orders in which they are searched.
 
-use crate::controller::autoscaler::offer::allows;
+use crate::controller::autoscaler::machine_offer::allows;
 use crate::controller::scheduler::capacity::machine::MachineCapacity;
 use crate::peer::Demand;
 use crate::wire::JobSpec;
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -4,7 +4,7 @@
 use crate::controller::jobs::task_index::TaskId;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::peer::{DesiredTask, MachineView, Phase};
 use crate::resources::{Resources, TOLERANCE};
 use crate::time::Micros;
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -1,11 +1,11 @@
 //! Demand of local jobs, for peers and the autoscaler, and the free capacity of the cluster.
 
-use crate::controller::autoscaler::offer::FreeCapacity;
+use crate::controller::autoscaler::machine_offer::FreeCapacity;
 use crate::controller::jobs::job::Job;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::scheduler::Scheduler;
-use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::queue::QueueClass;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::peer::Demand;
 use crate::resources::{Resources, TOLERANCE};
 use std::collections::BTreeMap;
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -7,7 +7,7 @@
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, MachineId};
 use crate::controller::scheduler::image_locality;
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::controller::scheduler::scheduling_pass::PassState;
 use crate::controller::scheduler::search_failures::PreemptionSearch;
 use crate::controller::scheduler::task_placement::JobPlacement;
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -6,15 +6,14 @@
 //! acts on it. The scheduler never starts or stops a task itself.
 
 pub mod capacity;
-pub mod estimate;
 pub mod image_cache;
 pub mod image_locality;
 pub mod pending_reason;
+pub mod run_time_estimates;
 
 pub(crate) mod capacity_updates;
 pub(crate) mod demand;
 pub(crate) mod guarantee_budget;
-pub(crate) mod inputs;
 pub(crate) mod large_tasks;
 pub(crate) mod machine_choice;
 pub(crate) mod objectives;
@@ -23,6 +22,7 @@
 pub(crate) mod preemption_requests;
 pub(crate) mod queue;
 pub(crate) mod reservation;
+pub(crate) mod scheduling_inputs;
 pub(crate) mod scheduling_pass;
 pub(crate) mod search_failures;
 pub(crate) mod task_placement;
@@ -33,10 +33,10 @@
 use crate::wire::WorkerIncarnation;
 use capacity::{ClusterCapacity, MachineCapacity};
 use capacity_updates::ShardCapacitySource;
-use estimate::Estimates;
 use guarantee_budget::GuaranteeBudget;
 use image_cache::ImageCacheIndex;
 use preemption_requests::PreemptionRequests;
+use run_time_estimates::Estimates;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/src/controller/scheduler/objectives.rs
+++ b/src/controller/scheduler/objectives.rs
@@ -1,7 +1,7 @@
 //! Time limits that follow from the service-level objectives of a job's class.
 
 use crate::controller::jobs::job::Job;
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 
 /// Assumed finish objective, in seconds, of a class that has none.
 const DEFAULT_FINISH_OBJECTIVE_S: f64 = 240.0;
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -4,7 +4,7 @@
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::Scheduler;
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 
 /// Base of the limit on placements that their machines have not reported yet. It rises to two
 /// per machine if that is more, since many machines may come up at once. Normal and more urgent
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -1,7 +1,7 @@
 //! The order in which jobs are scheduled.
 
 use crate::controller::scheduler::Scheduler;
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::peer::Demand;
 use crate::time::Micros;
 
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -3,8 +3,8 @@
 use crate::controller::Controller;
 use crate::controller::quota::amount::QuotaAmount;
 use crate::controller::scheduler::Scheduler;
-use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::queue::QueueClass;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::controller::scheduler::search_failures::SearchFailures;
 use crate::peer::Demand;
 use crate::time::Micros;
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -3,9 +3,9 @@
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, MachineId, PoolId, ReservedTask};
-use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::objectives::MIN_FETCH_GB_PER_S;
 use crate::controller::scheduler::queue::LOWEST_URGENT_RANK;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::resources::Resources;
 use crate::time::Micros;
 
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -1,9 +1,9 @@
 //! Tests of the autoscaler's fleet and scale-out plans, and of task duration estimates.
 
 use millethold::controller::autoscaler::fleet::Fleet;
-use millethold::controller::autoscaler::offer::{FreeCapacity, MachineOffer};
+use millethold::controller::autoscaler::machine_offer::{FreeCapacity, MachineOffer};
 use millethold::controller::autoscaler::scale_out::{self, Offers, ScaleOutPlan};
-use millethold::controller::scheduler::estimate::Estimates;
+use millethold::controller::scheduler::run_time_estimates::Estimates;
 use millethold::peer::Demand;
 use millethold::resources::Resources;
 use millethold::time::Micros;
