--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -71,7 +71,7 @@
         self.waiting.push(Submission {
             ticket,
             spec,
-            submitted_at: context.wall(),
+            submitted_at: context.wall_clock(),
             arrived_at: context.now,
             spec_bytes,
         });
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -36,7 +36,7 @@
                     let id = &submission.spec.id;
                     let cached = self.jobs.stage_cache.get(id);
                     if let Some(cached) = cached.filter(|c| !c.is_final()) {
-                        self.adopt(id, cached.shard);
+                        self.recover_unlisted_job(id, cached.shard);
                     }
                     self.respond_retry_later(submission.ticket, 503, "state service away");
                 }
--- a/src/controller/api/cancellation_requests.rs
+++ b/src/controller/api/cancellation_requests.rs
@@ -42,7 +42,7 @@
         tries_left: u32,
         reply: &KvResponse,
     ) {
-        match self.take_record_reply(&job, reply) {
+        match self.apply_record_reply(&job, reply) {
             // Already cancelled through one of its dependencies.
             RecordRead::Found { cached, .. }
                 if matches!(
@@ -98,7 +98,7 @@
                 info!("job {id} cancelled by its user");
                 let cached = CachedStage { stage: StoredStage::Cancelled, shard, tasks, revision };
                 self.cache_stage(&id, cached);
-                self.announce_cancelled(&id, revision);
+                self.announce_cancellation(&id, revision);
                 self.job_cancelled(&id);
                 self.answer_with_stage(ticket, 200, &id, cached);
             }
--- a/src/controller/api/dependency_lookup.rs
+++ b/src/controller/api/dependency_lookup.rs
@@ -107,7 +107,7 @@
 
     /// Handles the reply to the read of a dependency, for the lookup of this number.
     pub(crate) fn look_up_dependency_reply(&mut self, number: u64, id: &str, reply: &KvResponse) {
-        let read = self.take_record_reply(id, reply);
+        let read = self.apply_record_reply(id, reply);
         let known = self.jobs.stage_cache.contains(id);
         let lookups = &mut self.api.dependency_lookups;
         let Some(lookup) = lookups.by_number.get_mut(&number) else {
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -46,7 +46,7 @@
         if_absent: PreparedAnswer,
         reply: &KvResponse,
     ) {
-        match self.take_record_reply(id, reply) {
+        match self.apply_record_reply(id, reply) {
             RecordRead::Found { cached, .. }
                 if cached.stage == StoredStage::Accepted && !self.is_fresh(sent_at) =>
             {
@@ -70,7 +70,7 @@
 
     /// Applies a read of `j/REF`: caches the job's stage and dependencies, stops the job if it is
     /// cancelled, and adopts an accepted job that this process should run.
-    pub(crate) fn take_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
+    pub(crate) fn apply_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
         let item = match reply {
             KvResponse::Value(Some(item)) => item,
             KvResponse::Value(None) => return RecordRead::NoSuchJob,
@@ -91,7 +91,7 @@
             // The acceptance may have been applied after its call was given up, while a retry
             // of the submission was in flight or the shard was being recovered. Unless it is
             // adopted, no controller runs the job.
-            StoredStage::Accepted => self.adopt(job, cached.shard),
+            StoredStage::Accepted => self.recover_unlisted_job(job, cached.shard),
             StoredStage::Done => {}
         }
         RecordRead::Found { cached, revision }
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -222,7 +222,7 @@
         sent_at: Micros,
         reply: &KvResponse,
     ) {
-        let read = self.take_record_reply(job, reply);
+        let read = self.apply_record_reply(job, reply);
         for ticket in tickets {
             match read {
                 RecordRead::Found { cached, .. }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -54,8 +54,8 @@
     /// The shard that accepts jobs submitted to this member: its home shard if served, else the
     /// first served one; `None` if this member serves no shard.
     pub(crate) fn admitting_shard(&self) -> Option<usize> {
-        if self.serves_shard(self.context.me) {
-            return Some(self.context.me);
+        if self.serves_shard(self.context.local_member) {
+            return Some(self.context.local_member);
         }
         (0..self.leadership.shard_count()).find(|s| self.serves_shard(*s))
     }
--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -64,7 +64,7 @@
     }
 
     /// Sets the revision of a terminal state that a peer's notification reported without it.
-    pub(crate) fn correct(&mut self, job: &str, revision: u64) {
+    pub(crate) fn set_missing_revision(&mut self, job: &str, revision: u64) {
         if let Some(state) = self.unacknowledged.get_mut(job)
             && state.revision == UNKNOWN_REVISION
             && revision > 0
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// The machines that this process drains; empty unless it scales.
-    pub(crate) fn drained_here(&self) -> Vec<String> {
+    pub(crate) fn locally_draining(&self) -> Vec<String> {
         self.fleet.draining_since.keys().cloned().collect()
     }
 
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -20,7 +20,7 @@
     /// This member's name.
     pub(crate) member: String,
     /// Number of this member among all members.
-    pub(crate) me: usize,
+    pub(crate) local_member: usize,
     /// Names of all members, sorted; a member's number is its index.
     pub(crate) members: Vec<String>,
     /// Distinguishes this process from earlier ones of the same member; never 0.
@@ -51,13 +51,13 @@
     /// and its incarnation; `wall` is the time of day at the zero of the steady clock.
     pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
         let members = config.members();
-        let me = members.iter().position(|member| *member == config.member).unwrap_or(0);
+        let local_member = members.iter().position(|member| *member == config.member).unwrap_or(0);
         let limits = &config.settings.kv_store;
         let write_rate = limits.write_rps * WRITE_RATE_SHARE / members.len() as f64;
         let request_rate = limits.rps * REQUEST_RATE_SHARE / members.len() as f64;
         Context {
             member: config.member.clone(),
-            me,
+            local_member,
             members,
             // Zero means that there is no process.
             incarnation: seed.max(1),
@@ -75,7 +75,7 @@
     }
 
     /// Current time of day.
-    pub(crate) fn wall(&self) -> Micros {
+    pub(crate) fn wall_clock(&self) -> Micros {
         self.wall_at_zero + self.now
     }
 
--- a/src/controller/jobs/attempt_evaluation.rs
+++ b/src/controller/jobs/attempt_evaluation.rs
@@ -117,7 +117,7 @@
             }
             Some(AttemptOutcome::Ended(end)) => self.end_task(id, index, end),
             Some(AttemptOutcome::Observed(observed)) => {
-                let (now, wall) = (self.context.now, self.context.wall());
+                let (now, wall) = (self.context.now, self.context.wall_clock());
                 if let Some(job) = self.jobs.by_id.get_mut(id)
                     && job.note_observed(now, wall, index, observed)
                 {
--- a/src/controller/jobs/dependents.rs
+++ b/src/controller/jobs/dependents.rs
@@ -119,7 +119,7 @@
         info!("job {id} may start: all its dependencies are done");
         self.counts.released += 1;
         self.jobs.dependents.waiting.remove(id);
-        let wall = self.context.wall();
+        let wall = self.context.wall_clock();
         if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.awaits_dependencies = false;
             job.ready_at = wall;
@@ -170,7 +170,7 @@
                 self.counts.cancelled_with_dependency += 1;
                 let (stage, revision) = (StoredStage::Cancelled, *revision);
                 self.cache_stage(id, CachedStage { stage, shard, tasks, revision });
-                self.announce_cancelled(id, revision);
+                self.announce_cancellation(id, revision);
                 self.job_cancelled(id);
             }
             // The write may have been applied, or the job's user has cancelled it first: the
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -119,7 +119,7 @@
         for item in items {
             let id = item.key.strip_prefix(&job::job_key("")).unwrap_or_default().to_string();
             if self.jobs.record_pages.requested.remove(&id) {
-                self.take_record_reply(&id, &KvResponse::Value(Some(item)));
+                self.apply_record_reply(&id, &KvResponse::Value(Some(item)));
             }
         }
         self.jobs.record_pages.note_absent(self.context.now, first, last.as_deref());
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -119,7 +119,7 @@
     /// and the dependency graph and, for a cancelled job, to the machines that run its tasks.
     pub(crate) fn cache_stage(&mut self, job: &str, cached: CachedStage) {
         if self.jobs.stage_cache.insert(job, cached) == CacheOutcome::AlreadyFinal {
-            self.api.terminal_states.correct(job, cached.revision);
+            self.api.terminal_states.set_missing_revision(job, cached.revision);
             return;
         }
         if cached.is_final() {
@@ -128,7 +128,7 @@
             self.jobs.dependency_graph.note_ended(job);
         }
         if cached.stage == StoredStage::Cancelled {
-            self.stop_on_machines(job);
+            self.stop_tasks_on_machines(job);
         }
         while let Some(evicted) = self.jobs.stage_cache.evict() {
             self.jobs.progress.remove(&evicted);
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -102,7 +102,7 @@
     /// Sends transactions for jobs with changes. Jobs whose starts or whose own end wait for the
     /// write come first, by rank. Other changes are written later and together, and only from
     /// the part of the write budget that the urgent ones do not need.
-    pub(crate) fn store_dirty(&mut self) {
+    pub(crate) fn write_changed_jobs(&mut self) {
         let half_burst = self.context.write_budget.burst() / 2.0;
         if self.context.write_budget.level(self.context.now) > 1.0 + half_burst {
             self.jobs.delete_unneeded_batch(&mut self.context, &self.leadership);
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -64,10 +64,10 @@
     /// acquires it immediately; the others wait, longer while the home member is observed to be
     /// healthy, and each for a different time.
     fn acquisition_delay(&self, shard: usize, peers: &Peers, context: &Context) -> Micros {
-        let delay = if shard == context.me {
+        let delay = if shard == context.local_member {
             Micros::ZERO
         } else {
-            let rank = (context.me + self.shard_count() - shard) % self.shard_count();
+            let rank = (context.local_member + self.shard_count() - shard) % self.shard_count();
             let base = if peers.is_healthy(shard, context.now) {
                 HEALTHY_HOME_DELAY
             } else {
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records a heartbeat from a machine whose shard another member leads.
-    pub(crate) fn note_misdirected(&mut self, now: Micros, machine: &str) {
+    pub(crate) fn record_misdirected_heartbeat(&mut self, now: Micros, machine: &str) {
         self.misdirected.insert(machine.to_string(), now);
     }
 
--- a/src/controller/leadership/handover.rs
+++ b/src/controller/leadership/handover.rs
@@ -16,7 +16,9 @@
     /// `failback_delay`.
     pub(crate) fn begin_failback_if_due(&mut self, shard: usize, peers: &Peers, context: &Context) {
         let delay = context.options.failback_delay;
-        if shard == context.me || !peers.healthy_for_longer_than(shard, delay, context.now) {
+        if shard == context.local_member
+            || !peers.healthy_for_longer_than(shard, delay, context.now)
+        {
             return;
         }
         if let Some(leadership) = &mut self.shards[shard].leadership
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -195,8 +195,8 @@
     }
 
     /// Records a heartbeat from a machine whose shard another member leads.
-    pub(crate) fn note_misdirected(&mut self, now: Micros, machine: &str) {
-        self.connectivity.note_misdirected(now, machine);
+    pub(crate) fn record_misdirected_heartbeat(&mut self, now: Micros, machine: &str) {
+        self.connectivity.record_misdirected_heartbeat(now, machine);
     }
 
     /// Handles the result of a probe that was sent to a worker during a partition.
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -46,7 +46,7 @@
 impl Controller {
     /// Recovers a job that the store contains and this process does not run: its acceptance was
     /// applied after this process had given up waiting for the reply.
-    pub(crate) fn adopt(&mut self, id: &str, shard: usize) {
+    pub(crate) fn recover_unlisted_job(&mut self, id: &str, shard: usize) {
         if shard >= self.leadership.shard_count()
             || !self.serves_shard(shard)
             || self.jobs.by_id.contains_key(id)
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -96,7 +96,7 @@
         );
         match record.stage {
             StoredStage::Cancelled => self.job_cancelled(id),
-            StoredStage::Accepted => self.adopt(id, record.shard),
+            StoredStage::Accepted => self.recover_unlisted_job(id, record.shard),
             StoredStage::Done => {}
         }
     }
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -64,7 +64,7 @@
 
 /// Controller lease to request from the key-value store: `desired`, shortened if it is too
 /// long for the settings. Logs if it is shortened or cannot be made short enough.
-pub(crate) fn usable_lease(desired: Micros, settings: &Settings) -> Micros {
+pub(crate) fn effective_controller_lease(desired: Micros, settings: &Settings) -> Micros {
     let BoundedLease { duration, is_short_enough } = bounded_lease(desired, &settings.workers);
     if !is_short_enough {
         log::warn!(
@@ -160,7 +160,7 @@
 
     /// Marks the managed machines with tasks of a cancelled job for reconciliation, so that the
     /// tasks are stopped at once, whichever shard owns the job.
-    pub(crate) fn stop_on_machines(&mut self, id: &str) {
+    pub(crate) fn stop_tasks_on_machines(&mut self, id: &str) {
         self.changes.machines.extend(self.machines.with_tasks_of(id));
     }
 
@@ -179,15 +179,15 @@
     }
 
     /// Handles the reply to the read of an unknown job's record.
-    pub(crate) fn unknown_read(&mut self, id: &str, reply: &KvResponse) {
+    pub(crate) fn unknown_job_reply(&mut self, id: &str, reply: &KvResponse) {
         self.machines.cancellations.finish_read();
-        self.take_record_reply(id, reply);
+        self.apply_record_reply(id, reply);
     }
 
     /// Notifies peers of a cancellation that the key-value store has confirmed to this process
     /// at `revision`. It is resent until every peer has followed the store up to that revision,
     /// but for no longer than `cancel_s`.
-    pub(crate) fn announce_cancelled(&mut self, id: &str, revision: u64) {
+    pub(crate) fn announce_cancellation(&mut self, id: &str, revision: u64) {
         self.changes.cancelled.push(id.to_string());
         let until =
             self.context.now + Micros::from_secs_f64(self.context.settings.workers.cancel_s);
@@ -196,7 +196,7 @@
     }
 
     /// Jobs whose cancellation is to be resent to peers.
-    pub(crate) fn cancellations_to_repeat(&mut self) -> Vec<String> {
+    pub(crate) fn cancellations_to_resend(&mut self) -> Vec<String> {
         let followed_by_all = self.peers.followed_revision().unwrap_or(u64::MAX);
         self.machines.cancellations.due_for_resend(self.context.now, followed_by_all)
     }
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -24,12 +24,12 @@
     /// [`UNOBSERVED_REPEAT_INTERVAL`]. Messages between controllers are not acknowledged. If
     /// one were lost unnoticed, its task would wait forever and hold its share of the team's
     /// quota.
-    pub(crate) fn repeat_unobserved(&mut self) {
+    pub(crate) fn resend_unobserved(&mut self) {
         let now = self.context.now;
         if !self.holds_lease() || !self.timers.unobserved_repeat.restart_if_due(now) {
             return;
         }
-        let wall = self.context.wall();
+        let wall = self.context.wall_clock();
         let is_unobserved = |placement: &Placement| {
             placement.observed.is_none()
                 && wall.since(placement.placed_at) > UNOBSERVED_REPEAT_INTERVAL
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -98,8 +98,8 @@
     /// other member is known to lead it.
     fn redirect_heartbeat(&mut self, ticket: Ticket, shard: usize, machine: &str) {
         match self.shard_leader(shard) {
-            Some(leader) if leader != self.context.me => {
-                self.leadership.note_misdirected(self.context.now, machine);
+            Some(leader) if leader != self.context.local_member => {
+                self.leadership.record_misdirected_heartbeat(self.context.now, machine);
                 let member = self.context.members[leader].clone();
                 self.context.respond(ticket, 421, None, &HeartbeatRedirect { member: &member });
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -77,13 +77,14 @@
     /// process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let settings = &config.settings;
-        let controller_lease = cancellation::usable_lease(options.controller_lease, settings);
+        let controller_lease =
+            cancellation::effective_controller_lease(options.controller_lease, settings);
         let options = Options { controller_lease, ..options };
         let context = Context::new(config, options, seed, wall);
         let members = context.members.len();
         Controller {
             leadership: Leadership::new(members),
-            peers: Peers::new(members, context.me),
+            peers: Peers::new(members, context.local_member),
             jobs: Jobs::new(&settings.kv_store),
             api: Api::default(),
             scheduler: Scheduler::new(&context.options),
@@ -138,7 +139,7 @@
                 PendingCall::Machines(MachinesCall::ReadUnknownJob { job }),
                 Reply::KvStore(reply),
             ) => {
-                self.unknown_read(&job, &reply);
+                self.unknown_job_reply(&job, &reply);
             }
             (PendingCall::Machines(call), Reply::Direct(reply)) => {
                 self.machines_reply(call, reply);
@@ -183,7 +184,7 @@
         let now = self.context.now;
         self.expire_machine_incarnations();
         self.check_spot_notices();
-        self.repeat_unobserved();
+        self.resend_unobserved();
         self.scheduler.expire_preemption_requests(now);
         if self.timers.guarantees.restart_if_due(now) {
             self.refresh_guarantee_budget();
@@ -203,9 +204,9 @@
             self.admit_waiting();
             self.announce_terms();
             self.run_scheduling_pass();
-            self.store_dirty();
+            self.write_changed_jobs();
             let frame = self.reconcile_machines();
-            self.store_dirty();
+            self.write_changed_jobs();
             self.send_frames(frame);
         } else if self.timers.peer_heartbeat.is_due(now) || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -58,7 +58,7 @@
         for hint in frame.address_hints {
             self.machines.apply_address_hint(hint);
         }
-        if frame.missed.contains(&(self.context.me as u32)) {
+        if frame.missed.contains(&(self.context.local_member as u32)) {
             self.changes.peers_to_sync.insert(from);
         }
     }
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -51,7 +51,7 @@
         }
         if heartbeat {
             self.timers.peer_heartbeat.restart(now);
-            let repeated = self.cancellations_to_repeat();
+            let repeated = self.cancellations_to_resend();
             frame.cancelled.extend(repeated);
         }
         self.add_sender_state(&mut frame);
@@ -121,7 +121,7 @@
         }
         if self.leading_term(AUTOSCALER_SHARD).is_some() {
             frame.is_autoscaler = true;
-            frame.draining = self.autoscaler.drained_here();
+            frame.draining = self.autoscaler.locally_draining();
             self.set_draining(frame.draining.iter().cloned().collect());
         }
     }
--- a/src/controller/quota/sharing.rs
+++ b/src/controller/quota/sharing.rs
@@ -115,7 +115,7 @@
         }
         let demand = self.shard_demand(team, shard, local_demand);
         if let Some(quota) = self.quota.team(team) {
-            let (desired, wall) = (self.machines.desired(), self.context.wall());
+            let (desired, wall) = (self.machines.desired(), self.context.wall_clock());
             let preemptions = quota.limit_preemptions(team, shard, &demand.unmet, desired, wall);
             for task in preemptions {
                 self.preempt_task(&task);
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -44,7 +44,7 @@
         let leader = self.leadership.leader_name(shard);
         let member = leader.and_then(|name| self.context.member_number(name));
         member.is_some_and(|member| {
-            member != self.context.me && self.peers.is_alive(member, self.context.now)
+            member != self.context.local_member && self.peers.is_alive(member, self.context.now)
         })
     }
 
--- a/src/controller/scheduler/large_tasks.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -42,7 +42,7 @@
     /// Raises low priority jobs to normal priority if no task of theirs has been placed for long.
     /// Behind a queue of standard jobs that never empties, they would not start for minutes.
     pub(crate) fn raise_starved_jobs(&mut self) {
-        let wall = self.context.wall();
+        let wall = self.context.wall_clock();
         let inputs = self.scheduling_inputs();
         let starved = |job: &&Job| {
             !job.raised_to_normal
@@ -72,7 +72,7 @@
             true => waiting_for_capacity(&inputs),
             false => Vec::new(),
         };
-        let wall = self.context.wall();
+        let wall = self.context.wall_clock();
         self.scheduler.hold_machines(&waiting, wall);
     }
 }
@@ -80,7 +80,7 @@
 /// Jobs that lack capacity and have been ready for more than [`MIN_WAIT_FOR_HOLD_S`] seconds,
 /// those with the largest tasks first.
 fn waiting_for_capacity(inputs: &SchedulingInputs<'_>) -> Vec<WaitingJob> {
-    let wall = inputs.context.wall();
+    let wall = inputs.context.wall_clock();
     let mut waiting: Vec<WaitingJob> = Vec::new();
     for job in inputs.jobs.by_id.values().filter(|j| j.is_active() && j.placeable() > 0) {
         let waited_s = wall.since(job.ready_at).as_secs_f64();
--- a/src/controller/scheduler/reservation.rs
+++ b/src/controller/scheduler/reservation.rs
@@ -67,7 +67,7 @@
         placement: &mut JobPlacement,
         pass: &mut PassState,
     ) -> Result<(), PendingReason> {
-        let (now, wall) = (self.context.now, self.context.wall());
+        let (now, wall) = (self.context.now, self.context.wall_clock());
         let capacity = &self.scheduler.capacity;
         let chosen = capacity.get(machine_id).ok_or(PendingReason::NoCapacity)?;
         let (machine, incarnation) = (Rc::clone(&chosen.machine), chosen.incarnation);
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -123,7 +123,7 @@
             scheduler,
             inputs,
             claim,
-            wall: inputs.context.wall(),
+            wall: inputs.context.wall_clock(),
             rank,
             needed: Resources::from(&**spec),
             teams_beyond_guarantee: scheduler.guarantee_budget.preemptible_teams(),
