--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -122,7 +122,7 @@
         job.acceptance_stored(if batched { 0 } else { revision });
         job.cancelled = cancelled;
         if job.awaits_dependencies {
-            self.jobs.dependents.wait(id);
+            self.jobs.dependents.add_waiting(id);
         }
         self.changes.jobs.insert(id.clone());
         self.jobs.by_id.insert(id.clone(), job);
--- a/src/controller/api/dependency_comparison.rs
+++ b/src/controller/api/dependency_comparison.rs
@@ -31,7 +31,7 @@
         let max_conditions =
             (self.context.settings.kv_store.txn_ops * CONDITIONS_PER_WRITE).max(2) - 1;
         let graph = &self.jobs.dependency_graph;
-        let mut unfinished = graph.unfinished_before(id, &self.jobs.stage_cache);
+        let mut unfinished = graph.unfinished_dependencies(id, &self.jobs.stage_cache);
         unfinished.truncate(max_conditions);
         unfinished.push(UnfinishedJob { id: id.to_string(), revision: cached.revision });
         let conditions = unfinished
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -82,7 +82,7 @@
         let revision = item.revision;
         let read =
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision };
-        self.jobs.dependency_graph.note(job, &record);
+        self.jobs.dependency_graph.apply_record(job, &record);
         self.cache_stage(job, read);
         // A newer stage may have been cached before this reply arrived.
         let cached = self.jobs.stage_cache.get(job).unwrap_or(read);
--- a/src/controller/autoscaler/machine_offer.rs
+++ b/src/controller/autoscaler/machine_offer.rs
@@ -42,7 +42,7 @@
 
 /// Whether the tasks of `demand` may run on machines of this type and zone; `spot` says whether
 /// they are spot machines.
-pub fn allows(demand: &Demand, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn demand_allows(demand: &Demand, machine_type: &str, zone: &str, spot: bool) -> bool {
     (demand.types.is_empty() || demand.types.iter().any(|allowed| allowed == machine_type))
         && demand.zone.as_deref().is_none_or(|allowed| allowed == zone)
         && (demand.spot || !spot)
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -1,7 +1,7 @@
 //! Selection of the machines to request for tasks that no machine has capacity for.
 
 use super::fleet::FleetMachine;
-use super::machine_offer::{FreeCapacity, MachineOffer, allows};
+use super::machine_offer::{FreeCapacity, MachineOffer, demand_allows};
 use crate::peer::Demand;
 use crate::resources::Resources;
 use crate::time::Micros;
@@ -39,7 +39,7 @@
             if left == 0 {
                 break;
             }
-            if allows(demand, &machine.machine_type, &machine.zone, machine.spot) {
+            if demand_allows(demand, &machine.machine_type, &machine.zone, machine.spot) {
                 let tasks = machine.free.tasks_that_fit(&needed).min(left);
                 left -= tasks;
                 machine.free -= needed * tasks;
@@ -113,7 +113,7 @@
                 for spot in [false, true] {
                     let offer =
                         MachineOffer { machine_type: name.to_string(), zone: zone.clone(), spot };
-                    if !allows(demand, name, zone, spot) || self.is_exhausted(&offer) {
+                    if !demand_allows(demand, name, zone, spot) || self.is_exhausted(&offer) {
                         continue;
                     }
                     let price = if spot { machine_type.spot_price } else { machine_type.price };
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -9,7 +9,7 @@
 use crate::controller::api::pending::{AdmissionGroup, CancelledJob, PreparedAnswer, QueriedJobs};
 use crate::controller::event::Ticket;
 use crate::controller::jobs::batches::BatchedChange;
-use crate::controller::jobs::dependency_graph::FurtherList;
+use crate::controller::jobs::dependency_graph::FurtherDependencyKey;
 use crate::controller::jobs::job::ReadChunk;
 use crate::controller::jobs::write_plan::JobWrite;
 use crate::controller::machines::attempt::AttemptId;
@@ -88,11 +88,11 @@
     /// Reads a page of records that begins at the job `first`.
     ReadRecordPage { first: String },
     /// Reads a further key that holds dependencies of a job.
-    ReadDependencies(FurtherList),
+    ReadDependencies(FurtherDependencyKey),
     /// Writes that a local job is cancelled because a job that it depends on was cancelled.
     CancelDependent { job: String, shard: usize, tasks: u32 },
     /// Deletes a batch.
-    DropBatch { key: String, term: u64 },
+    DeleteBatch { key: String, term: u64 },
     /// Writes a batch with changes of its jobs.
     StoreBatch { key: String, term: u64, changes: Vec<BatchedChange> },
     /// Reads a batch back after a write without a clear outcome.
--- a/src/controller/jobs/attempt_evaluation.rs
+++ b/src/controller/jobs/attempt_evaluation.rs
@@ -89,7 +89,7 @@
         if !self.serves_shard(shard) {
             return;
         }
-        let Some(tasks) = self.jobs.task_index.on(shard, &Rc::from(machine)).cloned() else {
+        let Some(tasks) = self.jobs.task_index.tasks_on(shard, &Rc::from(machine)).cloned() else {
             return;
         };
         for task in &tasks {
--- a/src/controller/jobs/batch_writer.rs
+++ b/src/controller/jobs/batch_writer.rs
@@ -95,7 +95,7 @@
             ],
             writes: vec![Write::Delete { key: key.clone() }],
         };
-        let call = JobsCall::DropBatch { key: key.clone(), term: led.term };
+        let call = JobsCall::DeleteBatch { key: key.clone(), term: led.term };
         context.call_store(call, KvRequest::Txn(txn));
     }
 }
--- a/src/controller/jobs/dependency_graph.rs
+++ b/src/controller/jobs/dependency_graph.rs
@@ -40,7 +40,7 @@
 
 /// Names a further key: one with dependencies that did not fit in the job's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct FurtherList {
+pub(crate) struct FurtherDependencyKey {
     /// Job id.
     pub(crate) job: String,
     /// Number of the key, counted from 1.
@@ -72,7 +72,7 @@
 
 impl DependencyGraph {
     /// Adds the dependencies that a job's record names; removes a job that has ended.
-    pub(crate) fn note(&mut self, id: &str, record: &JobRecord) {
+    pub(crate) fn apply_record(&mut self, id: &str, record: &JobRecord) {
         if record.stage != StoredStage::Accepted {
             self.by_job.remove(id);
             self.partial.remove(id);
@@ -170,7 +170,11 @@
     }
 
     /// Unfinished jobs that `id` depends on directly or indirectly.
-    pub(crate) fn unfinished_before(&self, id: &str, stages: &StageCache) -> Vec<UnfinishedJob> {
+    pub(crate) fn unfinished_dependencies(
+        &self,
+        id: &str,
+        stages: &StageCache,
+    ) -> Vec<UnfinishedJob> {
         let mut unfinished: Vec<UnfinishedJob> = Vec::new();
         let mut visited: BTreeSet<&str> = BTreeSet::new();
         let mut to_visit: Vec<&str> = vec![id];
@@ -187,13 +191,13 @@
     }
 
     /// Picks the next further key to read and marks its read as in flight.
-    pub(super) fn begin_read(&mut self, now: Micros) -> Option<FurtherList> {
+    pub(super) fn begin_read(&mut self, now: Micros) -> Option<FurtherDependencyKey> {
         let (job, partial) = self
             .partial
             .iter_mut()
             .find(|(_, partial)| !partial.read_in_flight && now >= partial.not_before)?;
         partial.read_in_flight = true;
-        Some(FurtherList { job: job.clone(), number: partial.keys_read + 1 })
+        Some(FurtherDependencyKey { job: job.clone(), number: partial.keys_read + 1 })
     }
 
     /// Marks the read of a job's further key as answered. Returns false if nothing of the job
@@ -210,7 +214,11 @@
 
     /// Adds the dependencies that a further key holds. The job's dependencies are complete with
     /// the last key.
-    pub(super) fn add_further(&mut self, further: &FurtherList, dependencies: Vec<String>) {
+    pub(super) fn add_further(
+        &mut self,
+        further: &FurtherDependencyKey,
+        dependencies: Vec<String>,
+    ) {
         let Some(partial) = self.partial.get_mut(&further.job) else {
             return;
         };
--- a/src/controller/jobs/dependents.rs
+++ b/src/controller/jobs/dependents.rs
@@ -44,7 +44,7 @@
 
 impl Dependents {
     /// Registers a local job that waits for its dependencies.
-    pub(crate) fn wait(&mut self, id: &str) {
+    pub(crate) fn add_waiting(&mut self, id: &str) {
         self.waiting.insert(id.to_string());
         self.check_now();
     }
--- a/src/controller/jobs/further_dependencies.rs
+++ b/src/controller/jobs/further_dependencies.rs
@@ -1,7 +1,7 @@
 //! Reads the dependencies that do not fit in a job's record from the job's further keys.
 
 use super::Jobs;
-use super::dependency_graph::FurtherList;
+use super::dependency_graph::FurtherDependencyKey;
 use super::job;
 use crate::controller::Controller;
 use crate::controller::calls::JobsCall;
@@ -21,7 +21,11 @@
 
 impl Controller {
     /// Handles the reply to the read of a further key.
-    pub(super) fn further_dependencies_reply(&mut self, further: &FurtherList, reply: &KvResponse) {
+    pub(super) fn further_dependencies_reply(
+        &mut self,
+        further: &FurtherDependencyKey,
+        reply: &KvResponse,
+    ) {
         if !self.jobs.dependency_graph.end_read(self.context.now, &further.job) {
             return;
         }
--- a/src/controller/jobs/job/backoff.rs
+++ b/src/controller/jobs/job/backoff.rs
@@ -92,14 +92,14 @@
 impl Job {
     /// Whether the job itself seems to be at fault: its tasks failed on several machines, and
     /// none has ever completed.
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         self.backoff.failed_machines.len() >= SUSPECT_MACHINES && self.done() == 0
     }
 
     /// Records that a task of the job failed on a machine.
     pub fn note_failure(&mut self, now: Micros, machine: &Rc<str>) {
         self.backoff.note_failed_machine(machine);
-        if self.suspect() {
+        if self.is_suspect() {
             self.backoff.pause_for_failure(now);
         }
     }
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -24,7 +24,9 @@
 pub use keys::*;
 pub use placement::{EndedAttempt, Placement, TaskEnd};
 pub(crate) use stored::stored_version;
-pub use stored::{StoredPlacement, batch_is_sound, decode_batch, encode_batch, stored_placements};
+pub use stored::{
+    StoredPlacement, batch_is_readable, decode_batch, encode_batch, stored_placements,
+};
 pub use urgency::Urgency;
 
 use crate::controller::scheduler::pending_reason::PendingReason;
@@ -97,7 +99,7 @@
     /// Run times of completed tasks.
     run_times: RunTimes,
     /// The job's shape as last sent with the desired state.
-    pub announced_shape: Option<Rc<Shape>>,
+    pub sent_shape: Option<Rc<Shape>>,
 }
 
 impl Job {
@@ -131,7 +133,7 @@
             backoff: Backoff::default(),
             pending_reason: PendingReason::New,
             run_times: RunTimes::default(),
-            announced_shape: None,
+            sent_shape: None,
         }
     }
 
@@ -206,7 +208,7 @@
     /// of its tasks would probably fail again and use up starts, writes and quota.
     pub fn placeable(&self) -> u32 {
         let pending = if self.awaits_dependencies { 0 } else { self.pending() };
-        if self.suspect() {
+        if self.is_suspect() {
             pending.min(1_u32.saturating_sub(self.reserved_tasks()))
         } else {
             pending
@@ -221,7 +223,7 @@
     /// Number of tasks that count against the team's quota. Tasks withdrawn before their start
     /// count until that end is stored: a later leader would start them, in addition to the
     /// tasks that took their place.
-    pub fn limited_tasks(&self) -> u32 {
+    pub fn quota_tasks(&self) -> u32 {
         let ended: usize = self.chunks.iter().map(|chunk| chunk.may_still_start().count()).sum();
         self.reserved_tasks() + ended as u32
     }
@@ -250,7 +252,7 @@
     }
 
     /// Median run time of the job's tasks; `None` until enough of them have completed.
-    pub fn usual_run_time(&self) -> Option<Micros> {
+    pub fn median_run_time(&self) -> Option<Micros> {
         self.run_times.median()
     }
 
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -126,7 +126,7 @@
 }
 
 /// Whether all jobs of a batch can be read.
-pub fn batch_is_sound(value: &Value) -> bool {
+pub fn batch_is_readable(value: &Value) -> bool {
     let chunks = value.get("jobs").and_then(Value::as_array);
     chunks.is_some_and(|chunks| chunks.len() == decode_batch(value).len())
 }
--- a/src/controller/jobs/read_back.rs
+++ b/src/controller/jobs/read_back.rs
@@ -102,7 +102,7 @@
             warn!("unreadable record of job {id}");
             return;
         };
-        self.jobs.dependency_graph.note(id, &record);
+        self.jobs.dependency_graph.apply_record(id, &record);
         let JobRecord { stage, shard: accepted_by, tasks, .. } = record;
         self.cache_stage(id, CachedStage { stage, shard: accepted_by, tasks, revision });
         if stage == StoredStage::Cancelled {
--- a/src/controller/jobs/recovery.rs
+++ b/src/controller/jobs/recovery.rs
@@ -40,7 +40,7 @@
         let stage = self.stage_cache.stage(id).unwrap_or(record.stage);
         job.apply_record(record, stage);
         if job.awaits_dependencies {
-            self.dependents.wait(id);
+            self.dependents.add_waiting(id);
         }
         for (index, placement) in job.chunks.iter().flat_map(|chunk| &chunk.placed) {
             self.task_index.add(shard, placement.machine.clone(), id, *index);
--- a/src/controller/jobs/replies.rs
+++ b/src/controller/jobs/replies.rs
@@ -24,7 +24,7 @@
                 self.batch_write_reply(&key, term, changes, reply);
             }
             JobsCall::ReadBatch { key, term } => self.batch_read_back_reply(&key, term, reply),
-            JobsCall::DropBatch { key, term } => self.batch_delete_reply(&key, term, reply),
+            JobsCall::DeleteBatch { key, term } => self.batch_delete_reply(&key, term, reply),
         }
     }
 }
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -72,7 +72,7 @@
         let left = Micros::millis(left_ms);
         let ran = placement.running_since.map(|at| now.since(at));
         let machine = Rc::clone(&placement.machine);
-        let usual = job.usual_run_time().unwrap_or_else(|| {
+        let usual = job.median_run_time().unwrap_or_else(|| {
             let correction = self.scheduler.estimates().correction(&job.spec.class);
             Micros::from_secs_f64(job.spec.estimate_s * correction)
         });
--- a/src/controller/jobs/task_ends.rs
+++ b/src/controller/jobs/task_ends.rs
@@ -25,7 +25,7 @@
                 if let Some(ran) = placement.running_since.map(|at| now.since(at)) {
                     if job.spec.estimate_s > 0.0 {
                         let ratio = ran.as_secs_f64() / job.spec.estimate_s;
-                        self.scheduler.learn_run_time(&job.spec.class, ratio);
+                        self.scheduler.record_run_time_ratio(&job.spec.class, ratio);
                     }
                     job.note_run_time(ran);
                 }
--- a/src/controller/jobs/task_index.rs
+++ b/src/controller/jobs/task_index.rs
@@ -20,7 +20,7 @@
 
 impl TaskIndex {
     /// Returns a shard's tasks on a machine, or `None` if it has none there.
-    pub(crate) fn on(&self, shard: usize, machine: &Rc<str>) -> Option<&BTreeSet<TaskId>> {
+    pub(crate) fn tasks_on(&self, shard: usize, machine: &Rc<str>) -> Option<&BTreeSet<TaskId>> {
         self.by_machine.get(&(shard, Rc::clone(machine)))
     }
 
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -170,7 +170,7 @@
         revision: u64,
         chunks: &StoredChunks,
     ) -> bool {
-        self.jobs.dependency_graph.note(id, record);
+        self.jobs.dependency_graph.apply_record(id, record);
         self.cache_stage(
             id,
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
--- a/src/controller/leadership/recovery.rs
+++ b/src/controller/leadership/recovery.rs
@@ -74,7 +74,7 @@
                 continue;
             };
             if job::is_batch(id) {
-                if !job::batch_is_sound(&value) {
+                if !job::batch_is_readable(&value) {
                     page.unreadable.push(key.clone());
                 }
                 let jobs = job::decode_batch(&value).into_iter();
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -88,7 +88,7 @@
 
     /// Handles a write of a job's record at `revision`, by this process or another.
     fn job_record_changed(&mut self, id: &str, record: &JobRecord, revision: u64) {
-        self.jobs.dependency_graph.note(id, record);
+        self.jobs.dependency_graph.apply_record(id, record);
         self.jobs.forget_unreadable(id);
         self.cache_stage(
             id,
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
-use crate::controller::scheduler::run_time_estimates::Estimates;
+use crate::controller::scheduler::run_time_estimates::RunTimeEstimates;
 use crate::controller::timers::UNOBSERVED_REPEAT_INTERVAL;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
@@ -108,12 +108,12 @@
 /// sent before record `seq`, the sequence number of the message.
 fn desired_on(
     jobs: &mut Jobs,
-    estimates: &Estimates,
+    estimates: &RunTimeEstimates,
     shard: usize,
     machine: &Rc<str>,
     seq: u64,
 ) -> Vec<DesiredTask> {
-    let Some(tasks) = jobs.task_index.on(shard, machine) else {
+    let Some(tasks) = jobs.task_index.tasks_on(shard, machine) else {
         return Vec::new();
     };
     let mut list = Vec::new();
@@ -176,7 +176,7 @@
     /// expected duration changes.
     fn shape(&mut self, expected_s: f64) -> Rc<Shape> {
         let rank = self.rank();
-        match &self.announced_shape {
+        match &self.sent_shape {
             Some(shape) if shape.rank == rank && shape.expected_s == expected_s => Rc::clone(shape),
             _ => {
                 let spec = &self.spec;
@@ -192,7 +192,7 @@
                     checkpoint_s: spec.checkpoint_s,
                     expected_s,
                 });
-                self.announced_shape = Some(Rc::clone(&shape));
+                self.sent_shape = Some(Rc::clone(&shape));
                 shape
             }
         }
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -155,7 +155,7 @@
                     old.attempt == task.attempt && old.index == task.index && old.job == task.job
                 };
                 if task.stop_ms.is_none() && !before.iter().any(is_same) {
-                    self.scheduler.note_image(now, &task.image, &machine, task.incarnation);
+                    self.scheduler.record_image(now, &task.image, &machine, task.incarnation);
                 }
             }
             let known_machine_term = match known_term {
--- a/src/controller/machines/view_updates.rs
+++ b/src/controller/machines/view_updates.rs
@@ -50,7 +50,7 @@
         }
         for image in self.machines.newly_used_images(&view) {
             let now = self.context.now;
-            self.scheduler.note_image(now, image, &view.machine, view.worker_incarnation());
+            self.scheduler.record_image(now, image, &view.machine, view.worker_incarnation());
         }
         let machine = view.machine.clone();
         self.machines.views.insert(machine.clone(), view);
--- a/src/controller/quota/job_demand.rs
+++ b/src/controller/quota/job_demand.rs
@@ -10,7 +10,7 @@
 pub(crate) fn shard_usage(jobs: &Jobs, shard: usize, team: &str) -> QuotaAmount {
     let mut used = QuotaAmount::default();
     for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
-        used += QuotaAmount::of_tasks(&job.spec, job.limited_tasks());
+        used += QuotaAmount::of_tasks(&job.spec, job.quota_tasks());
     }
     used
 }
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -1,6 +1,6 @@
 //! Pools of machines that pass the same filters, and the two orders in which they are searched.
 
-use crate::controller::autoscaler::machine_offer::allows;
+use crate::controller::autoscaler::machine_offer::demand_allows;
 use crate::controller::scheduler::capacity::machine::MachineCapacity;
 use crate::peer::Demand;
 use crate::wire::JobSpec;
@@ -37,7 +37,7 @@
 
     /// Whether pending tasks, of any shard, may run on machines of the pool.
     pub fn admits_demand(&self, demand: &Demand) -> bool {
-        allows(demand, &self.machine_type, &self.zone, self.spot)
+        demand_allows(demand, &self.machine_type, &self.zone, self.spot)
     }
 }
 
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -203,7 +203,7 @@
         let jobs = inputs.jobs;
         let shards = 0..inputs.leadership.shard_count();
         for shard in shards.filter(|shard| inputs.jobs_recovered(*shard)) {
-            let tasks = jobs.task_index.on(shard, &capacity.machine);
+            let tasks = jobs.task_index.tasks_on(shard, &capacity.machine);
             for TaskId { job: id, index } in tasks.into_iter().flatten() {
                 let Some(job) = jobs.by_id.get(id) else {
                     continue;
--- a/src/controller/scheduler/large_tasks.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -49,7 +49,7 @@
                 && job.is_active()
                 && job.reserved_tasks() == 0
                 && job.done() == 0
-                && !job.suspect()
+                && !job.is_suspect()
                 && !job.awaits_dependencies
                 && wall.since(job.ready_at).as_secs_f64()
                     > inputs.finish_objective_s(&job.spec.class) * STARVED_OBJECTIVE_SHARE
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -36,7 +36,7 @@
 use guarantee_budget::GuaranteeBudget;
 use image_cache::ImageCacheIndex;
 use preemption_requests::PreemptionRequests;
-use run_time_estimates::Estimates;
+use run_time_estimates::RunTimeEstimates;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
     guarantee_budget: GuaranteeBudget,
     /// Requests for the preemption of tasks of other shards.
     preemption_requests: PreemptionRequests,
-    estimates: Estimates,
+    estimates: RunTimeEstimates,
     images: ImageCacheIndex,
 }
 
@@ -75,7 +75,7 @@
             unobserved_placements: 0,
             guarantee_budget: GuaranteeBudget::default(),
             preemption_requests: PreemptionRequests::default(),
-            estimates: Estimates::default(),
+            estimates: RunTimeEstimates::default(),
             images: ImageCacheIndex::new(options.index_entries, options.index_age),
         }
     }
@@ -98,17 +98,17 @@
     }
 
     /// Corrections of the users' run time estimates.
-    pub(crate) fn estimates(&self) -> &Estimates {
+    pub(crate) fn estimates(&self) -> &RunTimeEstimates {
         &self.estimates
     }
 
     /// Records that a task of a class ran `ratio` times as long as its user's estimate.
-    pub(crate) fn learn_run_time(&mut self, class: &str, ratio: f64) {
+    pub(crate) fn record_run_time_ratio(&mut self, class: &str, ratio: f64) {
         self.estimates.record_ratio(class, ratio);
     }
 
     /// Records that a worker has an image or is about to fetch it.
-    pub(crate) fn note_image(
+    pub(crate) fn record_image(
         &mut self,
         now: Micros,
         image: &str,
--- a/src/controller/scheduler/run_time_estimates.rs
+++ b/src/controller/scheduler/run_time_estimates.rs
@@ -16,7 +16,7 @@
 
 /// Ratios of actual to estimated run times of completed tasks, by class.
 #[derive(Debug, Clone, Default)]
-pub struct Estimates {
+pub struct RunTimeEstimates {
     classes: BTreeMap<String, ClassRatios>,
 }
 
@@ -29,7 +29,7 @@
     correction: Option<f64>,
 }
 
-impl Estimates {
+impl RunTimeEstimates {
     /// Records that a task of a class ran `ratio` times as long as its user's estimate.
     pub fn record_ratio(&mut self, class: &str, ratio: f64) {
         let ratios = self.classes.entry(class.to_string()).or_default();
@@ -49,7 +49,7 @@
     /// Seconds that a job's tasks are expected to run: the median run time of its own completed
     /// tasks if there are enough of them, or else the user's estimate, corrected.
     pub fn expected_s(&self, job: &Job) -> f64 {
-        match job.usual_run_time() {
+        match job.median_run_time() {
             Some(run_time) => run_time.as_secs_f64(),
             None => job.spec.estimate_s * self.correction(&job.spec.class),
         }
--- a/tests/components/autoscaler.rs
+++ b/tests/components/autoscaler.rs
@@ -3,7 +3,7 @@
 use millethold::controller::autoscaler::fleet::Fleet;
 use millethold::controller::autoscaler::machine_offer::{FreeCapacity, MachineOffer};
 use millethold::controller::autoscaler::scale_out::{self, Offers, ScaleOutPlan};
-use millethold::controller::scheduler::run_time_estimates::Estimates;
+use millethold::controller::scheduler::run_time_estimates::RunTimeEstimates;
 use millethold::peer::Demand;
 use millethold::resources::Resources;
 use millethold::time::Micros;
@@ -145,14 +145,14 @@
         (vec![0.001; 9], 0.1),
     ];
     for (ratios, want) in table {
-        let mut e = Estimates::default();
+        let mut e = RunTimeEstimates::default();
         for r in &ratios {
             e.record_ratio("c", *r);
         }
         assert_eq!(e.correction("c"), want, "{ratios:?}");
         assert_eq!(e.correction("another"), 1.0);
     }
-    let mut e = Estimates::default();
+    let mut e = RunTimeEstimates::default();
     for r in [vec![1.0; 50], vec![3.0; 50]].concat() {
         e.record_ratio("c", r);
     }
--- a/tests/components/jobs.rs
+++ b/tests/components/jobs.rs
@@ -212,16 +212,12 @@
         let layout = ChunkLayout { tasks: 5, bytes: 1_000, first_chunk_shares_with_spec: false };
         let mut j = Job::new(Rc::new(spec), 2, 9, Micros::secs(77), layout);
         j.place(Micros::secs(3), 6, "vm-1", WorkerIncarnation(3), "a");
-        assert_eq!((j.limited_tasks(), j.zones().len()), (1, 1), "{name}: placed");
+        assert_eq!((j.quota_tasks(), j.zones().len()), (1, 1), "{name}: placed");
         assert!(j.end(6, end).is_some());
         let counted = u32::from(counts);
         assert_eq!(j.reserved_tasks(), 0, "{name}");
-        assert_eq!(
-            (j.limited_tasks(), j.zones().len() as u32),
-            (counted, counted),
-            "{name}: ended"
-        );
+        assert_eq!((j.quota_tasks(), j.zones().len() as u32), (counted, counted), "{name}: ended");
         j.chunks[1].unstored_ends.clear();
-        assert_eq!((j.limited_tasks(), j.zones().len()), (0, 0), "{name}: stored");
+        assert_eq!((j.quota_tasks(), j.zones().len()), (0, 0), "{name}: stored");
     }
 }
