--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -103,7 +103,7 @@
             machine_type: &view.machine_type,
             zone: &view.zone,
             spot: view.spot,
-            known: view.known,
+            known: view.observed_in_term,
             healthy: view.healthy,
             tasks: view.tasks.len(),
         }
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -106,7 +106,7 @@
         self.refresh_capacity();
         let mut free = self.scheduler.free_capacity();
         let views = self.machines.views();
-        let is_up = |machine: &str| views.get(machine).is_some_and(|view| view.known);
+        let is_up = |machine: &str| views.get(machine).is_some_and(|view| view.observed_in_term);
         let fleet = &self.autoscaler.fleet;
         let machine_types = &self.autoscaler.machine_types;
         free.extend(fleet.expected_capacity(now, machine_types, is_up));
@@ -159,9 +159,9 @@
             };
             MachineActivity {
                 has_view: true,
-                is_healthy: view.known && view.healthy,
+                is_healthy: view.observed_in_term && view.healthy,
                 is_faulty: view.faulty,
-                has_tasks: view.tasks.iter().any(|task| !task.observed().over())
+                has_tasks: view.tasks.iter().any(|task| !task.observed().is_terminal())
                     || has_placed_tasks,
             }
         };
--- a/src/controller/jobs/attempt_evaluation.rs
+++ b/src/controller/jobs/attempt_evaluation.rs
@@ -40,7 +40,7 @@
             // The incarnation has definitely ended, with every task in it.
             return AttemptOutcome::Lost;
         }
-        if !view.known || view.worker_incarnation() != incarnation {
+        if !view.observed_in_term || view.worker_incarnation() != incarnation {
             return AttemptOutcome::Undecided;
         }
         let listed = view.tasks.iter().find(|task| {
@@ -49,7 +49,9 @@
                 && task.job == self.job
         });
         match listed.map(|task| task.observed()) {
-            Some(observed) if observed.over() => AttemptOutcome::Ended(TaskEnd::listed(observed)),
+            Some(observed) if observed.is_terminal() => {
+                AttemptOutcome::Ended(TaskEnd::listed(observed))
+            }
             Some(observed) => AttemptOutcome::Observed(observed),
             None if self.stop_was_applied(view) => AttemptOutcome::Ended(TaskEnd::never_started()),
             None => AttemptOutcome::Undecided,
@@ -61,7 +63,7 @@
     /// sender had already received this shard's desired state of the current term.
     fn has_no_worker(&self, view: &MachineView) -> bool {
         let mut applied = view.applied.iter();
-        view.vanished
+        view.worker_gone
             && applied.any(|update| update.shard as usize == self.shard && update.term == self.term)
     }
 
--- a/src/controller/jobs/stopping.rs
+++ b/src/controller/jobs/stopping.rs
@@ -2,7 +2,7 @@
 
 use super::spot_notices::CHECKPOINT_MARGIN;
 use crate::controller::Controller;
-use crate::peer::Preempt;
+use crate::peer::PreemptionRequest;
 use crate::time::Micros;
 use std::rc::Rc;
 
@@ -33,11 +33,11 @@
 
     /// Stops a local task that a more urgent one preempts. Ignored if the attempt is no longer
     /// current or is already being stopped.
-    pub(crate) fn preempt_task(&mut self, preempted: &Preempt) {
+    pub(crate) fn preempt_task(&mut self, preempted: &PreemptionRequest) {
         let Some(job) = self.jobs.by_id.get_mut(&preempted.job) else {
             return;
         };
-        let grace = if preempted.save && job.spec.checkpoint_s > 0.0 {
+        let grace = if preempted.save_checkpoint && job.spec.checkpoint_s > 0.0 {
             Micros::from_secs_f64(job.spec.save_s) + CHECKPOINT_MARGIN
         } else {
             // The task is stopped at once; its latest checkpoint is kept.
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -160,14 +160,14 @@
                 placement.stop_seq.get_or_insert(seq);
             }
             let is_stored = placement.version <= stored;
-            let phase = if is_stored { Phase::DesiredHere } else { Phase::Ahead };
+            let phase = if is_stored { Phase::Stored } else { Phase::Reserved };
             list.push(desired(placement, phase));
         }
         for ended in &chunk.unstored_ends {
             let placement = &ended.placement;
             if ended.index == index && placement.machine == *machine && placement.version <= stored
             {
-                list.push(desired(placement, Phase::Over));
+                list.push(desired(placement, Phase::Ended));
             }
         }
     }
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -123,7 +123,7 @@
     /// Adds the resources of tasks to the usage of their teams, or subtracts them if `sign` is
     /// -1. Ended attempts are not counted.
     fn adjust_usage(&mut self, tasks: &[DesiredTask], sign: f64) {
-        for task in tasks.iter().filter(|task| task.phase() != Phase::Over) {
+        for task in tasks.iter().filter(|task| task.phase() != Phase::Ended) {
             let usage = self.usage.entry(task.team.clone()).or_default();
             usage.cpus += sign * task.cpus;
             usage.gpus += sign * task.gpus;
--- a/src/controller/machines/machine/heartbeat.rs
+++ b/src/controller/machines/machine/heartbeat.rs
@@ -82,7 +82,7 @@
                 continue;
             };
             let observed = observed_state(task.state, task.cause);
-            if self.tasks.get(&attempt).is_none_or(|before| !before.over()) {
+            if self.tasks.get(&attempt).is_none_or(|before| !before.is_terminal()) {
                 outcomes.extend(outcome(observed, task, &attempt));
             }
             if self.starts.record_reported(&attempt) {
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -123,7 +123,10 @@
 
     /// Reported tasks that have not ended.
     pub(crate) fn active_tasks(&self) -> impl Iterator<Item = &AttemptId> {
-        self.tasks.iter().filter(|(_, observed)| !observed.over()).map(|(attempt, _)| attempt)
+        self.tasks
+            .iter()
+            .filter(|(_, observed)| !observed.is_terminal())
+            .map(|(attempt, _)| attempt)
     }
 
     /// Whether tasks of a job are reported, are being started, or wait. `first` is the lowest
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -195,7 +195,7 @@
         let in_response = route == CommandRoute::HeartbeatResponse;
         let mut commands = Vec::new();
         for (attempt, observed) in &managed.tasks {
-            if observed.over() {
+            if observed.is_terminal() {
                 // If the worker forgot the attempt, a start that may still arrive would run it
                 // again.
                 let forget = in_response
--- a/src/controller/machines/start_permit.rs
+++ b/src/controller/machines/start_permit.rs
@@ -154,7 +154,7 @@
         owner_known_term: u64,
         job: Option<JobEvidence>,
     ) -> Result<StartPermit<'a>, StartRefusal> {
-        if task.phase() != Phase::DesiredHere {
+        if task.phase() != Phase::Stored {
             return Err(StartRefusal::NotDesired);
         }
         if job.is_some_and(|job| job.stage != StoredStage::Accepted) {
--- a/src/controller/peers/full_sync.rs
+++ b/src/controller/peers/full_sync.rs
@@ -11,7 +11,7 @@
 impl Controller {
     /// Builds a full frame, which keeps the remaining content of `frame`.
     pub(crate) fn full_frame(&self, mut frame: Frame) -> Frame {
-        frame.full = true;
+        frame.is_full_sync = true;
         let shards = 0..self.leadership.shard_count();
         frame.desired = shards.filter_map(|shard| self.full_desired_state(shard)).collect();
         let managed = self.machines.managed().keys();
--- a/src/controller/peers/peer_state.rs
+++ b/src/controller/peers/peer_state.rs
@@ -63,15 +63,15 @@
             self.healthy_since = None;
         }
         self.partitioned = frame.partitioned;
-        self.followed_revision = frame.watched;
+        self.followed_revision = frame.followed_revision;
         self.format = frame.format;
-        let is_healthy = frame.state_ok && !frame.partitioned;
+        let is_healthy = frame.lease_valid && !frame.partitioned;
         if self.last_frame_at.is_none_or(|at| now.since(at) > PEER_TIMEOUT) || !is_healthy {
             self.healthy_since = None;
         }
         self.last_frame_at = Some(now);
-        self.holds_lease = frame.state_ok;
-        if !frame.state_ok {
+        self.holds_lease = frame.lease_valid;
+        if !frame.lease_valid {
             // A peer without a lease cannot act: its demand must not block others.
             self.demand.clear();
             self.quota_demand.clear();
@@ -91,9 +91,13 @@
 
     fn record_number(&mut self, frame: &Frame) -> FrameContinuity {
         let same_process = self.incarnation == frame.incarnation;
-        let is_next = same_process && self.last_frame_number + 1 == frame.number;
-        self.last_frame_number = frame.number;
-        self.missed_frames = !frame.full && (self.missed_frames || !is_next);
-        if frame.full || is_next { FrameContinuity::Unbroken } else { FrameContinuity::FramesLost }
+        let is_next = same_process && self.last_frame_number + 1 == frame.frame_number;
+        self.last_frame_number = frame.frame_number;
+        self.missed_frames = !frame.is_full_sync && (self.missed_frames || !is_next);
+        if frame.is_full_sync || is_next {
+            FrameContinuity::Unbroken
+        } else {
+            FrameContinuity::FramesLost
+        }
     }
 }
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -52,13 +52,13 @@
         if frame.is_autoscaler {
             self.set_draining(frame.draining.into_iter().collect());
         }
-        for preempt in frame.preempt {
+        for preempt in frame.preemptions {
             self.preempt_task(&preempt);
         }
         for hint in frame.address_hints {
             self.machines.apply_address_hint(hint);
         }
-        if frame.missed.contains(&(self.context.local_member as u32)) {
+        if frame.missed_members.contains(&(self.context.local_member as u32)) {
             self.changes.peers_to_sync.insert(from);
         }
     }
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -68,11 +68,11 @@
         }
         frame.cancelled = std::mem::take(&mut self.changes.cancelled);
         frame.terminated = std::mem::take(&mut self.changes.terminated);
-        frame.preempt = std::mem::take(&mut self.changes.preemptions);
+        frame.preemptions = std::mem::take(&mut self.changes.preemptions);
         frame.inherited_urgency = self.jobs.dependents.urgency.take_outbox();
         if self.timers.missed_frames.is_due(now) {
-            frame.missed = self.peers.members_with_missed_frames();
-            if !frame.missed.is_empty() {
+            frame.missed_members = self.peers.members_with_missed_frames();
+            if !frame.missed_members.is_empty() {
                 self.timers.missed_frames.restart(now);
             }
         }
@@ -107,13 +107,13 @@
     /// Adds the state of the sender, which every frame carries.
     fn add_sender_state(&mut self, frame: &mut Frame) {
         frame.format = peer::FORMAT;
-        frame.watched = self.leadership.followed_jobs_revision();
-        frame.number = self.peers.next_frame_number();
+        frame.followed_revision = self.leadership.followed_jobs_revision();
+        frame.frame_number = self.peers.next_frame_number();
         frame.member.clone_from(&self.context.member);
         frame.incarnation = self.context.incarnation;
-        frame.state_ok = self.holds_lease();
+        frame.lease_valid = self.holds_lease();
         frame.partitioned = self.leadership.is_partitioned();
-        if !frame.state_ok {
+        if !frame.lease_valid {
             return;
         }
         for (shard, term) in self.leadership.led_terms() {
@@ -128,7 +128,7 @@
 
     /// Sends a frame to all peers; those that await a full sync get a full frame.
     fn dispatch_frame(&mut self, frame: Frame) {
-        let holds_lease = frame.state_ok;
+        let holds_lease = frame.lease_valid;
         let frame = Rc::new(frame);
         let to_sync = std::mem::take(&mut self.changes.peers_to_sync);
         let peers: Vec<usize> = self.peers.all().map(|(member, _)| member).collect();
--- a/src/controller/pending_changes.rs
+++ b/src/controller/pending_changes.rs
@@ -2,7 +2,7 @@
 //! stored, sent to peers or sent to machines.
 
 use crate::controller::leadership::shard::shard_of_machine;
-use crate::peer::Preempt;
+use crate::peer::PreemptionRequest;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
     /// Machines that were found to be terminated.
     pub(crate) terminated: Vec<String>,
     /// Tasks of other shards whose preemption is requested.
-    pub(crate) preemptions: Vec<Preempt>,
+    pub(crate) preemptions: Vec<PreemptionRequest>,
     /// Peers that await a full sync.
     pub(crate) peers_to_sync: BTreeSet<usize>,
 }
--- a/src/controller/quota/limit_preemption.rs
+++ b/src/controller/quota/limit_preemption.rs
@@ -5,7 +5,7 @@
 use crate::controller::quota::target_grant::RankedDemand;
 use crate::controller::quota::team_quota::TeamQuota;
 use crate::controller::scheduler::victims::lost_work_s;
-use crate::peer::{DesiredTask, Phase, Preempt};
+use crate::peer::{DesiredTask, Phase, PreemptionRequest};
 use crate::resources::TOLERANCE;
 use crate::time::Micros;
 
@@ -14,7 +14,7 @@
     /// Seconds of work that are lost if it is stopped without a checkpoint.
     lost_work_s: f64,
     cpus: f64,
-    task: Preempt,
+    task: PreemptionRequest,
 }
 
 /// A team's tasks that are less urgent than a rank, and the CPUs that need no preemption.
@@ -44,7 +44,7 @@
             shard_victims: Vec::new(),
             available_soon_cpus: ungranted_cpus,
         };
-        let counts = |task: &&DesiredTask| task.team == team && task.phase() != Phase::Over;
+        let counts = |task: &&DesiredTask| task.team == team && task.phase() != Phase::Ended;
         for (owner, state) in desired.iter().enumerate() {
             for task in state.machines.values().flat_map(|on| on.tasks.iter().filter(counts)) {
                 if task.stop_ms.is_some() {
@@ -67,11 +67,11 @@
         Victim {
             lost_work_s: lost_work_s(wall, Micros::secs(task.placed_s), task.checkpoint_s),
             cpus: task.cpus,
-            task: Preempt {
+            task: PreemptionRequest {
                 job: task.job.clone(),
                 index: task.index,
                 attempt: task.attempt,
-                save: true,
+                save_checkpoint: true,
             },
         }
     }
@@ -88,7 +88,7 @@
         unmet: &[RankedDemand],
         desired: &[DesiredState],
         wall: Micros,
-    ) -> Vec<Preempt> {
+    ) -> Vec<PreemptionRequest> {
         let Some(rank) = unmet.iter().map(|demand| demand.rank).min() else {
             return Vec::new();
         };
@@ -105,7 +105,7 @@
             desired.iter().filter_map(|state| state.usage.get(team)).map(|used| used.cpus).sum();
         let unused_cpus =
             (self.limit().cpus - used_cpus - less_urgent.available_soon_cpus).max(0.0);
-        // Preempt only for what is neither free nor freed by tasks that are already stopping.
+        // PreemptionRequest only for what is neither free nor freed by tasks that are already stopping.
         let missing_cpus = urgent_cpus - less_urgent.available_soon_cpus - unused_cpus;
         if missing_cpus <= TOLERANCE || less_urgent.cpus <= TOLERANCE {
             return Vec::new();
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -150,7 +150,7 @@
         view: &MachineView,
         shard: usize,
     ) -> bool {
-        view.known
+        view.observed_in_term
             && view.healthy
             && self.shard_sources.get(&shard).is_some_and(|source| source.has_live_leader)
             && view.notice_ms.is_none()
@@ -175,7 +175,7 @@
             // A task of another incarnation is gone; the leader of its shard will observe that.
             let present = |task: &&DesiredTask| {
                 task.incarnation == view.worker_incarnation()
-                    && task.phase() != Phase::Over
+                    && task.phase() != Phase::Ended
                     && !has_ended(view, &task.job, task.index, task.attempt)
             };
             for task in tasks.iter().filter(present) {
@@ -232,13 +232,16 @@
 /// Whether a machine's view lists an attempt as ended.
 fn has_ended(view: &MachineView, job: &str, index: u32, attempt: u64) -> bool {
     view.tasks.iter().any(|task| {
-        task.attempt == attempt && task.index == index && task.job == job && task.observed().over()
+        task.attempt == attempt
+            && task.index == index
+            && task.job == job
+            && task.observed().is_terminal()
     })
 }
 
 /// Whether a machine's view lists an attempt that has not ended and has no reservation.
 fn lists_unknown_task(view: &MachineView, capacity: &MachineCapacity) -> bool {
-    view.tasks.iter().filter(|task| !task.observed().over()).any(|task| {
+    view.tasks.iter().filter(|task| !task.observed().is_terminal()).any(|task| {
         !capacity.tasks.iter().any(|reserved| {
             reserved.attempt == task.attempt
                 && reserved.index == task.index
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -4,7 +4,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::ReservedTask;
-use crate::peer::Preempt;
+use crate::peer::PreemptionRequest;
 use crate::time::Micros;
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
     ) {
         log::debug!("preempting task {}/{} on {machine}", task.job, task.index);
         let (job, index, attempt) = (task.job.clone(), task.index, task.attempt);
-        let preempt = Preempt { job, index, attempt, save: checkpoint };
+        let preempt = PreemptionRequest { job, index, attempt, save_checkpoint: checkpoint };
         if self.jobs.by_id.contains_key(&preempt.job) {
             self.preempt_task(&preempt);
         } else {
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -72,7 +72,7 @@
 
 /// A task that is to be preempted for more urgent ones.
 #[derive(Clone, PartialEq, Message)]
-pub struct Preempt {
+pub struct PreemptionRequest {
     /// Id of the task's job.
     #[prost(string, tag = "1")]
     pub job: String,
@@ -84,7 +84,7 @@
     pub attempt: u64,
     /// Whether there is time for the task to save a checkpoint before it stops.
     #[prost(bool, tag = "4")]
-    pub save: bool,
+    pub save_checkpoint: bool,
 }
 
 /// The most urgent rank and the earliest deadline of the sender's waiting jobs that depend on a
--- a/src/peer/desired_state.rs
+++ b/src/peer/desired_state.rs
@@ -70,7 +70,7 @@
     #[prost(uint64, tag = "6")]
     pub placed_s: u64,
     /// A [`Phase`]. Only a placement that is definitely stored may be started, so an unknown
-    /// value of a later version must not count as stored: it reads as [`Phase::Ahead`].
+    /// value of a later version must not count as stored: it reads as [`Phase::Reserved`].
     #[prost(enumeration = "Phase", tag = "7")]
     pub phase: i32,
 }
@@ -109,12 +109,12 @@
 pub enum Phase {
     /// The placement is decided but not stored yet: its resources are reserved, and the task
     /// must not be started.
-    Ahead = 0,
+    Reserved = 0,
     /// The placement is stored: the task is to be started, or to continue.
-    DesiredHere = 1,
+    Stored = 1,
     /// The attempt has ended, but its end is not stored yet: the task is not started again, and
     /// its observed state is kept.
-    Over = 2,
+    Ended = 2,
 }
 
 /// Wire form of [`MachineDesired`].
@@ -225,9 +225,9 @@
 }
 
 impl DesiredTask {
-    /// Phase of the task; [`Phase::Ahead`] if a later version sent an unknown one.
+    /// Phase of the task; [`Phase::Reserved`] if a later version sent an unknown one.
     pub fn phase(&self) -> Phase {
-        Phase::try_from(self.phase).unwrap_or(Phase::Ahead)
+        Phase::try_from(self.phase).unwrap_or(Phase::Reserved)
     }
 
     /// Converts the task to its wire form; `shape` is the index of its shape in the message.
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -2,7 +2,7 @@
 
 use super::{
     AddressHint, Demand, DesiredStateMessage, InheritedUrgency, MachineView, MisdirectedHeartbeats,
-    Preempt, Progress, QuotaDemand, ShardClaim,
+    PreemptionRequest, Progress, QuotaDemand, ShardClaim,
 };
 use prost::Message;
 
@@ -25,7 +25,7 @@
     pub shard_claims: Vec<ShardClaim>,
     /// Whether the sender's controller lease is valid.
     #[prost(bool, tag = "4")]
-    pub state_ok: bool,
+    pub lease_valid: bool,
     /// Desired state of the shards that the sender leads: changes, or all of it in a full sync.
     #[prost(message, repeated, tag = "5")]
     pub desired: Vec<DesiredStateMessage>,
@@ -59,7 +59,7 @@
     pub is_autoscaler: bool,
     /// Tasks of other shards whose preemption the sender requests, for more urgent tasks.
     #[prost(message, repeated, tag = "15")]
-    pub preempt: Vec<Preempt>,
+    pub preemptions: Vec<PreemptionRequest>,
     /// Last known addresses of machines of shards that the sender does not lead.
     #[prost(message, repeated, tag = "16")]
     pub address_hints: Vec<AddressHint>,
@@ -74,17 +74,17 @@
     /// Numbers of the members from which the sender missed a frame. Each of them answers with a
     /// full sync.
     #[prost(uint32, repeated, tag = "19")]
-    pub missed: Vec<u32>,
+    pub missed_members: Vec<u32>,
     /// Sequence number of the sender's frames, common to all peers. A gap shows that frames were
     /// lost with a connection.
     #[prost(uint64, tag = "20")]
-    pub number: u64,
+    pub frame_number: u64,
     /// Whether the frame is a full sync, which makes up for all frames that were missed before.
     #[prost(bool, tag = "21")]
-    pub full: bool,
+    pub is_full_sync: bool,
     /// Revision of the key-value store up to which the sender has followed changes of jobs.
     #[prost(uint64, tag = "22")]
-    pub watched: u64,
+    pub followed_revision: u64,
     /// Urgency of the jobs that the sender's waiting jobs depend on.
     #[prost(message, repeated, tag = "23")]
     pub inherited_urgency: Vec<InheritedUrgency>,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -19,7 +19,7 @@
 mod shards;
 mod views;
 
-pub use demand::{Demand, InheritedUrgency, Preempt, Progress, QuotaDemand};
+pub use demand::{Demand, InheritedUrgency, PreemptionRequest, Progress, QuotaDemand};
 pub use desired_state::{
     DesiredStateError, DesiredStateMessage, DesiredTask, DesiredTaskMessage, DesiredUpdate,
     MachineDesired, MachineDesiredMessage, Phase, Shape,
--- a/src/peer/views.rs
+++ b/src/peer/views.rs
@@ -47,7 +47,7 @@
 
 impl ObservedState {
     /// Whether the task has ended on this machine.
-    pub fn over(self) -> bool {
+    pub fn is_terminal(self) -> bool {
         matches!(
             self,
             ObservedState::Done
@@ -86,17 +86,17 @@
     pub seq: u64,
     /// Whether the machine has sent a heartbeat with this term's fencing token.
     #[prost(bool, tag = "4")]
-    pub known: bool,
+    pub observed_in_term: bool,
     /// Incarnation that the newest heartbeat shows; 0 if there is none.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
     /// Incarnations up to and including this one have definitely ended.
     #[prost(uint64, tag = "6")]
-    pub over_through: u64,
+    pub last_ended_incarnation: u64,
     /// Whether the machine has sent no heartbeat under this term for longer than any worker
     /// lease, so that every earlier incarnation has ended.
     #[prost(bool, tag = "7")]
-    pub vanished: bool,
+    pub worker_gone: bool,
     /// Name of the machine type.
     #[prost(string, tag = "8")]
     pub machine_type: String,
@@ -137,6 +137,6 @@
 
     /// Whether an incarnation of the machine's worker has definitely ended.
     pub fn has_ended(&self, incarnation: WorkerIncarnation) -> bool {
-        self.over_through >= incarnation.0
+        self.last_ended_incarnation >= incarnation.0
     }
 }
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -242,19 +242,19 @@
     let accepted = stored(StoredStage::Accepted);
     // Task, the term that its owner knew, evidence about its job, why it must not start.
     let table = [
-        (desired(Phase::DesiredHere, None, 1), 4, accepted, None),
-        (desired(Phase::DesiredHere, None, 1), 5, None, None),
-        (desired(Phase::DesiredHere, None, 1), 3, accepted, Some(OwnerUnawareOfTerm)),
-        (desired(Phase::DesiredHere, None, 1), 0, accepted, Some(OwnerUnawareOfTerm)),
-        (desired(Phase::DesiredHere, Some(0), 1), 4, accepted, Some(StopRequested)),
-        (desired(Phase::Ahead, None, 1), 4, accepted, Some(NotDesired)),
-        (desired(Phase::Over, None, 1), 4, accepted, Some(NotDesired)),
-        (desired(Phase::DesiredHere, None, 2), 4, accepted, Some(OtherIncarnation)),
-        (desired(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
-        (desired(Phase::DesiredHere, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
+        (desired(Phase::Stored, None, 1), 4, accepted, None),
+        (desired(Phase::Stored, None, 1), 5, None, None),
+        (desired(Phase::Stored, None, 1), 3, accepted, Some(OwnerUnawareOfTerm)),
+        (desired(Phase::Stored, None, 1), 0, accepted, Some(OwnerUnawareOfTerm)),
+        (desired(Phase::Stored, Some(0), 1), 4, accepted, Some(StopRequested)),
+        (desired(Phase::Reserved, None, 1), 4, accepted, Some(NotDesired)),
+        (desired(Phase::Ended, None, 1), 4, accepted, Some(NotDesired)),
+        (desired(Phase::Stored, None, 2), 4, accepted, Some(OtherIncarnation)),
+        (desired(Phase::Stored, None, 1), 4, stored(StoredStage::Cancelled), Some(JobOver)),
+        (desired(Phase::Stored, None, 1), 4, stored(StoredStage::Done), Some(JobOver)),
         // An unknown phase of a later version must not permit a start.
         (
-            DesiredTask { phase: 77, ..desired(Phase::DesiredHere, None, 1) },
+            DesiredTask { phase: 77, ..desired(Phase::Stored, None, 1) },
             4,
             accepted,
             Some(NotDesired),
@@ -265,7 +265,7 @@
         assert_eq!(got.err(), want, "{task:?} {known} {job:?}");
     }
     let unaware = CommandAuthority { cancellations_known: false, ..authority(4) };
-    let task = desired(Phase::DesiredHere, None, 1);
+    let task = desired(Phase::Stored, None, 1);
     assert_eq!(unaware.permit_start(&task, 4, accepted).err(), Some(CancellationsUnknown));
 }
 
@@ -282,7 +282,7 @@
         ("token below the term", low_token, key(2), Some(FencingTokenBelowTerm)),
         ("another attempt", authority(4), key(3), Some(OtherAttempt)),
     ];
-    let task = desired(Phase::DesiredHere, None, 1);
+    let task = desired(Phase::Stored, None, 1);
     for (name, authority, used_for, want) in table {
         let permit = authority.permit_start(&task, 4, None).expect("a permitted start");
         assert_eq!(permit.command("vm-1", &used_for, CommandRoute::Direct).err(), want, "{name}");
--- a/tests/components/peer_frames.rs
+++ b/tests/components/peer_frames.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn frames_round_trip() {
-    let frame = Frame { member: "n1".into(), incarnation: 9, state_ok: true, ..Frame::default() };
+    let frame =
+        Frame { member: "n1".into(), incarnation: 9, lease_valid: true, ..Frame::default() };
     let mut bytes = Vec::new();
     peer::write_frame(&mut bytes, &frame);
     assert_eq!(peer::read_frame(&bytes), Ok(Some(ReadFrame { frame, used: bytes.len() })));
--- a/tests/components/stored_formats.rs
+++ b/tests/components/stored_formats.rs
@@ -80,7 +80,10 @@
     let bytes = frame();
     let ReadFrame { frame: mut read, used } =
         peer::read_frame(&bytes).expect("a frame").expect("a complete frame");
-    assert_eq!((used, read.number, read.watched, read.full), (bytes.len(), 9, 431, true));
+    assert_eq!(
+        (used, read.frame_number, read.followed_revision, read.is_full_sync),
+        (bytes.len(), 9, 431, true)
+    );
     assert_eq!((read.cancelled.len(), read.views.len(), read.inherited_urgency.len()), (1, 1, 0));
     let desired = read.desired[0].clone().decode().expect("desired state");
     assert_eq!((desired.shard, desired.seq, desired.machines[0].tasks[0].attempt), (1, 6, 2));
--- a/tests/controller/harness/mod.rs
+++ b/tests/controller/harness/mod.rs
@@ -568,7 +568,7 @@
     pub fn receive_frame(&mut self, from: usize, frame: Frame) {
         self.received_frames += 1;
         let member = format!("n{from}");
-        let frame = Frame { member, number: self.received_frames, ..frame };
+        let frame = Frame { member, frame_number: self.received_frames, ..frame };
         self.handle_event(Event::Peer { from, frame: Box::new(frame) });
     }
 
--- a/tests/controller/safety_guards/leadership.rs
+++ b/tests/controller/safety_guards/leadership.rs
@@ -37,7 +37,8 @@
             false => Outcome::Served,
         });
         // The home member of the shard is healthy for long enough: the shard is released.
-        let healthy = || Frame { incarnation: 3, state_ok: true, full: true, ..Frame::default() };
+        let healthy =
+            || Frame { incarnation: 3, lease_valid: true, is_full_sync: true, ..Frame::default() };
         let mut released = None;
         for _ in 0..50 {
             harness.receive_frame(0, healthy());
--- a/tests/controller/safety_guards/quota.rs
+++ b/tests/controller/safety_guards/quota.rs
@@ -48,8 +48,8 @@
             };
             let frame = Frame {
                 incarnation: 5,
-                state_ok: true,
-                full: true,
+                lease_valid: true,
+                is_full_sync: true,
                 has_demand: true,
                 quota_demand: Vec::from_iter((peer_demand_cpus > 0.0).then_some(demand)),
                 ..Frame::default()
--- a/tests/controller/stale_views.rs
+++ b/tests/controller/stale_views.rs
@@ -55,9 +55,11 @@
 /// that the task's own incarnation has ended, ends the placement.
 #[test]
 fn machine_views_from_before_a_failover() {
-    let no_worker = MachineView { vanished: true, ..MachineView::default() };
-    let ended = MachineView { over_through: WORKER_INCARNATION, ..MachineView::default() };
-    let earlier_ended = MachineView { over_through: WORKER_INCARNATION - 1, ..no_worker.clone() };
+    let no_worker = MachineView { worker_gone: true, ..MachineView::default() };
+    let ended =
+        MachineView { last_ended_incarnation: WORKER_INCARNATION, ..MachineView::default() };
+    let earlier_ended =
+        MachineView { last_ended_incarnation: WORKER_INCARNATION - 1, ..no_worker.clone() };
     let table = [
         ("no heartbeat, desired state not received", no_worker.clone(), false, true),
         ("earlier incarnation ended, desired state not received", earlier_ended, false, true),
@@ -82,8 +84,8 @@
         let claim = ShardClaim { shard: PEER_SHARD as u32, term: 1 };
         let frame = Frame {
             incarnation: PEER_INCARNATION,
-            state_ok: true,
-            full: true,
+            lease_valid: true,
+            is_full_sync: true,
             shard_claims: vec![claim],
             views: vec![view],
             ..Frame::default()
--- a/tests/controller/status_page.rs
+++ b/tests/controller/status_page.rs
@@ -20,8 +20,13 @@
     for (name, announced, shown) in table {
         let mut harness = Harness::new(&settings(1, 2, ""), &[]);
         if let Some(format) = announced {
-            let frame =
-                Frame { incarnation: 3, state_ok: true, full: true, format, ..Frame::default() };
+            let frame = Frame {
+                incarnation: 3,
+                lease_valid: true,
+                is_full_sync: true,
+                format,
+                ..Frame::default()
+            };
             harness.receive_frame(0, frame);
         }
         let status = harness.controller.status(harness.now);
--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -146,7 +146,7 @@
                 assert_eq!(&read.to_message(), desired, "{name}");
             }
         }
-        let full = fixture.frames.iter().filter(|(_, f)| decode_frame(f).full).count();
+        let full = fixture.frames.iter().filter(|(_, f)| decode_frame(f).is_full_sync).count();
         assert!(full > 0, "{}: no full frame", fixture.version);
     }
     // The only new field is the last one: a frame without it is the same as before.
