--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -2,7 +2,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use millethold::http::{self, OutgoingAnswer, OutgoingRequest};
+use millethold::http::{self, OutgoingRequest, OutgoingResponse};
 use millethold::runtime::socket;
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -65,7 +65,7 @@
     /// A request from a controller.
     Request(http::Request),
     /// An answer to a request of this process.
-    Answer(http::Answer),
+    Answer(http::Response),
     /// Bytes of a relayed connection.
     Bytes(Vec<u8>),
     /// The other side closed or reset the connection.
@@ -214,7 +214,7 @@
     /// Sends an HTTP answer.
     pub fn answer(&mut self, id: ConnectionId, status: u16, body: &[u8]) {
         let answer =
-            OutgoingAnswer { status, retry_after: None, content_type: JSON, body, close: false };
+            OutgoingResponse { status, retry_after: None, content_type: JSON, body, close: false };
         let mut bytes = Vec::new();
         answer.write_to(&mut bytes);
         self.send(id, &bytes);
@@ -296,7 +296,7 @@
             }
             Role::Heartbeat { .. } | Role::User { .. } => {
                 let http::Received { message: answer, length: used } =
-                    http::parse_answer(&self.inbound).ok()??;
+                    http::parse_response(&self.inbound).ok()??;
                 (NetEvent::Answer(answer), used)
             }
         };
--- a/crates/rehearsal/src/run/machines.rs
+++ b/crates/rehearsal/src/run/machines.rs
@@ -64,7 +64,7 @@
         }
         let machine = &self.workers[worker];
         let heartbeat = match machine.heartbeat_in_flight {
-            Some(_) => Micros::FAR,
+            Some(_) => Micros::FAR_FUTURE,
             None => machine.heartbeat_due().max(now + Micros::millis(1)),
         };
         // A hung machine sends heartbeats only afterwards, but its state is still advanced
@@ -164,7 +164,7 @@
         &mut self,
         id: ConnectionId,
         worker: usize,
-        answer: http::Answer,
+        answer: http::Response,
     ) {
         let Some(connection) = self.heartbeat_connections.get_mut(&worker).filter(|c| c.id == id)
         else {
@@ -176,7 +176,7 @@
         };
         match self.transmit(Link::Heartbeat { worker, controller }, Direction::Answer) {
             Delivery::At(at) => {
-                let http::Answer { status, body, .. } = answer;
+                let http::Response { status, body, .. } = answer;
                 self.schedule(at, Action::HeartbeatAnswer { worker, heartbeat, status, body });
             }
             Delivery::Lost => {}
--- a/crates/rehearsal/src/run/setup.rs
+++ b/crates/rehearsal/src/run/setup.rs
@@ -74,7 +74,7 @@
             user_requests: BTreeMap::new(),
             next_request_id: 0,
             faults: Vec::new(),
-            faults_end_at: Micros::FAR,
+            faults_end_at: Micros::FAR_FUTURE,
             last_progress: Micros::ZERO,
             history: History::default(),
             failures: Vec::new(),
--- a/crates/rehearsal/src/run/users.rs
+++ b/crates/rehearsal/src/run/users.rs
@@ -218,7 +218,7 @@
         &mut self,
         id: ConnectionId,
         number: u64,
-        answer: http::Answer,
+        answer: http::Response,
     ) {
         self.net.close(id);
         if number == UNAWAITED_REQUEST {
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -33,13 +33,13 @@
     /// `[jobs] retry_after_s`: seconds after which a refused submission should be retried.
     pub retry_after_s: u64,
     /// `[fleet] idle_s`: time without tasks after which a machine is scaled in.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// `[fleet] spare_share`: spare capacity to request beyond the waiting tasks, as a share of
     /// them.
     pub spare_share: f64,
     /// `[fleet] refused_s`: how long machines that the cloud refused for lack of capacity are
     /// not requested again.
-    pub refused: Micros,
+    pub no_capacity_backoff: Micros,
 }
 
 impl Default for Options {
@@ -54,9 +54,9 @@
             queued_tasks: 300_000,
             waiting_submissions: 64,
             retry_after_s: 2,
-            idle: Micros::secs(300),
+            idle_timeout: Micros::secs(300),
             spare_share: 0.25,
-            refused: Micros::secs(20),
+            no_capacity_backoff: Micros::secs(20),
         }
     }
 }
@@ -113,11 +113,11 @@
                 self.retry_after_s = parse_number(value, 1.0, 30.0)? as u64
             }
             ("fleet", "idle_s") => {
-                self.idle = Micros::from_secs_f64(parse_number(value, 1.0, 1e6)?)
+                self.idle_timeout = Micros::from_secs_f64(parse_number(value, 1.0, 1e6)?)
             }
             ("fleet", "spare_share") => self.spare_share = parse_number(value, 0.0, 10.0)?,
             ("fleet", "refused_s") => {
-                self.refused = Micros::from_secs_f64(parse_number(value, 1.0, 1e5)?)
+                self.no_capacity_backoff = Micros::from_secs_f64(parse_number(value, 1.0, 1e5)?)
             }
             _ => return Err(OptionProblem::Unknown),
         }
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -146,7 +146,7 @@
         self.refresh_capacity();
         let conditions = ScaleInConditions {
             now,
-            min_idle: self.context.options.idle,
+            min_idle: self.context.options.idle_timeout,
             tasks_wait: !self.all_demand().is_empty(),
             catalogue: &self.autoscaler.machine_types,
         };
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -124,7 +124,7 @@
         let times = ScaleOutTimes {
             now,
             next_plan_at: now + Micros::from_secs_f64(1.0 / scale_out_rate),
-            exhausted_until: now + self.context.options.refused,
+            exhausted_until: now + self.context.options.no_capacity_backoff,
         };
         self.autoscaler.scale_out_reply(reply, times);
     }
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -7,7 +7,7 @@
 use crate::config::{Config, Options, Settings};
 use crate::controller::calls::PendingCall;
 use crate::controller::event::{CallId, Effect, Ticket};
-use crate::kv_store::{Bucket, KvRequest, REQUEST_RATE_SHARE, WRITE_RATE_SHARE};
+use crate::kv_store::{KvRequest, REQUEST_RATE_SHARE, TokenBucket, WRITE_RATE_SHARE};
 use crate::time::Micros;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -41,9 +41,9 @@
     /// Calls that have not been answered, each with its purpose.
     calls_in_flight: BTreeMap<CallId, PendingCall>,
     /// This node's share of the key-value store's write rate.
-    pub(crate) write_budget: Bucket,
+    pub(crate) write_budget: TokenBucket,
     /// This node's share of the key-value store's request rate.
-    pub(crate) request_budget: Bucket,
+    pub(crate) request_budget: TokenBucket,
 }
 
 impl Context {
@@ -69,8 +69,8 @@
             effects: Vec::new(),
             next_call: 1,
             calls_in_flight: BTreeMap::new(),
-            write_budget: Bucket::new(write_rate, write_rate),
-            request_budget: Bucket::new(request_rate, request_rate),
+            write_budget: TokenBucket::new(write_rate, write_rate),
+            request_budget: TokenBucket::new(request_rate, request_rate),
         }
     }
 
--- a/src/controller/jobs/job/urgency.rs
+++ b/src/controller/jobs/job/urgency.rs
@@ -10,13 +10,13 @@
 pub struct Urgency {
     /// Rank of service; lower is more urgent.
     pub rank: u32,
-    /// Time of day of the deadline; [`Micros::FAR`] if there is none.
+    /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     pub due: Micros,
 }
 
 impl Urgency {
     /// Lowest urgency, without a deadline. No job is less urgent.
-    pub(crate) const LEAST: Urgency = Urgency { rank: u32::MAX, due: Micros::FAR };
+    pub(crate) const LEAST: Urgency = Urgency { rank: u32::MAX, due: Micros::FAR_FUTURE };
 
     /// Combines the more urgent rank and the earlier deadline of the two.
     pub fn combine(self, other: Urgency) -> Urgency {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Time of day of the deadline, including the inherited one; [`Micros::FAR`] if there is
+    /// Time of day of the deadline, including the inherited one; [`Micros::FAR_FUTURE`] if there is
     /// none.
     pub fn due(&self) -> Micros {
         let own =
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -17,7 +17,7 @@
         Some(ran) if ran < usual => usual.since(ran),
         // A task that exceeds the usual run time may be a long one and need not end soon.
         Some(ran) => Micros(ran.0 / 2),
-        None => Micros::FAR,
+        None => Micros::FAR_FUTURE,
     }
 }
 
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -31,7 +31,7 @@
 pub(crate) struct QueuedJob {
     /// Compared first.
     pub(crate) class: QueueClass,
-    /// Time of day of the deadline; [`Micros::FAR`] if there is none.
+    /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     due: Micros,
     /// Time of day since which the job could be placed.
     ready: Micros,
--- a/src/http.rs
+++ b/src/http.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Maximum size of a request's body, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Maximum size of a message's head, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
 /// Maximum number of headers in a message.
@@ -53,7 +53,7 @@
 
 /// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Body; empty if absent.
@@ -75,7 +75,7 @@
 
 /// A response to a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OutgoingAnswer<'a> {
+pub struct OutgoingResponse<'a> {
     /// HTTP status code.
     pub status: u16,
     /// Seconds after which the client should retry, sent as `Retry-After`.
@@ -154,7 +154,7 @@
         return Ok(None);
     };
     let framing = parse_framing(head.headers)?;
-    let Some(body) = body(buffer, head_length, &framing, MAX_BODY)? else {
+    let Some(body) = body(buffer, head_length, &framing, MAX_REQUEST_BODY_BYTES)? else {
         return Ok(None);
     };
     let request = Request {
@@ -171,7 +171,7 @@
 /// # Errors
 ///
 /// Returns an error if the response is malformed or too large, whatever bytes follow.
-pub fn parse_answer(buffer: &[u8]) -> Result<Option<Received<Answer>>, HttpError> {
+pub fn parse_response(buffer: &[u8]) -> Result<Option<Received<Response>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let Some(head_length) = head_length(head.parse(buffer), buffer)? else {
@@ -182,7 +182,7 @@
         return Ok(None);
     };
     let status = head.code.ok_or(HttpError::Malformed)?;
-    let response = Answer { status, body: body.to_vec(), close: framing.close };
+    let response = Response { status, body: body.to_vec(), close: framing.close };
     Ok(Some(Received { message: response, length: head_length + body.len() }))
 }
 
@@ -202,7 +202,7 @@
     }
 }
 
-impl OutgoingAnswer<'_> {
+impl OutgoingResponse<'_> {
     /// Appends the encoded response to `out`.
     pub fn write_to(&self, out: &mut Vec<u8>) {
         let reason = reason_phrase(self.status);
--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -5,7 +5,7 @@
 
 mod rate;
 
-pub use rate::{Bucket, Budget, REQUEST_RATE_SHARE, WRITE_RATE_SHARE};
+pub use rate::{REQUEST_RATE_SHARE, RateBudget, TokenBucket, WRITE_RATE_SHARE};
 
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
--- a/src/kv_store/rate.rs
+++ b/src/kv_store/rate.rs
@@ -8,7 +8,7 @@
 
 /// A token bucket that refills at a constant rate, up to a burst.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens per second.
     rate: f64,
     /// Maximum number of tokens.
@@ -18,11 +18,11 @@
     refilled_at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a full bucket that gains `rate` tokens per second; `burst` is at least one token.
-    pub fn new(rate: f64, burst: f64) -> Bucket {
+    pub fn new(rate: f64, burst: f64) -> TokenBucket {
         let burst = burst.max(1.0);
-        Bucket { rate, burst, level: burst, refilled_at: Micros::ZERO }
+        TokenBucket { rate, burst, level: burst, refilled_at: Micros::ZERO }
     }
 
     /// Refills the bucket up to `now` and returns its tokens.
@@ -63,19 +63,22 @@
 /// together, so each member takes an equal share and leaves a part unused for lease renewals, which
 /// are never held back.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    requests: Bucket,
-    writes: Bucket,
+pub struct RateBudget {
+    requests: TokenBucket,
+    writes: TokenBucket,
 }
 
-impl Budget {
+impl RateBudget {
     /// Creates the budget of one of `members`, where `rps` requests and `write_rps` written keys
     /// per second are allowed in total.
-    pub fn new(rps: f64, write_rps: f64, members: usize) -> Budget {
+    pub fn new(rps: f64, write_rps: f64, members: usize) -> RateBudget {
         let members = members.max(1) as f64;
         let requests = rps * REQUEST_RATE_SHARE / members;
         let writes = write_rps * WRITE_RATE_SHARE / members;
-        Budget { requests: Bucket::new(requests, requests), writes: Bucket::new(writes, writes) }
+        RateBudget {
+            requests: TokenBucket::new(requests, requests),
+            writes: TokenBucket::new(writes, writes),
+        }
     }
 
     /// Takes a request's cost and returns true if it may be sent now; urgent requests always may.
--- a/src/runtime/call.rs
+++ b/src/runtime/call.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(super) enum CallOutcome {
     /// A response was received.
-    Answered(http::Answer),
+    Answered(http::Response),
     /// No byte was sent: the call was definitely not executed.
     NotSent,
     /// No response was received: the call may have been executed, or may still be.
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -5,7 +5,7 @@
 use super::destination::Destination;
 use super::throttle::{Admission, Throttle, ThrottledQueue};
 use crate::controller::CallId;
-use crate::kv_store::{Budget, KvRequest};
+use crate::kv_store::{KvRequest, RateBudget};
 use crate::time::Micros;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -37,7 +37,7 @@
 
 impl Calls {
     /// Creates an empty set of calls; calls to the key-value store are limited by `budget`.
-    pub(super) fn new(budget: Budget) -> Calls {
+    pub(super) fn new(budget: RateBudget) -> Calls {
         Calls {
             in_flight: HashMap::new(),
             deadlines: BTreeSet::new(),
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -45,8 +45,8 @@
 
 use crate::config::{Config, Options};
 use crate::controller::{Controller, Effect, Event};
-use crate::http::OutgoingAnswer;
-use crate::kv_store::Budget;
+use crate::http::OutgoingResponse;
+use crate::kv_store::RateBudget;
 use crate::time::Micros;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -160,7 +160,11 @@
             started: Instant::now(),
             now: CLOCK_START,
             connections: Connections::new(config.settings.machine_limits.fd_limit),
-            calls: Calls::new(Budget::new(limits.rps, limits.write_rps, config.members().len())),
+            calls: Calls::new(RateBudget::new(
+                limits.rps,
+                limits.write_rps,
+                config.members().len(),
+            )),
             peers: peer_links(&config),
             max_peer_backlog_bytes: peer_backlog(config.settings.machine_limits.mem_mb),
             last_tick: CLOCK_START,
@@ -193,7 +197,7 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Respond { ticket, status, retry_after, body } => {
-                    let response = OutgoingAnswer {
+                    let response = OutgoingResponse {
                         status,
                         retry_after,
                         content_type: JSON,
--- a/src/runtime/outgoing.rs
+++ b/src/runtime/outgoing.rs
@@ -172,7 +172,7 @@
         let Role::Outgoing { destination, call } = connection.role else {
             return true;
         };
-        match http::parse_answer(&connection.inbound) {
+        match http::parse_response(&connection.inbound) {
             Ok(None) => false,
             Ok(Some(http::Received { message: response, length })) => {
                 discard_consumed(&mut connection.inbound, length);
--- a/src/runtime/requests.rs
+++ b/src/runtime/requests.rs
@@ -4,7 +4,7 @@
 use super::connection::{ConnectionId, Role, discard_consumed};
 use super::pages::Page;
 use crate::controller::{Event, Ticket};
-use crate::http::{self, HttpError, OutgoingAnswer};
+use crate::http::{self, HttpError, OutgoingResponse};
 use crate::wire;
 
 /// Content type of the API's responses and of the status page.
@@ -51,7 +51,7 @@
             }
         };
         let body = self.page(page);
-        let response = OutgoingAnswer {
+        let response = OutgoingResponse {
             status: 200,
             retry_after: None,
             content_type,
@@ -70,7 +70,7 @@
         if let Some(connection) = self.connections.get_mut(id) {
             connection.role = Role::Client { busy: true, since: self.now, is_heartbeat: false };
         }
-        let response = OutgoingAnswer {
+        let response = OutgoingResponse {
             status,
             retry_after: None,
             content_type: JSON,
@@ -81,7 +81,7 @@
     }
 
     /// Sends the response to the pending request of a connection; does nothing if there is none.
-    pub(super) fn respond(&mut self, id: ConnectionId, response: OutgoingAnswer<'_>) {
+    pub(super) fn respond(&mut self, id: ConnectionId, response: OutgoingResponse<'_>) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -90,7 +90,7 @@
             return;
         };
         connection.close_after_response |= response.close;
-        let response = OutgoingAnswer { close: connection.close_after_response, ..response };
+        let response = OutgoingResponse { close: connection.close_after_response, ..response };
         response.write_to(&mut connection.outbound);
         connection.role = Role::Client { busy: false, since: now, is_heartbeat };
         self.stats.record_response(now.since(since), is_heartbeat);
--- a/src/runtime/throttle.rs
+++ b/src/runtime/throttle.rs
@@ -2,7 +2,7 @@
 
 use super::limits::MAX_THROTTLED_CALLS;
 use crate::controller::CallId;
-use crate::kv_store::{Budget, KvRequest};
+use crate::kv_store::{KvRequest, RateBudget};
 use crate::time::Micros;
 use std::collections::VecDeque;
 
@@ -20,7 +20,7 @@
 /// The waiting calls. Reads and writes have separate queues: writes wait longer and must not delay
 /// reads.
 pub(super) struct Throttle {
-    budget: Budget,
+    budget: RateBudget,
     reads: VecDeque<CallId>,
     writes: VecDeque<CallId>,
 }
@@ -45,7 +45,7 @@
 
 impl Throttle {
     /// Creates empty queues with this budget.
-    pub(super) fn new(budget: Budget) -> Throttle {
+    pub(super) fn new(budget: RateBudget) -> Throttle {
         Throttle { budget, reads: VecDeque::new(), writes: VecDeque::new() }
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -14,7 +14,7 @@
     pub const ZERO: Micros = Micros(0);
     /// Later than every point in time that occurs; small enough that adding to it does not
     /// overflow.
-    pub const FAR: Micros = Micros(u64::MAX / 4);
+    pub const FAR_FUTURE: Micros = Micros(u64::MAX / 4);
 
     /// Creates a duration from whole seconds.
     pub const fn secs(seconds: u64) -> Micros {
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -1,14 +1,17 @@
 //! Tests of parsing and writing HTTP messages.
 
 use millethold::cloud::CloudCall;
-use millethold::http::{self, HttpError, OutgoingAnswer, OutgoingRequest};
+use millethold::http::{self, HttpError, OutgoingRequest, OutgoingResponse};
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
 use millethold::wire::{Condition, ScaleOutRequest, Txn, Write};
 
 #[test]
 fn http_requests() {
-    let long = format!("POST /work HTTP/1.1\r\nContent-Length: {}\r\n\r\n", http::MAX_BODY + 1);
+    let long = format!(
+        "POST /work HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+        http::MAX_REQUEST_BODY_BYTES + 1
+    );
     let endless = format!("GET /{} HTTP/1.1\r\n", "x".repeat(http::MAX_HEAD));
     let table: [(&str, Result<Option<usize>, HttpError>); 11] = [
         ("GET /healthz HTTP/1.1\r\n\r\n", Ok(Some(0))),
@@ -34,7 +37,7 @@
         assert_eq!(got, want, "{:.60}", text);
     }
     let mut out = Vec::new();
-    let answer = OutgoingAnswer {
+    let answer = OutgoingResponse {
         status: 503,
         retry_after: Some(2),
         content_type: "application/json",
@@ -48,7 +51,7 @@
                 Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\n";
     assert_eq!(text, format!("{head}{{}}"));
     let http::Received { message: answer, length: used } =
-        http::parse_answer(&out).expect("HTTP").expect("a complete answer");
+        http::parse_response(&out).expect("HTTP").expect("a complete answer");
     assert_eq!((answer.status, answer.close, used), (503, true, out.len()));
 }
 
--- a/tests/components/kv_store.rs
+++ b/tests/components/kv_store.rs
@@ -1,6 +1,6 @@
 //! Tests of the key-value store's responses and the request budget.
 
-use millethold::kv_store::{Bucket, Budget, KvRequest, KvResponse};
+use millethold::kv_store::{KvRequest, KvResponse, RateBudget, TokenBucket};
 use millethold::time::Micros;
 use millethold::wire::{Txn, Write};
 
@@ -52,13 +52,13 @@
         KvRequest::Txn(Txn { conditions: vec![], writes: (0..n).map(write).collect() })
     };
     // 30 writes per second for three controllers, of which 3 % stay unused: 9.7 each.
-    let mut budget = Budget::new(300.0, 30.0, 3);
+    let mut budget = RateBudget::new(300.0, 30.0, 3);
     assert!(budget.admit(now, &writes(8)));
     assert!(!budget.admit(now, &writes(2)), "the burst is used up");
     assert!(budget.admit(now, &KvRequest::RenewLease(1)), "renewals are never delayed");
     assert!(budget.admit(now + Micros::millis(200), &writes(2)));
     // A request that exceeds the whole burst is admitted once the bucket is full, instead of never.
-    let mut bucket = Bucket::new(2.0, 2.0);
+    let mut bucket = TokenBucket::new(2.0, 2.0);
     assert!(bucket.allows(now, 5.0));
     bucket.take(5.0);
     assert!(!bucket.allows(now + Micros::secs(1), 1.0));
--- a/tests/components/settings.rs
+++ b/tests/components/settings.rs
@@ -86,7 +86,10 @@
     let o =
         Options::parse("[placement]\nslack_gb = 2, 3, 5\nindex_entries = 7\n[fleet]\nidle_s = 9\n")
             .expect("valid options");
-    assert_eq!((o.slack_gb, o.index_entries, o.idle), ([2.0, 3.0, 5.0], 7, Micros::secs(9)));
+    assert_eq!(
+        (o.slack_gb, o.index_entries, o.idle_timeout),
+        ([2.0, 3.0, 5.0], 7, Micros::secs(9))
+    );
     let table = [
         ("[placement]\nslack = 1\n", "[placement] slack = 1"),
         ("[nowhere]\nx = 1\n", "[nowhere] x = 1"),
--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -174,7 +174,9 @@
 fn longest_dependency_list() -> Vec<String> {
     let entry_bytes = r#""j-000001","#.len();
     let other_bytes = submission_after("j-7", &[]).to_string().len();
-    (0..(http::MAX_BODY - other_bytes) / entry_bytes).map(|n| format!("j-{n:06}")).collect()
+    (0..(http::MAX_REQUEST_BODY_BYTES - other_bytes) / entry_bytes)
+        .map(|n| format!("j-{n:06}"))
+        .collect()
 }
 
 /// Guards against long lists of dependencies that are never accepted. The controller has read
@@ -197,7 +199,7 @@
             "j-700000",
             &list.iter().map(String::as_str).collect::<Vec<_>>()
         ));
-        assert!(body.to_string().len() <= http::MAX_BODY);
+        assert!(body.to_string().len() <= http::MAX_REQUEST_BODY_BYTES);
         let calls = harness.calls.len();
         let mut attempts = 0;
         loop {
@@ -237,7 +239,10 @@
     let names: Vec<&str> = list.iter().map(String::as_str).collect();
     let fits = submission_after("j-7", &names).to_string();
     let too_large = submission_after("j-7", &[&names[..], &["j-999999"]].concat()).to_string();
-    assert!(fits.len() <= http::MAX_BODY && too_large.len() > http::MAX_BODY);
+    assert!(
+        fits.len() <= http::MAX_REQUEST_BODY_BYTES
+            && too_large.len() > http::MAX_REQUEST_BODY_BYTES
+    );
     let head =
         |body: &str| format!("POST /work HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
     let parse = |text: &str| http::parse_request(text.as_bytes());
@@ -245,7 +250,7 @@
     let request = parse(&complete).expect("HTTP").expect("a complete request").message;
     assert_eq!(request.body, fits.as_bytes());
     assert_eq!(parse(&complete[..complete.len() - 1]), Ok(None));
-    for sent in [0, 1, http::MAX_BODY, too_large.len()] {
+    for sent in [0, 1, http::MAX_REQUEST_BODY_BYTES, too_large.len()] {
         assert_eq!(
             parse(&(head(&too_large) + &too_large[..sent])),
             Err(HttpError::TooLarge),
