--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -89,7 +89,7 @@
                 let request: ScaleOutRequest = serde_json::from_slice(&request.body).ok()?;
                 Some(self.create(now, &request))
             }
-            ("POST", path::RETURN) => {
+            ("POST", path::SCALE_IN) => {
                 let names: MachineNames = serde_json::from_slice(&request.body).ok()?;
                 for name in &names.machines {
                     self.remove(now, name);
--- a/crates/rehearsal/src/kv_store_http.rs
+++ b/crates/rehearsal/src/kv_store_http.rs
@@ -4,7 +4,7 @@
 use millethold::http::Request;
 use millethold::kv_store::KvRequest;
 use millethold::time::Micros;
-use millethold::wire::{LeaseGranted, LeaseRequest, Revision, WatchResponse, path};
+use millethold::wire::{LeaseRequest, LeaseResponse, RevisionResponse, WatchResponse, path};
 use serde::Serialize;
 use serde_json::json;
 
@@ -42,10 +42,10 @@
         "GET" if target == path::KV => {
             Some(KvRequest::List { prefix: text("prefix")?, after: text("after") })
         }
-        "GET" if target == path::FOLLOW => Some(KvRequest::Watch {
+        "GET" if target == path::WATCH => Some(KvRequest::Watch {
             prefix: text("prefix")?,
             after: number("after")?,
-            block: Micros::millis(number(path::WAIT).unwrap_or(0)),
+            block: Micros::millis(number(path::WATCH_TIMEOUT_PARAM).unwrap_or(0)),
         }),
         "GET" => {
             let key = target.strip_prefix(path::KV)?.strip_prefix('/')?;
@@ -60,7 +60,7 @@
         }
         "POST" => {
             let (number, last) = leases?.strip_prefix('/')?.split_once('/')?;
-            (last == path::EXTEND).then_some(())?;
+            (last == path::RENEW).then_some(())?;
             number.parse().ok().map(KvRequest::RenewLease)
         }
         "DELETE" => leases?.strip_prefix('/')?.parse().ok().map(KvRequest::RevokeLease),
@@ -71,7 +71,7 @@
 /// Executes a call; `None` if it is a watch without changes, which has to wait.
 pub fn execute(call: &KvRequest, now: Micros, store: &mut KvStore) -> Option<Answer> {
     store.expire_leases(now);
-    let revision = |revision, failed| Revision { revision, failed };
+    let revision = |revision, failed| RevisionResponse { revision, failed };
     Some(match call {
         KvRequest::Get(key) => match store.get(key) {
             Some(item) => Answer::new(200, &item),
@@ -86,7 +86,7 @@
             TxnOutcome::NoLease => Answer::new(400, &json!({ "error": "no such lease" })),
         },
         KvRequest::GrantLease(ttl) => {
-            Answer::new(200, &LeaseGranted { lease: store.grant_lease(now, *ttl) })
+            Answer::new(200, &LeaseResponse { lease: store.grant_lease(now, *ttl) })
         }
         KvRequest::RenewLease(lease) => match store.renew_lease(now, *lease) {
             true => Answer::new(200, &json!({})),
--- a/crates/rehearsal/src/run/users.rs
+++ b/crates/rehearsal/src/run/users.rs
@@ -75,7 +75,7 @@
 
 /// The part of an answer's body that users read.
 #[derive(Deserialize)]
-struct JobAnswer {
+struct JobResponse {
     stage: Option<JobStage>,
 }
 
@@ -231,7 +231,7 @@
             self.healthy[request.controller] |= answer.status == 200;
             return;
         }
-        let stage = serde_json::from_slice::<JobAnswer>(&answer.body).ok().and_then(|a| a.stage);
+        let stage = serde_json::from_slice::<JobResponse>(&answer.body).ok().and_then(|a| a.stage);
         let found = matches!(answer.status, 200 | 201);
         self.record(
             self.now,
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -7,7 +7,7 @@
 use crate::settings::{HEARTBEAT_INTERVAL, WORKER_LEASE};
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, DirectCommands, FencingToken, Heartbeat, ReportedTask, TaskState,
+    Command, DirectCommands, EndCause, FencingToken, Heartbeat, ReportedTask, TaskState,
     WorkerIncarnation,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<EndCause>,
     /// When the current state ends; `None` if it lasts.
     due: Option<Micros>,
     cpus: f64,
@@ -34,7 +34,7 @@
 }
 
 impl Attempt {
-    fn exited(cause: Cause) -> Attempt {
+    fn exited(cause: EndCause) -> Attempt {
         Attempt {
             state: TaskState::Exited,
             cause: Some(cause),
@@ -218,14 +218,14 @@
             }
             TaskState::Running => {
                 let (cause, how) = match attempt.always_fails {
-                    true => (Cause::Error, TaskEnd::Stopped),
-                    false => (Cause::Done, TaskEnd::Done),
+                    true => (EndCause::Error, TaskEnd::Stopped),
+                    false => (EndCause::Done, TaskEnd::Done),
                 };
                 *attempt = Attempt::exited(cause);
                 Some((at, self.ended_observation(task, number, how)))
             }
             TaskState::Saving => {
-                *attempt = Attempt::exited(Cause::Stopped);
+                *attempt = Attempt::exited(EndCause::Stopped);
                 Some((at, self.ended_observation(task, number, TaskEnd::Stopped)))
             }
             TaskState::Exited => {
@@ -361,13 +361,13 @@
         self.changed_since_heartbeat = true;
         let job = jobs.plans.get(&task.job).filter(|job| task.index < job.tasks);
         let refusal = match job {
-            None => Some(Cause::Unknown),
-            Some(_) if self.has_other_attempt(&task) => Some(Cause::Busy),
-            Some(job) if !self.fits(job) => Some(Cause::NoRoom),
+            None => Some(EndCause::NoSuchTask),
+            Some(_) if self.has_other_attempt(&task) => Some(EndCause::Busy),
+            Some(job) if !self.fits(job) => Some(EndCause::NoCapacity),
             Some(_) => None,
         };
         let (Some(job), None) = (job, refusal) else {
-            self.attempts.insert(key, Attempt::exited(refusal.unwrap_or(Cause::Unknown)));
+            self.attempts.insert(key, Attempt::exited(refusal.unwrap_or(EndCause::NoSuchTask)));
             return None;
         };
         let cached = self.images.contains(&job.image);
@@ -427,7 +427,7 @@
             attempt.due = Some(now + attempt.save_time);
             return None;
         }
-        *attempt = Attempt::exited(Cause::Stopped);
+        *attempt = Attempt::exited(EndCause::Stopped);
         self.fetching.remove(&task);
         was_running.then(|| (now, self.ended_observation(task, number, TaskEnd::Stopped)))
     }
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -4,7 +4,7 @@
 
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, Condition, DirectCommands, FencingToken, TaskState, Txn, WorkerIncarnation,
+    Command, Condition, DirectCommands, EndCause, FencingToken, TaskState, Txn, WorkerIncarnation,
     Write,
 };
 use millethold_rehearsal::faults::{Cut, Fault, PlannedFault, SomeWorkers, draw_faults};
@@ -78,7 +78,7 @@
 }
 
 /// The tasks that the worker reports: task, attempt, state, cause.
-fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<Cause>)> {
+fn reported(worker: &mut Worker) -> Vec<(String, u64, TaskState, Option<EndCause>)> {
     let heartbeat = worker.report("10.1.0.1:1".into());
     heartbeat.tasks.into_iter().map(|t| (t.task, t.attempt, t.state, t.cause)).collect()
 }
@@ -103,22 +103,22 @@
         (
             "another attempt of a task that is already there",
             vec![start("j-1/0", 1), start("j-1/0", 2)],
-            vec![fetching(1), exited(2, Cause::Busy)],
+            vec![fetching(1), exited(2, EndCause::Busy)],
         ),
         (
             "a job that no user submitted",
             vec![start("j-7/0", 1)],
-            vec![("j-7/0".to_string(), 1, Exited, Some(Cause::Unknown))],
+            vec![("j-7/0".to_string(), 1, Exited, Some(EndCause::NoSuchTask))],
         ),
         (
             "a task that the job does not have",
             vec![start("j-1/4", 1)],
-            vec![("j-1/4".to_string(), 1, Exited, Some(Cause::Unknown))],
+            vec![("j-1/4".to_string(), 1, Exited, Some(EndCause::NoSuchTask))],
         ),
         (
             "stopped, and started again",
             vec![start("j-1/0", 1), stop("j-1/0", 1, 0.0), start("j-1/0", 1)],
-            vec![exited(1, Cause::Stopped)],
+            vec![exited(1, EndCause::Stopped)],
         ),
         (
             "stopped, forgotten and started again",
@@ -143,7 +143,10 @@
         direct(1, 1, vec![start("j-2/0", 1), start("j-1/0", 1)]),
         &jobs(),
     );
-    assert!(reported(&mut full_worker).contains(&exited(1, Cause::NoRoom)), "fetching tasks count");
+    assert!(
+        reported(&mut full_worker).contains(&exited(1, EndCause::NoCapacity)),
+        "fetching tasks count"
+    );
 
     // A stopped task that saves a checkpoint ends after saving, or at once on a second stop.
     for (second_grace, delay) in [(None, Micros::secs(1)), (Some(0.0), Micros::ZERO)] {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -68,7 +68,7 @@
             CloudCall::ScaleOut(request) => OutgoingRequest::post(path::MACHINES.into(), request),
             CloudCall::ScaleIn(names) => {
                 let names = MachineNames { machines: names.clone() };
-                OutgoingRequest::post(path::RETURN.into(), &names)
+                OutgoingRequest::post(path::SCALE_IN.into(), &names)
             }
             CloudCall::ListMachines { after } => {
                 let after = after.as_ref().map_or(String::new(), |name| format!("&after={name}"));
@@ -80,7 +80,7 @@
     /// Decodes the cloud's response. If it cannot be parsed, the outcome is unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudReply {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
-            wire::read_answer("cloud", body)
+            wire::decode_response("cloud", body)
         }
         match (status, self) {
             (200, CloudCall::ListMachineTypes) => read::<MachineTypes>(body)
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -4,11 +4,11 @@
 use crate::controller::jobs::dependency_graph::DependencyOutcome;
 use crate::controller::jobs::job::{Progress, StoredStage};
 use crate::controller::{CachedStage, Controller, Ticket};
-use crate::wire::{JobAnswer, JobStage};
+use crate::wire::{JobResponse, JobStage};
 
 impl Controller {
     /// A job's stage and the numbers of its done and running tasks.
-    pub(crate) fn job_answer<'a>(&self, id: &'a str, cached: CachedStage) -> JobAnswer<'a> {
+    pub(crate) fn job_answer<'a>(&self, id: &'a str, cached: CachedStage) -> JobResponse<'a> {
         let cached_progress = || self.jobs.progress.get(id).copied().unwrap_or_default();
         let Progress { done, running } = match cached.stage {
             StoredStage::Done => Progress { done: cached.tasks, running: 0 },
@@ -21,7 +21,7 @@
             JobStage::Queued if running > 0 => JobStage::Running,
             stage => stage,
         };
-        JobAnswer { id, stage, done, running }
+        JobResponse { id, stage, done, running }
     }
 
     /// Answers with a job's stage. The answer waits while a peer might still answer with a stage
--- a/src/controller/api/routing.rs
+++ b/src/controller/api/routing.rs
@@ -49,7 +49,7 @@
             return Err(RouteError::MethodNotAllowed);
         }
         match route {
-            Route::QueryJob(id) | Route::CancelJob(id) if !wire::valid_job_id(id) => {
+            Route::QueryJob(id) | Route::CancelJob(id) if !wire::is_valid_job_id(id) => {
                 Err(RouteError::InvalidJobId)
             }
             _ => Ok(route),
--- a/src/controller/machines/machine/heartbeat.rs
+++ b/src/controller/machines/machine/heartbeat.rs
@@ -4,7 +4,7 @@
 use crate::controller::machines::attempt::AttemptId;
 use crate::peer::ObservedState;
 use crate::time::Micros;
-use crate::wire::{Cause, FencingToken, Heartbeat, ReportedTask, TaskState};
+use crate::wire::{EndCause, FencingToken, Heartbeat, ReportedTask, TaskState};
 use std::collections::BTreeMap;
 
 /// How a heartbeat arrived.
@@ -113,21 +113,21 @@
 ) -> Option<TaskOutcome> {
     match observed {
         ObservedState::Done => Some(TaskOutcome::Completed),
-        ObservedState::Failed if task.cause != Some(Cause::Unknown) => {
+        ObservedState::Failed if task.cause != Some(EndCause::NoSuchTask) => {
             Some(TaskOutcome::Failed { job: attempt.job.clone() })
         }
         _ => None,
     }
 }
 
-fn observed_state(state: TaskState, cause: Option<Cause>) -> ObservedState {
+fn observed_state(state: TaskState, cause: Option<EndCause>) -> ObservedState {
     match (state, cause) {
         (TaskState::Fetching, _) => ObservedState::Fetching,
         (TaskState::Running, _) => ObservedState::Running,
         (TaskState::Saving, _) => ObservedState::Saving,
-        (TaskState::Exited, Some(Cause::Done)) => ObservedState::Done,
-        (TaskState::Exited, Some(Cause::Stopped)) => ObservedState::Stopped,
-        (TaskState::Exited, Some(Cause::NoRoom | Cause::Busy)) => ObservedState::Refused,
+        (TaskState::Exited, Some(EndCause::Done)) => ObservedState::Done,
+        (TaskState::Exited, Some(EndCause::Stopped)) => ObservedState::Stopped,
+        (TaskState::Exited, Some(EndCause::NoCapacity | EndCause::Busy)) => ObservedState::Refused,
         (TaskState::Exited, _) => ObservedState::Failed,
     }
 }
--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -10,8 +10,8 @@
 use crate::http::{OutgoingRequest, contains};
 use crate::time::Micros;
 use crate::wire::{
-    self, Empty, KeyValue, KeyValuePage, LeaseGranted, LeaseRequest, Revision, Txn, WatchEvent,
-    WatchResponse, path,
+    self, EmptyBody, KeyValue, KeyValuePage, LeaseRequest, LeaseResponse, RevisionResponse, Txn,
+    WatchEvent, WatchResponse, path,
 };
 
 /// Maximum number of keys per page of a list.
@@ -149,14 +149,14 @@
                 OutgoingRequest::post(path::LEASES.into(), &request)
             }
             KvRequest::RenewLease(id) => {
-                let path = format!("{}/{id}/{}", path::LEASES, path::EXTEND);
-                OutgoingRequest::post(path, &Empty {})
+                let path = format!("{}/{id}/{}", path::LEASES, path::RENEW);
+                OutgoingRequest::post(path, &EmptyBody {})
             }
             KvRequest::RevokeLease(id) => OutgoingRequest::delete(format!("{}/{id}", path::LEASES)),
             KvRequest::Watch { prefix, after, block } => {
-                let wait = format!("{}={}", path::WAIT, block.as_millis());
+                let wait = format!("{}={}", path::WATCH_TIMEOUT_PARAM, block.as_millis());
                 let query = format!("prefix={prefix}&after={after}&{wait}");
-                OutgoingRequest::get(format!("{}?{query}", path::FOLLOW))
+                OutgoingRequest::get(format!("{}?{query}", path::WATCH))
             }
         }
     }
@@ -164,7 +164,7 @@
     /// Decodes the store's response. If it cannot be parsed, the outcome is unknown.
     pub fn decode(&self, status: u16, body: &[u8]) -> KvResponse {
         fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Option<T> {
-            wire::read_answer("key-value store", body)
+            wire::decode_response("key-value store", body)
         }
         let unknown = KvResponse::OutcomeUnknown;
         match (status, self) {
@@ -176,14 +176,12 @@
             (200, KvRequest::List { .. }) => read::<KeyValuePage>(body).map_or(unknown, |page| {
                 KvResponse::Page { items: page.items, more: page.more, revision: page.revision }
             }),
-            (200, KvRequest::Txn(_)) => {
-                read::<Revision>(body).map_or(unknown, |txn| KvResponse::Applied(txn.revision))
-            }
-            (409, KvRequest::Txn(_)) => {
-                read::<Revision>(body).map_or(unknown, |txn| KvResponse::Conflict(txn.failed))
-            }
+            (200, KvRequest::Txn(_)) => read::<RevisionResponse>(body)
+                .map_or(unknown, |txn| KvResponse::Applied(txn.revision)),
+            (409, KvRequest::Txn(_)) => read::<RevisionResponse>(body)
+                .map_or(unknown, |txn| KvResponse::Conflict(txn.failed)),
             (400, KvRequest::Txn(_)) if contains(body, NO_SUCH_LEASE) => KvResponse::LeaseNotFound,
-            (200, KvRequest::GrantLease(_)) => read::<LeaseGranted>(body)
+            (200, KvRequest::GrantLease(_)) => read::<LeaseResponse>(body)
                 .map_or(unknown, |granted| KvResponse::LeaseGranted(granted.lease)),
             (200, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => KvResponse::LeaseRenewed,
             (404, KvRequest::RenewLease(_) | KvRequest::RevokeLease(_)) => {
--- a/src/wire/kv_store.rs
+++ b/src/wire/kv_store.rs
@@ -105,7 +105,7 @@
 
 /// Response that carries a revision: to a transaction, or to a read of a missing key.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Revision {
+pub struct RevisionResponse {
     /// Revision of the transaction if it was applied, otherwise of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
@@ -116,7 +116,7 @@
 
 /// Response to a request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct LeaseGranted {
+pub struct LeaseResponse {
     /// Id of the granted lease.
     #[serde(rename = "permit")]
     pub lease: u64,
@@ -124,7 +124,7 @@
 
 /// An empty JSON object, for requests without parameters.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Empty {}
+pub struct EmptyBody {}
 
 /// Request for a lease.
 #[derive(Debug, Serialize, Deserialize)]
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -22,7 +22,7 @@
 
 /// Decodes the JSON body of a response from an external system; `system` names it in the log.
 /// Returns `None` after a warning if the body cannot be decoded.
-pub fn read_answer<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
+pub fn decode_response<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
     match serde_json::from_slice(body) {
         Ok(answer) => Some(answer),
         Err(error) => {
--- a/src/wire/path.rs
+++ b/src/wire/path.rs
@@ -17,7 +17,7 @@
 /// Cloud: list of machines (GET) and scaling out (POST).
 pub const MACHINES: &str = "/machines";
 /// Cloud: scaling in.
-pub const RETURN: &str = "/machines/return";
+pub const SCALE_IN: &str = "/machines/return";
 /// Key-value store: keys.
 pub const KV: &str = "/kv";
 /// Key-value store: transactions.
@@ -25,8 +25,8 @@
 /// Key-value store: leases.
 pub const LEASES: &str = "/leases";
 /// Key-value store: last segment of the path that renews a lease, after the lease's id.
-pub const EXTEND: &str = "extend";
+pub const RENEW: &str = "extend";
 /// Key-value store: watches.
-pub const FOLLOW: &str = "/follow";
+pub const WATCH: &str = "/follow";
 /// Key-value store: query parameter of a watch with the time that it may wait, in milliseconds.
-pub const WAIT: &str = "blockMs";
+pub const WATCH_TIMEOUT_PARAM: &str = "blockMs";
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,6 +1,6 @@
 //! Parses submissions field by field, so that the response can name the first invalid field.
 
-use super::users::{JobSpec, Priority, valid_job_id};
+use super::users::{JobSpec, Priority, is_valid_job_id};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use thiserror::Error;
@@ -25,7 +25,7 @@
     /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The id does not have the protocol's form; see [`valid_job_id`].
+    /// The id does not have the protocol's form; see [`is_valid_job_id`].
     #[error("must be j- and digits")]
     NotAJobId,
     /// The field is absent or null.
@@ -141,7 +141,7 @@
             return Err(invalid("", FieldProblem::NotAnObject));
         };
         let id = match get(&map, "ref") {
-            Some(Value::String(id)) if valid_job_id(id) => id.clone(),
+            Some(Value::String(id)) if is_valid_job_id(id) => id.clone(),
             Some(_) => return Err(invalid("ref", FieldProblem::NotAJobId)),
             None => return Err(invalid("ref", FieldProblem::Missing)),
         };
@@ -237,7 +237,7 @@
     /// Reads the ids of the jobs that must be done first, sorted and without duplicates.
     fn dependencies(&self) -> Result<Vec<String>, InvalidJob> {
         let invalid = || self.invalid("upstream", FieldProblem::NotJobIds);
-        let id = |v: &Value| v.as_str().filter(|s| valid_job_id(s)).map(String::from);
+        let id = |v: &Value| v.as_str().filter(|s| is_valid_job_id(s)).map(String::from);
         match self.get("upstream") {
             None => Ok(Vec::new()),
             Some(Value::Array(list)) => {
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -89,7 +89,7 @@
 
 /// Whether an id has the protocol's form: [`JOB_ID_PREFIX`], then digits. Its length is limited,
 /// since ids become keys of the key-value store.
-pub fn valid_job_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.len() <= MAX_JOB_ID_BYTES
         && id
             .strip_prefix(JOB_ID_PREFIX)
@@ -112,7 +112,7 @@
 
 /// Response to a request about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct JobAnswer<'a> {
+pub struct JobResponse<'a> {
     /// Id of the job.
     #[serde(rename = "ref")]
     pub id: &'a str,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -43,7 +43,7 @@
 /// Why a task ended on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum EndCause {
     /// Completed.
     Done,
     /// Stopped by a command.
@@ -52,12 +52,12 @@
     Error,
     /// Start refused: the machine lacks capacity.
     #[serde(rename = "full")]
-    NoRoom,
+    NoCapacity,
     /// Start refused: the machine has another attempt of the task.
     Busy,
     /// Start refused: no such job or task.
     #[serde(rename = "no_such")]
-    Unknown,
+    NoSuchTask,
     /// A value that this version does not know; handled as a failure.
     #[serde(other)]
     Other,
@@ -77,7 +77,7 @@
     pub state: TaskState,
     /// Why the attempt ended; `None` before that.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<EndCause>,
 }
 
 /// Heartbeat of a worker, with the full status of its machine.
--- a/tests/components/machines.rs
+++ b/tests/components/machines.rs
@@ -12,7 +12,7 @@
 use millethold::peer::{DesiredTask, ObservedState, Phase, Shape};
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, FencingToken, Heartbeat, ReportedTask, TaskState, WorkerIncarnation,
+    EndCause, FencingToken, Heartbeat, ReportedTask, TaskState, WorkerIncarnation,
 };
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     incarnation: u64,
     seq: u64,
     fencing_token: u64,
-    tasks: &[(u64, TaskState, Option<Cause>)],
+    tasks: &[(u64, TaskState, Option<EndCause>)],
 ) -> Heartbeat {
     Heartbeat {
         machine: "vm-1".into(),
@@ -86,7 +86,7 @@
     machine.record_direct_outcome(&[key(2)], CommandOutcome::Unknown);
     machine.apply_heartbeat(now, &heartbeat(1, 5, 4, &[]), 4, Request);
     assert!(machine.starts.in_flight[&key(2)].may_still_arrive());
-    let ended = [(2, TaskState::Exited, Some(Cause::Done))];
+    let ended = [(2, TaskState::Exited, Some(EndCause::Done))];
     machine.apply_heartbeat(now, &heartbeat(1, 6, 4, &ended), 4, Request);
     assert!(machine.starts.may_start_again.contains_key(&key(2)));
     // A direct command that was executed cannot arrive again.
@@ -194,12 +194,12 @@
     let table = [
         (TaskState::Fetching, None, ObservedState::Fetching),
         (TaskState::Saving, None, ObservedState::Saving),
-        (TaskState::Exited, Some(Cause::Done), ObservedState::Done),
-        (TaskState::Exited, Some(Cause::Stopped), ObservedState::Stopped),
-        (TaskState::Exited, Some(Cause::NoRoom), ObservedState::Refused),
-        (TaskState::Exited, Some(Cause::Busy), ObservedState::Refused),
-        (TaskState::Exited, Some(Cause::Error), ObservedState::Failed),
-        (TaskState::Exited, Some(Cause::Unknown), ObservedState::Failed),
+        (TaskState::Exited, Some(EndCause::Done), ObservedState::Done),
+        (TaskState::Exited, Some(EndCause::Stopped), ObservedState::Stopped),
+        (TaskState::Exited, Some(EndCause::NoCapacity), ObservedState::Refused),
+        (TaskState::Exited, Some(EndCause::Busy), ObservedState::Refused),
+        (TaskState::Exited, Some(EndCause::Error), ObservedState::Failed),
+        (TaskState::Exited, Some(EndCause::NoSuchTask), ObservedState::Failed),
         (TaskState::Exited, None, ObservedState::Failed),
     ];
     for (state, cause, want) in table {
@@ -366,7 +366,7 @@
         );
     }
     // The worker may forget a listed attempt once its late start can no longer be executed.
-    let ended = [(3, TaskState::Exited, Some(Cause::Done))];
+    let ended = [(3, TaskState::Exited, Some(EndCause::Done))];
     machine.apply_heartbeat(now, &heartbeat(1, 4, raised.0, &ended), term, Request);
     assert!(machine.starts.may_start_again.contains_key(&key(3)));
     machine.raise_fencing_token();
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -3,7 +3,7 @@
 use super::LEASE_S;
 use millethold::time::Micros;
 use millethold::wire::{
-    Cause, Command, DirectCommands, FencingToken, Heartbeat, HeartbeatResponse, ReportedTask,
+    Command, DirectCommands, EndCause, FencingToken, Heartbeat, HeartbeatResponse, ReportedTask,
     TaskState, WorkerIncarnation,
 };
 use serde_json::Value;
@@ -13,7 +13,7 @@
 struct Task {
     attempt: u64,
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<EndCause>,
     state_since: Micros,
 }
 
@@ -146,12 +146,12 @@
                 }
                 TaskState::Running if fails && now > t.state_since + Micros::millis(200) => {
                     t.state = TaskState::Exited;
-                    t.cause = Some(Cause::Error);
+                    t.cause = Some(EndCause::Error);
                     self.changed = true;
                 }
                 TaskState::Running if now > t.state_since + Micros::from_secs_f64(duration_s) => {
                     t.state = TaskState::Exited;
-                    t.cause = Some(Cause::Done);
+                    t.cause = Some(EndCause::Done);
                     self.changed = true;
                     done.push((job.to_string(), index));
                 }
@@ -294,7 +294,7 @@
                         continue;
                     }
                     let (state, cause) = if full {
-                        (TaskState::Exited, Some(Cause::NoRoom))
+                        (TaskState::Exited, Some(EndCause::NoCapacity))
                     } else {
                         started.push(task.clone());
                         (TaskState::Fetching, None)
@@ -308,7 +308,7 @@
                         && t.state != TaskState::Exited
                     {
                         t.state = TaskState::Exited;
-                        t.cause = Some(Cause::Stopped);
+                        t.cause = Some(EndCause::Stopped);
                         self.stopped.push((task, attempt));
                         self.changed = true;
                     }
