--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -57,8 +57,11 @@
     ReadRecoveredRecord { shard: usize, term: u64, job: String },
 }
 
-/// Purpose of a call that a user's request waits for. `sent_at` is when it was sent: what it shows
-/// may be older, never newer.
+/// Purpose of a call that a user's request waits for.
+///
+/// `sent_at` is when the call was sent. The store evaluates the call at some later moment, but the
+/// reply is only certain to include changes made before `sent_at`, so its age is counted from then:
+/// see [`Controller::is_fresh`](super::Controller::is_fresh).
 #[derive(Debug, Clone)]
 pub(crate) enum ApiCall {
     /// Accepts jobs.
--- a/src/controller/jobs/read_back.rs
+++ b/src/controller/jobs/read_back.rs
@@ -99,7 +99,7 @@
         };
         let revision = item.revision;
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
-            warn!("unreadable record of job {id}");
+            warn!("job {id}: record cannot be decoded");
             return;
         };
         self.jobs.dependency_graph.apply_record(id, &record);
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -37,7 +37,7 @@
             Watch::Jobs => {
                 let id = key.strip_prefix(watches::key_prefix(watch)).filter(|_| is_put)?;
                 let Ok(record) = serde_json::from_value(value) else {
-                    warn!("unreadable record of job {id}");
+                    warn!("job {id}: record cannot be decoded");
                     return None;
                 };
                 Some(Change::Job { id: id.to_string(), record, revision })
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -84,8 +84,9 @@
             return false;
         }
         if update.term > self.term {
-            // Starts desired under the older term are dropped here; what
-            // runs stays until the new leader has sent all that it desires.
+            // The state is incomplete until the new leader's complete state has arrived, so no
+            // running task of the shard's jobs counts as undesired before that. The complete state
+            // replaces all tasks desired under the older term, including starts not sent yet.
             self.term = update.term;
             self.mark_incomplete();
         }
--- a/src/controller/machines/machine/heartbeat.rs
+++ b/src/controller/machines/machine/heartbeat.rs
@@ -105,7 +105,8 @@
 }
 
 /// Outcome of a task as evidence of the machine's health; `None` if it has not ended, was
-/// stopped or refused, or ended because the worker knows no such job or task.
+/// stopped or refused, or failed because the worker knows no such job or task, which is not counted
+/// against the machine.
 fn outcome(
     observed: ObservedState,
     task: &ReportedTask,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -55,7 +55,8 @@
     NoCapacity,
     /// Start refused: the machine has another attempt of the task.
     Busy,
-    /// Start refused: no such job or task.
+    /// The worker knows no such job or task. Handled as a failure of the task, but not counted
+    /// against its machine.
     #[serde(rename = "no_such")]
     NoSuchTask,
     /// A value that this version does not know; handled as a failure.
