--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the cloud, whose list of machines lags.
 
-use crate::kv_store_http::Answer;
+use crate::kv_store_http::Response;
 use crate::settings::{CLOUD_LIST_LAG, ZONES};
 use millethold::http::Request;
 use millethold::time::Micros;
@@ -73,17 +73,17 @@
     }
 
     /// Serves a call; `None` if the protocol has no such call.
-    pub fn handle(&mut self, now: Micros, request: &Request) -> Option<(Answer, CloudEffect)> {
+    pub fn handle(&mut self, now: Micros, request: &Request) -> Option<(Response, CloudEffect)> {
         let (target, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         match (request.method.as_str(), target) {
             ("GET", path::TYPES) => {
                 let types = json!({ "benches": [machine_type()] });
-                Some((Answer::new(200, &types), CloudEffect::None))
+                Some((Response::new(200, &types), CloudEffect::None))
             }
             ("GET", path::MACHINES) => {
                 let after = query.split('&').find_map(|pair| pair.strip_prefix("after="));
                 let list = MachineList { machines: self.list(now, after), more: false };
-                Some((Answer::new(200, &list), CloudEffect::None))
+                Some((Response::new(200, &list), CloudEffect::None))
             }
             ("POST", path::MACHINES) => {
                 let request: ScaleOutRequest = serde_json::from_slice(&request.body).ok()?;
@@ -94,28 +94,28 @@
                 for name in &names.machines {
                     self.remove(now, name);
                 }
-                Some((Answer::new(200, &json!({})), CloudEffect::Deleted(names.machines)))
+                Some((Response::new(200, &json!({})), CloudEffect::Deleted(names.machines)))
             }
             _ => None,
         }
     }
 
-    fn create(&mut self, now: Micros, request: &ScaleOutRequest) -> (Answer, CloudEffect) {
+    fn create(&mut self, now: Micros, request: &ScaleOutRequest) -> (Response, CloudEffect) {
         if let Some(machines) = self.requests.get(&request.request) {
             let names = MachineNames { machines: machines.clone() };
-            return (Answer::new(200, &names), CloudEffect::None);
+            return (Response::new(200, &names), CloudEffect::None);
         }
         let existing =
             self.machines.values().filter(|machine| machine.deleted_at.is_none()).count();
         let count = (request.count as usize).min(self.capacity.saturating_sub(existing));
         if count == 0 {
-            return (Answer::new(503, &json!({ "error": "no capacity" })), CloudEffect::None);
+            return (Response::new(503, &json!({ "error": "no capacity" })), CloudEffect::None);
         }
         let created = (0..count).map(|_| self.add(now, &request.zone, request.spot));
         let machines: Vec<String> = created.collect();
         self.requests.insert(request.request.clone(), machines.clone());
         let names = MachineNames { machines: machines.clone() };
-        (Answer::new(200, &names), CloudEffect::Created(machines))
+        (Response::new(200, &names), CloudEffect::Created(machines))
     }
 
     /// The machines as they were [`CLOUD_LIST_LAG`] ago.
--- a/crates/rehearsal/src/kv_store_http.rs
+++ b/crates/rehearsal/src/kv_store_http.rs
@@ -13,17 +13,17 @@
 
 /// An HTTP answer of a stand-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Body, in JSON.
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// An answer with this value as its body.
-    pub fn new(status: u16, body: &impl Serialize) -> Answer {
-        Answer { status, body: serde_json::to_vec(body).unwrap_or_default() }
+    pub fn new(status: u16, body: &impl Serialize) -> Response {
+        Response { status, body: serde_json::to_vec(body).unwrap_or_default() }
     }
 }
 
@@ -69,42 +69,44 @@
 }
 
 /// Executes a call; `None` if it is a watch without changes, which has to wait.
-pub fn execute(call: &KvRequest, now: Micros, store: &mut KvStore) -> Option<Answer> {
+pub fn execute(call: &KvRequest, now: Micros, store: &mut KvStore) -> Option<Response> {
     store.expire_leases(now);
     let revision = |revision, failed| RevisionResponse { revision, failed };
     Some(match call {
         KvRequest::Get(key) => match store.get(key) {
-            Some(item) => Answer::new(200, &item),
-            None => Answer::new(404, &json!({ "ledger": store.revision() })),
+            Some(item) => Response::new(200, &item),
+            None => Response::new(404, &json!({ "ledger": store.revision() })),
         },
         KvRequest::List { prefix, after } => {
-            Answer::new(200, &store.list(prefix, after.as_deref(), PAGE_SIZE))
+            Response::new(200, &store.list(prefix, after.as_deref(), PAGE_SIZE))
         }
         KvRequest::Txn(txn) => match store.transact(txn) {
-            TxnOutcome::Applied(at) => Answer::new(200, &revision(at, Vec::new())),
-            TxnOutcome::Failed(keys) => Answer::new(409, &revision(store.revision(), keys)),
-            TxnOutcome::NoLease => Answer::new(400, &json!({ "error": "no such lease" })),
+            TxnOutcome::Applied(at) => Response::new(200, &revision(at, Vec::new())),
+            TxnOutcome::Failed(keys) => Response::new(409, &revision(store.revision(), keys)),
+            TxnOutcome::NoLease => Response::new(400, &json!({ "error": "no such lease" })),
         },
         KvRequest::GrantLease(ttl) => {
-            Answer::new(200, &LeaseResponse { lease: store.grant_lease(now, *ttl) })
+            Response::new(200, &LeaseResponse { lease: store.grant_lease(now, *ttl) })
         }
         KvRequest::RenewLease(lease) => match store.renew_lease(now, *lease) {
-            true => Answer::new(200, &json!({})),
-            false => Answer::new(404, &json!({ "error": "no such lease" })),
+            true => Response::new(200, &json!({})),
+            false => Response::new(404, &json!({ "error": "no such lease" })),
         },
         KvRequest::RevokeLease(lease) => {
             store.revoke_lease(*lease);
-            Answer::new(200, &json!({}))
+            Response::new(200, &json!({}))
         }
         KvRequest::Watch { prefix, after, .. } => match store.changes_since(prefix, *after) {
-            None => Answer::new(410, &json!({ "error": "too old" })),
+            None => Response::new(410, &json!({ "error": "too old" })),
             Some(events) if events.is_empty() => return None,
-            Some(events) => Answer::new(200, &WatchResponse { revision: store.revision(), events }),
+            Some(events) => {
+                Response::new(200, &WatchResponse { revision: store.revision(), events })
+            }
         },
     })
 }
 
 /// The answer to a watch that ends without changes.
-pub fn empty_watch_response(store: &KvStore) -> Answer {
-    Answer::new(200, &WatchResponse { revision: store.revision(), events: Vec::new() })
+pub fn empty_watch_response(store: &KvStore) -> Response {
+    Response::new(200, &WatchResponse { revision: store.revision(), events: Vec::new() })
 }
--- a/crates/rehearsal/src/links.rs
+++ b/crates/rehearsal/src/links.rs
@@ -49,13 +49,13 @@
     },
 }
 
-/// Whether a message is a request or an answer.
+/// Whether a message is a request or a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// From the party that connected.
     Request,
     /// To the party that connected.
-    Answer,
+    Response,
 }
 
 /// Whether and when a message arrives.
@@ -157,7 +157,7 @@
         Fault::CutSome { workers, cut } if workers.contains(worker) => Effect::Cut(cut),
         // Drops the answers to heartbeats and the direct commands.
         Fault::Deaf { workers }
-            if workers.contains(worker) && is_heartbeat == (direction == Direction::Answer) =>
+            if workers.contains(worker) && is_heartbeat == (direction == Direction::Response) =>
         {
             Effect::Lost
         }
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -64,8 +64,8 @@
 pub enum NetEvent {
     /// A request from a controller.
     Request(http::Request),
-    /// An answer to a request of this process.
-    Answer(http::Response),
+    /// The response to a request of this process.
+    Response(http::Response),
     /// Bytes of a relayed connection.
     Bytes(Vec<u8>),
     /// The other side closed or reset the connection.
@@ -297,7 +297,7 @@
             Role::Heartbeat { .. } | Role::User { .. } => {
                 let http::Received { message: answer, length: used } =
                     http::parse_response(&self.inbound).ok()??;
-                (NetEvent::Answer(answer), used)
+                (NetEvent::Response(answer), used)
             }
         };
         self.inbound.drain(..used);
--- a/crates/rehearsal/src/run/machines.rs
+++ b/crates/rehearsal/src/run/machines.rs
@@ -3,7 +3,7 @@
 use super::{Action, Run};
 use crate::faults::{Fault, HEARTBEAT_COPY_DELAY_MS};
 use crate::history::Observation;
-use crate::kv_store_http::Answer;
+use crate::kv_store_http::Response;
 use crate::links::{Delivery, Direction, Link};
 use crate::net::{ConnectionId, Role};
 use crate::settings::{HEARTBEAT_INTERVAL, member_number};
@@ -174,7 +174,7 @@
         let Some(heartbeat) = heartbeat else {
             return;
         };
-        match self.transmit(Link::Heartbeat { worker, controller }, Direction::Answer) {
+        match self.transmit(Link::Heartbeat { worker, controller }, Direction::Response) {
             Delivery::At(at) => {
                 let http::Response { status, body, .. } = answer;
                 self.schedule(at, Action::HeartbeatAnswer { worker, heartbeat, status, body });
@@ -353,8 +353,8 @@
 
     fn answer_command(&mut self, id: ConnectionId, controller: usize, worker: usize, status: u16) {
         let address = self.addresses.worker(controller, worker).to_string();
-        let answer = Answer::new(status, &self.workers[worker].report(address));
-        match self.transmit(Link::Command { worker, controller }, Direction::Answer) {
+        let answer = Response::new(status, &self.workers[worker].report(address));
+        match self.transmit(Link::Command { worker, controller }, Direction::Response) {
             Delivery::At(at) => self.schedule(at, Action::Reply { connection: id, answer }),
             Delivery::Lost => {}
             Delivery::Reset => self.net.close(id),
--- a/crates/rehearsal/src/run/mod.rs
+++ b/crates/rehearsal/src/run/mod.rs
@@ -21,7 +21,7 @@
 use crate::history::{History, Observation};
 use crate::jobs::Jobs;
 use crate::kv_store::KvStore;
-use crate::kv_store_http::Answer;
+use crate::kv_store_http::Response;
 use crate::links::{self, Delivery, Direction, Link};
 use crate::net::{Callbacks, ConnectionId, ListenerRole, Net, NetEvent, Role};
 use crate::options::SoakOptions;
@@ -78,7 +78,7 @@
     /// A query of its state reaches a worker.
     Inspect { connection: ConnectionId, controller: usize, worker: usize },
     /// An answer reaches a controller.
-    Reply { connection: ConnectionId, answer: Answer },
+    Reply { connection: ConnectionId, answer: Response },
     /// A worker's state changes or its heartbeat is due.
     AdvanceWorker { worker: usize },
     /// A heartbeat reaches a controller.
@@ -352,10 +352,10 @@
             (Role::Commands { controller, worker }, NetEvent::Request(request)) => {
                 self.receive_command_request(id, controller, worker, &request);
             }
-            (Role::Heartbeat { worker, .. }, NetEvent::Answer(answer)) => {
+            (Role::Heartbeat { worker, .. }, NetEvent::Response(answer)) => {
                 self.forward_heartbeat_answer(id, worker, answer);
             }
-            (Role::User { request }, NetEvent::Answer(answer)) => {
+            (Role::User { request }, NetEvent::Response(answer)) => {
                 self.receive_user_answer(id, request, answer);
             }
             (Role::Relay { relay_id, from_initiator }, NetEvent::Bytes(bytes)) => {
--- a/crates/rehearsal/src/run/services.rs
+++ b/crates/rehearsal/src/run/services.rs
@@ -3,7 +3,7 @@
 use super::{Action, Run};
 use crate::cloud::CloudEffect;
 use crate::faults::Fault;
-use crate::kv_store_http::{self, Answer, empty_watch_response};
+use crate::kv_store_http::{self, Response, empty_watch_response};
 use crate::links::{self, Delivery, Direction, Link, StoreBehavior};
 use crate::net::ConnectionId;
 use millethold::http::Request;
@@ -54,7 +54,7 @@
         let is_write = call.writes() > 0;
         match links::store_behavior(&self.faults, &mut self.rng, self.now, controller, is_write) {
             StoreBehavior::Refused => {
-                let refusal = Answer::new(503, &json!({ "error": "trouble" }));
+                let refusal = Response::new(503, &json!({ "error": "trouble" }));
                 self.answer_kv_request(id, controller, refusal);
             }
             StoreBehavior::Late(at) => self.schedule(at, Action::LateTransaction { call }),
@@ -99,8 +99,8 @@
         active.map(|fault| fault.until).max().unwrap_or(Micros::ZERO)
     }
 
-    fn answer_kv_request(&mut self, id: ConnectionId, controller: usize, answer: Answer) {
-        match self.transmit(Link::KvStore { controller }, Direction::Answer) {
+    fn answer_kv_request(&mut self, id: ConnectionId, controller: usize, answer: Response) {
+        match self.transmit(Link::KvStore { controller }, Direction::Response) {
             Delivery::At(at) => self.schedule(at, Action::Reply { connection: id, answer }),
             Delivery::Lost => {}
             Delivery::Reset => self.net.close(id),
@@ -164,9 +164,9 @@
         let unavailable =
             self.faults.iter().any(|f| f.active(self.now) && f.fault == Fault::CloudAway);
         let (answer, effect) = match unavailable {
-            true => (Answer::new(503, &json!({ "error": "trouble" })), CloudEffect::None),
+            true => (Response::new(503, &json!({ "error": "trouble" })), CloudEffect::None),
             false => self.cloud.handle(self.now, request).unwrap_or_else(|| {
-                (Answer::new(400, &json!({ "error": "malformed" })), CloudEffect::None)
+                (Response::new(400, &json!({ "error": "malformed" })), CloudEffect::None)
             }),
         };
         match effect {
@@ -184,7 +184,7 @@
                 }
             }
         }
-        if let Delivery::At(at) = self.transmit(Link::Cloud { controller }, Direction::Answer) {
+        if let Delivery::At(at) = self.transmit(Link::Cloud { controller }, Direction::Response) {
             self.schedule(at, Action::Reply { connection: id, answer });
         }
     }
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -308,7 +308,7 @@
     let later = Delivery::At(until + Micros::millis(3));
     let held = Micros::secs(30);
     let all_held = Fault::DelayedCommands { percent: 100, least: held, most: held };
-    let (request, answer) = (Direction::Request, Direction::Answer);
+    let (request, answer) = (Direction::Request, Direction::Response);
     // Fault, link, direction, expected delivery of the message.
     let table = [
         (Fault::CutPeers { controller: 1, cut: Cut::Held }, peers, request, later),
--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// Records that `count` submissions were accepted or refused.
-    fn note_decided(&mut self, count: usize) {
+    fn record_decided(&mut self, count: usize) {
         self.undecided = self.undecided.saturating_sub(count);
     }
 
@@ -139,14 +139,14 @@
     fn take_expired(&mut self, now: Micros) -> Vec<Submission> {
         let is_late = |s: &mut Submission| now.since(s.arrived_at) > MAX_SUBMISSION_WAIT;
         let expired: Vec<Submission> = self.waiting.extract_if(.., is_late).collect();
-        self.note_decided(expired.len());
+        self.record_decided(expired.len());
         expired
     }
 
     /// Removes and returns all waiting submissions.
     fn take_waiting(&mut self) -> Vec<Submission> {
         let waiting = std::mem::take(&mut self.waiting);
-        self.note_decided(waiting.len());
+        self.record_decided(waiting.len());
         waiting
     }
 }
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -24,13 +24,13 @@
 impl Controller {
     /// Handles the reply to an admission.
     pub(crate) fn admission_reply(&mut self, group: AdmissionGroup, reply: KvResponse) {
-        self.api.admission.note_decided(group.submissions.len());
+        self.api.admission.record_decided(group.submissions.len());
         match reply {
             KvResponse::Applied(revision) => self.group_accepted(group, revision),
             KvResponse::Conflict(failed_keys) => self.group_refused(group, &failed_keys),
             // The transaction may still be applied, and the watch then delivers the jobs. If it
-            // has delivered them already, they were not adopted, since this admission was in
-            // flight; so they are adopted now.
+            // has delivered them already, they were not recovered, since this admission was in
+            // flight; so they are recovered now.
             _ => {
                 for submission in group.submissions {
                     let id = &submission.spec.id;
--- a/src/controller/api/job_answers.rs
+++ b/src/controller/api/job_answers.rs
@@ -57,13 +57,13 @@
     }
 
     fn answer_now(&mut self, ticket: Ticket, status: u16, id: &str, cached: CachedStage) {
-        self.note_final_answer(id, cached);
+        self.log_final_answer(id, cached);
         let answer = self.job_answer(id, cached);
         self.context.respond(ticket, status, None, &answer);
     }
 
     /// Counts and logs an answer, if it reports a terminal state.
-    fn note_final_answer(&mut self, job: &str, cached: CachedStage) {
+    fn log_final_answer(&mut self, job: &str, cached: CachedStage) {
         if cached.stage == StoredStage::Accepted {
             return;
         }
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -69,7 +69,7 @@
     }
 
     /// Applies a read of `j/REF`: caches the job's stage and dependencies, stops the job if it is
-    /// cancelled, and adopts an accepted job that this process should run.
+    /// cancelled, and recovers an accepted job that this process should run.
     pub(crate) fn apply_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
         let item = match reply {
             KvResponse::Value(Some(item)) => item,
@@ -90,7 +90,7 @@
             StoredStage::Cancelled => self.job_cancelled(job),
             // The acceptance may have been applied after its call was given up, while a retry
             // of the submission was in flight or the shard was being recovered. Unless it is
-            // adopted, no controller runs the job.
+            // recovered, no controller runs the job.
             StoredStage::Accepted => self.recover_unlisted_job(job, cached.shard),
             StoredStage::Done => {}
         }
--- a/src/controller/api/refusals.rs
+++ b/src/controller/api/refusals.rs
@@ -26,7 +26,7 @@
 }
 
 impl Refusals {
-    fn note(&mut self, status: u16, reason: &str) {
+    fn record(&mut self, status: u16, reason: &str) {
         let cause = RefusalCause { status, reason: reason.to_string() };
         *self.by_cause.entry(cause).or_insert(0) += 1;
     }
@@ -49,15 +49,15 @@
         status: u16,
         reason: &str,
     ) {
-        self.note_refusal(counts, status, reason);
+        self.record_refusal(counts, status, reason);
         let seconds = if status == 429 { context.options.retry_after_s } else { RETRY_AFTER_S };
         context.respond(ticket, status, Some(seconds), &Refusal::new(reason));
     }
 
     /// Counts a refusal. The log gets a periodic line for each cause instead of one for each
     /// request, since an outage refuses every request for the same reason.
-    pub(crate) fn note_refusal(&mut self, counts: &mut Counters, status: u16, reason: &str) {
+    pub(crate) fn record_refusal(&mut self, counts: &mut Counters, status: u16, reason: &str) {
         counts.refused += 1;
-        self.refusals.note(status, reason);
+        self.refusals.record(status, reason);
     }
 }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -74,7 +74,7 @@
         }
         if let Err(infeasible) = self.check_feasible(&spec) {
             let reason = infeasible.to_string();
-            self.api.note_refusal(&mut self.counts, 422, &reason);
+            self.api.record_refusal(&mut self.counts, 422, &reason);
             let answer = PreparedAnswer::refusal(422, &Refusal::new(&reason));
             return self.read_job_or_answer(ticket, &spec.id, answer);
         }
@@ -87,7 +87,7 @@
     }
 
     fn refuse_malformed(&mut self, ticket: Ticket, malformed: InvalidJob) {
-        self.api.note_refusal(&mut self.counts, 400, &malformed.to_string());
+        self.api.record_refusal(&mut self.counts, 400, &malformed.to_string());
         let problem = malformed.problem.to_string();
         let refusal = Refusal { error: &problem, field: Some(malformed.field) };
         match malformed.id {
--- a/src/controller/jobs/attempt_evaluation.rs
+++ b/src/controller/jobs/attempt_evaluation.rs
@@ -121,7 +121,7 @@
             Some(AttemptOutcome::Observed(observed)) => {
                 let (now, wall) = (self.context.now, self.context.wall_clock());
                 if let Some(job) = self.jobs.by_id.get_mut(id)
-                    && job.note_observed(now, wall, index, observed)
+                    && job.record_observed_state(now, wall, index, observed)
                 {
                     self.changes.progress.insert(id.to_string());
                 }
--- a/src/controller/jobs/dependency_graph.rs
+++ b/src/controller/jobs/dependency_graph.rs
@@ -100,7 +100,7 @@
     }
 
     /// Removes a job that has ended: jobs that depend on it may start or be cancelled.
-    pub(crate) fn note_ended(&mut self, id: &str) {
+    pub(crate) fn remove_ended_job(&mut self, id: &str) {
         self.by_job.remove(id);
         self.partial.remove(id);
         self.changed = true;
--- a/src/controller/jobs/further_dependencies.rs
+++ b/src/controller/jobs/further_dependencies.rs
@@ -39,7 +39,7 @@
             Some(names) => self.jobs.dependency_graph.add_further(further, names),
             None => {
                 let key = job::dependency_key(&further.job, further.number);
-                self.jobs.note_unreadable(&key, "the value is not a list of job ids");
+                self.jobs.mark_unreadable(&key, "the value is not a list of job ids");
             }
         }
     }
--- a/src/controller/jobs/job/backoff.rs
+++ b/src/controller/jobs/job/backoff.rs
@@ -54,19 +54,19 @@
     }
 
     /// Records that a task of the job runs, which resets the count of refusals.
-    pub fn note_start(&mut self) {
+    pub fn record_start(&mut self) {
         self.refusals_in_a_row = 0;
     }
 
     /// Records that a machine refused a task of the job.
-    pub fn note_refusal(&mut self, now: Micros) {
+    pub fn record_refusal(&mut self, now: Micros) {
         self.refusals_in_a_row += 1;
         if self.refusals_in_a_row >= MAX_REFUSALS_IN_A_ROW {
             self.pause_until(now + REFUSED_PAUSE);
         }
     }
 
-    fn note_failed_machine(&mut self, machine: &Rc<str>) {
+    fn record_failed_machine(&mut self, machine: &Rc<str>) {
         self.avoided_machines.insert(Rc::clone(machine));
         if self.avoided_machines.len() > MAX_AVOIDED_MACHINES {
             self.avoided_machines.clear();
@@ -97,15 +97,15 @@
     }
 
     /// Records that a task of the job failed on a machine.
-    pub fn note_failure(&mut self, now: Micros, machine: &Rc<str>) {
-        self.backoff.note_failed_machine(machine);
+    pub fn record_failure(&mut self, now: Micros, machine: &Rc<str>) {
+        self.backoff.record_failed_machine(machine);
         if self.is_suspect() {
             self.backoff.pause_for_failure(now);
         }
     }
 
     /// Records that a task completed, which shows that the job can run.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         if !self.backoff.failed_machines.is_empty() {
             self.backoff.failed_machines.clear();
             self.backoff.failure_pauses = 0;
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -257,7 +257,7 @@
     }
 
     /// Records how long a completed task was observed running.
-    pub fn note_run_time(&mut self, ran: Micros) {
-        self.run_times.note(ran);
+    pub fn record_run_time(&mut self, ran: Micros) {
+        self.run_times.record(ran);
     }
 }
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -123,7 +123,7 @@
 
     /// Records that a task's current attempt was observed in a non-terminal state. Returns
     /// whether the state has changed.
-    pub fn note_observed(
+    pub fn record_observed_state(
         &mut self,
         now: Micros,
         wall: Micros,
@@ -143,7 +143,7 @@
             placement.running_since = Some(began);
             let (machine, took) = (&placement.machine, took.as_millis());
             log::debug!("attempt {} runs on {machine} after {took} ms", placement.attempt);
-            self.backoff.note_start();
+            self.backoff.record_start();
         }
         true
     }
--- a/src/controller/jobs/job/run_times.rs
+++ b/src/controller/jobs/job/run_times.rs
@@ -17,7 +17,7 @@
 
 impl RunTimes {
     /// Adds a run time unless [`MAX_RUN_TIMES`] are already kept.
-    pub(crate) fn note(&mut self, ran: Micros) {
+    pub(crate) fn record(&mut self, ran: Micros) {
         if self.sorted.len() >= MAX_RUN_TIMES {
             return;
         }
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -59,9 +59,9 @@
         self.requested.first().filter(|_| may_read)
     }
 
-    /// Notes the requested jobs that a page did not contain as absent. The page covers the keys
+    /// Marks the requested jobs that a page did not contain as absent. The page covers the keys
     /// from the job `first` to the key `last`, or to the end without it.
-    fn note_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
+    fn mark_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
         let covered = |id: &String| {
             let key = job::job_key(id);
             id.as_str() >= first && last.is_none_or(|last| key.as_str() <= last)
@@ -122,7 +122,7 @@
                 self.apply_record_reply(&id, &KvResponse::Value(Some(item)));
             }
         }
-        self.jobs.record_pages.note_absent(self.context.now, first, last.as_deref());
+        self.jobs.record_pages.mark_absent(self.context.now, first, last.as_deref());
         self.read_record_page();
     }
 }
--- a/src/controller/jobs/recovery.rs
+++ b/src/controller/jobs/recovery.rs
@@ -51,7 +51,7 @@
 
     /// Marks a job or key as unreadable, so that it is left unmodified, and logs it the first
     /// time.
-    pub(crate) fn note_unreadable(&mut self, name: &str, reason: &str) {
+    pub(crate) fn mark_unreadable(&mut self, name: &str, reason: &str) {
         if self.unreadable.insert(name.to_string()) {
             warn!("{name}: {reason}");
         }
@@ -59,7 +59,7 @@
 
     /// Marks a job as unreadable, and keeps its batch in the store if it is in one.
     pub(crate) fn leave_unreadable(&mut self, id: &str, reason: &str) {
-        self.note_unreadable(id, reason);
+        self.mark_unreadable(id, reason);
         if let Some(batch) = self.batches.key_of(id) {
             self.unreadable.insert(batch.clone());
         }
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -84,6 +84,6 @@
             placement.stop_grace = Some(grace);
         }
         let shard = job.shard;
-        self.note_stop_changed(shard, machine);
+        self.mark_stop_changed(shard, machine);
     }
 }
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -125,7 +125,7 @@
         if cached.is_final() {
             decision_log::job_over(job, cached.stage, cached.revision);
             self.api.terminal_states.add(self.context.now, job, cached.revision);
-            self.jobs.dependency_graph.note_ended(job);
+            self.jobs.dependency_graph.remove_ended_job(job);
         }
         if cached.stage == StoredStage::Cancelled {
             self.stop_tasks_on_machines(job);
--- a/src/controller/jobs/stopping.rs
+++ b/src/controller/jobs/stopping.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// Notes that a machine's desired state has changed because a task on it is to be stopped.
-    pub(super) fn note_stop_changed(&mut self, shard: usize, machine: Rc<str>) {
+    /// Marks a machine's desired state as changed because a task on it is to be stopped.
+    pub(super) fn mark_stop_changed(&mut self, shard: usize, machine: Rc<str>) {
         self.scheduler.mark_stale(&machine);
         self.changes.desired.insert((shard, machine));
     }
@@ -28,27 +28,27 @@
         }
         placement.stop_grace = Some(grace);
         let machine = Rc::clone(&placement.machine);
-        self.note_stop_changed(shard, machine);
+        self.mark_stop_changed(shard, machine);
     }
 
     /// Stops a local task that a more urgent one preempts. Ignored if the attempt is no longer
     /// current or is already being stopped.
-    pub(crate) fn preempt_task(&mut self, preempted: &PreemptionRequest) {
-        let Some(job) = self.jobs.by_id.get_mut(&preempted.job) else {
+    pub(crate) fn preempt_task(&mut self, request: &PreemptionRequest) {
+        let Some(job) = self.jobs.by_id.get_mut(&request.job) else {
             return;
         };
-        let grace = if preempted.save_checkpoint && job.spec.checkpoint_s > 0.0 {
+        let grace = if request.save_checkpoint && job.spec.checkpoint_s > 0.0 {
             Micros::from_secs_f64(job.spec.save_s) + CHECKPOINT_MARGIN
         } else {
             // The task is stopped at once; its latest checkpoint is kept.
             Micros::ZERO
         };
-        let is_current = job.placement_mut(preempted.index).is_some_and(|placement| {
-            placement.attempt == preempted.attempt && placement.stop_grace.is_none()
+        let is_current = job.placement_mut(request.index).is_some_and(|placement| {
+            placement.attempt == request.attempt && placement.stop_grace.is_none()
         });
         if is_current {
             self.counts.preempted += 1;
-            self.stop_task(&preempted.job, preempted.index, grace);
+            self.stop_task(&request.job, request.index, grace);
         }
     }
 
--- a/src/controller/jobs/task_ends.rs
+++ b/src/controller/jobs/task_ends.rs
@@ -21,21 +21,21 @@
         log::debug!("task {id}/{index} ended on {machine}: {observed:?}");
         match observed {
             ObservedState::Done => {
-                job.note_success();
+                job.record_success();
                 if let Some(ran) = placement.running_since.map(|at| now.since(at)) {
                     if job.spec.estimate_s > 0.0 {
                         let ratio = ran.as_secs_f64() / job.spec.estimate_s;
                         self.scheduler.record_run_time_ratio(&job.spec.class, ratio);
                     }
-                    job.note_run_time(ran);
+                    job.record_run_time(ran);
                 }
             }
             ObservedState::Failed => {
                 self.counts.failed += 1;
                 info!("task {id}/{index} failed on {machine}");
-                job.note_failure(now, &machine);
+                job.record_failure(now, &machine);
             }
-            ObservedState::Refused => job.backoff.note_refusal(now),
+            ObservedState::Refused => job.backoff.record_refusal(now),
             _ => {}
         }
         job.deferred_since.get_or_insert(now);
--- a/src/controller/leadership/controller_lease.rs
+++ b/src/controller/leadership/controller_lease.rs
@@ -3,7 +3,7 @@
 
 use crate::time::Micros;
 
-/// Maximum drift between two steady clocks, in parts per thousand, both directions together.
+/// Maximum drift between two monotonic clocks, in parts per thousand, both directions together.
 pub const CLOCK_DRIFT_PER_MILLE: u64 = 1;
 /// Margin by which the validity of the lease is shortened, in addition to clock drift.
 const VALIDITY_MARGIN: Micros = Micros::millis(50);
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -105,7 +105,7 @@
         let last = items.last().map(|item| item.key.clone());
         let page = RecoveryPage::decode(items, |id| self.jobs.by_id.contains_key(id));
         for batch in &page.unreadable {
-            self.jobs.note_unreadable(batch, "some of its jobs cannot be read");
+            self.jobs.mark_unreadable(batch, "some of its jobs cannot be read");
         }
         if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
             recovery.add_page(page, last, more);
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -5,7 +5,7 @@
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
 use crate::controller::scheduler::run_time_estimates::RunTimeEstimates;
-use crate::controller::timers::UNOBSERVED_REPEAT_INTERVAL;
+use crate::controller::timers::UNOBSERVED_RESEND_INTERVAL;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -21,18 +21,18 @@
 
 impl Controller {
     /// Resends the desired state of tasks that no machine has reported for longer than
-    /// [`UNOBSERVED_REPEAT_INTERVAL`]. Messages between controllers are not acknowledged. If
+    /// [`UNOBSERVED_RESEND_INTERVAL`]. Messages between controllers are not acknowledged. If
     /// one were lost unnoticed, its task would wait forever and hold its share of the team's
     /// quota.
     pub(crate) fn resend_unobserved(&mut self) {
         let now = self.context.now;
-        if !self.holds_lease() || !self.timers.unobserved_repeat.restart_if_due(now) {
+        if !self.holds_lease() || !self.timers.unobserved_resend.restart_if_due(now) {
             return;
         }
         let wall = self.context.wall_clock();
         let is_unobserved = |placement: &Placement| {
             placement.observed.is_none()
-                && wall.since(placement.placed_at) > UNOBSERVED_REPEAT_INTERVAL
+                && wall.since(placement.placed_at) > UNOBSERVED_RESEND_INTERVAL
         };
         for job in self.jobs.by_id.values() {
             let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,15 +4,15 @@
 //!
 //! [`Controller`] is a router. It owns the components, passes each event and reply to the component
 //! that it concerns, fixes the order in which the components work at a tick and at a flush, and
-//! carries the conclusions of one component to the others. It keeps no state of its own and decides
-//! nothing about jobs or machines. An operation that changes several components is a method of
-//! [`Controller`] in the folder of the component that it serves; a component by itself changes only
-//! its own state.
+//! carries the conclusions of one component to the others. Beside them it keeps only counters,
+//! timers and the changes that wait for the next flush, and it decides nothing about jobs or
+//! machines. An operation that changes several components is a method of [`Controller`] in the
+//! folder of the component that it serves; a component by itself changes only its own state.
 //!
 //! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards that it
 //! leads ([`jobs`], [`scheduler`], [`quota`]) and commands the machines of these shards
-//! ([`machines`]). Its desired state of machines is sent as whole-state messages, which its own
-//! machine manager reads, too.
+//! ([`machines`]). The leader of a shard sends all members the complete list of the tasks that it
+//! desires on a machine whenever that list changes, and applies the same messages itself.
 
 pub mod api;
 pub mod autoscaler;
@@ -73,7 +73,7 @@
 impl Controller {
     /// Creates a controller that has just started.
     ///
-    /// `wall` is the time of day at the zero of the steady clock: deadlines must outlive the
+    /// `wall` is the time of day at the zero of the monotonic clock: deadlines must outlive the
     /// process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let settings = &config.settings;
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -29,9 +29,10 @@
 }
 
 impl Peers {
-    /// Creates the state of all `members` members other than `me`, before any frame has arrived.
-    pub(crate) fn new(members: usize, me: usize) -> Peers {
-        let others = (0..members).filter(|member| *member != me);
+    /// Creates the state of all `members` members other than `local_member`, before any frame has
+    /// arrived.
+    pub(crate) fn new(members: usize, local_member: usize) -> Peers {
+        let others = (0..members).filter(|member| *member != local_member);
         Peers {
             by_member: others.map(|member| (member, PeerState::default())).collect(),
             desired_state_seq: 0,
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -52,8 +52,8 @@
         if frame.is_autoscaler {
             self.set_draining(frame.draining.into_iter().collect());
         }
-        for preempt in frame.preemptions {
-            self.preempt_task(&preempt);
+        for request in frame.preemptions {
+            self.preempt_task(&request);
         }
         for hint in frame.address_hints {
             self.machines.apply_address_hint(hint);
--- a/src/controller/quota/limit_preemption.rs
+++ b/src/controller/quota/limit_preemption.rs
@@ -105,7 +105,7 @@
             desired.iter().filter_map(|state| state.usage.get(team)).map(|used| used.cpus).sum();
         let unused_cpus =
             (self.limit().cpus - used_cpus - less_urgent.available_soon_cpus).max(0.0);
-        // PreemptionRequest only for what is neither free nor freed by tasks that are already stopping.
+        // Preempt only for what is neither free nor freed by tasks that are already stopping.
         let missing_cpus = urgent_cpus - less_urgent.available_soon_cpus - unused_cpus;
         if missing_cpus <= TOLERANCE || less_urgent.cpus <= TOLERANCE {
             return Vec::new();
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -19,13 +19,13 @@
     ) {
         log::debug!("preempting task {}/{} on {machine}", task.job, task.index);
         let (job, index, attempt) = (task.job.clone(), task.index, task.attempt);
-        let preempt = PreemptionRequest { job, index, attempt, save_checkpoint: checkpoint };
-        if self.jobs.by_id.contains_key(&preempt.job) {
-            self.preempt_task(&preempt);
+        let request = PreemptionRequest { job, index, attempt, save_checkpoint: checkpoint };
+        if self.jobs.by_id.contains_key(&request.job) {
+            self.preempt_task(&request);
         } else {
-            let key = AttemptId { job: preempt.job.clone(), index, attempt };
+            let key = AttemptId { job: request.job.clone(), index, attempt };
             self.scheduler.preemption_requests.insert(key, machine, self.context.now);
-            self.changes.preemptions.push(preempt);
+            self.changes.preemptions.push(request);
         }
     }
 
--- a/src/controller/scheduler/preemption_requests.rs
+++ b/src/controller/scheduler/preemption_requests.rs
@@ -8,14 +8,15 @@
 /// Time until a request expires. While it is pending, the task counts as stopping.
 const PREEMPTION_REQUEST_TTL: Micros = Micros::secs(1);
 
+/// A preemption that was requested from the leader of the task's shard.
 #[derive(Debug)]
-struct PreemptionRequest {
+struct PendingPreemption {
     sent_at: Micros,
     /// Machine that the task was placed on.
     machine: Rc<str>,
 }
 
-impl PreemptionRequest {
+impl PendingPreemption {
     fn is_pending(&self, now: Micros) -> bool {
         now.since(self.sent_at) < PREEMPTION_REQUEST_TTL
     }
@@ -24,13 +25,13 @@
 /// Requests for the preemption of tasks of other shards, by attempt.
 #[derive(Debug, Default)]
 pub(super) struct PreemptionRequests {
-    by_task: BTreeMap<AttemptId, PreemptionRequest>,
+    by_task: BTreeMap<AttemptId, PendingPreemption>,
 }
 
 impl PreemptionRequests {
     /// Records that the preemption of a task on a machine was requested.
     pub(super) fn insert(&mut self, task: AttemptId, machine: &Rc<str>, now: Micros) {
-        let request = PreemptionRequest { sent_at: now, machine: Rc::clone(machine) };
+        let request = PendingPreemption { sent_at: now, machine: Rc::clone(machine) };
         self.by_task.insert(task, request);
     }
 
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -18,7 +18,7 @@
 const QUOTAS_INTERVAL: Micros = Micros::millis(300);
 /// Interval between repetitions of the desired state of tasks that no machine has observed for at
 /// least this long.
-pub(crate) const UNOBSERVED_REPEAT_INTERVAL: Micros = Micros::secs(8);
+pub(crate) const UNOBSERVED_RESEND_INTERVAL: Micros = Micros::secs(8);
 /// Interval between log lines about refused requests.
 const REFUSALS_INTERVAL: Micros = Micros::secs(10);
 
@@ -74,7 +74,7 @@
     /// Log lines about refused requests.
     pub(crate) refusals: Timer,
     /// Repetition of the desired state of tasks that no machine has observed.
-    pub(crate) unobserved_repeat: Timer,
+    pub(crate) unobserved_resend: Timer,
 }
 
 impl Default for Timers {
@@ -88,7 +88,7 @@
             guarantees: Timer::new(GUARANTEES_INTERVAL),
             quotas: Timer::new(QUOTAS_INTERVAL),
             refusals: Timer::new(REFUSALS_INTERVAL),
-            unobserved_repeat: Timer::new(UNOBSERVED_REPEAT_INTERVAL),
+            unobserved_resend: Timer::new(UNOBSERVED_RESEND_INTERVAL),
         }
     }
 }
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -97,8 +97,8 @@
     /// Scheduling rank: lower is more urgent.
     #[prost(uint32, tag = "2")]
     pub rank: u32,
-    /// Deadline in microseconds since the Unix epoch; [`Micros::FAR_FUTURE`](crate::time::Micros::FAR_FUTURE)
-    /// if there is none.
+    /// Deadline in microseconds since the Unix epoch;
+    /// [`Micros::FAR_FUTURE`](crate::time::Micros::FAR_FUTURE) if there is none.
     #[prost(uint64, tag = "3")]
     pub due_us: u64,
 }
