--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) mod transaction;
 
 use crate::controller::api::Api;
-use crate::controller::api::counts::Counts;
+use crate::controller::api::counters::Counters;
 use crate::controller::api::pending::Submission;
 use crate::controller::context::Context;
 use crate::controller::jobs::job;
@@ -71,14 +71,14 @@
         self.waiting.push(Submission {
             ticket,
             spec,
-            submitted_at: context.wall(),
+            submitted_at: context.wall_clock(),
             arrived_at: context.now,
             spec_bytes,
         });
     }
 
     /// Records that `count` submissions were accepted or refused.
-    fn note_decided(&mut self, count: usize) {
+    fn record_decided(&mut self, count: usize) {
         self.undecided = self.undecided.saturating_sub(count);
     }
 
@@ -139,14 +139,14 @@
     fn take_expired(&mut self, now: Micros) -> Vec<Submission> {
         let is_late = |s: &mut Submission| now.since(s.arrived_at) > MAX_SUBMISSION_WAIT;
         let expired: Vec<Submission> = self.waiting.extract_if(.., is_late).collect();
-        self.note_decided(expired.len());
+        self.record_decided(expired.len());
         expired
     }
 
     /// Removes and returns all waiting submissions.
     fn take_waiting(&mut self) -> Vec<Submission> {
         let waiting = std::mem::take(&mut self.waiting);
-        self.note_decided(waiting.len());
+        self.record_decided(waiting.len());
         waiting
     }
 }
@@ -157,7 +157,7 @@
     pub(crate) fn expire_submissions(
         &mut self,
         context: &mut Context,
-        counts: &mut Counts,
+        counts: &mut Counters,
         holds_lease: bool,
     ) {
         if !holds_lease {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn refuse_waiting(&mut self, context: &mut Context, counts: &mut Counts, reason: &str) {
+    fn refuse_waiting(&mut self, context: &mut Context, counts: &mut Counters, reason: &str) {
         for submission in self.admission.take_waiting() {
             self.respond_retry_later(context, counts, submission.ticket, 503, reason);
         }
--- a/src/controller/api/admission/outcome.rs
+++ b/src/controller/api/admission/outcome.rs
@@ -24,19 +24,19 @@
 impl Controller {
     /// Handles the reply to an admission.
     pub(crate) fn admission_reply(&mut self, group: AdmissionGroup, reply: KvResponse) {
-        self.api.admission.note_decided(group.submissions.len());
+        self.api.admission.record_decided(group.submissions.len());
         match reply {
             KvResponse::Applied(revision) => self.group_accepted(group, revision),
             KvResponse::Conflict(failed_keys) => self.group_refused(group, &failed_keys),
             // The transaction may still be applied, and the watch then delivers the jobs. If it
-            // has delivered them already, they were not adopted, since this admission was in
-            // flight; so they are adopted now.
+            // has delivered them already, they were not recovered, since this admission was in
+            // flight; so they are recovered now.
             _ => {
                 for submission in group.submissions {
                     let id = &submission.spec.id;
                     let cached = self.jobs.stage_cache.get(id);
                     if let Some(cached) = cached.filter(|c| !c.is_final()) {
-                        self.adopt(id, cached.shard);
+                        self.recover_unlisted_job(id, cached.shard);
                     }
                     self.respond_retry_later(submission.ticket, 503, "state service away");
                 }
@@ -122,7 +122,7 @@
         job.acceptance_stored(if batched { 0 } else { revision });
         job.cancelled = cancelled;
         if job.awaits_dependencies {
-            self.jobs.dependents.wait(id);
+            self.jobs.dependents.add_waiting(id);
         }
         self.changes.jobs.insert(id.clone());
         self.jobs.by_id.insert(id.clone(), job);
--- a/src/controller/api/record_reads.rs
+++ b/src/controller/api/record_reads.rs
@@ -46,7 +46,7 @@
         if_absent: PreparedAnswer,
         reply: &KvResponse,
     ) {
-        match self.take_record_reply(id, reply) {
+        match self.apply_record_reply(id, reply) {
             RecordRead::Found { cached, .. }
                 if cached.stage == StoredStage::Accepted && !self.is_fresh(sent_at) =>
             {
@@ -69,8 +69,8 @@
     }
 
     /// Applies a read of `j/REF`: caches the job's stage and dependencies, stops the job if it is
-    /// cancelled, and adopts an accepted job that this process should run.
-    pub(crate) fn take_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
+    /// cancelled, and recovers an accepted job that this process should run.
+    pub(crate) fn apply_record_reply(&mut self, job: &str, reply: &KvResponse) -> RecordRead {
         let item = match reply {
             KvResponse::Value(Some(item)) => item,
             KvResponse::Value(None) => return RecordRead::NoSuchJob,
@@ -82,7 +82,7 @@
         let revision = item.revision;
         let read =
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision };
-        self.jobs.dependency_graph.note(job, &record);
+        self.jobs.dependency_graph.apply_record(job, &record);
         self.cache_stage(job, read);
         // A newer stage may have been cached before this reply arrived.
         let cached = self.jobs.stage_cache.get(job).unwrap_or(read);
@@ -90,8 +90,8 @@
             StoredStage::Cancelled => self.job_cancelled(job),
             // The acceptance may have been applied after its call was given up, while a retry
             // of the submission was in flight or the shard was being recovered. Unless it is
-            // adopted, no controller runs the job.
-            StoredStage::Accepted => self.adopt(job, cached.shard),
+            // recovered, no controller runs the job.
+            StoredStage::Accepted => self.recover_unlisted_job(job, cached.shard),
             StoredStage::Done => {}
         }
         RecordRead::Found { cached, revision }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -54,8 +54,8 @@
     /// The shard that accepts jobs submitted to this member: its home shard if served, else the
     /// first served one; `None` if this member serves no shard.
     pub(crate) fn admitting_shard(&self) -> Option<usize> {
-        if self.serves_shard(self.context.me) {
-            return Some(self.context.me);
+        if self.serves_shard(self.context.local_member) {
+            return Some(self.context.local_member);
         }
         (0..self.leadership.shard_count()).find(|s| self.serves_shard(*s))
     }
@@ -74,7 +74,7 @@
         }
         if let Err(infeasible) = self.check_feasible(&spec) {
             let reason = infeasible.to_string();
-            self.api.note_refusal(&mut self.counts, 422, &reason);
+            self.api.record_refusal(&mut self.counts, 422, &reason);
             let answer = PreparedAnswer::refusal(422, &Refusal::new(&reason));
             return self.read_job_or_answer(ticket, &spec.id, answer);
         }
@@ -87,7 +87,7 @@
     }
 
     fn refuse_malformed(&mut self, ticket: Ticket, malformed: InvalidJob) {
-        self.api.note_refusal(&mut self.counts, 400, &malformed.to_string());
+        self.api.record_refusal(&mut self.counts, 400, &malformed.to_string());
         let problem = malformed.problem.to_string();
         let refusal = Refusal { error: &problem, field: Some(malformed.field) };
         match malformed.id {
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -7,7 +7,7 @@
 //! known, nor remove a machine on which a task may still be placed.
 
 pub mod fleet;
-pub mod offer;
+pub mod machine_offer;
 pub mod scale_out;
 
 pub(crate) mod machine_types;
@@ -74,7 +74,7 @@
     }
 
     /// The machines that this process drains; empty unless it scales.
-    pub(crate) fn drained_here(&self) -> Vec<String> {
+    pub(crate) fn locally_draining(&self) -> Vec<String> {
         self.fleet.draining_since.keys().cloned().collect()
     }
 
--- a/src/controller/autoscaler/replies.rs
+++ b/src/controller/autoscaler/replies.rs
@@ -1,7 +1,7 @@
 //! Handling of the cloud's replies, and of the key-value store's about machine types.
 
+use super::machine_offer::MachineOffer;
 use super::machine_types::MACHINE_TYPES_KEY;
-use super::offer::MachineOffer;
 use super::{AUTOSCALER_SHARD, Autoscaler};
 use crate::cloud::{CloudCall, CloudReply};
 use crate::controller::Controller;
@@ -124,7 +124,7 @@
         let times = ScaleOutTimes {
             now,
             next_plan_at: now + Micros::from_secs_f64(1.0 / scale_out_rate),
-            exhausted_until: now + self.context.options.refused,
+            exhausted_until: now + self.context.options.no_capacity_backoff,
         };
         self.autoscaler.scale_out_reply(reply, times);
     }
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -7,7 +7,7 @@
 use crate::config::{Config, Options, Settings};
 use crate::controller::calls::PendingCall;
 use crate::controller::event::{CallId, Effect, Ticket};
-use crate::kv_store::{Bucket, KvRequest, REQUEST_RATE_SHARE, WRITE_RATE_SHARE};
+use crate::kv_store::{KvRequest, REQUEST_RATE_SHARE, TokenBucket, WRITE_RATE_SHARE};
 use crate::time::Micros;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -20,7 +20,7 @@
     /// This member's name.
     pub(crate) member: String,
     /// Number of this member among all members.
-    pub(crate) me: usize,
+    pub(crate) local_member: usize,
     /// Names of all members, sorted; a member's number is its index.
     pub(crate) members: Vec<String>,
     /// Distinguishes this process from earlier ones of the same member; never 0.
@@ -31,9 +31,9 @@
     pub(crate) options: Options,
     /// Seeded, so that a run can be repeated exactly.
     pub(crate) rng: StdRng,
-    /// Time of day at the zero of the steady clock.
+    /// Time of day at the zero of the monotonic clock.
     wall_at_zero: Micros,
-    /// Time of the event that is being handled, by the steady clock.
+    /// Time of the event that is being handled, by the monotonic clock.
     pub(crate) now: Micros,
     /// The outbox: effects that have not been taken yet, in order.
     effects: Vec<Effect>,
@@ -41,23 +41,23 @@
     /// Calls that have not been answered, each with its purpose.
     calls_in_flight: BTreeMap<CallId, PendingCall>,
     /// This node's share of the key-value store's write rate.
-    pub(crate) write_budget: Bucket,
+    pub(crate) write_budget: TokenBucket,
     /// This node's share of the key-value store's request rate.
-    pub(crate) request_budget: Bucket,
+    pub(crate) request_budget: TokenBucket,
 }
 
 impl Context {
     /// Creates the context of a process that has just started. `seed` determines its random numbers
-    /// and its incarnation; `wall` is the time of day at the zero of the steady clock.
+    /// and its incarnation; `wall` is the time of day at the zero of the monotonic clock.
     pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
         let members = config.members();
-        let me = members.iter().position(|member| *member == config.member).unwrap_or(0);
+        let local_member = members.iter().position(|member| *member == config.member).unwrap_or(0);
         let limits = &config.settings.kv_store;
         let write_rate = limits.write_rps * WRITE_RATE_SHARE / members.len() as f64;
         let request_rate = limits.rps * REQUEST_RATE_SHARE / members.len() as f64;
         Context {
             member: config.member.clone(),
-            me,
+            local_member,
             members,
             // Zero means that there is no process.
             incarnation: seed.max(1),
@@ -69,13 +69,13 @@
             effects: Vec::new(),
             next_call: 1,
             calls_in_flight: BTreeMap::new(),
-            write_budget: Bucket::new(write_rate, write_rate),
-            request_budget: Bucket::new(request_rate, request_rate),
+            write_budget: TokenBucket::new(write_rate, write_rate),
+            request_budget: TokenBucket::new(request_rate, request_rate),
         }
     }
 
     /// Current time of day.
-    pub(crate) fn wall(&self) -> Micros {
+    pub(crate) fn wall_clock(&self) -> Micros {
         self.wall_at_zero + self.now
     }
 
--- a/src/controller/jobs/further_dependencies.rs
+++ b/src/controller/jobs/further_dependencies.rs
@@ -1,7 +1,7 @@
 //! Reads the dependencies that do not fit in a job's record from the job's further keys.
 
 use super::Jobs;
-use super::dependency_graph::FurtherList;
+use super::dependency_graph::FurtherDependencyKey;
 use super::job;
 use crate::controller::Controller;
 use crate::controller::calls::JobsCall;
@@ -21,7 +21,11 @@
 
 impl Controller {
     /// Handles the reply to the read of a further key.
-    pub(super) fn further_dependencies_reply(&mut self, further: &FurtherList, reply: &KvResponse) {
+    pub(super) fn further_dependencies_reply(
+        &mut self,
+        further: &FurtherDependencyKey,
+        reply: &KvResponse,
+    ) {
         if !self.jobs.dependency_graph.end_read(self.context.now, &further.job) {
             return;
         }
@@ -35,7 +39,7 @@
             Some(names) => self.jobs.dependency_graph.add_further(further, names),
             None => {
                 let key = job::dependency_key(&further.job, further.number);
-                self.jobs.note_unreadable(&key, "the value is not a list of job ids");
+                self.jobs.mark_unreadable(&key, "the value is not a list of job ids");
             }
         }
     }
--- a/src/controller/jobs/read_back.rs
+++ b/src/controller/jobs/read_back.rs
@@ -99,10 +99,10 @@
         };
         let revision = item.revision;
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
-            warn!("unreadable record of job {id}");
+            warn!("job {id}: record cannot be decoded");
             return;
         };
-        self.jobs.dependency_graph.note(id, &record);
+        self.jobs.dependency_graph.apply_record(id, &record);
         let JobRecord { stage, shard: accepted_by, tasks, .. } = record;
         self.cache_stage(id, CachedStage { stage, shard: accepted_by, tasks, revision });
         if stage == StoredStage::Cancelled {
--- a/src/controller/jobs/spot_notices.rs
+++ b/src/controller/jobs/spot_notices.rs
@@ -17,7 +17,7 @@
         Some(ran) if ran < usual => usual.since(ran),
         // A task that exceeds the usual run time may be a long one and need not end soon.
         Some(ran) => Micros(ran.0 / 2),
-        None => Micros::FAR,
+        None => Micros::FAR_FUTURE,
     }
 }
 
@@ -72,7 +72,7 @@
         let left = Micros::millis(left_ms);
         let ran = placement.running_since.map(|at| now.since(at));
         let machine = Rc::clone(&placement.machine);
-        let usual = job.usual_run_time().unwrap_or_else(|| {
+        let usual = job.median_run_time().unwrap_or_else(|| {
             let correction = self.scheduler.estimates().correction(&job.spec.class);
             Micros::from_secs_f64(job.spec.estimate_s * correction)
         });
@@ -84,6 +84,6 @@
             placement.stop_grace = Some(grace);
         }
         let shard = job.shard;
-        self.note_stop_changed(shard, machine);
+        self.mark_stop_changed(shard, machine);
     }
 }
--- a/src/controller/jobs/stage_cache.rs
+++ b/src/controller/jobs/stage_cache.rs
@@ -119,16 +119,16 @@
     /// and the dependency graph and, for a cancelled job, to the machines that run its tasks.
     pub(crate) fn cache_stage(&mut self, job: &str, cached: CachedStage) {
         if self.jobs.stage_cache.insert(job, cached) == CacheOutcome::AlreadyFinal {
-            self.api.terminal_states.correct(job, cached.revision);
+            self.api.terminal_states.set_missing_revision(job, cached.revision);
             return;
         }
         if cached.is_final() {
             decision_log::job_over(job, cached.stage, cached.revision);
             self.api.terminal_states.add(self.context.now, job, cached.revision);
-            self.jobs.dependency_graph.note_ended(job);
+            self.jobs.dependency_graph.remove_ended_job(job);
         }
         if cached.stage == StoredStage::Cancelled {
-            self.stop_on_machines(job);
+            self.stop_tasks_on_machines(job);
         }
         while let Some(evicted) = self.jobs.stage_cache.evict() {
             self.jobs.progress.remove(&evicted);
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -46,7 +46,7 @@
 impl Controller {
     /// Recovers a job that the store contains and this process does not run: its acceptance was
     /// applied after this process had given up waiting for the reply.
-    pub(crate) fn adopt(&mut self, id: &str, shard: usize) {
+    pub(crate) fn recover_unlisted_job(&mut self, id: &str, shard: usize) {
         if shard >= self.leadership.shard_count()
             || !self.serves_shard(shard)
             || self.jobs.by_id.contains_key(id)
@@ -105,7 +105,7 @@
         let last = items.last().map(|item| item.key.clone());
         let page = RecoveryPage::decode(items, |id| self.jobs.by_id.contains_key(id));
         for batch in &page.unreadable {
-            self.jobs.note_unreadable(batch, "some of its jobs cannot be read");
+            self.jobs.mark_unreadable(batch, "some of its jobs cannot be read");
         }
         if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
             recovery.add_page(page, last, more);
@@ -170,7 +170,7 @@
         revision: u64,
         chunks: &StoredChunks,
     ) -> bool {
-        self.jobs.dependency_graph.note(id, record);
+        self.jobs.dependency_graph.apply_record(id, record);
         self.cache_stage(
             id,
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -37,7 +37,7 @@
             Watch::Jobs => {
                 let id = key.strip_prefix(watches::key_prefix(watch)).filter(|_| is_put)?;
                 let Ok(record) = serde_json::from_value(value) else {
-                    warn!("unreadable record of job {id}");
+                    warn!("job {id}: record cannot be decoded");
                     return None;
                 };
                 Some(Change::Job { id: id.to_string(), record, revision })
@@ -88,7 +88,7 @@
 
     /// Handles a write of a job's record at `revision`, by this process or another.
     fn job_record_changed(&mut self, id: &str, record: &JobRecord, revision: u64) {
-        self.jobs.dependency_graph.note(id, record);
+        self.jobs.dependency_graph.apply_record(id, record);
         self.jobs.forget_unreadable(id);
         self.cache_stage(
             id,
@@ -96,7 +96,7 @@
         );
         match record.stage {
             StoredStage::Cancelled => self.job_cancelled(id),
-            StoredStage::Accepted => self.adopt(id, record.shard),
+            StoredStage::Accepted => self.recover_unlisted_job(id, record.shard),
             StoredStage::Done => {}
         }
     }
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -4,8 +4,8 @@
 use crate::controller::Controller;
 use crate::controller::jobs::Jobs;
 use crate::controller::jobs::job::{Job, Placement};
-use crate::controller::scheduler::estimate::Estimates;
-use crate::controller::timers::UNOBSERVED_REPEAT_INTERVAL;
+use crate::controller::scheduler::run_time_estimates::RunTimeEstimates;
+use crate::controller::timers::UNOBSERVED_RESEND_INTERVAL;
 use crate::peer::{DesiredTask, DesiredUpdate, Frame, MachineDesired, Phase, Shape};
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -21,18 +21,18 @@
 
 impl Controller {
     /// Resends the desired state of tasks that no machine has reported for longer than
-    /// [`UNOBSERVED_REPEAT_INTERVAL`]. Messages between controllers are not acknowledged. If
+    /// [`UNOBSERVED_RESEND_INTERVAL`]. Messages between controllers are not acknowledged. If
     /// one were lost unnoticed, its task would wait forever and hold its share of the team's
     /// quota.
-    pub(crate) fn repeat_unobserved(&mut self) {
+    pub(crate) fn resend_unobserved(&mut self) {
         let now = self.context.now;
-        if !self.holds_lease() || !self.timers.unobserved_repeat.restart_if_due(now) {
+        if !self.holds_lease() || !self.timers.unobserved_resend.restart_if_due(now) {
             return;
         }
-        let wall = self.context.wall();
+        let wall = self.context.wall_clock();
         let is_unobserved = |placement: &Placement| {
             placement.observed.is_none()
-                && wall.since(placement.placed_at) > UNOBSERVED_REPEAT_INTERVAL
+                && wall.since(placement.placed_at) > UNOBSERVED_RESEND_INTERVAL
         };
         for job in self.jobs.by_id.values() {
             let placed = job.chunks.iter().flat_map(|chunk| chunk.placed.values());
@@ -108,12 +108,12 @@
 /// sent before record `seq`, the sequence number of the message.
 fn desired_on(
     jobs: &mut Jobs,
-    estimates: &Estimates,
+    estimates: &RunTimeEstimates,
     shard: usize,
     machine: &Rc<str>,
     seq: u64,
 ) -> Vec<DesiredTask> {
-    let Some(tasks) = jobs.task_index.on(shard, machine) else {
+    let Some(tasks) = jobs.task_index.tasks_on(shard, machine) else {
         return Vec::new();
     };
     let mut list = Vec::new();
@@ -160,14 +160,14 @@
                 placement.stop_seq.get_or_insert(seq);
             }
             let is_stored = placement.version <= stored;
-            let phase = if is_stored { Phase::DesiredHere } else { Phase::Ahead };
+            let phase = if is_stored { Phase::Stored } else { Phase::Reserved };
             list.push(desired(placement, phase));
         }
         for ended in &chunk.unstored_ends {
             let placement = &ended.placement;
             if ended.index == index && placement.machine == *machine && placement.version <= stored
             {
-                list.push(desired(placement, Phase::Over));
+                list.push(desired(placement, Phase::Ended));
             }
         }
     }
@@ -176,7 +176,7 @@
     /// expected duration changes.
     fn shape(&mut self, expected_s: f64) -> Rc<Shape> {
         let rank = self.rank();
-        match &self.announced_shape {
+        match &self.sent_shape {
             Some(shape) if shape.rank == rank && shape.expected_s == expected_s => Rc::clone(shape),
             _ => {
                 let spec = &self.spec;
@@ -192,7 +192,7 @@
                     checkpoint_s: spec.checkpoint_s,
                     expected_s,
                 });
-                self.announced_shape = Some(Rc::clone(&shape));
+                self.sent_shape = Some(Rc::clone(&shape));
                 shape
             }
         }
--- a/src/controller/machines/desired_state/received.rs
+++ b/src/controller/machines/desired_state/received.rs
@@ -84,8 +84,9 @@
             return false;
         }
         if update.term > self.term {
-            // Starts desired under the older term are dropped here; what
-            // runs stays until the new leader has sent all that it desires.
+            // The state is incomplete until the new leader's complete state has arrived, so no
+            // running task of the shard's jobs counts as undesired before that. The complete state
+            // replaces all tasks desired under the older term, including starts not sent yet.
             self.term = update.term;
             self.mark_incomplete();
         }
@@ -123,7 +124,7 @@
     /// Adds the resources of tasks to the usage of their teams, or subtracts them if `sign` is
     /// -1. Ended attempts are not counted.
     fn adjust_usage(&mut self, tasks: &[DesiredTask], sign: f64) {
-        for task in tasks.iter().filter(|task| task.phase() != Phase::Over) {
+        for task in tasks.iter().filter(|task| task.phase() != Phase::Ended) {
             let usage = self.usage.entry(task.team.clone()).or_default();
             usage.cpus += sign * task.cpus;
             usage.gpus += sign * task.gpus;
@@ -155,7 +156,7 @@
                     old.attempt == task.attempt && old.index == task.index && old.job == task.job
                 };
                 if task.stop_ms.is_none() && !before.iter().any(is_same) {
-                    self.scheduler.note_image(now, &task.image, &machine, task.incarnation);
+                    self.scheduler.record_image(now, &task.image, &machine, task.incarnation);
                 }
             }
             let known_machine_term = match known_term {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,15 +4,15 @@
 //!
 //! [`Controller`] is a router. It owns the components, passes each event and reply to the component
 //! that it concerns, fixes the order in which the components work at a tick and at a flush, and
-//! carries the conclusions of one component to the others. It keeps no state of its own and decides
-//! nothing about jobs or machines. An operation that changes several components is a method of
-//! [`Controller`] in the folder of the component that it serves; a component by itself changes only
-//! its own state.
+//! carries the conclusions of one component to the others. Beside them it keeps only counters,
+//! timers and the changes that wait for the next flush, and it decides nothing about jobs or
+//! machines. An operation that changes several components is a method of [`Controller`] in the
+//! folder of the component that it serves; a component by itself changes only its own state.
 //!
 //! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards that it
 //! leads ([`jobs`], [`scheduler`], [`quota`]) and commands the machines of these shards
-//! ([`machines`]). Its desired state of machines is sent as whole-state messages, which its own
-//! machine manager reads, too.
+//! ([`machines`]). The leader of a shard sends all members the complete list of the tasks that it
+//! desires on a machine whenever that list changes, and applies the same messages itself.
 
 pub mod api;
 pub mod autoscaler;
@@ -24,10 +24,10 @@
 pub mod scheduler;
 
 mod calls;
-mod changes;
 mod context;
 mod decision_log;
 pub mod event;
+mod pending_changes;
 mod timers;
 
 use crate::config::{Config, Options};
@@ -36,16 +36,16 @@
 pub use event::{CallId, DirectReply, Effect, Event, Reply, Ticket};
 
 use api::Api;
-use api::counts::Counts;
+use api::counters::Counters;
 use autoscaler::Autoscaler;
 use calls::{MachinesCall, PendingCall};
-use changes::PendingChanges;
 use context::Context;
 use jobs::Jobs;
 use jobs::stage_cache::CachedStage;
 use leadership::Leadership;
 use machines::{Machines, cancellation};
 use peers::Peers;
+use pending_changes::PendingChanges;
 use quota::Quotas;
 use scheduler::Scheduler;
 use timers::Timers;
@@ -65,7 +65,7 @@
     machines: Machines,
     quota: Quotas,
     autoscaler: Autoscaler,
-    counts: Counts,
+    counts: Counters,
     timers: Timers,
     changes: PendingChanges,
 }
@@ -73,24 +73,25 @@
 impl Controller {
     /// Creates a controller that has just started.
     ///
-    /// `wall` is the time of day at the zero of the steady clock: deadlines must outlive the
+    /// `wall` is the time of day at the zero of the monotonic clock: deadlines must outlive the
     /// process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let settings = &config.settings;
-        let controller_lease = cancellation::usable_lease(options.controller_lease, settings);
+        let controller_lease =
+            cancellation::effective_controller_lease(options.controller_lease, settings);
         let options = Options { controller_lease, ..options };
         let context = Context::new(config, options, seed, wall);
         let members = context.members.len();
         Controller {
             leadership: Leadership::new(members),
-            peers: Peers::new(members, context.me),
+            peers: Peers::new(members, context.local_member),
             jobs: Jobs::new(&settings.kv_store),
             api: Api::default(),
             scheduler: Scheduler::new(&context.options),
             machines: Machines::new(members),
             quota: Quotas::new(&settings.teams),
             autoscaler: Autoscaler::default(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             timers: Timers::default(),
             changes: PendingChanges::default(),
             context,
@@ -138,7 +139,7 @@
                 PendingCall::Machines(MachinesCall::ReadUnknownJob { job }),
                 Reply::KvStore(reply),
             ) => {
-                self.unknown_read(&job, &reply);
+                self.unknown_job_reply(&job, &reply);
             }
             (PendingCall::Machines(call), Reply::Direct(reply)) => {
                 self.machines_reply(call, reply);
@@ -183,7 +184,7 @@
         let now = self.context.now;
         self.expire_machine_incarnations();
         self.check_spot_notices();
-        self.repeat_unobserved();
+        self.resend_unobserved();
         self.scheduler.expire_preemption_requests(now);
         if self.timers.guarantees.restart_if_due(now) {
             self.refresh_guarantee_budget();
@@ -203,9 +204,9 @@
             self.admit_waiting();
             self.announce_terms();
             self.run_scheduling_pass();
-            self.store_dirty();
+            self.write_changed_jobs();
             let frame = self.reconcile_machines();
-            self.store_dirty();
+            self.write_changed_jobs();
             self.send_frames(frame);
         } else if self.timers.peer_heartbeat.is_due(now) || !self.changes.cancelled.is_empty() {
             self.send_frames(Frame::default());
--- a/src/controller/scheduler/capacity_updates.rs
+++ b/src/controller/scheduler/capacity_updates.rs
@@ -4,7 +4,7 @@
 use crate::controller::jobs::task_index::TaskId;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, PoolKey, ReservedTask};
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::peer::{DesiredTask, MachineView, Phase};
 use crate::resources::{Resources, TOLERANCE};
 use crate::time::Micros;
@@ -44,7 +44,7 @@
         let leader = self.leadership.leader_name(shard);
         let member = leader.and_then(|name| self.context.member_number(name));
         member.is_some_and(|member| {
-            member != self.context.me && self.peers.is_alive(member, self.context.now)
+            member != self.context.local_member && self.peers.is_alive(member, self.context.now)
         })
     }
 
@@ -150,7 +150,7 @@
         view: &MachineView,
         shard: usize,
     ) -> bool {
-        view.known
+        view.observed_in_term
             && view.healthy
             && self.shard_sources.get(&shard).is_some_and(|source| source.has_live_leader)
             && view.notice_ms.is_none()
@@ -175,7 +175,7 @@
             // A task of another incarnation is gone; the leader of its shard will observe that.
             let present = |task: &&DesiredTask| {
                 task.incarnation == view.worker_incarnation()
-                    && task.phase() != Phase::Over
+                    && task.phase() != Phase::Ended
                     && !has_ended(view, &task.job, task.index, task.attempt)
             };
             for task in tasks.iter().filter(present) {
@@ -203,7 +203,7 @@
         let jobs = inputs.jobs;
         let shards = 0..inputs.leadership.shard_count();
         for shard in shards.filter(|shard| inputs.jobs_recovered(*shard)) {
-            let tasks = jobs.task_index.on(shard, &capacity.machine);
+            let tasks = jobs.task_index.tasks_on(shard, &capacity.machine);
             for TaskId { job: id, index } in tasks.into_iter().flatten() {
                 let Some(job) = jobs.by_id.get(id) else {
                     continue;
@@ -232,13 +232,16 @@
 /// Whether a machine's view lists an attempt as ended.
 fn has_ended(view: &MachineView, job: &str, index: u32, attempt: u64) -> bool {
     view.tasks.iter().any(|task| {
-        task.attempt == attempt && task.index == index && task.job == job && task.observed().over()
+        task.attempt == attempt
+            && task.index == index
+            && task.job == job
+            && task.observed().is_terminal()
     })
 }
 
 /// Whether a machine's view lists an attempt that has not ended and has no reservation.
 fn lists_unknown_task(view: &MachineView, capacity: &MachineCapacity) -> bool {
-    view.tasks.iter().filter(|task| !task.observed().over()).any(|task| {
+    view.tasks.iter().filter(|task| !task.observed().is_terminal()).any(|task| {
         !capacity.tasks.iter().any(|reserved| {
             reserved.attempt == task.attempt
                 && reserved.index == task.index
--- a/src/controller/scheduler/mod.rs
+++ b/src/controller/scheduler/mod.rs
@@ -6,15 +6,14 @@
 //! acts on it. The scheduler never starts or stops a task itself.
 
 pub mod capacity;
-pub mod estimate;
 pub mod image_cache;
 pub mod image_locality;
 pub mod pending_reason;
+pub mod run_time_estimates;
 
 pub(crate) mod capacity_updates;
 pub(crate) mod demand;
 pub(crate) mod guarantee_budget;
-pub(crate) mod inputs;
 pub(crate) mod large_tasks;
 pub(crate) mod machine_choice;
 pub(crate) mod objectives;
@@ -23,6 +22,7 @@
 pub(crate) mod preemption_requests;
 pub(crate) mod queue;
 pub(crate) mod reservation;
+pub(crate) mod scheduling_inputs;
 pub(crate) mod scheduling_pass;
 pub(crate) mod search_failures;
 pub(crate) mod task_placement;
@@ -33,10 +33,10 @@
 use crate::wire::WorkerIncarnation;
 use capacity::{ClusterCapacity, MachineCapacity};
 use capacity_updates::ShardCapacitySource;
-use estimate::Estimates;
 use guarantee_budget::GuaranteeBudget;
 use image_cache::ImageCacheIndex;
 use preemption_requests::PreemptionRequests;
+use run_time_estimates::RunTimeEstimates;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
     guarantee_budget: GuaranteeBudget,
     /// Requests for the preemption of tasks of other shards.
     preemption_requests: PreemptionRequests,
-    estimates: Estimates,
+    estimates: RunTimeEstimates,
     images: ImageCacheIndex,
 }
 
@@ -75,7 +75,7 @@
             unobserved_placements: 0,
             guarantee_budget: GuaranteeBudget::default(),
             preemption_requests: PreemptionRequests::default(),
-            estimates: Estimates::default(),
+            estimates: RunTimeEstimates::default(),
             images: ImageCacheIndex::new(options.index_entries, options.index_age),
         }
     }
@@ -98,17 +98,17 @@
     }
 
     /// Corrections of the users' run time estimates.
-    pub(crate) fn estimates(&self) -> &Estimates {
+    pub(crate) fn estimates(&self) -> &RunTimeEstimates {
         &self.estimates
     }
 
     /// Records that a task of a class ran `ratio` times as long as its user's estimate.
-    pub(crate) fn learn_run_time(&mut self, class: &str, ratio: f64) {
+    pub(crate) fn record_run_time_ratio(&mut self, class: &str, ratio: f64) {
         self.estimates.record_ratio(class, ratio);
     }
 
     /// Records that a worker has an image or is about to fetch it.
-    pub(crate) fn note_image(
+    pub(crate) fn record_image(
         &mut self,
         now: Micros,
         image: &str,
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -1,7 +1,7 @@
 //! The order in which jobs are scheduled.
 
 use crate::controller::scheduler::Scheduler;
-use crate::controller::scheduler::inputs::SchedulingInputs;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::peer::Demand;
 use crate::time::Micros;
 
@@ -31,7 +31,7 @@
 pub(crate) struct QueuedJob {
     /// Compared first.
     pub(crate) class: QueueClass,
-    /// Time of day of the deadline; [`Micros::FAR`] if there is none.
+    /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     due: Micros,
     /// Time of day since which the job could be placed.
     ready: Micros,
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -3,9 +3,9 @@
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::Scheduler;
 use crate::controller::scheduler::capacity::{MachineCapacity, MachineId, PoolId, ReservedTask};
-use crate::controller::scheduler::inputs::SchedulingInputs;
 use crate::controller::scheduler::objectives::MIN_FETCH_GB_PER_S;
 use crate::controller::scheduler::queue::LOWEST_URGENT_RANK;
+use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 use crate::resources::Resources;
 use crate::time::Micros;
 
@@ -123,7 +123,7 @@
             scheduler,
             inputs,
             claim,
-            wall: inputs.context.wall(),
+            wall: inputs.context.wall_clock(),
             rank,
             needed: Resources::from(&**spec),
             teams_beyond_guarantee: scheduler.guarantee_budget.preemptible_teams(),
