--- a/tests/cluster/simulation/faults.rs
+++ b/tests/cluster/simulation/faults.rs
@@ -54,7 +54,7 @@
     pub machines: Option<usize>,
     /// Changes per second that the key-value store takes, if not the default.
     pub write_rps: Option<f64>,
-    /// Users query statuses `factor` times as often: from, to, factor.
+    /// Users send status queries `factor` times as often: from, to, factor.
     pub query_storm: Option<(u64, u64, u64)>,
     /// Additional delay of the answers to watches, in milliseconds.
     pub slow_watches: u64,
@@ -79,14 +79,14 @@
     pub user_cuts: Vec<(usize, u64, u64)>,
     /// Users cancel a number of running jobs with long tasks, within 200 ms.
     pub cancel_running: Vec<CancelRunning>,
-    /// Share of the jobs whose cancellation users request as their last task completes: from, to,
+    /// Users cancel a share of the jobs at the moment at which their last task completes: from, to,
     /// share.
     pub cancel_at_job_end: Option<(u64, u64, f64)>,
-    /// Share of the jobs at whose last completed task controllers crash: from, to, share, number of
-    /// controllers.
+    /// Controllers crash at the moment at which the last task of a share of the jobs completes:
+    /// from, to, share, number of controllers.
     pub crash_at_job_end: Option<(u64, u64, f64, usize)>,
-    /// Share of the jobs at whose last completed task the cloud terminates its machine, before a
-    /// heartbeat reports it: from, to, share.
+    /// The cloud terminates the machine on which the last task of a share of the jobs completes, at
+    /// that moment and before a heartbeat reports it: from, to, share.
     pub terminate_at_job_end: Option<(u64, u64, f64)>,
     /// Users repeat submissions, also with other bodies, cancel jobs that are done, query jobs that
     /// were never submitted and submit jobs that cannot run: from, to.
@@ -102,8 +102,8 @@
     pub quick_boots: bool,
 }
 
-/// Transactions that get no answer: a share of those between `from` and `to`. They are executed
-/// later by 2 to 12 s, after newer ones, or (`at_once`) immediately.
+/// A `share` of the transactions from `from` to `to` gets no answer. They are executed later by 2
+/// to 12 s, after newer ones, or (`at_once`) immediately.
 #[derive(Debug, Clone, Copy)]
 pub struct LateWrites {
     pub from: u64,
@@ -121,8 +121,8 @@
     pub hang_s: u64,
 }
 
-/// Direct commands of which a share, sent from `from` to `to`, is held for `least_s` to `most_s`
-/// seconds. Their sender gets no answer.
+/// A `share` of the direct commands that are sent from `from` to `to` is held for `least_s` to
+/// `most_s` seconds. The sender gets no answer.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldCommands {
     pub from: u64,
--- a/tests/cluster/simulation/jobs.rs
+++ b/tests/cluster/simulation/jobs.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A job that a user submits. Seconds count on the simulated clock.
+/// A job that a user submits; seconds count on the simulated clock.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub at_s: u64,
--- a/tests/cluster/simulation/users.rs
+++ b/tests/cluster/simulation/users.rs
@@ -18,7 +18,7 @@
 const POLL_AFTER_END: Micros = Micros::secs(20);
 /// Maximum number of machines that hang when users cancel many running jobs.
 const MAX_HANGING: usize = 8;
-/// Minimum run time of the tasks of a running job that users cancel, in seconds.
+/// Minimum run time of the tasks of a job that users cancel while it runs, in seconds.
 const LONG_RUN_S: f64 = 10.0;
 
 impl World {
