--- a/tests/components/scheduler.rs
+++ b/tests/components/scheduler.rs
@@ -34,8 +34,7 @@
     assert!(image_locality::is_cached_machine_preferred(u32::MAX, u32::MAX, u32::MAX));
 }
 
-/// The capacity indexes return the same machines as a scan of all machines, after any sequence of
-/// changes.
+/// The capacity indexes agree with a scan of all machines after any sequence of changes.
 #[test]
 fn capacity_indexes() {
     let mut rng = StdRng::seed_from_u64(5);
--- a/tests/components/sockets.rs
+++ b/tests/components/sockets.rs
@@ -9,7 +9,7 @@
     let table = [
         (3_092, 1_900, 0, true, true),
         (3_092, 1_900, 974, true, true),
-        // Commands leave a sixteenth of the sockets to senders.
+        // Commands leave a sixteenth of the sockets to senders, which may use it.
         (3_092, 1_900, 975, true, false),
         (3_092, 1_900, 1_167, true, false),
         (3_092, 1_900, 1_168, false, false),
--- a/tests/controller/harness/mod.rs
+++ b/tests/controller/harness/mod.rs
@@ -63,9 +63,9 @@
     ReplyLost,
     /// Not executed before the caller times out; [`Harness::execute_late_calls`] executes it.
     Late,
-    /// Executed and answered by [`Harness::serve_held_calls`].
+    /// Neither executed nor answered before [`Harness::serve_held_calls`].
     Held,
-    /// Executed at once, and answered by [`Harness::serve_held_calls`].
+    /// Executed at once, but not answered before [`Harness::serve_held_calls`].
     ReplyHeld,
 }
 
--- a/tests/controller/safety_guards/admission.rs
+++ b/tests/controller/safety_guards/admission.rs
@@ -14,9 +14,9 @@
 }
 
 /// Guards against a stored job that no controller runs. The write that accepts the job is
-/// executed but its reply is lost, so the user receives 503. The shard must run the job once the
-/// call has timed out, whether the watch reports the record before or after the timeout, or
-/// hangs while the user queries or repeats the submission.
+/// executed, perhaps late, but its reply is lost, so the user receives 503. The shard must run the
+/// job once the call has timed out, whether the watch reports the record before or after the
+/// timeout, or hangs while the user queries or repeats the submission.
 #[test]
 fn jobs_run_although_the_admission_reply_is_lost() {
     type UserAction = fn(&mut Harness);
--- a/tests/controller/safety_guards/status_queries.rs
+++ b/tests/controller/safety_guards/status_queries.rs
@@ -82,7 +82,7 @@
             &[(200, "queued")],
         ),
         (
-            "the comparison takes too long: another node may have answered a later stage",
+            "the comparison takes too long: another controller may have answered a later stage",
             |s| set_comparison_outcome(s, Outcome::ReplyHeld),
             |s| {
                 s.run(Micros::millis(800));
--- a/tests/stand_ins/digest.rs
+++ b/tests/stand_ins/digest.rs
@@ -16,7 +16,7 @@
 
 /// Environment variable with the path of the file to which digests are appended.
 const FILE_VARIABLE: &str = "EFFECT_DIGEST";
-/// The status and queue pages are added to the digest once every so many handled events.
+/// Number of handled events between samples of the status and queue pages.
 const EVENTS_PER_PAGE_SAMPLE: u64 = 512;
 
 /// Digest of the effects of all controllers of one run.
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns the next heartbeat if it is due: when it is sent, its number, its body and the
-    /// number of the node to which it is sent.
+    /// number of the controller to which it is sent.
     pub fn heartbeat(
         &mut self,
         now: Micros,
