--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -21,7 +21,9 @@
     pub name: String,
     pub zone: String,
     spot: bool,
+    /// Whether all tasks fail on it.
     pub sick: bool,
+    /// Whether its machine was returned or taken away.
     pub gone: bool,
     incarnation: WorkerIncarnation,
     seq: u64,
@@ -29,15 +31,19 @@
     tasks: BTreeMap<String, Task>,
     /// When the last answered heartbeat was sent, or when the incarnation began.
     lease_start: Micros,
+    /// Number of the controller to which it sends heartbeats.
     pub node: usize,
     pub next_heartbeat: Micros,
+    /// Number of the heartbeat whose response it waits for.
     pub in_flight: Option<u64>,
-    changed: bool,
+    /// Whether something has changed since the last heartbeat, which makes the next one due early.
+    has_unreported_changes: bool,
     /// Attempts forgotten on command that the simulation has not checked yet.
     pub cleared: Vec<(String, u64)>,
     /// Attempts stopped on command that the simulation has not checked yet.
     pub stopped: Vec<(String, u64)>,
     last_sent: Micros,
+    /// Number of heartbeats sent.
     heartbeats: u64,
     /// Number of incarnations that ended because the lease expired.
     pub expired_leases: u32,
@@ -65,7 +71,7 @@
             node,
             next_heartbeat: now,
             in_flight: None,
-            changed: true,
+            has_unreported_changes: true,
             cleared: Vec::new(),
             stopped: Vec::new(),
             last_sent: Micros::ZERO,
@@ -113,7 +119,7 @@
             self.seq = 0;
             self.lease_start = now;
             self.in_flight = None;
-            self.changed = true;
+            self.has_unreported_changes = true;
         }
         expired
     }
@@ -142,17 +148,17 @@
                 TaskState::Fetching if now > t.state_since + Micros::millis(500) => {
                     t.state = TaskState::Running;
                     t.state_since = now;
-                    self.changed = true;
+                    self.has_unreported_changes = true;
                 }
                 TaskState::Running if fails && now > t.state_since + Micros::millis(200) => {
                     t.state = TaskState::Exited;
                     t.cause = Some(Cause::Error);
-                    self.changed = true;
+                    self.has_unreported_changes = true;
                 }
                 TaskState::Running if now > t.state_since + Micros::from_secs_f64(duration_s) => {
                     t.state = TaskState::Exited;
                     t.cause = Some(Cause::Done);
-                    self.changed = true;
+                    self.has_unreported_changes = true;
                     done.push((job.to_string(), index));
                 }
                 _ => {}
@@ -195,14 +201,14 @@
         number: usize,
     ) -> Option<(Micros, u64, Vec<u8>, usize)> {
         let due = now >= self.next_heartbeat
-            || (self.changed && now > self.last_sent + Micros::millis(500));
+            || (self.has_unreported_changes && now > self.last_sent + Micros::millis(500));
         if self.in_flight.is_some() || !due {
             return None;
         }
         let body = serde_json::to_vec(&self.next_heartbeat_body(number)).expect("JSON");
         self.heartbeats += 1;
         self.in_flight = Some(self.heartbeats);
-        self.changed = false;
+        self.has_unreported_changes = false;
         self.last_sent = now;
         self.next_heartbeat = now + Micros::secs(2);
         Some((now, self.heartbeats, body, self.node))
@@ -228,7 +234,7 @@
                 if reply.fencing_token < self.fencing_token {
                     return Vec::new();
                 }
-                self.changed |= reply.fencing_token > self.fencing_token;
+                self.has_unreported_changes |= reply.fencing_token > self.fencing_token;
                 self.fencing_token = reply.fencing_token;
                 self.lease_start = self.lease_start.max(sent);
                 self.execute(now, reply.commands)
@@ -268,7 +274,7 @@
         let d: DirectCommands = serde_json::from_slice(body).expect("direct commands");
         let accepted = d.fencing_token >= self.fencing_token && d.incarnation == self.incarnation;
         let started = if accepted {
-            self.changed |= d.fencing_token > self.fencing_token;
+            self.has_unreported_changes |= d.fencing_token > self.fencing_token;
             self.fencing_token = d.fencing_token;
             self.execute(now, d.commands)
         } else {
@@ -300,7 +306,7 @@
                         (TaskState::Fetching, None)
                     };
                     self.tasks.insert(task, Task { attempt, state, cause, state_since: now });
-                    self.changed = true;
+                    self.has_unreported_changes = true;
                 }
                 Command::Stop { task, attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(&task)
@@ -310,7 +316,7 @@
                         t.state = TaskState::Exited;
                         t.cause = Some(Cause::Stopped);
                         self.stopped.push((task, attempt));
-                        self.changed = true;
+                        self.has_unreported_changes = true;
                     }
                 }
                 Command::Forget { task, attempt } => {
@@ -321,7 +327,7 @@
                     {
                         self.tasks.remove(&task);
                         self.cleared.push((task, attempt));
-                        self.changed = true;
+                        self.has_unreported_changes = true;
                     }
                 }
             }
