--- a/tests/controller/dependency_submissions.rs
+++ b/tests/controller/dependency_submissions.rs
@@ -302,9 +302,9 @@
         [(300, |n| n != 150), (300, |n| n < 100), (300, |_| false), (300, |n| n % 3 == 0)];
     for (row, (count, stored)) in table.into_iter().enumerate() {
         let list = &longest_dependency_list()[..count];
-        let stored = list.iter().enumerate().filter(|(n, _)| stored(*n));
+        let accepted = list.iter().enumerate().filter(|(n, _)| stored(*n));
         let stored: Vec<(String, Value)> =
-            stored.map(|(_, id)| (format!("j/{id}"), done_record())).collect();
+            accepted.map(|(_, id)| (format!("j/{id}"), done_record())).collect();
         let mut harness = Harness::ready("", &stored);
         let names: Vec<&str> = list.iter().map(String::as_str).collect();
         let body = submission_after("j-700000", &names);
