--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone)]
 pub(crate) enum LeadershipCall {
     /// Requests a controller lease.
-    GrantLease { sent: Micros },
+    GrantLease { sent_at: Micros },
     /// Renews the controller lease of an epoch.
-    RenewLease { sent: Micros, epoch: u64 },
+    RenewLease { sent_at: Micros, epoch: u64 },
     /// Lists the terms of all shards.
     ListTerms,
     /// Lists the leases of all shards, after their terms.
@@ -46,7 +46,7 @@
     /// Reads the store's revision, from which a watch starts.
     StartWatch(Watch),
     /// Polls the jobs' changes while the watch of jobs waits.
-    PollChanges { sent: Micros },
+    PollChanges { sent_at: Micros },
     /// Acquires a shard under a term, by the controller lease of an epoch.
     AcquireShard { shard: usize, term: u64, epoch: u64 },
     /// Releases a shard.
--- a/src/controller/jobs/batch_writer.rs
+++ b/src/controller/jobs/batch_writer.rs
@@ -23,10 +23,10 @@
 impl Jobs {
     /// Whether a job's changes are written to the batch in which it was accepted.
     pub(super) fn stays_batched(&self, id: &str) -> bool {
-        let small = |job: &Job| {
+        let belongs_in_batch = |job: &Job| {
             job.spec.tasks <= job::MAX_BATCHED_TASKS && job.is_active() && !job.is_complete()
         };
-        self.batches.key_of(id).is_some() && self.by_id.get(id).is_some_and(small)
+        self.batches.key_of(id).is_some() && self.by_id.get(id).is_some_and(belongs_in_batch)
     }
 
     /// Encodes a batch's next value, with all unstored changes of its jobs.
@@ -195,8 +195,8 @@
                 }
             }
             // The write may have been applied or may still be applied later. The stored value
-            // decides. If it reaches the store after a newer write, it fails on the batch's
-            // revision.
+            // shows whether it was. A write that reaches the store after a newer one fails on the
+            // batch's revision.
             _ => self.jobs.read_back_batch(&mut self.context, key, term),
         }
     }
--- a/src/controller/jobs/dependents.rs
+++ b/src/controller/jobs/dependents.rs
@@ -174,7 +174,7 @@
                 self.job_cancelled(id);
             }
             // The write may have been applied, or the job's user has cancelled it first: the
-            // stored record decides.
+            // stored record shows which.
             KvResponse::Conflict(_) | KvResponse::OutcomeUnknown => self.read_back(id),
             _ => {}
         }
--- a/src/controller/jobs/job/backoff.rs
+++ b/src/controller/jobs/job/backoff.rs
@@ -84,7 +84,7 @@
         }
         self.failure_pauses += 1;
         self.not_before = now + Micros::secs(1 << self.failure_pauses.min(MAX_PAUSE_DOUBLINGS));
-        // In a small cluster no machine would be left for the next trial.
+        // In a small cluster no machine would be left for the next attempt.
         self.avoided_machines.clear();
     }
 }
--- a/src/controller/jobs/job/keys.rs
+++ b/src/controller/jobs/job/keys.rs
@@ -68,8 +68,8 @@
 }
 
 impl From<StoredStage> for JobStage {
-    /// Converts to the stage shown to users. An accepted job with running tasks is shown as
-    /// running instead of queued.
+    /// Converts to the stage shown to users. It does not depend on tasks: the caller shows an
+    /// accepted job with running tasks as running instead of queued.
     fn from(stage: StoredStage) -> JobStage {
         match stage {
             StoredStage::Accepted => JobStage::Queued,
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -130,6 +130,7 @@
         index: u32,
         observed: ObservedState,
     ) -> bool {
+        let spec = Rc::clone(&self.spec);
         let Some(placement) = self.placement_mut(index) else {
             return false;
         };
@@ -141,8 +142,13 @@
             let took = wall.since(placement.placed_at);
             let began = if placement.restored { now.since(took) } else { now };
             placement.running_since = Some(began);
-            let (machine, took) = (&placement.machine, took.as_millis());
-            log::debug!("attempt {} runs on {machine} after {took} ms", placement.attempt);
+            log::debug!(
+                "task {}/{index}: attempt {} runs on {}, {} ms after its placement",
+                spec.id,
+                placement.attempt,
+                placement.machine,
+                took.as_millis()
+            );
             self.backoff.record_start();
         }
         true
--- a/src/controller/jobs/job/urgency.rs
+++ b/src/controller/jobs/job/urgency.rs
@@ -5,10 +5,10 @@
 use crate::time::Micros;
 use crate::wire::Priority;
 
-/// Rank and deadline by which jobs are served.
+/// Rank and deadline that determine in which order jobs are scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// Rank of service; lower is more urgent.
+    /// Scheduling rank; lower is more urgent.
     pub rank: u32,
     /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     pub due: Micros,
@@ -30,7 +30,7 @@
         Urgency { rank: self.rank(), due: self.due() }
     }
 
-    /// Rank of service, including the inherited one; lower is more urgent.
+    /// Scheduling rank, including the inherited one; lower is more urgent.
     pub fn rank(&self) -> u32 {
         self.inherited_urgency.unwrap_or(Urgency::LEAST).rank.min(self.own_rank())
     }
--- a/src/controller/jobs/read_back.rs
+++ b/src/controller/jobs/read_back.rs
@@ -98,9 +98,12 @@
             return self.jobs.read_back_failed(self.context.now, id);
         };
         let revision = item.revision;
-        let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
-            warn!("job {id}: record cannot be decoded");
-            return;
+        let record = match serde_json::from_value::<JobRecord>(item.value) {
+            Ok(record) => record,
+            Err(error) => {
+                warn!("record of job {id} at revision {revision} ignored: {error}");
+                return;
+            }
         };
         self.jobs.dependency_graph.apply_record(id, &record);
         let JobRecord { stage, shard: accepted_by, tasks, .. } = record;
--- a/src/controller/jobs/record_pages.rs
+++ b/src/controller/jobs/record_pages.rs
@@ -44,8 +44,8 @@
         self.requested.extend(jobs.into_iter().take(capacity));
     }
 
-    /// Drops absences that are too old, and requests for jobs that are cached by now, as far as
-    /// these come first.
+    /// Drops absences that are too old. Also drops requests for jobs that are cached by now, from
+    /// the front of the queue up to the first job that is not cached.
     fn clean_up(&mut self, now: Micros, stages: &StageCache) {
         self.absent.retain(|_, found_at| now.since(*found_at) < ABSENCE_LIFETIME);
         while self.requested.first().is_some_and(|id| stages.contains(id)) {
@@ -60,7 +60,7 @@
     }
 
     /// Marks the requested jobs that a page did not contain as absent. The page covers the keys
-    /// from the job `first` to the key `last`, or to the end without it.
+    /// from the job `first` to the key `last`, or all following keys if `last` is `None`.
     fn mark_absent(&mut self, now: Micros, first: &str, last: Option<&str>) {
         let covered = |id: &String| {
             let key = job::job_key(id);
--- a/src/controller/jobs/recovery.rs
+++ b/src/controller/jobs/recovery.rs
@@ -22,8 +22,8 @@
 }
 
 impl Jobs {
-    /// Adds a job read from the store: its record, at a revision, and its chunks. The caller has
-    /// cached the record's stage. Returns false if the chunks cannot be read.
+    /// Adds a job from its record, stored at `revision`, and its chunks. The caller has cached the
+    /// record's stage. Returns false if the chunks cannot be read.
     pub(crate) fn restore(
         &mut self,
         shard: usize,
@@ -53,7 +53,7 @@
     /// time.
     pub(crate) fn mark_unreadable(&mut self, name: &str, reason: &str) {
         if self.unreadable.insert(name.to_string()) {
-            warn!("{name}: {reason}");
+            warn!("{name} cannot be read and is left unmodified in the store: {reason}");
         }
     }
 
--- a/src/controller/jobs/task_index.rs
+++ b/src/controller/jobs/task_index.rs
@@ -31,7 +31,10 @@
 
     /// All machines with tasks of a shard.
     pub(crate) fn machines_of_shard(&self, shard: usize) -> impl Iterator<Item = &Rc<str>> {
-        self.by_machine.keys().filter(move |(owner, _)| *owner == shard).map(|(_, machine)| machine)
+        self.by_machine
+            .keys()
+            .filter(move |(task_shard, _)| *task_shard == shard)
+            .map(|(_, machine)| machine)
     }
 
     /// All machines with tasks of a job, each paired with the job's shard.
@@ -42,8 +45,8 @@
     ) -> impl Iterator<Item = &(usize, Rc<str>)> {
         self.by_machine
             .iter()
-            .filter(move |((owner, _), tasks)| {
-                *owner == shard && tasks.iter().any(|task| task.job == job)
+            .filter(move |((task_shard, _), tasks)| {
+                *task_shard == shard && tasks.iter().any(|task| task.job == job)
             })
             .map(|(key, _)| key)
     }
@@ -82,6 +85,6 @@
 
     /// Removes all tasks of a shard that this process no longer leads.
     pub(crate) fn remove_shard(&mut self, shard: usize) {
-        self.by_machine.retain(|(owner, _), _| *owner != shard);
+        self.by_machine.retain(|(task_shard, _), _| *task_shard != shard);
     }
 }
--- a/src/controller/jobs/write_replies.rs
+++ b/src/controller/jobs/write_replies.rs
@@ -51,8 +51,8 @@
                 self.read_back(id);
             }
             // The write may have been applied or may still be applied later. The stored values
-            // decide. If it reaches the store after a newer write, it fails on the chunks'
-            // revisions.
+            // show whether it was. A write that reaches the store after a newer one fails on the
+            // chunks' revisions.
             _ => self.read_back(id),
         }
     }
--- a/src/controller/jobs/writer.rs
+++ b/src/controller/jobs/writer.rs
@@ -170,7 +170,7 @@
                 self.context.call_store(call, KvRequest::Txn(txn));
             }
             WritePlan::TooLarge(chunks) => {
-                // The job is tried again with its next change. Trying on every turn would encode
+                // The job is tried again with its next change. Trying at every flush would encode
                 // it hundreds of times a second.
                 self.changes.jobs.remove(id);
                 self.withdraw_unstored_placements(id, &chunks);
--- a/src/controller/leadership/acquisition.rs
+++ b/src/controller/leadership/acquisition.rs
@@ -217,7 +217,7 @@
             KvResponse::LeaseNotFound if same_lease => self.controller_lease_expired(),
             KvResponse::NotExecuted => {}
             // The transaction may have been applied, or another member may have been faster: the
-            // stored leases decide.
+            // stored leases are read again and determine who leads the shard.
             _ => self.leadership.shards_up_to_date = false,
         }
     }
--- a/src/controller/leadership/connectivity.rs
+++ b/src/controller/leadership/connectivity.rs
@@ -8,7 +8,8 @@
 //!
 //! Until a worker answers a probe, the node acquires vacant shards later than the other members,
 //! and hands them over again while any peer is healthy. From the second partition on, this
-//! continues for a further pause that grows each time, since a partition may be one-way.
+//! continues for a further pause, longer after each partition up to a maximum, since a partition
+//! may be one-way.
 
 use crate::controller::calls::MachinesCall;
 use crate::controller::context::Context;
@@ -45,8 +46,9 @@
 const PROBE_INTERVAL: Micros = Micros::secs(2);
 /// Maximum number of workers probed at once.
 const MAX_PROBED_WORKERS: usize = 4;
-/// Maximum number of times that the pause before shards may come back is doubled.
-const MAX_PAUSE_DOUBLINGS: u32 = 3;
+/// Maximum number of earlier partitions that lengthen the pause before shards may come back. The
+/// pause is `failback_delay` times 2^n - 1 after n earlier partitions, so at most 7 times.
+const MAX_COUNTED_PARTITIONS: u32 = 3;
 
 /// Observed state of the network between this node and the workers.
 #[derive(Debug, Default)]
@@ -110,10 +112,10 @@
     }
 
     /// Ends the partition once workers have been reachable for long enough: longer after each
-    /// partition.
+    /// partition, up to a maximum.
     fn end_partition_if_due(&mut self, regained_at: Micros, context: &Context) {
-        let doublings = (self.partitions.max(1) - 1).min(MAX_PAUSE_DOUBLINGS);
-        let pause = Micros(context.options.failback_delay.0 * ((1 << doublings) - 1));
+        let earlier_partitions = (self.partitions.max(1) - 1).min(MAX_COUNTED_PARTITIONS);
+        let pause = Micros(context.options.failback_delay.0 * ((1 << earlier_partitions) - 1));
         if context.now.since(regained_at) >= pause {
             info!("workers can be reached again; shards may come back");
             self.partitioned = false;
--- a/src/controller/leadership/controller_lease.rs
+++ b/src/controller/leadership/controller_lease.rs
@@ -30,20 +30,20 @@
 }
 
 impl ControllerLease {
-    /// Records a new lease that was granted by a call sent at `sent`.
-    pub fn grant(&mut self, id: u64, sent: Micros, ttl: Micros) {
+    /// Records a new lease that was granted by a call sent at `sent_at`.
+    pub fn grant(&mut self, id: u64, sent_at: Micros, ttl: Micros) {
         self.id = Some(id);
         self.epoch += 1;
         self.valid_until = Micros::ZERO;
-        self.extend(sent, ttl);
+        self.extend(sent_at, ttl);
     }
 
-    /// Extends the validity after a grant or renewal that was *sent* at `sent` succeeded. Counting
-    /// from the reply would overstate the validity by the time that the reply took.
-    pub fn extend(&mut self, sent: Micros, ttl: Micros) {
-        let until = sent + ttl.shortened(CLOCK_DRIFT_PER_MILLE).since(VALIDITY_MARGIN);
+    /// Extends the validity after a grant or renewal that was *sent* at `sent_at` succeeded.
+    /// Counting from the reply would overstate the validity by the time that the reply took.
+    pub fn extend(&mut self, sent_at: Micros, ttl: Micros) {
+        let until = sent_at + ttl.shortened(CLOCK_DRIFT_PER_MILLE).since(VALIDITY_MARGIN);
         self.valid_until = self.valid_until.max(until);
-        self.renew_at = sent + renewal_interval(ttl);
+        self.renew_at = sent_at + renewal_interval(ttl);
     }
 
     /// Records that the store no longer has the lease nor any shard lease attached to it. A new
--- a/src/controller/leadership/handover.rs
+++ b/src/controller/leadership/handover.rs
@@ -46,7 +46,7 @@
     }
 
     /// Handles the reply to the release of a shard. Whatever the outcome, the stored leases are
-    /// read again and decide.
+    /// read again and determine who leads the shard.
     pub(crate) fn release_reply(&mut self, shard: usize) {
         self.shards[shard].transaction_in_flight = false;
         self.shards_up_to_date = false;
--- a/src/controller/leadership/lease_renewal.rs
+++ b/src/controller/leadership/lease_renewal.rs
@@ -14,8 +14,8 @@
 /// What the reply to a renewal says about the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// The lease is valid for longer, or for as long as before.
-    Unchanged,
+    /// The lease was extended, or the reply is an error or belongs to another epoch.
+    NotExpired,
     /// The store no longer has the lease.
     Expired,
 }
@@ -32,46 +32,46 @@
             None => {
                 let ttl = context.options.controller_lease;
                 context.call_store(
-                    LeadershipCall::GrantLease { sent: now },
+                    LeadershipCall::GrantLease { sent_at: now },
                     KvRequest::GrantLease(ttl),
                 );
             }
             Some(id) => {
-                let purpose = LeadershipCall::RenewLease { sent: now, epoch: self.epoch };
+                let purpose = LeadershipCall::RenewLease { sent_at: now, epoch: self.epoch };
                 context.call_store(purpose, KvRequest::RenewLease(id));
             }
         }
     }
 
-    /// Handles the reply to a grant that was requested at `sent`.
-    pub(crate) fn grant_reply(&mut self, sent: Micros, reply: &KvResponse, context: &Context) {
+    /// Handles the reply to a grant that was requested at `sent_at`.
+    pub(crate) fn grant_reply(&mut self, sent_at: Micros, reply: &KvResponse, context: &Context) {
         self.call_in_flight = false;
         match reply {
             KvResponse::LeaseGranted(id) => {
-                self.grant(*id, sent, context.options.controller_lease);
+                self.grant(*id, sent_at, context.options.controller_lease);
             }
             _ => self.renew_at = context.now + GRANT_RETRY_DELAY,
         }
     }
 
-    /// Handles the reply to a renewal that was requested at `sent` for the lease of `epoch`. A
+    /// Handles the reply to a renewal that was requested at `sent_at` for the lease of `epoch`. A
     /// reply for another epoch changes nothing.
     pub(crate) fn renewal_reply(
         &mut self,
-        sent: Micros,
+        sent_at: Micros,
         epoch: u64,
         reply: &KvResponse,
         context: &Context,
     ) -> RenewalOutcome {
         self.call_in_flight = false;
         if epoch != self.epoch {
-            return RenewalOutcome::Unchanged;
+            return RenewalOutcome::NotExpired;
         }
         match reply {
-            KvResponse::LeaseRenewed => self.extend(sent, context.options.controller_lease),
+            KvResponse::LeaseRenewed => self.extend(sent_at, context.options.controller_lease),
             KvResponse::LeaseNotFound => return RenewalOutcome::Expired,
             _ => self.renew_at = context.now + RENEWAL_RETRY_DELAY,
         }
-        RenewalOutcome::Unchanged
+        RenewalOutcome::NotExpired
     }
 }
--- a/src/controller/leadership/recovered_jobs.rs
+++ b/src/controller/leadership/recovered_jobs.rs
@@ -69,7 +69,9 @@
         let Some(term) = self.leading_term(shard) else {
             return;
         };
-        info!("job {id} found in the store");
+        info!(
+            "job {id} is stored but does not run here: the jobs of shard {shard} are listed again"
+        );
         let recoveries = &mut self.leadership.recoveries;
         recoveries.entry(shard).or_insert_with(|| ShardRecovery::new(term)).list_again();
     }
@@ -105,7 +107,7 @@
         let last = items.last().map(|item| item.key.clone());
         let page = RecoveryPage::decode(items, |id| self.jobs.by_id.contains_key(id));
         for batch in &page.unreadable {
-            self.jobs.mark_unreadable(batch, "some of its jobs cannot be read");
+            self.jobs.mark_unreadable(batch, "some jobs of the batch are malformed");
         }
         if let Some(recovery) = self.leadership.recovery_mut(shard, term) {
             recovery.add_page(page, last, more);
@@ -143,7 +145,7 @@
             }
             let Some(ReadRecord { record: Some(record), revision }) = read.records.remove(&id)
             else {
-                self.jobs.leave_unreadable(&id, "no record that can be read");
+                self.jobs.leave_unreadable(&id, "its record is missing or malformed");
                 continue;
             };
             if self.restore_job(shard, &id, &record, revision, &chunks) {
@@ -176,7 +178,7 @@
             CachedStage { stage: record.stage, shard: record.shard, tasks: record.tasks, revision },
         );
         if !self.jobs.restore(shard, id, record, revision, chunks) {
-            self.jobs.leave_unreadable(id, "stored tasks cannot be read");
+            self.jobs.leave_unreadable(id, "its stored tasks are malformed");
             return false;
         }
         self.changes.jobs.insert(id.to_string());
--- a/src/controller/leadership/replies.rs
+++ b/src/controller/leadership/replies.rs
@@ -9,12 +9,12 @@
     /// Handles the reply to a call about leases, watches or recoveries.
     pub(crate) fn leadership_reply(&mut self, call: LeadershipCall, reply: KvResponse) {
         match call {
-            LeadershipCall::GrantLease { sent } => {
-                self.leadership.controller_lease.grant_reply(sent, &reply, &self.context);
+            LeadershipCall::GrantLease { sent_at } => {
+                self.leadership.controller_lease.grant_reply(sent_at, &reply, &self.context);
             }
-            LeadershipCall::RenewLease { sent, epoch } => {
+            LeadershipCall::RenewLease { sent_at, epoch } => {
                 let lease = &mut self.leadership.controller_lease;
-                let outcome = lease.renewal_reply(sent, epoch, &reply, &self.context);
+                let outcome = lease.renewal_reply(sent_at, epoch, &reply, &self.context);
                 if outcome == RenewalOutcome::Expired {
                     self.controller_lease_expired();
                 }
@@ -29,12 +29,12 @@
             }
             LeadershipCall::StartWatch(watch) => self.watch_start_reply(watch, &reply),
             LeadershipCall::Watch(watch) => self.watch_reply(watch, reply),
-            LeadershipCall::PollChanges { sent } => {
+            LeadershipCall::PollChanges { sent_at } => {
                 // A failed poll is not retried: if polls fail, the watch fails too and is called
                 // again.
                 if let KvResponse::WatchEvents { revision, events } = reply {
                     self.apply_events(Watch::Jobs, events);
-                    self.leadership.watches.jobs_polled(revision, sent);
+                    self.leadership.watches.jobs_polled(revision, sent_at);
                 }
             }
             LeadershipCall::AcquireShard { shard, term, epoch } => {
--- a/src/controller/leadership/shard.rs
+++ b/src/controller/leadership/shard.rs
@@ -1,8 +1,9 @@
 //! Shards: the parts into which machines and jobs are divided, each with at most one leader.
 //!
 //! A shard's lease and its term change in one transaction, so the revision of the lease's key
-//! identifies a term. Every write of a leader is conditional on that revision: a late transaction
-//! of an earlier leader fails.
+//! identifies a term. Every write of a leader is conditional on that revision, so that a late
+//! transaction of an earlier leader fails. The only exception is the cancellation of a job, which
+//! is conditional on the job's record alone.
 
 use crate::controller::decision_log::LeadershipEvidence;
 use crate::controller::leadership::fencing_token::next_term;
@@ -18,7 +19,7 @@
 pub struct ShardLeadership {
     /// Term of the leadership.
     pub term: u64,
-    /// Revision of the lease's key: every write is conditional on it.
+    /// Revision of the lease's key, on which this leader's writes are conditional.
     pub revision: u64,
     /// When this process received the confirmation that it leads the shard: no earlier leader acted
     /// after that.
--- a/src/controller/leadership/shard_lease.rs
+++ b/src/controller/leadership/shard_lease.rs
@@ -66,8 +66,9 @@
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// The condition of every write for a shard: its lease has not changed since it was acquired at
-/// this revision. It makes a late transaction of an earlier leader fail.
+/// The condition of every write for a shard, except cancellations of jobs: the shard's lease has
+/// not changed since it was acquired at this revision. It makes a late transaction of an earlier
+/// leader fail.
 pub fn lease_condition(shard: usize, revision: u64) -> Condition {
     Condition { key: lease_key(shard), revision }
 }
--- a/src/controller/leadership/watch_events.rs
+++ b/src/controller/leadership/watch_events.rs
@@ -36,11 +36,13 @@
             }
             Watch::Jobs => {
                 let id = key.strip_prefix(watches::key_prefix(watch)).filter(|_| is_put)?;
-                let Ok(record) = serde_json::from_value(value) else {
-                    warn!("job {id}: record cannot be decoded");
-                    return None;
-                };
-                Some(Change::Job { id: id.to_string(), record, revision })
+                match serde_json::from_value(value) {
+                    Ok(record) => Some(Change::Job { id: id.to_string(), record, revision }),
+                    Err(error) => {
+                        warn!("record of job {id} at revision {revision} ignored: {error}");
+                        None
+                    }
+                }
             }
             Watch::Quotas => {
                 let team = key.strip_prefix(watches::key_prefix(watch))?.to_string();
@@ -122,8 +124,10 @@
         for recovery in self.leadership.recoveries.values_mut() {
             recovery.read_records_again();
         }
-        let busy = self.jobs.by_id.iter().filter(|(_, j)| j.store_call_in_flight);
-        self.machines.add_unknown_jobs(busy.map(|(id, _)| id.clone()).collect());
+        // A job with a call in flight cannot be read back now. Its record is read like that of an
+        // unknown job.
+        let with_call = self.jobs.by_id.iter().filter(|(_, job)| job.store_call_in_flight);
+        self.machines.add_unknown_jobs(with_call.map(|(id, _)| id.clone()).collect());
         let ids: Vec<String> = self.jobs.by_id.keys().cloned().collect();
         for id in ids {
             self.read_back(&id);
--- a/src/controller/leadership/watches.rs
+++ b/src/controller/leadership/watches.rs
@@ -45,11 +45,12 @@
 }
 
 impl WatchState {
-    /// Records that all changes up to `revision`, requested at `sent`, have been received. Neither
-    /// value decreases, since the replies of a watch and of a poll may arrive in either order.
-    fn advance_to(&mut self, revision: u64, sent: Micros) {
+    /// Records that all changes up to `revision`, requested at `sent_at`, have been received.
+    /// Neither value decreases, since the replies of a watch and of a poll may arrive in either
+    /// order.
+    fn advance_to(&mut self, revision: u64, sent_at: Micros) {
         self.revision = Some(self.revision.unwrap_or(0).max(revision));
-        self.caught_up_at = self.caught_up_at.max(sent);
+        self.caught_up_at = self.caught_up_at.max(sent_at);
     }
 
     /// Records the reply to the call in flight, which contained all changes up to `revision`.
@@ -138,12 +139,12 @@
         self.jobs.next_poll_at = now + POLL_INTERVAL;
         let prefix = JOB_KEY_PREFIX.to_string();
         let call = KvRequest::Watch { prefix, after, block: Micros::ZERO };
-        context.call_store(LeadershipCall::PollChanges { sent: now }, call);
+        context.call_store(LeadershipCall::PollChanges { sent_at: now }, call);
     }
 
-    /// Records the reply to a poll of the jobs' changes that was sent at `sent`.
-    pub(crate) fn jobs_polled(&mut self, revision: u64, sent: Micros) {
-        self.jobs.advance_to(revision, sent);
+    /// Records the reply to a poll of the jobs' changes that was sent at `sent_at`.
+    pub(crate) fn jobs_polled(&mut self, revision: u64, sent_at: Micros) {
+        self.jobs.advance_to(revision, sent_at);
     }
 
     /// Restarts a watch after the store has compacted changes that the watch has not received.
--- a/src/controller/machines/cancellation.rs
+++ b/src/controller/machines/cancellation.rs
@@ -68,8 +68,10 @@
     let BoundedLease { duration, is_short_enough } = bounded_lease(desired, &settings.workers);
     if !is_short_enough {
         log::warn!(
-            "lease_s and cancel_s are so close that cancelled tasks may outlast cancel_s \
-             when the key-value store is away"
+            "lease_s and cancel_s are so close that cancelled tasks may run for longer than \
+             cancel_s while the key-value store is unavailable: lease_s is {}, cancel_s is {}",
+            settings.workers.lease_s,
+            settings.workers.cancel_s
         );
     } else if duration < desired {
         log::info!("the controller's lease is shortened to {} ms", duration.as_millis());
@@ -206,7 +208,7 @@
         let cancelled = StoredStage::Cancelled;
         let updated = match self.jobs.stage_cache.get(id) {
             Some(cached) => CachedStage { stage: cancelled, revision: 0, ..cached },
-            // The owning shard is unknown, and does not matter once the job is cancelled.
+            // The job's shard is unknown, and does not matter once the job is cancelled.
             None => CachedStage { stage: cancelled, shard: usize::MAX, tasks: 0, revision: 0 },
         };
         self.cache_stage(id, updated);
--- a/src/controller/machines/desired_state/led_shards.rs
+++ b/src/controller/machines/desired_state/led_shards.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// The tasks that a shard desires on a machine, computed from its jobs. Stops that were not
-/// sent before record `seq`, the sequence number of the message.
+/// The tasks that a shard desires on a machine, computed from its jobs. `seq` is the sequence
+/// number of the message; it is recorded as that of each stop that is sent for the first time.
 fn desired_on(
     jobs: &mut Jobs,
     estimates: &RunTimeEstimates,
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -21,10 +21,13 @@
     Json(#[from] serde_json::Error),
     #[error("malformed heartbeat: machine name is empty")]
     NoName,
-    #[error("malformed heartbeat: machine or zone name is longer than {MAX_NAME_BYTES} bytes")]
-    LongName,
-    #[error("malformed heartbeat: incarnation is 0, which means none")]
-    NoIncarnation,
+    #[error(
+        "malformed heartbeat: machine name ({machine} bytes) or zone name ({zone} bytes) is longer \
+         than {MAX_NAME_BYTES} bytes"
+    )]
+    LongName { machine: usize, zone: usize },
+    #[error("malformed heartbeat of machine {machine}: incarnation is 0, which means none")]
+    NoIncarnation { machine: String },
 }
 
 /// Result of applying a heartbeat.
@@ -145,11 +148,12 @@
     if heartbeat.machine.is_empty() {
         return Err(HeartbeatError::NoName);
     }
-    if heartbeat.machine.len() > MAX_NAME_BYTES || heartbeat.zone.len() > MAX_NAME_BYTES {
-        return Err(HeartbeatError::LongName);
+    let (machine, zone) = (heartbeat.machine.len(), heartbeat.zone.len());
+    if machine > MAX_NAME_BYTES || zone > MAX_NAME_BYTES {
+        return Err(HeartbeatError::LongName { machine, zone });
     }
     if heartbeat.incarnation == WorkerIncarnation::NONE {
-        return Err(HeartbeatError::NoIncarnation);
+        return Err(HeartbeatError::NoIncarnation { machine: heartbeat.machine });
     }
     Ok(heartbeat)
 }
--- a/src/controller/machines/machine/health.rs
+++ b/src/controller/machines/machine/health.rs
@@ -72,7 +72,7 @@
 
     /// Whether its heartbeats arrive in time and are answered. Both are required: a machine that
     /// is only reached by direct commands loses all its tasks when its lease expires.
-    /// `last_answered_at` as for [`ManagedMachine::expire_incarnation`].
+    /// `last_answered_at` has the same meaning as in [`ManagedMachine::expire_incarnation`].
     pub fn reports_in_time(
         &self,
         now: Micros,
--- a/src/controller/machines/machine/mod.rs
+++ b/src/controller/machines/machine/mod.rs
@@ -82,7 +82,8 @@
     pub(crate) description: MachineDescription,
     /// Whether a direct command was sent whose outcome is not known yet.
     pub(crate) direct_in_flight: bool,
-    /// Earliest time for the next direct command, after one that was not executed.
+    /// Earliest time for the next direct command, after one that was not executed or whose outcome
+    /// is unknown.
     pub(crate) direct_not_before: Micros,
     /// Whether its heartbeats arrive without evidence that it receives commands.
     pub unresponsive: bool,
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -5,6 +5,9 @@
 //! known worker addresses. It starts no task before its placement is stored, sends no command
 //! without a fencing token, and answers no heartbeat while it may have missed cancellations.
 //! Where tasks are placed is decided by the scheduler.
+//!
+//! The owner of a job and its tasks is the leader of the job's shard. The shard of the machine on
+//! which a task runs may be another one, with another leader.
 
 pub mod attempt;
 pub mod cancellation;
--- a/src/controller/machines/reconciler.rs
+++ b/src/controller/machines/reconciler.rs
@@ -340,7 +340,7 @@
         }
         managed.starts.waiting.remove(attempt);
         if !fits {
-            debug!("machine {}: no capacity to start {}", self.machine, attempt.task_name());
+            debug!("machine {}: no capacity to start task {}", self.machine, attempt.task_name());
             managed.starts.refused.insert(attempt.clone());
             return false;
         }
@@ -368,7 +368,7 @@
     fn log_stop(&self, attempt: &AttemptId, reason: StopReason) {
         if matches!(reason, StopReason::DesiredByNoShard) {
             info!(
-                "machine {}: stopping {}: no shard desires it there",
+                "machine {}: stopping task {}: no shard desires it there",
                 self.machine,
                 attempt.task_name()
             );
--- a/src/controller/machines/views.rs
+++ b/src/controller/machines/views.rs
@@ -86,7 +86,7 @@
 
 impl Machines {
     /// Ends silent incarnations, and finds machines whose health or pending commands may have
-    /// changed since `now` is later. `acquired_at`, indexed by shard, is when this process
+    /// changed because time has passed. `acquired_at`, indexed by shard, is when this process
     /// acquired the shard; `None` if it does not lead it.
     fn expire_incarnations(
         &mut self,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! [`Controller`] is a router. It owns the components, passes each event and reply to the component
 //! that it concerns, fixes the order in which the components work at a tick and at a flush, and
-//! carries the conclusions of one component to the others. Beside them it keeps only counters,
+//! passes the results of one component to the others. Beside them it keeps only counters,
 //! timers and the changes that wait for the next flush, and it decides nothing about jobs or
 //! machines. An operation that changes several components is a method of [`Controller`] in the
 //! folder of the component that it serves; a component by itself changes only its own state.
--- a/src/controller/peers/receiving.rs
+++ b/src/controller/peers/receiving.rs
@@ -88,7 +88,10 @@
         for message in messages {
             match message.decode() {
                 Ok(update) => self.apply_desired_state(update),
-                Err(error) => warn!("desired state of peer {from} ignored: {error}"),
+                Err(error) => {
+                    let peer = &self.context.members[from];
+                    warn!("desired state from {peer} ignored: {error}");
+                }
             }
         }
     }
--- a/src/controller/pending_changes.rs
+++ b/src/controller/pending_changes.rs
@@ -44,7 +44,7 @@
     /// Drops the changes of a shard that this process no longer leads; `shards` is the number of
     /// all shards.
     pub(crate) fn forget_shard(&mut self, shard: usize, shards: usize) {
-        self.desired.retain(|(of, _)| *of != shard);
+        self.desired.retain(|(task_shard, _)| *task_shard != shard);
         self.complete_desired.remove(&shard);
         self.machines.retain(|machine| shard_of_machine(machine, shards) != shard);
     }
