--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -35,7 +35,7 @@
     /// The options are not valid INI.
     #[error(transparent)]
     Ini(#[from] ini::ParseError),
-    /// A setting has an invalid value.
+    /// A setting has an invalid value. The problem includes the value.
     #[error("{key}: {problem}")]
     Setting {
         /// Key of the setting, including its tables.
@@ -58,17 +58,25 @@
 }
 
 /// Problem with the value of a setting.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[derive(Debug, Clone, PartialEq, Error)]
 pub enum SettingProblem {
     /// The value is zero, negative, infinite or not a number.
-    #[error("must be a positive number")]
-    NotPositive,
+    #[error("must be a positive number, but is {value}")]
+    NotPositive {
+        /// Value in the file.
+        value: f64,
+    },
     /// The value is negative, infinite or not a number.
-    #[error("must not be negative")]
-    Negative,
+    #[error("must not be negative or infinite, but is {value}")]
+    Negative {
+        /// Value in the file.
+        value: f64,
+    },
     /// The value is less than the controller needs.
-    #[error("must be at least {min}")]
+    #[error("must be at least {min}, but is {value}")]
     TooSmall {
+        /// Value in the file.
+        value: usize,
         /// Smallest allowed value.
         min: usize,
     },
@@ -76,26 +84,40 @@
     #[error("must not be empty")]
     Empty,
     /// Two members have the same name. Members are identified by their names.
-    #[error("two members have the same name")]
-    DuplicateMember,
+    #[error("two members have the same name: {name:?}")]
+    DuplicateMember {
+        /// Name that occurs twice.
+        name: String,
+    },
     /// Two teams have the same name. Teams are identified by their names.
-    #[error("two teams have the same name")]
-    DuplicateTeam,
+    #[error("two teams have the same name: {name:?}")]
+    DuplicateTeam {
+        /// Name that occurs twice.
+        name: String,
+    },
     /// A team has no name, or an amount that is negative, infinite or not a number.
-    #[error("every team needs a name and amounts that are not negative")]
-    InvalidTeam,
+    #[error("team {name:?}: every team needs a name and finite amounts that are not negative")]
+    InvalidTeam {
+        /// Name of the team; may be empty.
+        name: String,
+    },
 }
 
 /// Problem with an option.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum OptionProblem {
     /// The option does not exist. Unknown options are errors, so that a misspelt one does not
     /// silently keep its default.
     #[error("unknown option")]
     Unknown,
     /// The value is not a number, or is out of range.
-    #[error("not a number in the allowed range")]
-    OutOfRange,
+    #[error("not a number in the allowed range, {min} to {max}")]
+    OutOfRange {
+        /// Smallest allowed value.
+        min: f64,
+        /// Largest allowed value.
+        max: f64,
+    },
     /// The value is not three numbers, or one of them is smaller than the one before it.
     #[error("must be three numbers in ascending order")]
     NotAscending,
--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -34,7 +34,7 @@
     pub retry_after_s: u64,
     /// `[fleet] idle_s`: time without tasks after which a machine is scaled in.
     pub idle_timeout: Micros,
-    /// `[fleet] spare_share`: spare capacity to request beyond the waiting tasks, as a share of
+    /// `[fleet] spare_share`: spare capacity to request beyond the pending tasks, as a share of
     /// them.
     pub spare_share: f64,
     /// `[fleet] refused_s`: how long machines that the cloud refused for lack of capacity are
@@ -129,7 +129,7 @@
 fn parse_number(value: &str, min: f64, max: f64) -> Result<f64, OptionProblem> {
     match value.trim().parse::<f64>() {
         Ok(number) if number.is_finite() && (min..=max).contains(&number) => Ok(number),
-        _ => Err(OptionProblem::OutOfRange),
+        _ => Err(OptionProblem::OutOfRange { min, max }),
     }
 }
 
@@ -138,7 +138,7 @@
     let parts: Result<Vec<f64>, _> =
         value.split(',').map(|part| parse_number(part, 0.0, max)).collect();
     match <[f64; 3]>::try_from(parts?) {
-        Ok(steps) if steps.is_sorted() => Ok(steps),
+        Ok(numbers) if numbers.is_sorted() => Ok(numbers),
         _ => Err(OptionProblem::NotAscending),
     }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -22,14 +22,14 @@
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    invalid_setting(key, SettingProblem::NotPositive)
+    invalid_setting(key, SettingProblem::NotPositive { value })
 }
 
 fn check_min(key: &'static str, value: usize, min: usize) -> Result<(), ConfigError> {
     if value >= min {
         return Ok(());
     }
-    invalid_setting(key, SettingProblem::TooSmall { min })
+    invalid_setting(key, SettingProblem::TooSmall { value, min })
 }
 
 /// Another controller of the deployment.
@@ -77,7 +77,8 @@
     fn check(&self) -> Result<(), ConfigError> {
         let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
         if self.name.is_empty() || amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
-            return invalid_setting("settings.teams", SettingProblem::InvalidTeam);
+            let name = self.name.clone();
+            return invalid_setting("settings.teams", SettingProblem::InvalidTeam { name });
         }
         Ok(())
     }
@@ -233,8 +234,10 @@
         if let Some(next) = &self.kv_store.next {
             next.check()?;
         }
-        if !(self.cloud.list_lag_s.is_finite() && self.cloud.list_lag_s >= 0.0) {
-            return invalid_setting("settings.cloud.list_lag_s", SettingProblem::Negative);
+        let list_lag_s = self.cloud.list_lag_s;
+        if !(list_lag_s.is_finite() && list_lag_s >= 0.0) {
+            let problem = SettingProblem::Negative { value: list_lag_s };
+            return invalid_setting("settings.cloud.list_lag_s", problem);
         }
         check_min("settings.state.txn_ops", self.kv_store.txn_ops, MIN_TXN_OPS)?;
         let sockets = self.machine_limits.fd_limit;
@@ -242,7 +245,8 @@
         for (number, team) in self.teams.iter().enumerate() {
             team.check()?;
             if self.teams[..number].iter().any(|other| other.name == team.name) {
-                return invalid_setting("settings.teams", SettingProblem::DuplicateTeam);
+                let name = team.name.clone();
+                return invalid_setting("settings.teams", SettingProblem::DuplicateTeam { name });
             }
         }
         Ok(())
@@ -298,8 +302,9 @@
             return invalid_setting("member", SettingProblem::Empty);
         }
         let names = self.members();
-        if names.windows(2).any(|pair| pair[0] == pair[1]) {
-            return invalid_setting("peers", SettingProblem::DuplicateMember);
+        if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            let name = pair[0].clone();
+            return invalid_setting("peers", SettingProblem::DuplicateMember { name });
         }
         self.settings.check()
     }
--- a/src/controller/api/admission/mod.rs
+++ b/src/controller/api/admission/mod.rs
@@ -30,7 +30,7 @@
 /// Share of the maximum value size that descriptions may take; the rest is for the JSON around
 /// the list.
 const BATCH_FILL_RATIO: f64 = 0.95;
-/// Maximum bytes of a job in a batch beside its description.
+/// Maximum bytes of a job in a batch besides its description.
 const BATCHED_JOB_OVERHEAD_BYTES: f64 = 100.0;
 
 /// Submissions that wait for admission.
@@ -119,8 +119,8 @@
     fn group_size(&self, context: &Context) -> usize {
         let limits = &context.settings.kv_store;
         let mut left_bytes = limits.value_kb * 1024.0 * BATCH_FILL_RATIO;
-        let share = (context.write_budget.burst() / 2.0) as usize;
-        let max = limits.txn_ops.saturating_sub(1).min(share).clamp(1, self.waiting.len());
+        let max_by_budget = (context.write_budget.burst() / 2.0) as usize;
+        let max = limits.txn_ops.saturating_sub(1).min(max_by_budget).clamp(1, self.waiting.len());
         let fits = |submission: &&Submission| {
             left_bytes -= submission.spec_bytes as f64 + BATCHED_JOB_OVERHEAD_BYTES;
             left_bytes > 0.0
@@ -188,7 +188,8 @@
         self.api.admission.enqueue(&self.context, ticket, spec, spec_bytes);
     }
 
-    /// Whether submissions wait for the write budget, so that the passing of time matters.
+    /// Whether submissions wait for the write budget, which refills with time; the caller then
+    /// sends ticks more often.
     pub fn has_waiting_submissions(&self) -> bool {
         self.api.admission.is_waiting()
     }
--- a/src/controller/api/dependency_comparison.rs
+++ b/src/controller/api/dependency_comparison.rs
@@ -17,7 +17,7 @@
     /// Answers with the stage of a job that has pending dependencies, once the store confirms
     /// that none of them is cancelled. The job's own record does not show such a cancellation
     /// until the leader of its shard has written it. Compares as many of the dependencies with
-    /// a cached revision as one transaction has room for.
+    /// a cached revision as one transaction allows.
     pub(crate) fn answer_blocked_job(
         &mut self,
         ticket: Ticket,
--- a/src/controller/api/dependency_records.rs
+++ b/src/controller/api/dependency_records.rs
@@ -17,23 +17,23 @@
 const VALUE_FILL_RATIO: f64 = 0.9;
 /// Bytes of a record without its list of dependencies.
 const RECORD_BYTES: usize = 64;
-/// Bytes of a name in a list beside its characters.
-const NAME_OVERHEAD_BYTES: usize = 3;
+/// Bytes of a job id in a list besides its characters.
+const ID_OVERHEAD_BYTES: usize = 3;
 
-/// Splits names into lists of at most `list_bytes` bytes each; a longer name has a list of its
+/// Splits job ids into lists of at most `list_bytes` bytes each; a longer id has a list of its
 /// own. Returns at least one list.
-fn split_into_lists(names: &[String], list_bytes: usize) -> Vec<Vec<String>> {
+fn split_into_lists(ids: &[String], list_bytes: usize) -> Vec<Vec<String>> {
     let mut lists: Vec<Vec<String>> = vec![Vec::new()];
     let mut left = list_bytes;
-    for name in names {
-        let size = name.len() + NAME_OVERHEAD_BYTES;
+    for id in ids {
+        let size = id.len() + ID_OVERHEAD_BYTES;
         if size > left && lists.last().is_some_and(|list| !list.is_empty()) {
             lists.push(Vec::new());
             left = list_bytes;
         }
         left = left.saturating_sub(size);
         if let Some(list) = lists.last_mut() {
-            list.push(name.clone());
+            list.push(id.clone());
         }
     }
     lists
@@ -56,7 +56,7 @@
         JobRecord { shard, stage, tasks: spec.tasks, dependencies, further_keys }
     }
 
-    /// Writes the lists of dependencies after number `from` that do not fit in the job's
+    /// Writes the lists of dependencies after number `last_list`, which do not fit in the job's
     /// record, one transaction at a time, and then queues the job for admission. A record that
     /// names further keys must never be readable before they exist. A write that arrives after
     /// the job was accepted, or that belongs to an earlier submission, fails because it
@@ -66,10 +66,10 @@
         ticket: Ticket,
         spec: Rc<JobSpec>,
         spec_bytes: usize,
-        from: usize,
+        last_list: usize,
     ) {
         let lists = self.dependency_lists(&spec.dependencies);
-        if from + 1 >= lists.len() {
+        if last_list + 1 >= lists.len() {
             return self.queue_submission(ticket, spec, spec_bytes);
         }
         let leadership = self
@@ -86,12 +86,12 @@
             value: json!({ "u": lists[number] }),
             lease: None,
         };
-        let end = (from + 1 + max_lists).min(lists.len());
+        let end = (last_list + 1 + max_lists).min(lists.len());
         let conditions = vec![
             shard_lease::lease_condition(shard, revision),
             Condition { key: job::job_key(&spec.id), revision: 0 },
         ];
-        let txn = Txn { conditions, writes: (from + 1..end).map(write).collect() };
+        let txn = Txn { conditions, writes: (last_list + 1..end).map(write).collect() };
         let call = ApiCall::StoreDependencies { ticket, spec, spec_bytes, last_list: end - 1 };
         self.context.call_store(call, KvRequest::Txn(txn));
     }
--- a/src/controller/api/pending.rs
+++ b/src/controller/api/pending.rs
@@ -13,7 +13,7 @@
     pub(crate) ticket: Ticket,
     /// The job's description from its user.
     pub(crate) spec: Rc<JobSpec>,
-    /// Time of day at which it arrived; the job's deadline is relative to it.
+    /// Wall-clock time at which it arrived; the job's deadline is relative to it.
     pub(crate) submitted_at: Micros,
     /// Time of arrival by the monotonic clock.
     pub(crate) arrived_at: Micros,
--- a/src/controller/api/replies.rs
+++ b/src/controller/api/replies.rs
@@ -8,7 +8,7 @@
     /// Handles a reply to a call for which a user waits.
     pub(crate) fn api_reply(&mut self, call: ApiCall, reply: KvResponse) {
         match call {
-            ApiCall::Admit(admitted) => self.admission_reply(admitted, reply),
+            ApiCall::Admit(group) => self.admission_reply(group, reply),
             ApiCall::ReadSubmitted { ticket, job, sent_at, if_absent } => {
                 self.read_submitted_reply(ticket, &job, sent_at, if_absent, &reply);
             }
--- a/src/controller/api/status.rs
+++ b/src/controller/api/status.rs
@@ -19,15 +19,19 @@
     format: u32,
     lease_valid: bool,
     peers: Vec<PeerStatus<'a>>,
-    state_limits: StateLimitsStatus,
+    #[serde(rename = "state_limits")]
+    kv_store_limits: KvStoreLimitsStatus,
     shards: Vec<ShardStatus<'a>>,
     jobs: usize,
     #[serde(rename = "jobs_that_need_others")]
     jobs_with_dependencies: usize,
-    tasks_waiting: u64,
+    #[serde(rename = "tasks_waiting")]
+    pending_tasks: u64,
     machines: Vec<MachineStatus<'a>>,
-    rented: BTreeMap<&'static str, usize>,
-    /// Cached pairs of an image and a machine that has it.
+    /// Number of machines that the cloud has created, by stage.
+    #[serde(rename = "rented")]
+    created_machines: BTreeMap<&'static str, usize>,
+    /// Number of entries in the image cache index.
     image_entries: usize,
     counts: &'a Counters,
 }
@@ -37,14 +41,15 @@
 struct PeerStatus<'a> {
     member: &'a str,
     alive: bool,
-    state_ok: bool,
+    #[serde(rename = "state_ok")]
+    holds_lease: bool,
     /// 0 for a version that does not send its format; `None` before its first frame.
     format: Option<u32>,
 }
 
 /// The key-value store's limits, as this process observes them.
 #[derive(Serialize)]
-struct StateLimitsStatus {
+struct KvStoreLimitsStatus {
     rps: f64,
     write_rps: f64,
     txn_ops: usize,
@@ -91,7 +96,8 @@
     machine_type: &'a str,
     zone: &'a str,
     spot: bool,
-    known: bool,
+    #[serde(rename = "known")]
+    observed_in_term: bool,
     healthy: bool,
     tasks: usize,
 }
@@ -103,7 +109,7 @@
             machine_type: &view.machine_type,
             zone: &view.zone,
             spot: view.spot,
-            known: view.observed_in_term,
+            observed_in_term: view.observed_in_term,
             healthy: view.healthy,
             tasks: view.tasks.len(),
         }
@@ -118,7 +124,7 @@
             format: peer::FORMAT,
             lease_valid: self.leadership.holds_lease(now),
             peers: self.peer_statuses(),
-            state_limits: self.state_limits_status(),
+            kv_store_limits: self.kv_store_limits_status(),
             shards: self.shard_statuses(),
             jobs: self.jobs.by_id.len(),
             jobs_with_dependencies: self
@@ -127,9 +133,9 @@
                 .values()
                 .filter(|job| job.awaits_dependencies)
                 .count(),
-            tasks_waiting: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
+            pending_tasks: self.jobs.by_id.values().map(|job| u64::from(job.pending())).sum(),
             machines: self.machine_statuses(),
-            rented: self.autoscaler.machines_by_stage(),
+            created_machines: self.autoscaler.machines_by_stage(),
             image_entries: self.scheduler.image_entries(),
             counts: &self.counts,
         };
@@ -140,16 +146,16 @@
         let status = |(number, peer): (usize, &PeerState)| PeerStatus {
             member: &self.context.members[number],
             alive: peer.is_alive(self.context.now),
-            state_ok: peer.holds_lease,
+            holds_lease: peer.holds_lease,
             format: peer.last_frame_at.map(|_| peer.format),
         };
         self.peers.all().map(status).collect()
     }
 
-    fn state_limits_status(&self) -> StateLimitsStatus {
+    fn kv_store_limits_status(&self) -> KvStoreLimitsStatus {
         let limits = &self.context.settings.kv_store;
         let limit_lowered = self.jobs.previous_chunk_layout.is_none();
-        StateLimitsStatus {
+        KvStoreLimitsStatus {
             rps: limits.rps,
             write_rps: limits.write_rps,
             txn_ops: limits.txn_ops,
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -26,12 +26,13 @@
 const CONDITIONS_PER_WRITE: usize = 4;
 /// Bytes that the conditions of one transaction may take.
 const MAX_COMPARISON_BYTES: usize = 48 * 1024;
-/// Bytes of a condition beside the job's id.
+/// Bytes of a condition besides the job's id.
 const CONDITION_OVERHEAD_BYTES: usize = 40;
 /// Status queries that may wait at a time; further ones are refused.
 const MAX_WAITING_QUERIES: usize = 2_000;
 /// Maximum age of a result that may be answered, counted from when its call was sent, unless it
-/// shows a terminal state. An older non-terminal stage, or absence of a job, is refused.
+/// shows a terminal state. If an older result shows another stage or no job, the query is
+/// refused.
 pub(crate) const MAX_READ_AGE: Micros = Micros::millis(600);
 /// A status query that waits for longer is refused, early enough that its user still waits.
 const MAX_QUERY_WAIT: Micros = Micros::millis(1_600);
@@ -233,7 +234,7 @@
                 RecordRead::Found { cached, .. } => {
                     self.answer_with_stage(ticket, 200, job, cached);
                 }
-                // Accepted since the read.
+                // Accepted since the read, or the read is too old to be answered.
                 RecordRead::NoSuchJob
                     if self.jobs.stage_cache.contains(job) || !self.is_fresh(sent_at) =>
                 {
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -112,7 +112,7 @@
     /// dependencies, if any, or queues it for admission.
     fn admit_feasible(&mut self, ticket: Ticket, mut spec: JobSpec) {
         // Types that the cloud does not offer have no effect, and a long list of them would
-        // not fit in a value beside the tasks.
+        // not fit in a value together with the tasks.
         if let Some(types) = &mut spec.types {
             types.retain(|t| self.autoscaler.machine_types.contains_key(t));
         }
--- a/src/controller/api/terminal_states.rs
+++ b/src/controller/api/terminal_states.rs
@@ -14,9 +14,9 @@
 
 /// Age after which a terminal state needs no acknowledgement: no member answers any more with
 /// what it read before the change, since it does not answer with reads older than
-/// [`MAX_READ_AGE`]. The additional 150 ms cover differences between clocks and the way of an
-/// answer to its user.
-const ACKNOWLEDGED_AFTER: Micros = Micros(MAX_READ_AGE.0 + 150_000);
+/// [`MAX_READ_AGE`]. The additional 150 ms cover differences between clocks and the time that an
+/// answer takes to reach its user.
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = Micros(MAX_READ_AGE.0 + 150_000);
 /// Placeholder for an unknown revision; greater than any that a peer can have followed.
 const UNKNOWN_REVISION: u64 = u64::MAX;
 
@@ -97,7 +97,7 @@
         }
         let followed = followed_by_peers.unwrap_or(UNKNOWN_REVISION);
         self.unacknowledged.retain(|_, state| {
-            state.revision > followed && now.since(state.observed_at) < ACKNOWLEDGED_AFTER
+            state.revision > followed && now.since(state.observed_at) < ACKNOWLEDGEMENT_TIMEOUT
         });
         let unacknowledged = &self.unacknowledged;
         self.waiting.extract_if(.., |answer| !unacknowledged.contains_key(&answer.job)).collect()
--- a/src/controller/autoscaler/cloud_calls.rs
+++ b/src/controller/autoscaler/cloud_calls.rs
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Demand of all waiting tasks, of this member and of the live peers.
+    /// Demand of all pending tasks, of this member and of the live peers.
     fn all_demand(&self) -> Vec<Demand> {
         let mut all = self.scheduler.demand(&self.scheduling_inputs());
         all.extend(self.peers.live_demand(self.context.now).cloned());
         all
     }
 
-    /// Requests machines for waiting tasks that the current and expected machines cannot take.
+    /// Requests machines for pending tasks that the current and expected machines cannot take.
     fn scale_out(&mut self, term: u64) {
         let now = self.context.now;
         let mut demand = self.all_demand();
--- a/src/controller/autoscaler/machine_types.rs
+++ b/src/controller/autoscaler/machine_types.rs
@@ -9,8 +9,8 @@
 
 /// Interval between requests for the types, whose prices may change.
 const REFRESH_INTERVAL: Micros = Micros::secs(300);
-/// Interval between requests while no type is known, so that no job can be accepted and no task
-/// placed.
+/// Interval between requests while no type is known: until then no job can be accepted and no
+/// task placed.
 const FIRST_REQUEST_INTERVAL: Micros = Micros::millis(700);
 /// Interval between a failed request and the next.
 const RETRY_INTERVAL: Micros = Micros::secs(1);
--- a/src/controller/autoscaler/mod.rs
+++ b/src/controller/autoscaler/mod.rs
@@ -1,4 +1,4 @@
-//! Autoscaler: scales out for waiting tasks, and scales in idle machines.
+//! Autoscaler: scales out for pending tasks, and scales in idle machines.
 //!
 //! Owns the catalogue of machine types, the fleet as the cloud lists it, and the pending
 //! scale-out request. Only the leader of [`AUTOSCALER_SHARD`] scales. The fleet is not stored,
--- a/src/controller/autoscaler/scale_in.rs
+++ b/src/controller/autoscaler/scale_in.rs
@@ -79,8 +79,10 @@
             if activity.is_faulty || is_idle {
                 plan.to_drain.push(name.clone());
             }
-            let drained_at = self.draining_since.get(name);
-            if !activity.has_tasks && drained_at.is_some_and(|at| now.since(*at) > DRAIN_DURATION) {
+            let draining_since = self.draining_since.get(name);
+            if !activity.has_tasks
+                && draining_since.is_some_and(|at| now.since(*at) > DRAIN_DURATION)
+            {
                 plan.to_remove.push(name.clone());
             }
         }
--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -12,7 +12,7 @@
 const PRICE_TOLERANCE: f64 = 1e-9;
 /// Maximum number of machines that the cloud accepts in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// A request covers a third of the machines needed, so that zones take turns.
+/// A request covers one in this many of the machines needed, so that zones take turns.
 const REQUESTS_PER_DEMAND: u32 = 3;
 /// Minimum number of machines in a request, unless fewer are needed.
 const MIN_MACHINES_PER_REQUEST: u32 = 8;
@@ -26,7 +26,7 @@
     pub count: u32,
 }
 
-/// Tasks that find no capacity in `free`. Subtracts the other tasks from `free`. Larger tasks are
+/// Tasks that find no capacity in `free`. Subtracts what the other tasks need from `free`. Larger tasks are
 /// fitted first, since smaller ones fit into the capacity that they leave.
 pub fn unmet_demand(demand: &[Demand], free: &mut [FreeCapacity]) -> Vec<Demand> {
     let mut order: Vec<&Demand> = demand.iter().collect();
--- a/src/controller/quota/job_demand.rs
+++ b/src/controller/quota/job_demand.rs
@@ -5,8 +5,8 @@
 use crate::controller::quota::target_grant::RankedDemand;
 use crate::time::Micros;
 
-/// What a shard's tasks of a team use. A task counts from its placement, before that is stored,
-/// until its end is certain or stored.
+/// What a shard's tasks of a team use. A task counts from its placement, even before the
+/// placement is stored, until its end is certain or stored.
 pub(crate) fn shard_usage(jobs: &Jobs, shard: usize, team: &str) -> QuotaAmount {
     let mut used = QuotaAmount::default();
     for job in jobs.by_id.values().filter(|job| job.shard == shard && job.spec.team == team) {
--- a/src/controller/scheduler/capacity/cluster.rs
+++ b/src/controller/scheduler/capacity/cluster.rs
@@ -19,10 +19,10 @@
 #[derive(Debug, Clone, Default)]
 pub struct ClusterCapacity {
     pools: Vec<Pool>,
-    /// Machines by [`MachineId`]; `None` at numbers that are not in use.
+    /// Machines by [`MachineId`]; `None` for ids that are not in use.
     machines: Vec<Option<PooledMachine>>,
     ids: HashMap<Rc<str>, MachineId>,
-    /// Numbers of removed machines, for reuse.
+    /// Ids of removed machines, for reuse.
     unused_ids: Vec<MachineId>,
     /// Number of reserved tasks that are not stopping, by rank.
     tasks_by_rank: [u32; COUNTED_RANKS],
@@ -121,12 +121,12 @@
         self.attach(id);
     }
 
-    /// A machine's capacity by number; `None` if the number is not in use.
+    /// A machine's capacity by id; `None` if the id is not in use.
     pub fn get(&self, id: MachineId) -> Option<&MachineCapacity> {
         Some(&self.machines.get(id.0)?.as_ref()?.capacity)
     }
 
-    /// A machine's number by name; `None` if no task may be placed on the machine.
+    /// A machine's id by name; `None` if no task may be placed on the machine.
     pub fn id(&self, machine: &str) -> Option<MachineId> {
         self.ids.get(machine).copied()
     }
@@ -142,7 +142,7 @@
         Some(&self.pool(machine.pool).key)
     }
 
-    /// All machines with their pool keys, in order of their numbers.
+    /// All machines with their pool keys, in order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (MachineId, &PoolKey, &MachineCapacity)> {
         self.machines.iter().enumerate().filter_map(|(id, machine)| {
             let machine = machine.as_ref()?;
@@ -162,7 +162,7 @@
         machine.is_some_and(|machine| pools.contains(&machine.pool))
     }
 
-    /// A pool by its number.
+    /// A pool by its id.
     pub(super) fn pool(&self, id: PoolId) -> &Pool {
         &self.pools[id.0]
     }
--- a/src/controller/scheduler/capacity/index.rs
+++ b/src/controller/scheduler/capacity/index.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A machine's number in [`ClusterCapacity`](super::ClusterCapacity). It is reused after the
+/// A machine's id in [`ClusterCapacity`](super::ClusterCapacity). It is reused after the
 /// machine was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineId(pub(super) usize);
 
-/// A pool's number in [`ClusterCapacity`](super::ClusterCapacity). It is never reused.
+/// A pool's id in [`ClusterCapacity`](super::ClusterCapacity). It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolId(pub(super) usize);
 
--- a/src/controller/scheduler/capacity/machine.rs
+++ b/src/controller/scheduler/capacity/machine.rs
@@ -22,9 +22,9 @@
     pub attempt: u64,
     /// It is to be stopped, or its preemption has been requested.
     pub stopping: bool,
-    /// Time of day at which it was placed.
+    /// Wall-clock time at which it was placed.
     pub placed_at: Micros,
-    /// Seconds between its checkpoints; 0 if it writes none.
+    /// Seconds between its checkpoints; 0 if it saves none.
     pub checkpoint_s: f64,
     /// Seconds that it is expected to run in total.
     pub expected_s: f64,
@@ -90,7 +90,7 @@
     }
 
     /// Seconds until enough reserved tasks are expected to have ended for a task that needs
-    /// `needed`; `None` if that exceeds the whole machine. `wall` is the time of day.
+    /// `needed`; `None` if that exceeds the whole machine. `wall` is the wall-clock time.
     pub fn time_until_available(&self, wall: Micros, needed: &Resources) -> Option<f64> {
         let mut ends: Vec<(f64, &ReservedTask)> =
             self.tasks.iter().map(|task| (task.remaining_s(wall), task)).collect();
--- a/src/controller/scheduler/demand.rs
+++ b/src/controller/scheduler/demand.rs
@@ -15,7 +15,8 @@
 const MAX_DEMAND_ENTRIES: usize = 200;
 
 impl Scheduler {
-    /// Pending tasks grouped by shape and class, as many as their teams' limits allow to run.
+    /// Pending tasks grouped by requirements and [`QueueClass`], as many as their teams' limits
+    /// allow to run.
     pub(crate) fn demand(&self, inputs: &SchedulingInputs<'_>) -> Vec<Demand> {
         let usage = self.capacity.usage();
         let mut left_by_team: BTreeMap<&str, QuotaAmount> = BTreeMap::new();
@@ -78,7 +79,7 @@
     }
 }
 
-/// Adds tasks to the entry of the same shape and class, or adds a new entry.
+/// Adds tasks to the entry with the same requirements and [`QueueClass`], or adds a new entry.
 fn add_demand(list: &mut Vec<Demand>, added: Demand) {
     let tasks = added.tasks;
     match list.iter_mut().find(|demand| Demand { tasks, ..(*demand).clone() } == added) {
--- a/src/controller/scheduler/guarantee_budget.rs
+++ b/src/controller/scheduler/guarantee_budget.rs
@@ -1,4 +1,4 @@
-//! Budget for preemption for teams' guarantees.
+//! Budget of preemptions for teams' guarantees.
 
 use crate::controller::quota::Quotas;
 use crate::controller::quota::amount::QuotaAmount;
--- a/src/controller/scheduler/image_cache.rs
+++ b/src/controller/scheduler/image_cache.rs
@@ -7,7 +7,8 @@
 use crate::wire::WorkerIncarnation;
 use std::collections::{BTreeMap, HashMap};
 
-/// A younger entry is not renewed, since heartbeats report the same images every few seconds.
+/// An entry younger than this is not renewed, since heartbeats report the same images every few
+/// seconds.
 const MIN_RENEWAL_INTERVAL: Micros = Micros::secs(1);
 
 #[derive(Debug, Clone, Copy)]
--- a/src/controller/scheduler/large_tasks.rs
+++ b/src/controller/scheduler/large_tasks.rs
@@ -40,7 +40,8 @@
 
 impl Controller {
     /// Raises low priority jobs to normal priority if no task of theirs has been placed for long.
-    /// Behind a queue of standard jobs that never empties, they would not start for minutes.
+    /// Behind a queue of jobs of normal priority that never empties, they would not start for
+    /// minutes.
     pub(crate) fn raise_starved_jobs(&mut self) {
         let wall = self.context.wall_clock();
         let inputs = self.scheduling_inputs();
--- a/src/controller/scheduler/machine_choice.rs
+++ b/src/controller/scheduler/machine_choice.rs
@@ -53,7 +53,7 @@
         let task = TaskToPlace { job, index, placement };
         let cached = free.and_then(|_| self.find_free_cached_machine(inputs, task));
         let chosen = free.map(|free| self.prefer_cached_machine(task.placement, free, cached));
-        if free.is_none() && task.placement.fails_by_shape_only && !known_full {
+        if free.is_none() && task.placement.failure_applies_to_other_jobs && !known_full {
             pass.failures.record_no_capacity(&task.placement.spec);
         }
         // If no machine with capacity has the image, preempting tasks on a machine that has it
@@ -183,7 +183,7 @@
         }
         pass.preemption_searches_left -= 1;
         let found = self.find_victims(inputs, &claim, self.filter(inputs, task));
-        if found.is_none() && placement.fails_by_shape_only {
+        if found.is_none() && placement.failure_applies_to_other_jobs {
             pass.failures.record_no_victims(spec, search);
         }
         let PreemptionPlan { machine, victims } = found?;
--- a/src/controller/scheduler/objectives.rs
+++ b/src/controller/scheduler/objectives.rs
@@ -3,9 +3,9 @@
 use crate::controller::jobs::job::Job;
 use crate::controller::scheduler::scheduling_inputs::SchedulingInputs;
 
-/// Assumed finish objective, in seconds, of a class that has none.
+/// Finish objective, in seconds, assumed for a class that has none or a longer one.
 const DEFAULT_FINISH_OBJECTIVE_S: f64 = 240.0;
-/// With an objective below this many seconds, victims get no time to write a checkpoint.
+/// With an objective below this many seconds, victims get no time to save a checkpoint.
 const MIN_OBJECTIVE_WITH_CHECKPOINT_S: f64 = 10.0;
 /// A fetch is too slow if it takes more than this share of the class's `wait` objective.
 const MAX_FETCH_SHARE: f64 = 0.5;
@@ -36,8 +36,8 @@
     }
 
     /// Whether fetching a job's image takes most of the time within which its tasks are to
-    /// start. A machine that has the image is then preferred however loaded it is, which
-    /// overrides the usual slack that weighs a fetch against a queue.
+    /// start. A machine that has the image is then preferred however loaded it is, whatever
+    /// the image slack.
     pub(super) fn fetch_too_slow(&self, job: &Job) -> bool {
         let fetch_s = job.spec.image_gb / self.slowest_fetch_gb_per_s();
         self.context
@@ -49,7 +49,7 @@
             .any(|within_s| fetch_s > within_s * MAX_FETCH_SHARE)
     }
 
-    /// Whether the objectives of a job's class leave time for its victims to write a
+    /// Whether the objectives of a job's class leave time for its victims to save a
     /// checkpoint before they stop.
     pub(super) fn time_for_checkpoints(&self, job: &Job) -> bool {
         self.context
--- a/src/controller/scheduler/pending_reason.rs
+++ b/src/controller/scheduler/pending_reason.rs
@@ -23,7 +23,7 @@
     TrialInProgress,
     /// The shard's grant of the team's limit is used up.
     TeamLimit,
-    /// The limit on placements of a pass, or on unreported placements, is reached.
+    /// The limit on placements of a pass, or on unobserved placements, is reached.
     NextPass,
 }
 
--- a/src/controller/scheduler/placement_limits.rs
+++ b/src/controller/scheduler/placement_limits.rs
@@ -10,9 +10,8 @@
 /// per machine if that is more, since many machines may come up at once. Normal and more urgent
 /// ranks have two to four times the base, see [`unobserved_limit`].
 const BASE_UNOBSERVED_LIMIT: usize = 1_500;
-/// Limit for low priority tasks, which rises to one per two machines if that is more. An array
-/// of thousands of tiny tasks would take the processor time that submissions and heartbeats
-/// need.
+/// Limit for low priority tasks, which rises to one per two machines if that is more. A job with
+/// thousands of tiny tasks would take the processor time that submissions and heartbeats need.
 const LOW_PRIORITY_UNOBSERVED_LIMIT: usize = 750;
 /// Number of chunks with unstored placements that are always allowed, however low this
 /// controller's write rate is.
@@ -35,9 +34,9 @@
     }
 }
 
-/// Limit on unreported placements of all ranks, above which no task of `rank` is placed. It is
-/// higher for more urgent ranks, so that an array of low priority tasks that fills its share
-/// does not keep urgent tasks out.
+/// Limit on unobserved placements of all ranks, above which no task of `rank` is placed. It is
+/// higher for more urgent ranks, so that low priority tasks that reach their limit do not keep
+/// urgent tasks out.
 fn unobserved_limit(rank: u32, machines: usize) -> usize {
     match rank {
         0..=2 => BASE_UNOBSERVED_LIMIT.max(2 * machines) * (4 - rank as usize),
--- a/src/controller/scheduler/preemption.rs
+++ b/src/controller/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption requests, and refreshes of the budget for preemption for guarantees.
+//! Requests preemptions, and refreshes the budget of preemptions for teams' guarantees.
 
 use crate::controller::Controller;
 use crate::controller::machines::attempt::AttemptId;
@@ -10,16 +10,16 @@
 
 impl Controller {
     /// Preempts a task of a local job, or requests the preemption from the leader of the job's
-    /// shard. With `checkpoint`, the task gets time to write a checkpoint first.
+    /// shard. With `save_checkpoint`, the task gets time to save a checkpoint first.
     pub(super) fn request_preemption(
         &mut self,
         task: &ReservedTask,
-        checkpoint: bool,
+        save_checkpoint: bool,
         machine: &Rc<str>,
     ) {
         log::debug!("preempting task {}/{} on {machine}", task.job, task.index);
         let (job, index, attempt) = (task.job.clone(), task.index, task.attempt);
-        let request = PreemptionRequest { job, index, attempt, save_checkpoint: checkpoint };
+        let request = PreemptionRequest { job, index, attempt, save_checkpoint };
         if self.jobs.by_id.contains_key(&request.job) {
             self.preempt_task(&request);
         } else {
--- a/src/controller/scheduler/queue.rs
+++ b/src/controller/scheduler/queue.rs
@@ -31,9 +31,9 @@
 pub(crate) struct QueuedJob {
     /// Compared first.
     pub(crate) class: QueueClass,
-    /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
+    /// Wall-clock time of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     due: Micros,
-    /// Time of day since which the job could be placed.
+    /// Wall-clock time since which the job could be placed.
     ready: Micros,
     /// Id of the job.
     pub(crate) job: String,
--- a/src/controller/scheduler/reservation.rs
+++ b/src/controller/scheduler/reservation.rs
@@ -54,7 +54,7 @@
             *pass.usage.entry(task.team.clone()).or_default() -= task.resources.into();
             self.request_preemption(&task, placement.time_for_checkpoints, &machine);
         }
-        // The victims may have freed more than the task needs, for tasks of any shape.
+        // The victims may have freed more than the task needs, for tasks of any size.
         pass.failures.forget_capacity_failures();
     }
 
--- a/src/controller/scheduler/scheduling_pass.rs
+++ b/src/controller/scheduler/scheduling_pass.rs
@@ -109,8 +109,8 @@
             // capacity, they would preempt it. No capacity is held for tasks of an equal
             // class: controllers would hold it for each other and none would place a task.
             let before = |demand: &Demand| QueueClass::of_demand(demand) < queued.class;
-            let first = peers_demand.partition_point(before);
-            for demand in peers_demand.drain(..first) {
+            let preceding = peers_demand.partition_point(before);
+            for demand in peers_demand.drain(..preceding) {
                 self.scheduler.capacity.hold(&demand);
             }
             self.place_job(&queued.job, &mut pass);
--- a/src/controller/scheduler/search_failures.rs
+++ b/src/controller/scheduler/search_failures.rs
@@ -5,7 +5,8 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Parameters of a search for victims that decide, beside the task's shape, whether it fails.
+/// Parameters of a search for victims that decide, besides the task's requirements, whether it
+/// fails.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PreemptionSearch {
     /// Rank of the job.
@@ -31,7 +32,7 @@
 /// A search that found no machine.
 #[derive(Debug)]
 struct FailedSearch {
-    /// Description of the job that a machine was searched for.
+    /// Specification of the job that a machine was searched for.
     spec: Rc<JobSpec>,
     /// Parameters of a search for victims; `None` for a search for free capacity.
     preemption: Option<PreemptionSearch>,
@@ -86,7 +87,7 @@
     }
 
     /// Forgets the failed searches for free capacity, after capacity became free that may fit
-    /// tasks of any shape.
+    /// tasks of any size.
     pub(super) fn forget_capacity_failures(&mut self) {
         self.list.retain(|failed| failed.preemption.is_some());
     }
--- a/src/controller/scheduler/task_placement.rs
+++ b/src/controller/scheduler/task_placement.rs
@@ -23,7 +23,7 @@
     pub(super) id: String,
     /// Number of the job's shard.
     pub(super) shard: usize,
-    /// Description of the job.
+    /// Specification of the job.
     pub(super) spec: Rc<JobSpec>,
     /// Resources that one task needs.
     pub(super) needed: Resources,
@@ -41,11 +41,11 @@
     pub(super) bin_pack: bool,
     /// The job's tasks must not be placed on machines held for large tasks.
     pub(super) excluded_from_held_machines: bool,
-    /// No machine is excluded because the job avoids it, restricts its zones or because the
+    /// No machine is excluded because the job avoids it or restricts its zones, or because the
     /// machine is held: a failed search then implies failure for every job that needs at least
     /// as much of the same machines.
-    pub(super) fails_by_shape_only: bool,
-    /// The job's victims get time to write a checkpoint.
+    pub(super) failure_applies_to_other_jobs: bool,
+    /// The job's victims get time to save a checkpoint.
     pub(super) time_for_checkpoints: bool,
     /// Seconds that one task is expected to run.
     pub(super) expected_s: f64,
@@ -157,8 +157,7 @@
         let (shard, rank) = (job.shard, job.rank());
         let counted = pass.shard_usage.get(&ShardTeam { shard, team: spec.team.clone() }).copied();
         let fetch_too_slow = inputs.fetch_too_slow(job);
-        let larger =
-            |waiting: &Demand| waiting.cpus > spec.cpus || waiting.memory_gb > spec.memory_gb;
+        let larger = |demand: &Demand| demand.cpus > spec.cpus || demand.memory_gb > spec.memory_gb;
         let bin_pack = !fetch_too_slow && pass.blocked_demand.iter().any(larger);
         let excluded_from_held_machines =
             bin_pack && rank > LOWEST_URGENT_RANK && !self.held_for_large_tasks.is_empty();
@@ -178,7 +177,7 @@
             fetch_too_slow,
             bin_pack,
             excluded_from_held_machines,
-            fails_by_shape_only: !job.backoff.avoids_any()
+            failure_applies_to_other_jobs: !job.backoff.avoids_any()
                 && !spec.one_zone
                 && !spec.spread
                 && !excluded_from_held_machines,
--- a/src/controller/scheduler/victims.rs
+++ b/src/controller/scheduler/victims.rs
@@ -12,14 +12,14 @@
 /// Cost of one second of fetching, in seconds of lost work, if a fetch is too slow for the
 /// job's start objective.
 const LATE_FETCH_COST: f64 = 8.0;
-/// Cost of each preemption beside the work that it loses, in CPU seconds: of two machines with
+/// Cost of each preemption besides the work that it loses, in CPU seconds: of two machines with
 /// the same loss, the one with fewer victims is preferred.
 const COST_PER_VICTIM_CPU_S: f64 = 1.0;
 /// Assumed fetch rate of a machine of unknown type, in gigabytes per second.
 const UNKNOWN_TYPE_FETCH_GB_PER_S: f64 = 1.0;
 
-/// Seconds of work that are lost if a task is stopped at once without writing a checkpoint.
-/// They count from the time of day of the placement, which is stored and known to all
+/// Seconds of work that are lost if a task is stopped at once without saving a checkpoint.
+/// They count from the wall-clock time of the placement, which is stored and known to all
 /// controllers. Counted from when this process first observed the task running, every task
 /// would seem new after a restart.
 pub(crate) fn lost_work_s(wall: Micros, placed_at: Micros, checkpoint_s: f64) -> f64 {
--- a/src/http.rs
+++ b/src/http.rs
@@ -21,7 +21,7 @@
 /// sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// Not HTTP, or a feature of HTTP that is not supported.
+    /// Not HTTP, a feature of HTTP that is not supported, or a head that is too large.
     #[error("malformed HTTP")]
     Malformed,
     /// The body exceeds its maximum size.
--- a/src/kv_store/mod.rs
+++ b/src/kv_store/mod.rs
@@ -43,9 +43,9 @@
     Txn(Txn),
     /// Requests a lease with this time to live.
     GrantLease(Micros),
-    /// Renews the lease with this number.
+    /// Renews the lease with this id.
     RenewLease(u64),
-    /// Revokes the lease with this number, which also deletes the keys attached to it.
+    /// Revokes the lease with this id, which also deletes the keys attached to it.
     RevokeLease(u64),
     /// Waits for changes to keys (long poll).
     Watch {
@@ -77,7 +77,7 @@
     /// Conditions on these keys failed and nothing was changed. Conditions on other keys may have
     /// failed too.
     Conflict(Vec<String>),
-    /// The lease with this number was granted.
+    /// The lease with this id was granted.
     LeaseGranted(u64),
     /// The lease was renewed or revoked.
     LeaseRenewed,
--- a/src/peer/demand.rs
+++ b/src/peer/demand.rs
@@ -1,4 +1,4 @@
-//! Messages about jobs: progress, waiting tasks, missing quota, preemptions and inherited
+//! Messages about jobs: progress, pending tasks, missing quota, preemptions and inherited
 //! urgency.
 
 use prost::Message;
@@ -17,10 +17,10 @@
     pub running: u32,
 }
 
-/// Waiting tasks with the same requirements.
+/// Pending tasks with the same requirements.
 #[derive(Clone, PartialEq, Message)]
 pub struct Demand {
-    /// Number of waiting tasks, as far as the team's limit lets them run.
+    /// Number of pending tasks, as far as the team's limit lets them run.
     #[prost(uint32, tag = "1")]
     pub tasks: u32,
     /// CPUs of each task.
@@ -50,7 +50,7 @@
     pub beyond_guarantee: bool,
 }
 
-/// What waiting tasks of a shard need of a team's limit beyond the shard's grant.
+/// What pending tasks of a shard need of a team's limit beyond the shard's grant.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaDemand {
     /// Number of the shard.
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -35,7 +35,7 @@
     /// Jobs whose progress has changed; all jobs in a full sync.
     #[prost(message, repeated, tag = "7")]
     pub progress: Vec<Progress>,
-    /// All tasks that wait on the sender's shards; replaces the sender's earlier demand.
+    /// All pending tasks of the sender's shards; replaces the sender's earlier demand.
     #[prost(message, repeated, tag = "8")]
     pub demand: Vec<Demand>,
     /// Whether `demand`, `quota_demand` and `misdirected` are set. If so, an empty list means
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -8,7 +8,7 @@
 //! - `frame`: the message with all its fields;
 //! - `desired_state`: the tasks that a shard desires on each machine;
 //! - `views`: the observed state of machines and their tasks;
-//! - `demand`: progress of jobs, waiting tasks, missing quota and preemptions;
+//! - `demand`: progress of jobs, pending tasks, missing quota and preemptions;
 //! - `shards`: shard leadership, addresses of machines and misdirected heartbeats;
 //! - `encoding`: the bytes on a connection.
 
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// The resources that each of the waiting tasks needs.
+/// The resources that each of the pending tasks needs.
 impl From<&Demand> for Resources {
     fn from(demand: &Demand) -> Resources {
         Resources::new(demand.cpus, demand.gpus, demand.memory_gb)
--- a/src/runtime/call.rs
+++ b/src/runtime/call.rs
@@ -69,18 +69,18 @@
     pub(super) fn into_reply(self, outcome: CallOutcome) -> Reply {
         match self.kind {
             CallKind::KvStore(request) => Reply::KvStore(match outcome {
-                CallOutcome::Answered(answer) => request.decode(answer.status, &answer.body),
+                CallOutcome::Answered(response) => request.decode(response.status, &response.body),
                 CallOutcome::NotSent => KvResponse::NotExecuted,
                 CallOutcome::Unanswered => KvResponse::OutcomeUnknown,
             }),
             CallKind::Cloud(request) => Reply::Cloud(match outcome {
-                CallOutcome::Answered(answer) => request.decode(answer.status, &answer.body),
+                CallOutcome::Answered(response) => request.decode(response.status, &response.body),
                 CallOutcome::NotSent => CloudReply::NotExecuted,
                 CallOutcome::Unanswered => CloudReply::Unknown,
             }),
             CallKind::Direct => Reply::Direct(match outcome {
-                CallOutcome::Answered(answer) => {
-                    DirectReply::Answered { status: answer.status, body: answer.body }
+                CallOutcome::Answered(response) => {
+                    DirectReply::Answered { status: response.status, body: response.body }
                 }
                 CallOutcome::NotSent => DirectReply::NotSent,
                 CallOutcome::Unanswered => DirectReply::Unknown,
--- a/src/runtime/error.rs
+++ b/src/runtime/error.rs
@@ -8,13 +8,13 @@
 #[derive(Debug, Error)]
 pub enum RuntimeError {
     /// The event loop cannot be created, or it has failed.
-    #[error(transparent)]
+    #[error("event loop failed: {0}")]
     EventLoop(#[from] calloop::Error),
     /// A socket or a timer cannot be registered with the event loop.
     #[error("cannot register an event source with the event loop: {0}")]
     Register(#[source] calloop::Error),
     /// A listening socket cannot be created, or a connection cannot be started.
-    #[error(transparent)]
+    #[error("socket error: {0}")]
     Socket(#[from] io::Error),
     /// The address is in use, or is not an address of this host.
     #[error("cannot listen on {address}: {source}")]
--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -89,8 +89,8 @@
 }
 
 /// Maximum number of bytes that may wait to be written to a peer before its connection is closed.
-/// It is a share of the memory, since a suspended peer reads nothing, and at least the largest
-/// frame that peers accept.
+/// It is a share of the memory, since a suspended peer reads nothing, at least the largest frame
+/// that peers accept, and at most twice that.
 pub fn peer_backlog(mem_mb: f64) -> usize {
     let bytes = (mem_mb * 1024.0 * 1024.0 * PEER_BACKLOG_SHARE) as usize;
     bytes.clamp(peer::MAX_FRAME_BYTES, 2 * peer::MAX_FRAME_BYTES)
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -157,8 +157,9 @@
         }
         if connection.unwritten() > self.max_peer_backlog_bytes {
             debug!(
-                "connection to peer {to} closed: {} bytes wait to be written",
-                connection.unwritten()
+                "connection to peer {to} closed: {} bytes wait to be written, the maximum is {}",
+                connection.unwritten(),
+                self.max_peer_backlog_bytes
             );
             self.close(id);
             return;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -24,7 +24,7 @@
 /// Returns `None` after a warning if the body cannot be decoded.
 pub fn decode_response<T: DeserializeOwned>(system: &str, body: &[u8]) -> Option<T> {
     match serde_json::from_slice(body) {
-        Ok(answer) => Some(answer),
+        Ok(response) => Some(response),
         Err(error) => {
             log::warn!("{system}: cannot decode the response: {error}");
             None
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -71,7 +71,8 @@
     pub id: Option<String>,
 }
 
-/// Parses and checks a submission. Only fields that may be null may be absent.
+/// Parses and checks a submission. A null field counts as absent; only `benches`, `yard`, `dueS`
+/// and `upstream` may be absent.
 ///
 /// # Errors
 /// The first invalid field, which the response to the user names.
