--- a/src/controller/autoscaler/scale_out.rs
+++ b/src/controller/autoscaler/scale_out.rs
@@ -26,8 +26,8 @@
     pub count: u32,
 }
 
-/// Tasks that find no capacity in `free`. Subtracts what the other tasks need from `free`. Larger tasks are
-/// fitted first, since smaller ones fit into the capacity that they leave.
+/// Tasks that find no capacity in `free`. Subtracts what the other tasks need from `free`. Larger
+/// tasks are fitted first, since smaller ones fit into the capacity that they leave.
 pub fn unmet_demand(demand: &[Demand], free: &mut [FreeCapacity]) -> Vec<Demand> {
     let mut order: Vec<&Demand> = demand.iter().collect();
     order.sort_by(|a, b| b.cpus.total_cmp(&a.cpus).then(b.memory_gb.total_cmp(&a.memory_gb)));
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -98,7 +98,10 @@
         let number = self.controller.member_number(&frame.member);
         let peer = number.filter(|number| self.peers.contains_key(number));
         let Some(from) = peer.filter(|number| member.is_none_or(|m| m == *number)) else {
-            warn!("connection closed: frame from unexpected member {:?}", frame.member);
+            warn!(
+                "inbound peer connection closed: frame from unexpected member {:?}",
+                frame.member
+            );
             self.close(id);
             return false;
         };
