--- a/crates/rehearsal/src/addresses.rs
+++ b/crates/rehearsal/src/addresses.rs
@@ -1,5 +1,5 @@
-//! Loopback addresses of a run. Each run has a range of its own, so that several can run at the
-//! same time.
+//! Loopback addresses of a run. Each try to execute a run takes a range of its own, called a slot,
+//! so that several runs can be executed at the same time.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -14,13 +14,12 @@
 /// First port of the workers; the worker's number is added.
 const FIRST_WORKER_PORT: u16 = 10_000;
 /// Number of blocks to choose from; a block is the second byte of the addresses. 127.0.x.y is not
-/// among them, since all other programs use it.
+/// among them, since other programs use it.
 const BLOCK_COUNT: u32 = 200;
 /// Second byte of the first of these blocks.
 const FIRST_BLOCK: u32 = 32;
-/// Runs that a block has addresses for. Later runs reuse the addresses of the first ones, which
-/// have ended by then.
-const RUNS_PER_BLOCK: usize = 250;
+/// Slots of a block. Later runs reuse the slots of the first ones, which have ended by then.
+const SLOTS_PER_BLOCK: usize = 250;
 /// Last byte of controller 0's own address; each further controller adds one.
 const FIRST_HOST: usize = 1;
 
@@ -28,23 +27,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
     block: u8,
-    run: u8,
+    slot: u8,
 }
 
 impl Addresses {
-    /// The addresses of the run with this index among the runs of this process. Without a given
-    /// block, the process id selects one.
-    pub fn new(block: Option<u8>, run: usize) -> Addresses {
+    /// The addresses of a slot; `slot` counts up in this process, and is reduced to the slots of a
+    /// block. Without a given block, the process id selects one.
+    pub fn new(block: Option<u8>, slot: usize) -> Addresses {
         let from_process_id = || (FIRST_BLOCK + std::process::id() % BLOCK_COUNT) as u8;
-        let run = (run % RUNS_PER_BLOCK) as u8 + 1;
-        Addresses { block: block.unwrap_or_else(from_process_id), run }
+        let slot = (slot % SLOTS_PER_BLOCK) as u8 + 1;
+        Addresses { block: block.unwrap_or_else(from_process_id), slot }
     }
 
-    /// An address for one controller. `network` is 0 for the controller itself, 64 for the relays,
-    /// key-value store and cloud that it connects to, and 128 for the workers. With an address per
-    /// controller, a stand-in knows which controller connects.
-    fn host(self, network: u8, controller: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.block, self.run, network + (FIRST_HOST + controller) as u8)
+    /// An address for one controller. `offset` is added to the last byte: 0 for the controller
+    /// itself, 64 for the relays, key-value store and cloud that it connects to, and 128 for the
+    /// workers. With an address per controller, a stand-in knows which controller connects.
+    fn host(self, offset: u8, controller: usize) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.block, self.slot, offset + (FIRST_HOST + controller) as u8)
     }
 
     /// The address where users and workers reach a controller.
--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -120,9 +120,9 @@
 
     /// The machines as they were [`CLOUD_LIST_LAG`] ago.
     fn list(&self, now: Micros, after: Option<&str>) -> Vec<ListedMachine> {
-        let then = now.since(CLOUD_LIST_LAG);
+        let as_of = now.since(CLOUD_LIST_LAG);
         let existing = |m: &Machine| {
-            m.created_at <= then && m.deleted_at.is_none_or(|deleted_at| deleted_at > then)
+            m.created_at <= as_of && m.deleted_at.is_none_or(|deleted_at| deleted_at > as_of)
         };
         let matching = self.machines.iter().filter(|(name, machine)| {
             existing(machine) && after.is_none_or(|after| name.as_str() > after)
@@ -134,7 +134,7 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             stage: MachineStage::Running,
-            age_s: then.since(machine.created_at).as_secs_f64(),
+            age_s: as_of.since(machine.created_at).as_secs_f64(),
         });
         listed.collect()
     }
--- a/crates/rehearsal/src/faults.rs
+++ b/crates/rehearsal/src/faults.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// No fault begins earlier in a run.
+/// Time from the start of the workload to the first group of faults; no fault begins earlier.
 const FIRST_FAULT_AT: Micros = Micros::secs(3);
 /// Time between the starts of two groups of faults.
 const FAULT_GROUP_INTERVAL_MS: (u64, u64) = (4_000, 8_000);
@@ -61,7 +61,8 @@
         /// Time until the restart.
         back: Micros,
     },
-    /// Kills the controllers one after another, whichever is the leader.
+    /// Kills the controllers one after another in the order of their numbers, whichever shards they
+    /// lead.
     KillInTurn {
         /// Time between two kills.
         pause: Micros,
@@ -205,8 +206,9 @@
         self.at <= now && now < self.until
     }
 
-    /// When the last effect ends: delayed messages have arrived, and killed controllers have been
-    /// restarted.
+    /// When its effects count as ended: killed controllers have been restarted, and delayed direct
+    /// commands, copies of heartbeats and late transactions have arrived. The shorter delays of
+    /// [`Fault::SlowLinks`], [`Fault::SlowKvStore`] and held messages are not included.
     pub fn effects_end_at(&self, controllers: usize) -> Micros {
         match self.fault {
             Fault::Kill { back, .. } | Fault::KillAll { back } => self.until + back,
@@ -232,15 +234,15 @@
 /// `duration`.
 pub fn draw_faults(rng: &mut StdRng, duration: Micros, controllers: usize) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
-    let mut group = FIRST_FAULT_AT;
-    while group < duration {
+    let mut group_start = FIRST_FAULT_AT;
+    while group_start < duration {
         for _ in 0..rng.random_range(2..=3) {
-            let at = group + Micros::millis(rng.random_range(0..2_500));
+            let at = group_start + Micros::millis(rng.random_range(0..2_500));
             let length = Micros::millis(rng.random_range(FAULT_DURATION_MS.0..FAULT_DURATION_MS.1));
             let fault = draw_fault(rng, controllers);
             faults.push(PlannedFault { at, until: at + length, fault });
         }
-        group +=
+        group_start +=
             Micros::millis(rng.random_range(FAULT_GROUP_INTERVAL_MS.0..FAULT_GROUP_INTERVAL_MS.1));
     }
     faults.sort_by_key(|fault| fault.at);
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,4 +1,5 @@
-//! The history of a run: what workers and users observed, in order. The rules use nothing else.
+//! The history of a run: what workers and users observed, in order. The rules check only this,
+//! against the [facts](crate::rules::Facts) of the run.
 
 use millethold::time::Micros;
 use millethold::wire::JobStage;
@@ -103,7 +104,7 @@
         #[serde(rename = "asked")]
         request_kind: RequestKind,
     },
-    /// Direct commands with a start reached a worker late.
+    /// Direct commands that include a start reached a worker late.
     LateCommands {
         /// Name of the machine.
         machine: String,
@@ -143,8 +144,8 @@
             Observation::TaskStarted { task, .. } | Observation::TaskEnded { task, .. } => {
                 task.job == job
             }
-            Observation::Requested { job: of, .. } | Observation::NoAnswer { job: of, .. } => {
-                of == job
+            Observation::Requested { job: id, .. } | Observation::NoAnswer { job: id, .. } => {
+                id == job
             }
             Observation::Answer(answer) => answer.job == job,
             Observation::LateCommands { .. } => false,
--- a/crates/rehearsal/src/jobs.rs
+++ b/crates/rehearsal/src/jobs.rs
@@ -153,8 +153,8 @@
     let run_time = if is_low_limit { run_time.min(LOW_LIMIT_TEAM_MAX_RUN_TIME) } else { run_time };
     let always_fails = chance(rng, ALWAYS_FAILING_PERCENT);
     // Most cancellations come soon, while the job's first starts are in flight.
-    let soon = rng.random_range(0..3) > 0;
-    let wait = Micros::millis(if soon {
+    let cancel_soon = rng.random_range(0..3) > 0;
+    let cancel_delay = Micros::millis(if cancel_soon {
         rng.random_range(50..2_500)
     } else {
         rng.random_range(2_500..12_000)
@@ -182,6 +182,6 @@
         always_fails,
         dependencies,
         submit_at,
-        cancel_at: cancelled.then_some(submit_at + wait),
+        cancel_at: cancelled.then_some(submit_at + cancel_delay),
     }
 }
--- a/crates/rehearsal/src/kv_store.rs
+++ b/crates/rehearsal/src/kv_store.rs
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Changes that are always kept for watches. Older ones are dropped when twice as many have
-/// collected.
+/// Number of the latest changes that are always kept for watches. Older ones are dropped once more
+/// than twice as many are stored.
 const KEPT_CHANGES: usize = 10_000;
 /// Most values on a page.
 const MAX_PAGE_SIZE: usize = 1_000;
@@ -20,7 +20,7 @@
     lease: Option<u64>,
 }
 
-/// A lease; each renewal extends it by its time to live.
+/// A lease; after each renewal it is valid for its time to live.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     expires_at: Micros,
@@ -56,7 +56,7 @@
         self.revision
     }
 
-    /// Extends every lease by its full time to live, after an outage.
+    /// Renews every lease, after an outage.
     pub fn renew_all_leases(&mut self, now: Micros) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl;
--- a/crates/rehearsal/src/kv_store_http.rs
+++ b/crates/rehearsal/src/kv_store_http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and answers of the key-value store.
+//! HTTP requests to the key-value store and its responses.
 
 use crate::kv_store::{KvStore, TxnOutcome};
 use millethold::http::Request;
@@ -11,7 +11,7 @@
 /// Values on a page, the same number as the service requests.
 const PAGE_SIZE: usize = 100;
 
-/// An HTTP answer of a stand-in.
+/// An HTTP response of a stand-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status.
@@ -21,7 +21,7 @@
 }
 
 impl Response {
-    /// An answer with this value as its body.
+    /// A response with this value as its body.
     pub fn new(status: u16, body: &impl Serialize) -> Response {
         Response { status, body: serde_json::to_vec(body).unwrap_or_default() }
     }
@@ -106,7 +106,7 @@
     })
 }
 
-/// The answer to a watch that ends without changes.
+/// The response to a watch that ends without changes.
 pub fn empty_watch_response(store: &KvStore) -> Response {
     Response::new(200, &WatchResponse { revision: store.revision(), events: Vec::new() })
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,7 +8,7 @@
 //!   controller processes;
 //! - [`net`], [`relay`]: sockets on one event loop, and the links between controllers;
 //! - [`faults`], [`links`]: which faults occur when, and their effect on a message;
-//! - [`kv_store`], [`kv_store_http`], [`cloud`], [`worker`], [`jobs`]: stand-ins for the outside
+//! - [`kv_store`], [`kv_store_http`], [`cloud`], [`worker`], [`jobs`]: stand-ins for the external
 //!   systems and the users' jobs, without sockets;
 //! - [`run`]: one run, which connects all of these;
 //! - [`process`]: the controller processes;
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -13,7 +13,7 @@
 /// File name of the service's binary, looked up in the folder of this program by default.
 const SERVICE_BINARY: &str = "millethold";
 
-/// Rehearses failures with real processes of the service on this machine.
+/// Tests the service under injected faults, with real controller processes on this machine.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -48,7 +48,7 @@
     /// Controllers in each run.
     #[arg(long, default_value_t = 3)]
     controllers: usize,
-    /// Runs at the same time.
+    /// Number of runs executed at the same time.
     #[arg(long, default_value_t = 1)]
     parallel: usize,
     /// Second byte of the loopback addresses (127.BLOCK.x.y) to use; derived from the process id if
@@ -118,17 +118,17 @@
     /// An option is invalid.
     #[error(transparent)]
     Option(#[from] InvalidOption),
-    /// The handler of interrupts was not installed.
-    #[error(transparent)]
+    /// The handler of interrupts could not be installed.
+    #[error("cannot install the handler of interrupts: {0}")]
     Signal(#[from] ctrlc::Error),
     /// The soak was interrupted, or a run could not be executed.
     #[error(transparent)]
     Soak(#[from] SoakError),
     /// The report could not be encoded as JSON.
-    #[error(transparent)]
+    #[error("cannot encode the report as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("cannot write the report to {}: {source}", file.display())]
     /// The report file could not be written.
+    #[error("cannot write the report to {}: {source}", file.display())]
     Report {
         /// Path of the report file.
         file: PathBuf,
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -14,7 +14,7 @@
 /// Content type of all bodies.
 const JSON: &str = "application/json";
 
-/// Identifies a connection of this process; never reused during a run.
+/// Identifies a connection of a run; never reused within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
@@ -107,7 +107,7 @@
     buffer: Vec<u8>,
 }
 
-/// A shared socket in the form that the event loop requires.
+/// A shared socket that implements `AsFd`, as the event loop requires.
 struct SharedStream(Rc<TcpStream>);
 
 impl std::os::fd::AsFd for SharedStream {
@@ -159,7 +159,7 @@
         self.add(stream, role)
     }
 
-    /// Adds a connected socket.
+    /// Adds a socket that is connected or connecting.
     ///
     /// # Errors
     ///
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Sends an HTTP answer.
+    /// Sends an HTTP response.
     pub fn answer(&mut self, id: ConnectionId, status: u16, body: &[u8]) {
         let answer =
             OutgoingResponse { status, retry_after: None, content_type: JSON, body, close: false };
--- a/crates/rehearsal/src/options.rs
+++ b/crates/rehearsal/src/options.rs
@@ -25,7 +25,7 @@
     pub workers: Option<usize>,
     /// Controllers in each run.
     pub controllers: usize,
-    /// Runs at the same time.
+    /// Number of runs executed at the same time.
     pub parallel: usize,
     /// Second byte of the loopback addresses; derived from the process id if `None`.
     pub block: Option<u8>,
@@ -41,18 +41,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidOption {
     /// A number is 0 or too large.
-    #[error("--{option}: must be from 1 to {max}")]
+    #[error("--{option}: {value} is out of range, it must be from 1 to {max}")]
     OutOfRange {
         /// Name of the option, without dashes.
         option: &'static str,
+        /// The rejected value.
+        value: u64,
         /// The largest value allowed.
         max: u64,
     },
-    /// The seed of the last run would exceed 64 bits.
-    #[error("--first-seed: the last seed is too large")]
-    LastSeedTooLarge,
+    /// The first seed plus the number of runs exceeds 64 bits.
+    #[error("--first-seed: {first_seed} plus {seeds} runs exceeds 64 bits")]
+    LastSeedTooLarge {
+        /// Seed of the first run.
+        first_seed: u64,
+        /// Number of runs.
+        seeds: u64,
+    },
     /// The service's binary does not exist, or is not a file.
-    #[error("--binary: {} is not there; build it first", .0.display())]
+    #[error("--binary: {} is not a file; build the service first", .0.display())]
     NoBinary(PathBuf),
 }
 
@@ -65,7 +72,7 @@
     pub fn check(&self) -> Result<(), InvalidOption> {
         let check_range = |option, value: u64, max: u64| match (1..=max).contains(&value) {
             true => Ok(()),
-            false => Err(InvalidOption::OutOfRange { option, max }),
+            false => Err(InvalidOption::OutOfRange { option, value, max }),
         };
         check_range("seeds", self.seeds, 100_000)?;
         check_range("seconds", self.seconds, MAX_SECONDS)?;
@@ -75,7 +82,8 @@
             check_range("workers", workers as u64, MAX_WORKERS as u64)?;
         }
         if self.first_seed.checked_add(self.seeds).is_none() {
-            return Err(InvalidOption::LastSeedTooLarge);
+            let (first_seed, seeds) = (self.first_seed, self.seeds);
+            return Err(InvalidOption::LastSeedTooLarge { first_seed, seeds });
         }
         if !self.binary.is_file() {
             return Err(InvalidOption::NoBinary(self.binary.clone()));
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -44,7 +44,11 @@
         if self.child.is_some() {
             return Ok(());
         }
-        let log = OpenOptions::new().create(true).append(true).open(&self.launch.log)?;
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.launch.log)
+            .map_err(|error| file_error("open", &self.launch.log, &error))?;
         let child = Command::new(&self.launch.binary)
             .arg("--config")
             .arg(&self.launch.config)
@@ -120,8 +124,16 @@
 ///
 /// # Errors
 ///
-/// Those of the file system.
+/// Those of the file system, with the path.
 pub fn write_file(path: &Path, text: &str) -> io::Result<()> {
     use std::io::Write;
-    File::create(path)?.write_all(text.as_bytes())
+    File::create(path)
+        .and_then(|mut file| file.write_all(text.as_bytes()))
+        .map_err(|error| file_error("write", path, &error))
+}
+
+/// An error that names the failed operation and the file.
+fn file_error(operation: &str, path: &Path, error: &io::Error) -> io::Error {
+    let message = format!("cannot {operation} {}: {error}", path.display());
+    io::Error::new(error.kind(), message)
 }
--- a/crates/rehearsal/src/relay.rs
+++ b/crates/rehearsal/src/relay.rs
@@ -14,7 +14,7 @@
     source_closed: bool,
 }
 
-/// A relayed connection.
+/// A relayed connection: its two sides, and the bytes queued in each direction.
 #[derive(Debug)]
 pub struct RelayedConnection {
     /// Number of the controller that connected.
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -194,8 +194,9 @@
             let violation = &evidence.violation;
             writeln!(
                 f,
-                "  broken: {:?} at {:.3}: {}",
+                "  broken: {:?} by {} at {:.3}: {}",
                 violation.rule,
+                violation.job,
                 violation.at.as_secs_f64(),
                 violation.what
             )?;
@@ -204,7 +205,7 @@
             }
         }
         if self.violations.len() > SHOWN_VIOLATIONS {
-            writeln!(f, "  and {} more", self.violations.len() - SHOWN_VIOLATIONS)?;
+            writeln!(f, "  and {} more violations", self.violations.len() - SHOWN_VIOLATIONS)?;
         }
         for failure in &self.failures {
             writeln!(f, "  failed: {failure:?}")?;
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,4 +1,5 @@
-//! The protocol's rules, checked against what workers and users observed and nothing else.
+//! The protocol's rules, checked against what workers and users observed and the [`Facts`] of the
+//! run, never against what controllers report of themselves.
 
 use crate::history::{Entry, History, Observation, RequestKind, TaskEnd, TaskId, UserAnswer};
 use millethold::time::Micros;
@@ -84,7 +85,7 @@
     pub spot: bool,
 }
 
-/// The facts that stay the same during a run.
+/// What the rules know about a run beside its history.
 #[derive(Debug, Clone, Default)]
 pub struct Facts {
     /// All jobs that users submit, by id.
@@ -256,8 +257,8 @@
             self.add_violation(Rule::TooEarly, at, &job, what);
         }
         self.running.insert(started.clone());
-        if let Some(wrong) = self.placement_violation(&started, &facts) {
-            self.add_violation(Rule::WrongPlace, at, &job, format!("{name}: {wrong}"));
+        if let Some(reason) = self.placement_violation(&started, &facts) {
+            self.add_violation(Rule::WrongPlace, at, &job, format!("{name}: {reason}"));
         }
         self.check_quota(at, &job, &facts.team);
     }
--- a/crates/rehearsal/src/run/machines.rs
+++ b/crates/rehearsal/src/run/machines.rs
@@ -1,4 +1,5 @@
-//! Machines: heartbeats, commands, and their creation and removal.
+//! Machines and their workers: creation and removal, heartbeats, commands, and health checks of the
+//! controllers.
 
 use super::{Action, Run};
 use crate::faults::{Fault, HEARTBEAT_COPY_DELAY_MS};
@@ -19,7 +20,8 @@
 const HEARTBEAT_TIMEOUT: Micros = Micros::secs(4);
 /// Delay before a worker tries the next controller after a failure.
 const NEXT_CONTROLLER_DELAY: Micros = Micros::secs(1);
-/// Direct commands with a start that arrive later than this are recorded in the history.
+/// Direct commands that include a start are recorded in the history if they arrive later than this
+/// after they were sent.
 const LATE_COMMAND_AGE: Micros = Micros::secs(5);
 /// Number of a request whose answer is ignored.
 pub(super) const UNAWAITED_REQUEST: u64 = u64::MAX;
@@ -67,8 +69,7 @@
             Some(_) => Micros::FAR_FUTURE,
             None => machine.heartbeat_due().max(now + Micros::millis(1)),
         };
-        // A hung machine sends heartbeats only afterwards, but its state is still advanced
-        // meanwhile.
+        // A hung machine sends no heartbeats until it resumes, but its state is still advanced.
         let pause = if machine.is_hanging(now) { Micros::millis(50) } else { Micros::ZERO };
         let next = machine.next_change().min(heartbeat.max(now + pause)).max(now + Micros(1));
         self.schedule(next, Action::AdvanceWorker { worker });
@@ -99,7 +100,8 @@
         }
     }
 
-    /// While such a fault is active, schedules late copies of some heartbeats to any controller.
+    /// While a [`Fault::LateHeartbeats`] is active, schedules a late copy of some heartbeats to a
+    /// random controller.
     fn maybe_copy_heartbeat(&mut self, body: &[u8]) {
         let percent =
             self.faults.iter().filter(|planned| planned.active(self.now)).find_map(|planned| {
@@ -205,15 +207,15 @@
     ) {
         let now = self.now;
         let machine = &mut self.workers[worker];
-        let observations = machine.advance(now);
+        let earlier = machine.advance(now);
         let awaited = machine.heartbeat_in_flight == Some(heartbeat);
         if machine.terminated || !awaited || machine.is_hanging(now) {
             // The heartbeat timed out or is of an earlier incarnation, or the machine cannot read
             // the answer.
-            return self.record_all(observations);
+            return self.record_all(earlier);
         }
         machine.heartbeat_in_flight = None;
-        let caused = match (status, serde_json::from_slice::<HeartbeatResponse>(body)) {
+        let observations = match (status, serde_json::from_slice::<HeartbeatResponse>(body)) {
             (200, Ok(reply)) => machine.heartbeat_answered(
                 now,
                 heartbeat,
@@ -232,8 +234,8 @@
                 Vec::new()
             }
         };
+        self.record_all(earlier);
         self.record_all(observations);
-        self.record_all(caused);
         self.schedule(now, Action::AdvanceWorker { worker });
     }
 
@@ -363,8 +365,8 @@
 
     /// Starts the worker of a created machine.
     pub(super) fn machine_up(&mut self, name: String) {
-        if let Err(error) = self.add_worker(name) {
-            let what = format!("cannot set up the worker of a new machine: {error}");
+        if let Err(error) = self.add_worker(name.clone()) {
+            let what = format!("cannot set up the worker of new machine {name}: {error}");
             self.failures.push(crate::report::Failure::Setup { what });
         }
     }
--- a/crates/rehearsal/src/run/mod.rs
+++ b/crates/rehearsal/src/run/mod.rs
@@ -54,7 +54,8 @@
 /// although some jobs have not. It is generous, since the machine may be loaded and backoff after
 /// faults doubles.
 const PROGRESS_TIMEOUT: Micros = Micros::secs(120);
-/// A run ends this long after the last fault, whatever still happens.
+/// A run ends at the latest this long after the last effect of a fault, even if tasks still start
+/// and end.
 const RUN_TIMEOUT: Micros = Micros::secs(900);
 /// Interval between checks of conditions that no message reports.
 const TICK_INTERVAL: Micros = Micros::millis(50);
@@ -93,7 +94,7 @@
     MachineUp { name: String },
     /// Bytes of a relayed connection are due.
     ForwardRelay { relay_id: u64, from_initiator: bool },
-    /// A user acts.
+    /// A user performs a step.
     User(UserStep),
     /// A user stops waiting for an answer.
     UserRequestTimedOut { request: u64 },
@@ -121,7 +122,7 @@
     addresses: Addresses,
     seed: u64,
     controllers: Vec<Controller>,
-    /// Controllers that have answered a health check, by number.
+    /// Whether each controller has answered a health check with status 200.
     healthy: Vec<bool>,
     /// The run's files; deleted when the run is dropped.
     _directory: TempDir,
@@ -141,7 +142,7 @@
     last_progress: Micros,
     history: History,
     failures: Vec<Failure>,
-    /// Longest delay of an action because this process was not scheduled.
+    /// Longest delay of an action of this process, for example because the machine was overloaded.
     longest_stall: Micros,
 }
 
@@ -173,9 +174,12 @@
         /// The last line of its log.
         last_line: String,
     },
-    /// A controller answered no health check in time.
-    #[error("a controller answered no health check within {} s", STARTUP_TIMEOUT.as_secs())]
-    Unhealthy,
+    /// A controller was not healthy in time.
+    #[error("controller n{controller} was not healthy within {} s", STARTUP_TIMEOUT.as_secs())]
+    Unhealthy {
+        /// Number of the controller.
+        controller: usize,
+    },
 }
 
 impl Run {
@@ -191,14 +195,14 @@
         let net = Net::new(event_loop.handle(), callbacks);
         let mut run = Run::set_up(options, seed, address_slot, net)?;
         let deadline = Instant::now() + STARTUP_TIMEOUT;
-        while !run.healthy.iter().all(|healthy| *healthy) {
+        while let Some(unhealthy) = run.healthy.iter().position(|healthy| !healthy) {
             run.step(&mut event_loop, stop)?;
             if let Some(controller) = run.controllers.iter_mut().position(Controller::has_exited) {
                 let last_line = run.controllers[controller].last_line();
                 return Err(RunError::ControllerExited { controller, last_line });
             }
             if Instant::now() > deadline {
-                return Err(RunError::Unhealthy);
+                return Err(RunError::Unhealthy { controller: unhealthy });
             }
         }
         run.start_workload(options);
--- a/crates/rehearsal/src/run/services.rs
+++ b/crates/rehearsal/src/run/services.rs
@@ -82,11 +82,12 @@
         }
     }
 
-    /// Applies a transaction late, after its caller has stopped waiting.
+    /// Applies a transaction late, after an outage if there is one. It is never answered; its caller
+    /// may have stopped waiting.
     pub(super) fn serve_late_transaction(&mut self, call: KvRequest) {
-        let outage = self.outage_ends_at();
-        if outage > self.now {
-            return self.schedule(outage, Action::LateTransaction { call });
+        let outage_end = self.outage_ends_at();
+        if outage_end > self.now {
+            return self.schedule(outage_end, Action::LateTransaction { call });
         }
         kv_store_http::execute(&call, self.now, &mut self.kv_store);
         self.answer_watches();
--- a/crates/rehearsal/src/run/users.rs
+++ b/crates/rehearsal/src/run/users.rs
@@ -69,7 +69,7 @@
     connection: Option<ConnectionId>,
     /// It is a health check before the workload starts.
     is_health_check: bool,
-    /// It is neither retried nor followed by another request.
+    /// It is not retried, and does not count as the job's regular submission or status query.
     detached: bool,
 }
 
@@ -95,8 +95,8 @@
                 for controller in 0..self.controllers.len() {
                     self.send_request(controller, job.clone(), RequestKind::Poll, true);
                 }
-                let again = self.rng.random_range(0..self.controllers.len());
-                self.send_request(again, job, RequestKind::Submit, true);
+                let repeat_at = self.rng.random_range(0..self.controllers.len());
+                self.send_request(repeat_at, job, RequestKind::Submit, true);
             }
             UserStep::PollUnknownJob => {
                 let job =
@@ -360,12 +360,12 @@
     /// Whether every job was refused permanently, or has ended and its user's queries and
     /// cancellation have been answered.
     pub(super) fn all_jobs_served(&self) -> bool {
-        let done = |job: &UserJob| {
-            let cancelled = !job.cancel_requested || job.cancel_answered;
+        let served = |job: &UserJob| {
+            let cancel_settled = !job.cancel_requested || job.cancel_answered;
             job.refused_status.is_some()
-                || (job.ended.is_some() && job.polls_after_end >= POLLS_AFTER_END && cancelled)
+                || (job.ended.is_some() && job.polls_after_end >= POLLS_AFTER_END && cancel_settled)
         };
-        self.user_jobs.values().all(done)
+        self.user_jobs.values().all(served)
     }
 
     /// Records a failure for each job that was refused or has not ended.
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the controllers in a run. Times are shorter than in a users' deployment, so that a
+//! Settings of the controllers in a run. Times are shorter than in a real deployment, so that a
 //! run shows in a minute what takes several minutes there; their order by length is the same.
 
 use crate::addresses::Addresses;
--- a/crates/rehearsal/src/soak.rs
+++ b/crates/rehearsal/src/soak.rs
@@ -1,4 +1,5 @@
-//! Runs of a soak: one seed after another, several at the same time.
+//! Runs of a soak: one for each seed, in the order of the seeds, several at the same time if the
+//! options allow it.
 
 use crate::options::SoakOptions;
 use crate::report::SoakReport;
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -130,7 +130,7 @@
         self.attempts.values().any(|attempt| attempt.state != TaskState::Exited)
     }
 
-    /// The jobs with attempts on the machine, once for each attempt.
+    /// The jobs of the running attempts, once for each attempt.
     pub fn running_jobs(&self) -> impl Iterator<Item = &str> {
         let running = self.attempts.iter().filter(|(_, attempt)| attempt.is_running());
         running.map(|((task, _), _)| task.job.as_str())
@@ -374,13 +374,13 @@
         if !cached {
             self.fetching.insert(task.clone(), job.image.clone());
         }
-        let wait = if cached { job.run_time } else { IMAGE_FETCH_TIME };
+        let state_duration = if cached { job.run_time } else { IMAGE_FETCH_TIME };
         self.attempts.insert(
             key,
             Attempt {
                 state: if cached { TaskState::Running } else { TaskState::Fetching },
                 cause: None,
-                due: Some(now + wait),
+                due: Some(now + state_duration),
                 cpus: job.cpus,
                 memory_gb: 2.0 * job.cpus,
                 run_time: job.run_time,
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -196,7 +196,7 @@
             started(6, JOB, 1, 2, "vm-2"),
         ),
         case(
-            "in a second zone, though the job needs one",
+            "in a second zone, though all tasks must run in one",
             Rule::WrongPlace,
             facts_with(|job| job.one_zone = true),
             concat(submitted(JOB), vec![started(5, JOB, 0, 1, "vm-0")]),
@@ -278,7 +278,7 @@
             answer_sent_at(21, 22, JOB, RequestKind::Poll, 200, Some(Running)),
         ),
         case(
-            "done after cancelled, even to an earlier request",
+            "done after cancelled, even if the request was sent before",
             Rule::WentBack,
             facts(),
             concat(completed(JOB), cancelled(JOB)[2..].to_vec()),
@@ -313,7 +313,7 @@
 
 #[test]
 fn every_check_can_fail() {
-    let mut shown = BTreeSet::new();
+    let mut violated = BTreeSet::new();
     for Case { name, rule, facts, preceding, violating } in cases() {
         let mut history = History { entries: preceding };
         let last = history.entries.last().map_or(violating.at, |entry| entry.at);
@@ -325,9 +325,9 @@
         let rules: BTreeSet<Rule> = violations.iter().map(|violation| violation.rule).collect();
         assert_eq!(rules, BTreeSet::from([rule]), "{name}: {violations:?}");
         assert!(!history.lines_about(&violations[0].job, 10).is_empty(), "{name}: no evidence");
-        shown.insert(rule);
+        violated.insert(rule);
     }
-    assert_eq!(shown, BTreeSet::from(RULES), "a rule without a history that breaks it");
+    assert_eq!(violated, BTreeSet::from(RULES), "a rule that no history violates");
 }
 
 /// An attempt that is still on its machine at the end of the run is checked too.
--- a/crates/rehearsal/tests/soak.rs
+++ b/crates/rehearsal/tests/soak.rs
@@ -9,7 +9,7 @@
 
 /// Time that the program may take, also on a loaded machine.
 const PROGRAM_TIMEOUT: Duration = Duration::from_secs(600);
-/// Instances of the program at the same time would use the same addresses.
+/// Held by each test, since instances of the program at the same time might use the same addresses.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 /// The service's binary of this build. It is built here, in case only this package was built.
@@ -128,8 +128,8 @@
         ("no controllers", &["--controllers", "0"], "--controllers"),
         ("too many workers", &["--workers", "100000"], "--workers"),
         ("the last seed is too large", &["--first-seed", "18446744073709551615"], "--first-seed"),
-        ("no binary", &["--binary", "/nowhere/millethold"], "/nowhere/millethold"),
-        ("no program", &["--binary", "/dev/null"], "/dev/null"),
+        ("the binary does not exist", &["--binary", "/nowhere/millethold"], "/nowhere/millethold"),
+        ("the binary is not a file", &["--binary", "/dev/null"], "/dev/null"),
         ("a controller's port is taken", &["--block", "251"], "127.251.1.1:8080"),
         ("a stand-in's port is taken", &["--block", "252"], "127.252.1.66:2379"),
     ];
--- a/crates/rehearsal/tests/stand_ins.rs
+++ b/crates/rehearsal/tests/stand_ins.rs
@@ -233,17 +233,17 @@
 #[test]
 fn lease_runs_on_while_the_machine_hangs() {
     // How long the machine hangs, and when and how its task of five seconds ends.
-    let image = Micros::millis(300);
+    let fetch_time = Micros::millis(300);
     let table = [
-        (Micros::ZERO, image + Micros::secs(5), TaskEnd::Done),
-        (Micros::secs(2), image + Micros::secs(7), TaskEnd::Done),
+        (Micros::ZERO, fetch_time + Micros::secs(5), TaskEnd::Done),
+        (Micros::secs(2), fetch_time + Micros::secs(7), TaskEnd::Done),
         (Micros::secs(20), WORKER_LEASE + Micros(1), TaskEnd::LeaseExpired),
     ];
     for (hang_time, after, want) in table {
         let mut worker = worker();
         worker.execute_direct(NOW, direct(1, 1, vec![start("j-1/0", 1)]), &jobs());
-        worker.advance(NOW + image);
-        worker.hang(NOW + image, NOW + image + hang_time);
+        worker.advance(NOW + fetch_time);
+        worker.hang(NOW + fetch_time, NOW + fetch_time + hang_time);
         let observations = worker.advance(NOW + Micros::secs(30));
         let ended = observations.iter().find_map(|(at, observation)| match observation {
             Observation::TaskEnded { how, .. } => Some((*at, *how)),
@@ -299,7 +299,7 @@
 /// Each fault has its effect on messages only while it is active.
 #[test]
 fn faults_affect_messages() {
-    let some = SomeWorkers { of: 2, rest: 1 };
+    let odd_workers = SomeWorkers { of: 2, rest: 1 };
     let heartbeat = Link::Heartbeat { worker: 1, controller: 0 };
     let command = Link::Command { worker: 1, controller: 0 };
     let peers = Link::Peer { from: 0, to: 1 };
@@ -325,12 +325,12 @@
             request,
             Delivery::At(NOW),
         ),
-        (Fault::CutSome { workers: some, cut: Cut::Held }, command, request, later),
-        (Fault::Deaf { workers: some }, heartbeat, request, Delivery::At(NOW)),
-        (Fault::Deaf { workers: some }, heartbeat, answer, Delivery::Lost),
-        (Fault::Deaf { workers: some }, command, request, Delivery::Lost),
-        (Fault::Mute { workers: some }, heartbeat, request, Delivery::Reset),
-        (Fault::Mute { workers: some }, command, request, Delivery::At(NOW)),
+        (Fault::CutSome { workers: odd_workers, cut: Cut::Held }, command, request, later),
+        (Fault::Deaf { workers: odd_workers }, heartbeat, request, Delivery::At(NOW)),
+        (Fault::Deaf { workers: odd_workers }, heartbeat, answer, Delivery::Lost),
+        (Fault::Deaf { workers: odd_workers }, command, request, Delivery::Lost),
+        (Fault::Mute { workers: odd_workers }, heartbeat, request, Delivery::Reset),
+        (Fault::Mute { workers: odd_workers }, command, request, Delivery::At(NOW)),
         // Heartbeats arrive as usual while commands are held.
         (all_held, command, request, Delivery::At(NOW + held)),
         (all_held, command, answer, Delivery::At(NOW)),
