--- a/tests/cluster/scenarios/faults.rs
+++ b/tests/cluster/scenarios/faults.rs
@@ -181,7 +181,7 @@
             300,
             &faults,
         );
-        let (cut_off, other) = (world.attempts(1), world.attempts(0));
+        let (cut_off, other) = (world.count_attempts(1), world.count_attempts(0));
         assert!(cut_off * 3 < other, "seed {seed}: {cut_off} attempts, {other} on another");
     }
 }
--- a/tests/cluster/scenarios/load.rs
+++ b/tests/cluster/scenarios/load.rs
@@ -70,17 +70,17 @@
         for seed in 300..304 {
             let faults = Faults { write_rps: Some(20.0), ..faults.clone() };
             let world = run_until_done(name, seed, &plans, 400, &faults);
-            let batches = (0..3).map(|s| world.stored(&format!("w/{s}/_")));
+            let batches = (0..3).map(|s| world.count_keys(&format!("w/{s}/_")));
             let ever: usize = batches.map(|(_, ever)| ever).sum();
             assert!(ever > 0, "{name}, seed {seed}: no jobs were accepted in a batch");
             // A job with keys of its own takes one change each for its key, for its placement, for
             // its end if it is not the last, and for the removal of the key.
-            let changes = world.changed("w/");
+            let changes = world.count_writes("w/");
             assert!(
                 name != "no faults" || changes * 5 < 13 * plans.len(),
                 "seed {seed}: {changes} changes"
             );
-            let (left, _) = world.stored("w/");
+            let (left, _) = world.count_keys("w/");
             assert_eq!(left, 0, "{name}, seed {seed}: chunks of ended jobs remain");
         }
     }
@@ -174,7 +174,7 @@
     };
     for seed in 450..451 {
         let world = run_until_done("a low-priority array", seed, &plans, 300, &faults);
-        let (changes, task_entries) = (world.changed("w/"), world.task_entries_sent);
+        let (changes, task_entries) = (world.count_writes("w/"), world.task_entries_sent);
         assert!(changes < tasks as usize / 10, "seed {seed}: {changes} changes for {tasks} tasks");
         // The few tasks of a machine are sent to two peers each time that one of them changes.
         let max_entries = 17 * u64::from(tasks);
--- a/tests/cluster/scenarios/scheduling.rs
+++ b/tests/cluster/scenarios/scheduling.rs
@@ -114,13 +114,14 @@
             let mut world = World::new(seed, &plans, faults);
             world.run_until(140);
             assert!(world.violations.is_empty(), "{name}, seed {seed}: {:?}", world.violations);
-            let gone: Vec<usize> = (0..16).filter(|w| *w != 4 && world.workers[*w].gone).collect();
+            let gone: Vec<usize> =
+                (0..16).filter(|w| *w != 4 && world.workers[*w].is_gone).collect();
             let expected: Vec<usize> = if machine_fails { vec![3] } else { vec![] };
             assert_eq!(
                 gone,
                 expected,
                 "{name}, seed {seed}: machines returned; {} attempts",
-                world.attempts(3)
+                world.count_attempts(3)
             );
             // All tasks start at once first, then trials follow after two seconds, four, and so on.
             for starts in world.starts_per_always_failing_task() {
--- a/tests/cluster/simulation/checks.rs
+++ b/tests/cluster/simulation/checks.rs
@@ -25,14 +25,14 @@
 impl World {
     /// Checks the commands that a worker executed; `begun` are the tasks that it started.
     pub(super) fn check_executed_commands(&mut self, worker: usize, begun: Vec<String>) {
-        for (task, attempt) in std::mem::take(&mut self.workers[worker].cleared) {
-            if self.still_wanted(&task) && self.store.placed(&task, attempt) {
+        for (task, attempt) in std::mem::take(&mut self.workers[worker].forgotten) {
+            if self.still_wanted(&task) && self.store.is_placed(&task, attempt) {
                 self.violations
-                    .push(format!("{task} attempt {attempt} cleared before its end was stored"));
+                    .push(format!("{task} attempt {attempt} forgotten before its end was stored"));
             }
         }
         for (task, attempt) in std::mem::take(&mut self.workers[worker].stopped) {
-            if self.still_wanted(&task) && self.store.placed(&task, attempt) {
+            if self.still_wanted(&task) && self.store.is_placed(&task, attempt) {
                 self.stopped_while_placed.push(format!("{task} at {:?}", self.now));
             }
         }
@@ -77,7 +77,7 @@
         if self.past_cancel_deadline(job.ancestor_cancelled_at) {
             violations.push(format!("orphaned: {task} begun"));
         }
-        if self.store.done(job_of(task)) {
+        if self.store.is_done(job_of(task)) {
             violations.push(format!("{task} begun, though its job is done"));
         }
         violations
@@ -89,12 +89,12 @@
         let mut violations = Vec::new();
         let here = &self.workers[worker];
         let attempt = here.attempt(task).unwrap_or(0);
-        if !self.store.written(task, &here.name, attempt) && job.cancelled_at.is_none() {
+        if !self.store.was_ever_placed(task, &here.name, attempt) && job.cancelled_at.is_none() {
             violations
                 .push(format!("{task} attempt {attempt} begun before its placement was stored"));
         }
         for (number, other) in self.workers.iter().enumerate() {
-            if number != worker && !other.gone && other.has(task) {
+            if number != worker && !other.is_gone && other.has_live_task(task) {
                 violations.push(format!("ran_twice: {task} on {} and {}", other.name, here.name));
             }
         }
@@ -107,7 +107,7 @@
         let zones: Vec<&str> = self
             .workers
             .iter()
-            .filter(|w| !w.gone)
+            .filter(|w| !w.is_gone)
             .flat_map(|w| w.tasks_of(job_of(task)).map(|_| w.zone.as_str()))
             .collect();
         let here = self.workers[worker].zone.as_str();
@@ -134,8 +134,8 @@
         }
         let mut violations = Vec::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for worker in self.workers.iter().filter(|w| !w.gone) {
-            for task in worker.present() {
+        for worker in self.workers.iter().filter(|w| !w.is_gone) {
+            for task in worker.live_tasks() {
                 let Some(job) = self.jobs.get(job_of(task)) else {
                     continue;
                 };
@@ -186,10 +186,10 @@
     fn free_capacity(&self) -> Vec<(&str, f64)> {
         let cpus = |task: &String| self.jobs.get(job_of(task)).map_or(1.0, |j| j.plan.cpus);
         let mut room = Vec::new();
-        for machine in self.workers.iter().filter(|w| !w.gone) {
-            let full = machine.present().count() >= worker::SLOTS;
-            let free = worker::CPUS - machine.present().map(cpus).sum::<f64>();
-            if !machine.sick && machine.up(self.now) && !full {
+        for machine in self.workers.iter().filter(|w| !w.is_gone) {
+            let full = machine.live_tasks().count() >= worker::MAX_TASKS;
+            let free = worker::CPUS - machine.live_tasks().map(cpus).sum::<f64>();
+            if !machine.always_fails && machine.has_reported(self.now) && !full {
                 room.push((machine.zone.as_str(), free));
             }
         }
@@ -199,8 +199,8 @@
     /// Zones of the tasks on machines by job, one entry for each task.
     fn zones_in_use(&self) -> Zones<'_> {
         let mut zones = Zones::new();
-        for machine in self.workers.iter().filter(|w| !w.gone) {
-            for task in machine.present() {
+        for machine in self.workers.iter().filter(|w| !w.is_gone) {
+            for task in machine.live_tasks() {
                 zones.entry(job_of(task)).or_default().push(&machine.zone);
             }
         }
--- a/tests/cluster/simulation/controllers.rs
+++ b/tests/cluster/simulation/controllers.rs
@@ -132,7 +132,7 @@
             && let CloudCall::ScaleIn(names) = call
         {
             for worker in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
-                worker.gone = true;
+                worker.is_gone = true;
             }
         }
         reply
@@ -186,7 +186,7 @@
     fn inspect(&self, node: usize, address: SocketAddrV4) -> DirectReply {
         let worker = usize::from(address.port());
         let unreachable = self.worker_cut(worker).is_some() || self.node_cut(node).is_some();
-        if unreachable || self.workers[worker].gone {
+        if unreachable || self.workers[worker].is_gone {
             DirectReply::Unknown
         } else {
             DirectReply::Answered { status: 200, body: Vec::new() }
--- a/tests/cluster/simulation/injection.rs
+++ b/tests/cluster/simulation/injection.rs
@@ -62,7 +62,7 @@
     /// Puts a task on a machine without a command of a controller.
     pub fn inject_start(&mut self, worker: usize, job: usize, index: u32) {
         let task = format!("{}/{index}", self.id(job));
-        self.workers[worker].forge(self.now, &task);
+        self.workers[worker].inject_task(self.now, &task);
         self.check_executed_commands(worker, vec![task]);
     }
 
--- a/tests/cluster/simulation/kv_store.rs
+++ b/tests/cluster/simulation/kv_store.rs
@@ -70,7 +70,7 @@
     /// Whether a transaction is larger than the key-value store takes. Records a violation if the
     /// transaction is not fenced, or if it exceeds limits that were not lowered.
     fn too_large(&mut self, txn: &Txn) -> bool {
-        self.violations.extend(store::unfenced(txn));
+        self.violations.extend(store::unfenced_writes(txn));
         let lowered =
             self.faults.lowered_limits.is_some_and(|(_, at)| self.now >= Micros::secs(at));
         let limits = if lowered { LOWERED_LIMITS } else { LIMITS };
@@ -121,12 +121,12 @@
 
     pub(super) fn outage_begins(&mut self) {
         // Leases that expired before the outage end now; during the outage none expires.
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         self.wake_watches();
     }
 
     pub(super) fn outage_ends(&mut self) {
-        self.store.renew_all(self.now);
+        self.store.renew_all_leases(self.now);
         self.wake_watches();
     }
 
@@ -151,11 +151,11 @@
                 }
                 return !gives_up;
             }
-            let changes = store.changes(&watch.prefix, watch.after);
+            let changes = store.events_after(&watch.prefix, watch.after);
             if changes.is_empty() && now < watch.until {
                 return true;
             }
-            answer(KvResponse::WatchEvents { revision: store.ledger, events: changes });
+            answer(KvResponse::WatchEvents { revision: store.revision, events: changes });
             false
         });
         for (node, incarnation, event) in ready {
@@ -167,12 +167,12 @@
     /// Sends the kept copies of heartbeats to the controllers that have just acquired a shard.
     fn deliver_kept_heartbeats(&mut self) {
         if self.faults.heartbeats_for_new_leader.is_none()
-            || self.store.ledger == self.checked_revision
+            || self.store.revision == self.checked_revision
         {
             return;
         }
-        let acquired = self.store.changes("hold/", self.checked_revision);
-        self.checked_revision = self.store.ledger;
+        let acquired = self.store.events_after("hold/", self.checked_revision);
+        self.checked_revision = self.store.revision;
         for change in acquired {
             let member = change.value.get("member").and_then(Value::as_str).unwrap_or_default();
             let node = member.strip_prefix('n').and_then(|n| n.parse::<usize>().ok());
--- a/tests/cluster/simulation/machines.rs
+++ b/tests/cluster/simulation/machines.rs
@@ -35,8 +35,8 @@
 
     /// The cloud terminates a machine.
     pub(super) fn terminate_machine(&mut self, worker: usize) {
-        self.cloud.take(self.now, &self.workers[worker].name);
-        self.workers[worker].gone = true;
+        self.cloud.terminate(self.now, &self.workers[worker].name);
+        self.workers[worker].is_gone = true;
     }
 
     /// Executes direct commands that reach a worker, and sends its answer.
@@ -48,7 +48,7 @@
         worker: usize,
         body: &[u8],
     ) {
-        if self.workers[worker].gone {
+        if self.workers[worker].is_gone {
             return;
         }
         if self.hangs(worker) {
@@ -56,7 +56,7 @@
             let body = body.to_vec();
             return self.schedule(at, SimEvent::Direct { node, incarnation: 0, id, worker, body });
         }
-        let begun = self.workers[worker].direct(self.now, worker, body);
+        let begun = self.workers[worker].handle_direct_commands(self.now, worker, body);
         self.check_executed_commands(worker, begun.1);
         let event = Event::Reply {
             id,
@@ -68,19 +68,19 @@
 
     /// Executes held direct commands that reach a worker long after they were sent.
     pub(super) fn held_commands_arrive(&mut self, worker: usize, body: &[u8], sent: Micros) {
-        if self.workers[worker].gone {
+        if self.workers[worker].is_gone {
             return;
         }
         if self.now > sent + Micros::from_secs_f64(CANCEL_S) {
             self.long_held_commands += 1;
         }
-        let (_, begun, _) = self.workers[worker].direct(self.now, worker, body);
+        let (_, begun, _) = self.workers[worker].handle_direct_commands(self.now, worker, body);
         self.check_executed_commands(worker, begun);
     }
 
     /// Advances the tasks of a worker, and sends a heartbeat if one is due.
     pub(super) fn worker_step(&mut self, worker: usize) {
-        if self.workers[worker].gone {
+        if self.workers[worker].is_gone {
             return;
         }
         let now = self.now;
@@ -94,7 +94,7 @@
         for job in self.record_completed(completed) {
             self.job_ended(worker, &job);
         }
-        if self.workers[worker].gone {
+        if self.workers[worker].is_gone {
             return;
         }
         if let Some((sent, heartbeat, body, node)) = self.workers[worker].heartbeat(now, worker) {
@@ -212,7 +212,7 @@
         let w = &mut self.workers[worker];
         if w.in_flight == Some(heartbeat) {
             w.in_flight = None;
-            w.node = (w.node + 1) % CONTROLLERS;
+            w.controller = (w.controller + 1) % CONTROLLERS;
             w.next_heartbeat = self.now + Micros::secs(1);
         }
     }
@@ -228,12 +228,13 @@
         match self.tickets.remove(&ticket) {
             Some(Origin::Worker { worker, sent, heartbeat }) => {
                 if self.worker_cut(worker).is_some()
-                    || self.workers[worker].gone
+                    || self.workers[worker].is_gone
                     || self.inbound_cut(worker)
                 {
                     return;
                 }
-                let begun = self.workers[worker].answered(self.now, sent, heartbeat, status, body);
+                let begun = self.workers[worker]
+                    .handle_heartbeat_response(self.now, sent, heartbeat, status, body);
                 self.check_executed_commands(worker, begun);
             }
             Some(origin) => self.user_answer(origin, sent_at, status, body),
--- a/tests/cluster/simulation/outcome.rs
+++ b/tests/cluster/simulation/outcome.rs
@@ -45,28 +45,28 @@
     }
 
     /// Number of attempts ever stored for a worker.
-    pub fn attempts(&self, worker: usize) -> usize {
-        self.store.attempts(&self.workers[worker].name)
+    pub fn count_attempts(&self, worker: usize) -> usize {
+        self.store.count_attempts(&self.workers[worker].name)
     }
 
     /// Number of keys with this prefix in the key-value store: present now, and ever written.
-    pub fn stored(&self, prefix: &str) -> (usize, usize) {
-        self.store.count(prefix)
+    pub fn count_keys(&self, prefix: &str) -> (usize, usize) {
+        self.store.count_keys(prefix)
     }
 
     /// Number of changes ever made to keys with this prefix.
-    pub fn changed(&self, prefix: &str) -> usize {
-        self.store.changed(prefix)
+    pub fn count_writes(&self, prefix: &str) -> usize {
+        self.store.count_writes(prefix)
     }
 
     /// Number of times that a controller acquired or lost a shard lease, without the first
     /// acquisition of each.
     pub fn leader_changes(&self) -> usize {
-        self.changed("hold/").saturating_sub(CONTROLLERS)
+        self.count_writes("hold/").saturating_sub(CONTROLLERS)
     }
 
     /// Number of shards that each running controller leads.
-    pub fn shards(&self) -> Vec<usize> {
+    pub fn led_shard_counts(&self) -> Vec<usize> {
         self.nodes.iter().flatten().map(|n| n.controller.led_shard_count()).collect()
     }
 }
@@ -78,7 +78,7 @@
     }
     let unfinished = world.unfinished();
     if !unfinished.is_empty() {
-        let shards = world.shards();
+        let shards = world.led_shard_counts();
         return Err(format!(
             "{name}, seed {seed}: unfinished jobs {unfinished:?}, led shards {shards:?}"
         ));
--- a/tests/cluster/simulation/users.rs
+++ b/tests/cluster/simulation/users.rs
@@ -80,8 +80,8 @@
     /// Running jobs with long tasks: id, run time in seconds, workers.
     fn long_running_jobs(&self) -> Vec<(String, u64, Vec<usize>)> {
         let mut workers_of: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-        for (number, worker) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
-            for task in worker.present() {
+        for (number, worker) in self.workers.iter().enumerate().filter(|(_, w)| !w.is_gone) {
+            for task in worker.live_tasks() {
                 let job = task.split('/').next().unwrap_or_default();
                 workers_of.entry(job).or_default().push(number);
             }
--- a/tests/controller/harness/mod.rs
+++ b/tests/controller/harness/mod.rs
@@ -264,7 +264,7 @@
 
     /// Number of tasks on machines that have not exited.
     pub fn tasks_on_machines(&self) -> usize {
-        self.workers.iter().filter(|w| !w.gone).map(|w| w.present().count()).sum()
+        self.workers.iter().filter(|w| !w.is_gone).map(|w| w.live_tasks().count()).sum()
     }
 
     /// Runs until the controller reports that it is healthy.
@@ -321,7 +321,7 @@
             self.task_duration_s.iter().map(|(id, s)| (id.clone(), Some((*s, 0.0)))).collect();
         let now = self.now;
         let w = &mut self.workers[worker];
-        if w.gone {
+        if w.is_gone {
             return;
         }
         w.advance(now, &durations);
@@ -349,7 +349,8 @@
             Effect::Respond { ticket, status, retry_after, body } => {
                 if let Some((worker, sent, heartbeat)) = self.heartbeats.remove(&ticket.0) {
                     let w = &mut self.workers[worker];
-                    let started = w.answered(self.now, sent, heartbeat, status, &body);
+                    let started =
+                        w.handle_heartbeat_response(self.now, sent, heartbeat, status, &body);
                     return self.started_tasks.extend(started);
                 }
                 let body = serde_json::from_slice(&body).expect("JSON");
@@ -375,7 +376,7 @@
                 }
                 if let CloudCall::ScaleIn(names) = &call {
                     let returned = |w: &&mut Worker| names.contains(&w.name);
-                    self.workers.iter_mut().filter(returned).for_each(|w| w.gone = true);
+                    self.workers.iter_mut().filter(returned).for_each(|w| w.is_gone = true);
                 }
                 self.pending_events
                     .push((reply_at, Event::Reply { id, reply: Reply::Cloud(reply) }));
@@ -390,10 +391,11 @@
                     let timeout_at = self.now + COMMAND_TIMEOUT;
                     return self.pending_events.push((timeout_at, Event::Reply { id, reply }));
                 }
-                let reply = match self.workers.get_mut(worker).filter(|w| !w.gone) {
+                let reply = match self.workers.get_mut(worker).filter(|w| !w.is_gone) {
                     None => DirectReply::NotSent,
                     Some(w) => {
-                        let (status, started, body) = w.direct(self.now, worker, &body);
+                        let (status, started, body) =
+                            w.handle_direct_commands(self.now, worker, &body);
                         self.started_tasks.extend(started);
                         self.refused_commands += usize::from(status != 200);
                         DirectReply::Answered { status, body }
@@ -449,11 +451,11 @@
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
-            let events = self.store.changes(&watch.prefix, watch.after);
+            let events = self.store.events_after(&watch.prefix, watch.after);
             if events.is_empty() && self.now < watch.deadline {
                 self.watches.push(watch);
             } else {
-                let reply = KvResponse::WatchEvents { revision: self.store.ledger, events };
+                let reply = KvResponse::WatchEvents { revision: self.store.revision, events };
                 self.schedule_reply(self.now + REPLY_DELAY, watch.id, reply);
             }
         }
@@ -482,7 +484,8 @@
     pub fn deliver_held_commands(&mut self) -> Vec<u16> {
         let mut statuses = Vec::new();
         for (worker, body) in std::mem::take(&mut self.held_commands) {
-            let (status, started, _) = self.workers[worker].direct(self.now, worker, &body);
+            let (status, started, _) =
+                self.workers[worker].handle_direct_commands(self.now, worker, &body);
             self.started_tasks.extend(started);
             statuses.push(status);
         }
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -9,7 +9,7 @@
     zone: String,
     spot: bool,
     rented_at: Micros,
-    returned_at: Option<Micros>,
+    terminated_at: Option<Micros>,
 }
 
 #[derive(Default)]
@@ -30,7 +30,7 @@
         let name = format!("vm-{:06}", self.machines.len());
         self.machines.insert(
             name.clone(),
-            RentedMachine { zone: zone.into(), spot, rented_at: now, returned_at: None },
+            RentedMachine { zone: zone.into(), spot, rented_at: now, terminated_at: None },
         );
         name
     }
@@ -39,9 +39,9 @@
         self.machines[name].zone.clone()
     }
 
-    pub fn take(&mut self, now: Micros, name: &str) {
+    pub fn terminate(&mut self, now: Micros, name: &str) {
         if let Some(m) = self.machines.get_mut(name) {
-            m.returned_at.get_or_insert(now);
+            m.terminated_at.get_or_insert(now);
         }
     }
 
@@ -52,7 +52,7 @@
             CloudCall::ScaleOut(request) => self.scale_out(now, request),
             CloudCall::ScaleIn(names) => {
                 for name in names {
-                    self.take(now, name);
+                    self.terminate(now, name);
                 }
                 CloudReply::ScaledIn
             }
@@ -66,7 +66,7 @@
         if let Some(names) = self.requests.get(&request.request) {
             return CloudReply::ScaledOut(names.clone());
         }
-        let rented = self.machines.values().filter(|m| m.returned_at.is_none()).count();
+        let rented = self.machines.values().filter(|m| m.terminated_at.is_none()).count();
         if rented >= MAX_MACHINES {
             return CloudReply::NoCapacity;
         }
@@ -83,7 +83,7 @@
         self.machines
             .iter()
             .filter(|(_, m)| {
-                m.rented_at <= list_time && m.returned_at.is_none_or(|at| at > list_time)
+                m.rented_at <= list_time && m.terminated_at.is_none_or(|at| at > list_time)
             })
             .map(|(name, m)| ListedMachine {
                 name: name.clone(),
--- a/tests/stand_ins/store.rs
+++ b/tests/stand_ins/store.rs
@@ -22,19 +22,19 @@
     history: Vec<WatchEvent>,
     last_lease: u64,
     /// Revision of the last write.
-    pub ledger: u64,
+    pub revision: u64,
 }
 
 impl Store {
     /// Extends every lease by its full duration, as the store does after an outage.
-    pub fn renew_all(&mut self, now: Micros) {
+    pub fn renew_all_leases(&mut self, now: Micros) {
         for (expires_at, ttl) in self.leases.values_mut() {
             *expires_at = now + *ttl;
         }
     }
 
     /// Deletes the expired leases and their keys.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire_leases(&mut self, now: Micros) {
         let expired: Vec<u64> = self
             .leases
             .iter()
@@ -56,11 +56,11 @@
             .map(|(k, _)| k.clone())
             .collect();
         if !keys.is_empty() {
-            self.ledger += 1;
+            self.revision += 1;
         }
         for key in keys {
             self.keys.remove(&key);
-            let revision = self.ledger;
+            let revision = self.revision;
             self.history.push(WatchEvent {
                 put: None,
                 delete: Some(key),
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Executes a call and returns its reply. Watches are rejected; see [`Store::changes`].
+    /// Executes a call and returns its reply. Watches are rejected; see [`Store::events_after`].
     pub fn apply(&mut self, now: Micros, call: &KvRequest) -> KvResponse {
-        self.expire(now);
+        self.expire_leases(now);
         match call {
             KvRequest::Get(key) => KvResponse::Value(self.get(key)),
             KvRequest::List { prefix, after } => self.list(prefix, after.as_ref()),
@@ -111,7 +111,7 @@
         let mut items: Vec<KeyValue> = keys.filter_map(|key| self.get(key)).collect();
         let more = items.len() > PAGE_SIZE;
         items.truncate(PAGE_SIZE);
-        KvResponse::Page { items, more, revision: self.ledger }
+        KvResponse::Page { items, more, revision: self.revision }
     }
 
     fn transact(&mut self, txn: &Txn) -> KvResponse {
@@ -131,8 +131,8 @@
         if !failed.is_empty() {
             return KvResponse::Conflict(failed);
         }
-        self.ledger += 1;
-        let revision = self.ledger;
+        self.revision += 1;
+        let revision = self.revision;
         for write in &txn.writes {
             let event = match write {
                 Write::Put { key, value, lease } => {
@@ -161,7 +161,7 @@
 
     /// Whether a placement of an attempt on a machine was ever written. Searches the history
     /// rather than the current keys, since the job may be done or cancelled by now.
-    pub fn written(&self, task: &str, machine: &str, attempt: u64) -> bool {
+    pub fn was_ever_placed(&self, task: &str, machine: &str, attempt: u64) -> bool {
         let Some((job, index)) = task.split_once('/') else {
             return false;
         };
@@ -175,7 +175,7 @@
     }
 
     /// Number of current keys with this prefix, and of keys that were ever written with it.
-    pub fn count(&self, prefix: &str) -> (usize, usize) {
+    pub fn count_keys(&self, prefix: &str) -> (usize, usize) {
         let current = self.keys.keys().filter(|k| k.starts_with(prefix)).count();
         let puts = self.history.iter().filter_map(|c| c.put.as_ref());
         let ever: BTreeSet<&String> = puts.filter(|k| k.starts_with(prefix)).collect();
@@ -183,18 +183,18 @@
     }
 
     /// Number of writes to keys with this prefix since the start.
-    pub fn changed(&self, prefix: &str) -> usize {
+    pub fn count_writes(&self, prefix: &str) -> usize {
         let keys = self.history.iter().filter_map(|c| c.put.as_ref().or(c.delete.as_ref()));
         keys.filter(|k| k.starts_with(prefix)).count()
     }
 
     /// Whether a job is stored as done.
-    pub fn done(&self, job: &str) -> bool {
+    pub fn is_done(&self, job: &str) -> bool {
         self.keys.get(&format!("j/{job}")).is_some_and(|(value, _, _)| value["g"] == "d")
     }
 
     /// Number of attempts whose placement on a machine was ever written.
-    pub fn attempts(&self, machine: &str) -> usize {
+    pub fn count_attempts(&self, machine: &str) -> usize {
         let mut placed = BTreeSet::new();
         for c in &self.history {
             let Some(key) = c.put.as_ref().filter(|k| k.starts_with("w/")) else {
@@ -211,7 +211,7 @@
 
     /// Whether an attempt is currently stored as placed. Always false for a job that is done or
     /// cancelled: once that is stored, so are the ends of all its tasks.
-    pub fn placed(&self, task: &str, attempt: u64) -> bool {
+    pub fn is_placed(&self, task: &str, attempt: u64) -> bool {
         let Some((job, index)) = task.split_once('/') else {
             return false;
         };
@@ -236,7 +236,7 @@
     }
 
     /// Writes after a revision to keys with this prefix, as a watch reports them.
-    pub fn changes(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+    pub fn events_after(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         self.history
             .iter()
             .filter(|c| {
@@ -266,7 +266,7 @@
 /// Describes the writes of a transaction that lack the condition which fences them. Writes of
 /// chunks and quota grants must be conditional on the revision of the writer's shard lease,
 /// puts of chunks also on the revision of the job record.
-pub fn unfenced(txn: &Txn) -> Vec<String> {
+pub fn unfenced_writes(txn: &Txn) -> Vec<String> {
     let has_condition = |prefix: &str| {
         txn.conditions.iter().any(|c| c.key.starts_with(prefix) && !c.key.is_empty())
     };
--- a/tests/stand_ins/worker.rs
+++ b/tests/stand_ins/worker.rs
@@ -22,9 +22,9 @@
     pub zone: String,
     spot: bool,
     /// Whether all tasks fail on it.
-    pub sick: bool,
+    pub always_fails: bool,
     /// Whether its machine was returned or taken away.
-    pub gone: bool,
+    pub is_gone: bool,
     incarnation: WorkerIncarnation,
     seq: u64,
     fencing_token: FencingToken,
@@ -32,14 +32,14 @@
     /// When the last answered heartbeat was sent, or when the incarnation began.
     lease_start: Micros,
     /// Number of the controller to which it sends heartbeats.
-    pub node: usize,
+    pub controller: usize,
     pub next_heartbeat: Micros,
     /// Number of the heartbeat whose response it waits for.
     pub in_flight: Option<u64>,
     /// Whether something has changed since the last heartbeat, which makes the next one due early.
     has_unreported_changes: bool,
     /// Attempts forgotten on command that the simulation has not checked yet.
-    pub cleared: Vec<(String, u64)>,
+    pub forgotten: Vec<(String, u64)>,
     /// Attempts stopped on command that the simulation has not checked yet.
     pub stopped: Vec<(String, u64)>,
     last_sent: Micros,
@@ -52,27 +52,27 @@
 /// CPUs of the only machine type. Memory is never the limit in these tests.
 pub const CPUS: f64 = 4.0;
 /// Maximum number of tasks on a worker, regardless of their size.
-pub const SLOTS: usize = 4;
+pub const MAX_TASKS: usize = 4;
 
 impl Worker {
-    pub fn new(name: String, zone: &str, spot: bool, sick: bool, now: Micros) -> Worker {
-        let node = name.len() % 3;
+    pub fn new(name: String, zone: &str, spot: bool, always_fails: bool, now: Micros) -> Worker {
+        let controller = name.len() % 3;
         Worker {
             name,
             zone: zone.into(),
             spot,
-            sick,
-            gone: false,
+            always_fails,
+            is_gone: false,
             incarnation: WorkerIncarnation(1),
             seq: 0,
             fencing_token: FencingToken(0),
             tasks: BTreeMap::new(),
             lease_start: now,
-            node,
+            controller,
             next_heartbeat: now,
             in_flight: None,
             has_unreported_changes: true,
-            cleared: Vec::new(),
+            forgotten: Vec::new(),
             stopped: Vec::new(),
             last_sent: Micros::ZERO,
             heartbeats: 0,
@@ -81,17 +81,17 @@
     }
 
     /// Names of the tasks on the machine that have not exited.
-    pub fn present(&self) -> impl Iterator<Item = &String> {
+    pub fn live_tasks(&self) -> impl Iterator<Item = &String> {
         self.tasks.iter().filter(|(_, t)| t.state != TaskState::Exited).map(|(k, _)| k)
     }
 
     /// Whether the worker has sent a heartbeat by `now`.
-    pub fn up(&self, now: Micros) -> bool {
+    pub fn has_reported(&self, now: Micros) -> bool {
         self.heartbeats > 0 && now >= self.last_sent
     }
 
     /// Adds a task that no controller has started.
-    pub fn forge(&mut self, now: Micros, task: &str) {
+    pub fn inject_task(&mut self, now: Micros, task: &str) {
         let fetching =
             Task { attempt: 1, state: TaskState::Fetching, cause: None, state_since: now };
         self.tasks.insert(task.into(), fetching);
@@ -101,12 +101,12 @@
         self.tasks.get(task).map(|t| t.attempt)
     }
 
-    pub fn has(&self, task: &str) -> bool {
+    pub fn has_live_task(&self, task: &str) -> bool {
         self.tasks.get(task).is_some_and(|t| t.state != TaskState::Exited)
     }
 
     pub fn tasks_of<'a>(&'a self, job: &'a str) -> impl Iterator<Item = &'a String> + 'a {
-        self.present().filter(move |t| t.split('/').next() == Some(job))
+        self.live_tasks().filter(move |t| t.split('/').next() == Some(job))
     }
 
     /// Ends the incarnation if its lease has expired. Returns whether it has.
@@ -140,7 +140,7 @@
         for (name, t) in &mut self.tasks {
             let (job, index) = name.split_once('/').expect("a task's name");
             let duration = durations.get(job).copied().unwrap_or(Some((1.0, 0.0)));
-            let fails = self.sick || duration.is_none();
+            let fails = self.always_fails || duration.is_none();
             let (first_s, increment_s) = duration.unwrap_or_default();
             let index: u32 = index.parse().expect("a number");
             let duration_s = first_s + increment_s * f64::from(index);
@@ -211,11 +211,11 @@
         self.has_unreported_changes = false;
         self.last_sent = now;
         self.next_heartbeat = now + Micros::secs(2);
-        Some((now, self.heartbeats, body, self.node))
+        Some((now, self.heartbeats, body, self.controller))
     }
 
     /// Handles the response to a heartbeat and returns the tasks that it starts.
-    pub fn answered(
+    pub fn handle_heartbeat_response(
         &mut self,
         now: Micros,
         sent: Micros,
@@ -242,21 +242,21 @@
             421 => {
                 let v: Value = serde_json::from_slice(body).unwrap_or_default();
                 let leader = v.get("foreman").and_then(Value::as_str).unwrap_or("");
-                let node = leader.strip_prefix('n').and_then(|n| n.parse().ok());
-                match node.filter(|n| *n != self.node && *n < 3) {
+                let controller = leader.strip_prefix('n').and_then(|n| n.parse().ok());
+                match controller.filter(|n| *n != self.controller && *n < 3) {
                     Some(n) => {
-                        self.node = n;
+                        self.controller = n;
                         self.next_heartbeat = now;
                     }
                     None => {
-                        self.node = (self.node + 1) % 3;
+                        self.controller = (self.controller + 1) % 3;
                         self.next_heartbeat = now + Micros::secs(1);
                     }
                 }
                 Vec::new()
             }
             _ => {
-                self.node = (self.node + 1) % 3;
+                self.controller = (self.controller + 1) % 3;
                 self.next_heartbeat = now + Micros::secs(1);
                 Vec::new()
             }
@@ -265,7 +265,7 @@
 
     /// Executes direct commands. Returns the response's status, the tasks that were started, and
     /// the heartbeat in the response's body.
-    pub fn direct(
+    pub fn handle_direct_commands(
         &mut self,
         now: Micros,
         number: usize,
@@ -294,8 +294,8 @@
                     }
                     // A worker keeps one entry per task. It refuses another attempt while one
                     // runs, and replaces an attempt that has exited.
-                    let full = self.present().count() >= SLOTS;
-                    let busy = self.has(&task);
+                    let full = self.live_tasks().count() >= MAX_TASKS;
+                    let busy = self.has_live_task(&task);
                     if busy {
                         continue;
                     }
@@ -326,7 +326,7 @@
                         .is_some_and(|t| t.attempt == attempt && t.state == TaskState::Exited)
                     {
                         self.tasks.remove(&task);
-                        self.cleared.push((task, attempt));
+                        self.forgotten.push((task, attempt));
                         self.has_unreported_changes = true;
                     }
                 }
