--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -3,9 +3,8 @@
 //! jobs.
 //!
 //! The code of those versions wrote the fixtures, with one controller and the stand-ins of
-//! `harness`.
-//! They contain jobs with keys of their own and in a batch, some of which are queued, running,
-//! done or cancelled, and one of each kind of frame sent meanwhile.
+//! `harness`. They contain jobs with keys of their own and in a batch, some of which are queued,
+//! running, done or cancelled, and one of each kind of frame sent meanwhile.
 
 use crate::harness::{Harness, settings, take_warnings};
 use millethold::controller::jobs::job::{
