--- a/tests/cluster/simulation/injection.rs
+++ b/tests/cluster/simulation/injection.rs
@@ -62,7 +62,7 @@
     /// Puts a task on a machine without a command of a controller.
     pub fn inject_start(&mut self, worker: usize, job: usize, index: u32) {
         let task = format!("{}/{index}", self.id(job));
-        self.workers[worker].forge(self.now, &task);
+        self.workers[worker].inject_task(self.now, &task);
         self.check_executed_commands(worker, vec![task]);
     }
 
@@ -101,7 +101,7 @@
     /// Removes all controllers for the rest of the run.
     pub fn remove_controllers(&mut self) {
         self.queue.retain(|_, ev| !matches!(ev, SimEvent::Start { .. }));
-        self.nodes = vec![None, None, None];
+        self.processes = vec![None, None, None];
     }
 
     fn id(&self, job: usize) -> String {
--- a/tests/cluster/simulation/outcome.rs
+++ b/tests/cluster/simulation/outcome.rs
@@ -39,35 +39,35 @@
     /// Number of jobs that are done although the cancellation of an ancestor was requested: it came
     /// after the ancestor was done.
     pub fn done_after_late_cancellation(&self) -> usize {
-        let late = |up: &UserJob| up.cancel_requested && up.done_answered;
-        let late = |j: &UserJob| j.ancestors.iter().any(|u| late(&self.jobs[u]));
-        self.jobs.values().filter(|j| j.done_answered && late(j)).count()
+        let late = |ancestor: &UserJob| ancestor.cancel_requested && ancestor.done_answered;
+        let any_late = |j: &UserJob| j.ancestors.iter().any(|u| late(&self.jobs[u]));
+        self.jobs.values().filter(|j| j.done_answered && any_late(j)).count()
     }
 
     /// Number of attempts ever stored for a worker.
-    pub fn attempts(&self, worker: usize) -> usize {
-        self.store.attempts(&self.workers[worker].name)
+    pub fn count_attempts(&self, worker: usize) -> usize {
+        self.store.count_attempts(&self.workers[worker].name)
     }
 
     /// Number of keys with this prefix in the key-value store: present now, and ever written.
-    pub fn stored(&self, prefix: &str) -> (usize, usize) {
-        self.store.count(prefix)
+    pub fn count_keys(&self, prefix: &str) -> (usize, usize) {
+        self.store.count_keys(prefix)
     }
 
-    /// Number of changes ever made to keys with this prefix.
-    pub fn changed(&self, prefix: &str) -> usize {
-        self.store.changed(prefix)
+    /// Number of writes to keys with this prefix since the start, including deletions.
+    pub fn count_writes(&self, prefix: &str) -> usize {
+        self.store.count_writes(prefix)
     }
 
     /// Number of times that a controller acquired or lost a shard lease, without the first
-    /// acquisition of each.
+    /// acquisition of each shard.
     pub fn leader_changes(&self) -> usize {
-        self.changed("hold/").saturating_sub(CONTROLLERS)
+        self.count_writes("hold/").saturating_sub(CONTROLLERS)
     }
 
     /// Number of shards that each running controller leads.
-    pub fn shards(&self) -> Vec<usize> {
-        self.nodes.iter().flatten().map(|n| n.controller.led_shard_count()).collect()
+    pub fn led_shard_counts(&self) -> Vec<usize> {
+        self.processes.iter().flatten().map(|p| p.controller.led_shard_count()).collect()
     }
 }
 
@@ -78,7 +78,7 @@
     }
     let unfinished = world.unfinished();
     if !unfinished.is_empty() {
-        let shards = world.shards();
+        let shards = world.led_shard_counts();
         return Err(format!(
             "{name}, seed {seed}: unfinished jobs {unfinished:?}, led shards {shards:?}"
         ));
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -1,4 +1,4 @@
-//! Fake of the cloud API. Its list of machines lags behind the actual state.
+//! Stand-in for the cloud API. Its list of machines lags behind the actual state.
 
 use millethold::cloud::{CloudCall, CloudReply};
 use millethold::time::Micros;
@@ -9,16 +9,17 @@
     zone: String,
     spot: bool,
     rented_at: Micros,
-    returned_at: Option<Micros>,
+    terminated_at: Option<Micros>,
 }
 
 #[derive(Default)]
 pub struct Cloud {
     machines: BTreeMap<String, RentedMachine>,
+    /// Names of the machines that each request has rented. A repeated request rents no others.
     requests: BTreeMap<String, Vec<String>>,
 }
 
-/// Delay after which rented and returned machines show up in the list.
+/// Delay until the list shows that a machine was rented or terminated.
 const LIST_LAG: Micros = Micros::secs(3);
 /// Upper bound on the number of machines rented at the same time.
 const MAX_MACHINES: usize = 8;
@@ -30,7 +31,7 @@
         let name = format!("vm-{:06}", self.machines.len());
         self.machines.insert(
             name.clone(),
-            RentedMachine { zone: zone.into(), spot, rented_at: now, returned_at: None },
+            RentedMachine { zone: zone.into(), spot, rented_at: now, terminated_at: None },
         );
         name
     }
@@ -39,9 +40,10 @@
         self.machines[name].zone.clone()
     }
 
-    pub fn take(&mut self, now: Micros, name: &str) {
+    /// Ends the rental of a machine, at a controller's request or on the cloud's own decision.
+    pub fn terminate(&mut self, now: Micros, name: &str) {
         if let Some(m) = self.machines.get_mut(name) {
-            m.returned_at.get_or_insert(now);
+            m.terminated_at.get_or_insert(now);
         }
     }
 
@@ -52,7 +54,7 @@
             CloudCall::ScaleOut(request) => self.scale_out(now, request),
             CloudCall::ScaleIn(names) => {
                 for name in names {
-                    self.take(now, name);
+                    self.terminate(now, name);
                 }
                 CloudReply::ScaledIn
             }
@@ -66,7 +68,7 @@
         if let Some(names) = self.requests.get(&request.request) {
             return CloudReply::ScaledOut(names.clone());
         }
-        let rented = self.machines.values().filter(|m| m.returned_at.is_none()).count();
+        let rented = self.machines.values().filter(|m| m.terminated_at.is_none()).count();
         if rented >= MAX_MACHINES {
             return CloudReply::NoCapacity;
         }
@@ -83,7 +85,7 @@
         self.machines
             .iter()
             .filter(|(_, m)| {
-                m.rented_at <= list_time && m.returned_at.is_none_or(|at| at > list_time)
+                m.rented_at <= list_time && m.terminated_at.is_none_or(|at| at > list_time)
             })
             .map(|(name, m)| ListedMachine {
                 name: name.clone(),
