--- a/src/http.rs
+++ b/src/http.rs
@@ -10,12 +10,12 @@
 /// Maximum size of a request's body, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Maximum size of a message's head, in bytes.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 /// Maximum size of a response's body, in bytes. The protocol does not limit responses to watches;
 /// this limit bounds the memory that they use.
-pub const MAX_RESPONSE_BODY: usize = 8 * 1024 * 1024;
+pub const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Reasons for which a message is rejected. Each closes the connection; for requests, the text is
 /// sent to the client.
@@ -121,7 +121,7 @@
 fn head_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     match parsed.map_err(|_| HttpError::Malformed)? {
         httparse::Status::Complete(length) => Ok(Some(length)),
-        httparse::Status::Partial if buffer.len() > MAX_HEAD => Err(HttpError::Malformed),
+        httparse::Status::Partial if buffer.len() > MAX_HEAD_BYTES => Err(HttpError::Malformed),
         httparse::Status::Partial => Ok(None),
     }
 }
@@ -178,7 +178,7 @@
         return Ok(None);
     };
     let framing = parse_framing(head.headers)?;
-    let Some(body) = body(buffer, head_length, &framing, MAX_RESPONSE_BODY)? else {
+    let Some(body) = body(buffer, head_length, &framing, MAX_RESPONSE_BODY_BYTES)? else {
         return Ok(None);
     };
     let status = head.code.ok_or(HttpError::Malformed)?;
--- a/src/runtime/connections.rs
+++ b/src/runtime/connections.rs
@@ -1,7 +1,7 @@
 //! All open connections, and whether one more client or command connection is allowed.
 
 use super::connection::{Connection, ConnectionId, Role};
-use super::limits::{command_fits, sender_fits};
+use super::limits::{client_fits, command_fits};
 use crate::time::Micros;
 use std::collections::{BTreeSet, HashMap};
 
@@ -114,7 +114,7 @@
 
     /// Whether one more user, worker or load balancer may connect.
     pub(super) fn client_fits(&self) -> bool {
-        sender_fits(self.socket_limit, self.clients, self.commands)
+        client_fits(self.socket_limit, self.clients, self.commands)
     }
 
     /// Whether one more command connection may be opened.
--- a/src/runtime/limits.rs
+++ b/src/runtime/limits.rs
@@ -78,14 +78,14 @@
 
 /// Whether one more client connection is allowed, given `limit` sockets and the numbers of open
 /// client and command connections.
-pub fn sender_fits(limit: usize, clients: usize, commands: usize) -> bool {
+pub fn client_fits(limit: usize, clients: usize, commands: usize) -> bool {
     clients + commands + RESERVED_SOCKETS < limit
 }
 
 /// Whether one more command connection is allowed; some sockets stay free for clients.
 pub fn command_fits(limit: usize, clients: usize, commands: usize) -> bool {
     let reserve = limit / CLIENT_RESERVE_DIVISOR;
-    commands < limit / COMMAND_SOCKETS_DIVISOR && sender_fits(limit, clients + reserve, commands)
+    commands < limit / COMMAND_SOCKETS_DIVISOR && client_fits(limit, clients + reserve, commands)
 }
 
 /// Maximum number of bytes that may wait to be written to a peer before its connection is closed.
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -41,7 +41,7 @@
 
 pub use connection::drop_written;
 pub use error::RuntimeError;
-pub use limits::{command_fits, peer_backlog, sender_fits};
+pub use limits::{client_fits, command_fits, peer_backlog};
 
 use crate::config::{Config, Options};
 use crate::controller::{Controller, Effect, Event};
--- a/src/runtime/socket_events.rs
+++ b/src/runtime/socket_events.rs
@@ -140,7 +140,7 @@
             Role::Client { busy: true, .. } => {
                 // Requests are handled one at a time; a client that sends too many bytes ahead is
                 // disconnected.
-                if connection.inbound.len() > http::MAX_REQUEST_BODY_BYTES + http::MAX_HEAD {
+                if connection.inbound.len() > http::MAX_REQUEST_BODY_BYTES + http::MAX_HEAD_BYTES {
                     self.close(id);
                 }
                 false
--- a/tests/components/http.rs
+++ b/tests/components/http.rs
@@ -12,7 +12,7 @@
         "POST /work HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         http::MAX_REQUEST_BODY_BYTES + 1
     );
-    let endless = format!("GET /{} HTTP/1.1\r\n", "x".repeat(http::MAX_HEAD));
+    let endless = format!("GET /{} HTTP/1.1\r\n", "x".repeat(http::MAX_HEAD_BYTES));
     let table: [(&str, Result<Option<usize>, HttpError>); 11] = [
         ("GET /healthz HTTP/1.1\r\n\r\n", Ok(Some(0))),
         ("GET /healthz HTTP/1.1\r\nHost: a\r\n", Ok(None)),
--- a/tests/components/sockets.rs
+++ b/tests/components/sockets.rs
@@ -1,6 +1,6 @@
 //! Tests of the runtime's socket limits and write buffers.
 
-use millethold::runtime::{command_fits, drop_written, peer_backlog, sender_fits};
+use millethold::runtime::{client_fits, command_fits, drop_written, peer_backlog};
 
 #[test]
 fn socket_limits_and_write_buffers() {
@@ -19,9 +19,13 @@
         (3_092, 3_068, 0, false, false),
         (32, 7, 0, true, false),
     ];
-    for (limit, clients, commands, client_fits, another_command_fits) in table {
-        let got = (sender_fits(limit, clients, commands), command_fits(limit, clients, commands));
-        assert_eq!(got, (client_fits, another_command_fits), "{limit} {clients} {commands}");
+    for (limit, clients, commands, another_client_fits, another_command_fits) in table {
+        let got = (client_fits(limit, clients, commands), command_fits(limit, clients, commands));
+        assert_eq!(
+            got,
+            (another_client_fits, another_command_fits),
+            "{limit} {clients} {commands}"
+        );
     }
     const MB: usize = 1024 * 1024;
     for (mem_mb, want) in [(16.0, 4 * MB), (88.0, 11 * MB / 2), (258.0, 8 * MB)] {
