--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -12,8 +12,8 @@
 //!   systems and the users' jobs, without sockets;
 //! - [`run`]: one run, which connects all of these;
 //! - [`process`]: the controller processes;
-//! - [`history`], [`rules`], [`report`], [`soak`]: observations, the rules that they violate, the
-//!   report, and the runs of a soak.
+//! - [`history`], [`rules`], [`report`], [`soak`]: observations, the rules that are checked against
+//!   them, the report, and the runs of a soak.
 
 mod addresses;
 pub mod cloud;
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -194,10 +194,10 @@
             let violation = &evidence.violation;
             writeln!(
                 f,
-                "  broken: {:?} by {} at {:.3}: {}",
+                "  broken: {:?} at {:.3}, job {}: {}",
                 violation.rule,
-                violation.job,
                 violation.at.as_secs_f64(),
+                violation.job,
                 violation.what
             )?;
             for line in &evidence.observations {
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -31,7 +31,7 @@
     pub(crate) options: Options,
     /// Seeded, so that a run can be repeated exactly.
     pub(crate) rng: StdRng,
-    /// Time of day at the zero of the monotonic clock.
+    /// Wall-clock time at the zero of the monotonic clock.
     wall_at_zero: Micros,
     /// Time of the event that is being handled, by the monotonic clock.
     pub(crate) now: Micros,
@@ -48,7 +48,7 @@
 
 impl Context {
     /// Creates the context of a process that has just started. `seed` determines its random numbers
-    /// and its incarnation; `wall` is the time of day at the zero of the monotonic clock.
+    /// and its incarnation; `wall` is the wall-clock time at the zero of the monotonic clock.
     pub(crate) fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Context {
         let members = config.members();
         let local_member = members.iter().position(|member| *member == config.member).unwrap_or(0);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Current time of day.
+    /// Current wall-clock time.
     pub(crate) fn wall_clock(&self) -> Micros {
         self.wall_at_zero + self.now
     }
--- a/src/controller/jobs/job/mod.rs
+++ b/src/controller/jobs/job/mod.rs
@@ -60,7 +60,7 @@
     pub shard: usize,
     /// Revision of the job's record, `j/REF`.
     pub revision: u64,
-    /// Time of day of the acceptance, by the clock of the accepting member.
+    /// Wall-clock time of the acceptance, by the clock of the accepting member.
     pub accepted: Micros,
     /// The job's tasks, divided into chunks.
     pub chunks: Vec<TaskChunk>,
@@ -74,7 +74,7 @@
     pub dependencies: Rc<[String]>,
     /// Whether some dependencies may not be done yet. Until it is cleared no task is placed.
     pub awaits_dependencies: bool,
-    /// Time of day from which tasks could be placed: that of the acceptance, or of the job's
+    /// Wall-clock time from which tasks could be placed: that of the acceptance, or of the job's
     /// release once its last dependency was done.
     pub ready_at: Micros,
     /// Most urgent rank and earliest deadline of the jobs that depend on this one.
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -19,7 +19,7 @@
     /// First version of the chunk with this placement. No controller acts on the placement
     /// before that version is stored.
     pub version: u64,
-    /// Time of day of the decision. It is stored so that a later leader of the shard can tell
+    /// Wall-clock time of the decision. It is stored so that a later leader of the shard can tell
     /// how much work a stop would lose.
     pub placed_at: Micros,
     /// Whether the placement was read from the store, so that its start time is unknown.
--- a/src/controller/jobs/job/stored.rs
+++ b/src/controller/jobs/job/stored.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Latest valid time of day of a placement, in seconds; a later one marks damaged data.
+/// Latest valid wall-clock time of a placement, in seconds; a later one marks damaged data.
 const MAX_PLACED_SECOND: u64 = u64::MAX / 4_000_000;
 /// Maximum number of digits at the end of a machine's name; damaged data may specify more.
 const MAX_STORED_DIGITS: usize = 20;
@@ -37,7 +37,7 @@
     name_prefixes: Vec<NamePrefix>,
     #[serde(rename = "y", default, skip_serializing_if = "Vec::is_empty")]
     zones: Vec<String>,
-    /// Earliest time of day of the placements, in seconds.
+    /// Earliest wall-clock time of the placements, in seconds.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     base_second: u64,
     /// Placements as [`COLUMNS`] numbers each: difference to the previous task's number, prefix
@@ -48,7 +48,7 @@
     /// Description of the job; only in chunk 0.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
-    /// Time of day of the acceptance, in microseconds; only in chunk 0.
+    /// Wall-clock time of the acceptance, in microseconds; only in chunk 0.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     accepted: Option<u64>,
     /// Number of tasks in a chunk; only in chunk 0. Stored because the settings may change
@@ -95,7 +95,7 @@
     pub attempt: u64,
     /// Zone of the machine.
     pub zone: String,
-    /// Time of day of the placement decision, in seconds.
+    /// Wall-clock time of the placement decision, in seconds.
     pub placed_second: u64,
 }
 
--- a/src/controller/jobs/job/urgency.rs
+++ b/src/controller/jobs/job/urgency.rs
@@ -10,7 +10,7 @@
 pub struct Urgency {
     /// Scheduling rank; lower is more urgent.
     pub rank: u32,
-    /// Time of day of the deadline; [`Micros::FAR_FUTURE`] if there is none.
+    /// Wall-clock time of the deadline; [`Micros::FAR_FUTURE`] if there is none.
     pub due: Micros,
 }
 
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Time of day of the deadline, including the inherited one; [`Micros::FAR_FUTURE`] if there is
-    /// none.
+    /// Wall-clock time of the deadline, including the inherited one; [`Micros::FAR_FUTURE`] if
+    /// there is none.
     pub fn due(&self) -> Micros {
         let own =
             self.spec.deadline_s.map(|seconds| self.accepted + Micros::from_secs_f64(seconds));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,15 +4,19 @@
 //!
 //! [`Controller`] is a router. It owns the components, passes each event and reply to the component
 //! that it concerns, fixes the order in which the components work at a tick and at a flush, and
-//! passes the results of one component to the others. Beside them it keeps only counters,
+//! passes the results of one component to the others. Besides them it keeps only counters,
 //! timers and the changes that wait for the next flush, and it decides nothing about jobs or
 //! machines. An operation that changes several components is a method of [`Controller`] in the
 //! folder of the component that it serves; a component by itself changes only its own state.
 //!
 //! A process has up to three roles: it answers users ([`api`]), runs the jobs of the shards that it
 //! leads ([`jobs`], [`scheduler`], [`quota`]) and commands the machines of these shards
-//! ([`machines`]). The leader of a shard sends all members the complete list of the tasks that it
-//! desires on a machine whenever that list changes, and applies the same messages itself.
+//! ([`machines`]). It leads shards under its controller lease ([`leadership`]), and exchanges
+//! frames with the other controllers ([`peers`]). The leader of one fixed shard also scales the
+//! fleet ([`autoscaler`]).
+//!
+//! The leader of a shard sends all members the complete list of the tasks that it desires on a
+//! machine whenever that list changes, and applies the same messages itself.
 
 pub mod api;
 pub mod autoscaler;
@@ -73,7 +77,7 @@
 impl Controller {
     /// Creates a controller that has just started.
     ///
-    /// `wall` is the time of day at the zero of the monotonic clock: deadlines must outlive the
+    /// `wall` is the wall-clock time at the zero of the monotonic clock: deadlines must outlive the
     /// process that accepted them.
     pub fn new(config: &Config, options: Options, seed: u64, wall: Micros) -> Controller {
         let settings = &config.settings;
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -84,7 +84,7 @@
         live_peer.and_then(|peer| peer.healthy_since).is_some_and(|since| now.since(since) > delay)
     }
 
-    /// Waiting tasks of live peers.
+    /// Pending tasks of live peers.
     pub(crate) fn live_demand(&self, now: Micros) -> impl Iterator<Item = &Demand> {
         self.live(now).flat_map(|peer| &peer.demand)
     }
--- a/src/controller/peers/peer_state.rs
+++ b/src/controller/peers/peer_state.rs
@@ -27,7 +27,7 @@
     /// Its controller lease is valid.
     pub(crate) holds_lease: bool,
     incarnation: u64,
-    /// Its waiting tasks.
+    /// Its pending tasks.
     pub(crate) demand: Vec<Demand>,
     /// Unmet quota demand of its shards.
     pub(crate) quota_demand: Vec<QuotaDemand>,
--- a/src/controller/peers/sending.rs
+++ b/src/controller/peers/sending.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds the complete demand of this process: waiting tasks, unmet quota demand and misdirected
+    /// Adds the complete demand of this process: pending tasks, unmet quota demand and misdirected
     /// heartbeats.
     fn add_demand(&mut self, frame: &mut Frame) {
         if self.holds_lease() {
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -4,7 +4,7 @@
 
 /// Interval between frames to peers while nothing changes.
 const PEER_HEARTBEAT_INTERVAL: Micros = Micros::millis(800);
-/// Interval between frames that carry this process's waiting tasks.
+/// Interval between frames that carry this process's pending tasks.
 const DEMAND_INTERVAL: Micros = Micros::millis(400);
 /// Interval between frames that carry jobs' progress.
 const PROGRESS_INTERVAL: Micros = Micros::millis(400);
@@ -59,7 +59,7 @@
 pub(crate) struct Timers {
     /// Frames to every peer, even if nothing has changed.
     pub(crate) peer_heartbeat: Timer,
-    /// Waiting tasks and quota demand, sent to peers.
+    /// Pending tasks and quota demand, sent to peers.
     pub(crate) demand: Timer,
     /// Jobs' progress, sent to peers.
     pub(crate) progress: Timer,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`controller`]: state and decisions of a controller, with one component per concern;
 //! - [`wire`]: JSON formats of users, workers, the cloud and the key-value store;
 //! - [`peer`]: messages between controllers;
-//! - [`kv_store`]: requests to the key-value store, their outcomes, and its rate limits;
+//! - [`kv_store`]: requests to the key-value store, their outcomes, and the client-side rate limit;
 //! - [`cloud`]: calls to the cloud and their outcomes;
 //! - [`http`]: parsing and writing of HTTP messages;
 //! - [`config`]: settings and options;
--- a/tests/cluster/fault_combinations/random.rs
+++ b/tests/cluster/fault_combinations/random.rs
@@ -4,8 +4,9 @@
 use crate::simulation::fault_builders::random_faults;
 use crate::simulation::row::assert_no_failures;
 
-/// The first seeds have shown faults: tasks were left waiting after a frame was lost, or after a
-/// lease became valid again while many messages received under it had not been evaluated.
+/// The first seeds have shown faults. Tasks were left waiting after a frame was lost. When a
+/// controller's lease became valid again after it had lapsed, tasks were not evaluated against the
+/// machine views that had been applied in between (see `Controller::evaluate_all`).
 #[test]
 fn random_fault_combinations() {
     let failed_before = [2194, 2497, 3073, 3240, 3374, 3388];
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,5 +1,6 @@
-//! Simulation tests: three controllers on a simulated clock, stand-ins for all their peers and
-//! services, and faults drawn from a seed. The protocol's rules are checked after every step.
+//! Simulation tests: three controllers on a simulated clock, with stand-ins for users, workers, the
+//! cloud and the key-value store, and with injected faults. A seed determines each run. The
+//! protocol's rules are checked after every step.
 
 #![allow(clippy::too_many_lines, reason = "each table of cases is one function")]
 
