--- a/src/config/options.rs
+++ b/src/config/options.rs
@@ -27,8 +27,8 @@
     pub failback_delay: Micros,
     /// `[jobs] queued_tasks`: number of accepted tasks above which a controller refuses jobs.
     pub queued_tasks: usize,
-    /// `[jobs] waiting_submissions`: number of undecided submissions above which a controller
-    /// refuses more.
+    /// `[jobs] waiting_submissions`: number of undecided submissions at which a controller
+    /// refuses further ones.
     pub waiting_submissions: usize,
     /// `[jobs] retry_after_s`: seconds after which a refused submission should be retried.
     pub retry_after_s: u64,
--- a/src/controller/jobs/job/placement.rs
+++ b/src/controller/jobs/job/placement.rs
@@ -130,7 +130,6 @@
         index: u32,
         observed: ObservedState,
     ) -> bool {
-        let spec = Rc::clone(&self.spec);
         let Some(placement) = self.placement_mut(index) else {
             return false;
         };
@@ -142,11 +141,12 @@
             let took = wall.since(placement.placed_at);
             let began = if placement.restored { now.since(took) } else { now };
             placement.running_since = Some(began);
+            let (attempt, machine) = (placement.attempt, Rc::clone(&placement.machine));
             log::debug!(
                 "task {}/{index}: attempt {} runs on {}, {} ms after its placement",
-                spec.id,
-                placement.attempt,
-                placement.machine,
+                self.spec.id,
+                attempt,
+                machine,
                 took.as_millis()
             );
             self.backoff.record_start();
