--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,7 +1,7 @@
-//! Three controllers on a simulated clock, with stand-ins of everything that they talk to and
-//! faults drawn by a seed. The protocol's rules are checked after every step.
+//! Simulation tests: three controllers on a simulated clock, stand-ins of all their peers and
+//! services, and faults drawn from a seed. The protocol's rules are checked after every step.
 
-#![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
+#![allow(clippy::too_many_lines, reason = "each table of cases is one function")]
 
 mod delayed_commands;
 mod fault_combinations;
--- /dev/null
+++ b/tests/cluster/simulation/fault_builders.rs
@@ -0,0 +1,70 @@
+//! Builders of faults: those that several tests use, and random combinations drawn from a seed.
+
+use super::{CancelRunning, Faults, LateWrites};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+
+/// Cuts between a controller and both others.
+pub fn peers_of(node: usize, from: u64, to: u64) -> Vec<(usize, usize, u64, u64)> {
+    (0..3).filter(|n| *n != node).map(|n| (node, n, from, to)).collect()
+}
+
+/// Cancels `count` running jobs at one moment; no machine hangs.
+pub fn cancel_running(at_ms: u64, count: usize) -> Vec<CancelRunning> {
+    vec![CancelRunning { at_ms, count, hang_s: 0 }]
+}
+
+/// Transactions without an answer, executed late or at once.
+pub fn late(from: u64, to: u64, share: f64, at_once: bool) -> Vec<LateWrites> {
+    vec![LateWrites { from, to, share, at_once }]
+}
+
+/// Draws two cancellations of running jobs and two to four other faults from the seed, for
+/// combinations that no table lists.
+pub fn random_faults(seed: u64) -> Faults {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut faults = Faults { machines: Some(24), restart_ms: 3_000, ..Faults::default() };
+    for _ in 0..2 {
+        let hang_s = [0, 0, 8][rng.random_range(0..3)];
+        let at_ms = rng.random_range(17_000..40_000);
+        faults.cancel_running.push(CancelRunning { at_ms, count: 6, hang_s });
+    }
+    for _ in 0..rng.random_range(2..5) {
+        let node = rng.random_range(0..3);
+        let from = rng.random_range(14..40);
+        let to = from + rng.random_range(2..40);
+        let workers = rng.random_range(0..16)..rng.random_range(16..24);
+        match rng.random_range(0..24) {
+            0 => faults.kv_store_cuts.push((node, from, to)),
+            1 => faults.outages.push((from, to)),
+            2 => faults.peer_cuts.extend(peers_of(node, from, to)),
+            3 => faults.crashes.extend([(from, 1 + node), (to, 1)]),
+            4 => faults.late_writes.extend(late(from, to, 0.3, false)),
+            5 => faults.late_writes.extend(late(from, to, 0.3, true)),
+            6 => faults.heartbeats_for_new_leader = Some((from, to, 0.3)),
+            7 => faults.heartbeat_copies = 0.2,
+            8 => faults.outbound_cuts.extend(workers.map(|w| (w, from, to))),
+            9 => faults.inbound_cuts.extend(workers.map(|w| (w, from, to))),
+            10 => faults.worker_cuts.extend(workers.map(|w| (w, from, to, w % 2 == 0))),
+            11 => faults.query_bursts = Some((5, 90)),
+            12 => faults.cancel_at_job_end = Some((5, 90, 0.5)),
+            13 => faults.invalid_requests = Some((5, 90)),
+            14 => faults.slow_kv_store = Some((from, to, 900)),
+            15 => faults.slow_links = Some((from, to, 300)),
+            16 => faults.command_delays = 0.3,
+            17 => faults.node_cuts.push((node, from, to, workers.start % 2 == 0)),
+            18 => faults.frozen.push((node, from, from + 8)),
+            19 => faults.hung_watches.push((node, from, to)),
+            20 => (faults.lost_answers, faults.late_applied) = (0.05, 0.6),
+            21 => faults.slow_watches = 1_500,
+            22 => faults.terminated.extend(workers.step_by(3).map(|w| (from, w))),
+            _ => {
+                faults.kv_store_cuts.push((node, from, to));
+                faults.peer_cuts.extend(peers_of(node, from, to));
+                faults.user_cuts.push((node, from, to));
+                faults.only_reachable_by.extend((0..24).step_by(2).map(|w| (w, node, from, to)));
+            }
+        }
+    }
+    faults
+}
