--- a/tests/controller/main.rs
+++ b/tests/controller/main.rs
@@ -1,7 +1,6 @@
-//! One controller against stand-ins of everything that it talks to, a file for each subject.
+//! Tests of one controller against fakes of all its peers and services, one file per subject.
 //!
-//! Nothing is drawn by chance: a test refuses, loses or holds exactly the calls that it is
-//! about.
+//! Nothing is random: each test refuses, loses or holds exactly the calls that it is about.
 
 #![allow(clippy::too_many_lines, reason = "a table of cases is one function")]
 
