--- a/tests/cluster/delayed_commands.rs
+++ b/tests/cluster/delayed_commands.rs
@@ -6,7 +6,8 @@
 use crate::simulation::row::{Row, blue, run_rows};
 use crate::simulation::{Faults, HeldCommands, Plan, World};
 
-/// Three of four direct commands are held, for longer than the time to stop cancelled tasks.
+/// Three of four direct commands are held, for longer than the time within which cancelled tasks
+/// must stop.
 const HELD: HeldCommands = HeldCommands { from: 8, to: 50, share: 0.75, least_s: 31, most_s: 120 };
 
 /// Jobs of which three of four are cancelled a second after their submission, when some of their
--- a/tests/cluster/fault_combinations/random.rs
+++ b/tests/cluster/fault_combinations/random.rs
@@ -4,8 +4,8 @@
 use crate::simulation::fault_builders::random_faults;
 use crate::simulation::row::assert_no_failures;
 
-/// The first seeds have shown faults: tasks left waiting after a frame was lost, or after a lease
-/// became valid again under which many messages had been received and not evaluated.
+/// The first seeds have shown faults: tasks were left waiting after a frame was lost, or after a
+/// lease became valid again while many messages received under it had not been evaluated.
 #[test]
 fn random_fault_combinations() {
     let failed_before = [2194, 2497, 3073, 3240, 3374, 3388];
--- a/tests/cluster/fault_combinations/users.rs
+++ b/tests/cluster/fault_combinations/users.rs
@@ -5,7 +5,7 @@
 use crate::simulation::row::{Row, blue, run_rows};
 use crate::simulation::{Faults, Plan};
 
-/// Four jobs of one task each second, of which a quarter are cancelled within seconds.
+/// Four one-task jobs per second, of which a quarter are cancelled within seconds.
 fn single_task_plans() -> Vec<Plan> {
     let one = |n: u64| Plan {
         cancel_at_s: (n % 4 == 1).then_some(3 + n / 4 + n % 7),
--- a/tests/cluster/job_dependencies/cancellation.rs
+++ b/tests/cluster/job_dependencies/cancellation.rs
@@ -72,8 +72,8 @@
     );
 }
 
-/// No controller can query the key-value store, yet jobs that wait for a cancelled job must be
-/// reported as cancelled in time.
+/// Jobs that wait for a cancelled job must be reported as cancelled in time, although controllers
+/// cannot reach the key-value store or their peers, or receive their messages late.
 #[test]
 fn cancelled_dependencies_while_partitioned() {
     fn many_cancelled(w: &World) -> bool {
--- a/tests/cluster/scenarios/mod.rs
+++ b/tests/cluster/scenarios/mod.rs
@@ -28,7 +28,7 @@
         urgent,
         together,
         apart,
-        // Has enough chunks for several of the small pages of the store's stand-in.
+        // Has enough chunks for several of the small pages of the key-value store's stand-in.
         Plan::new(40, 600, 1.0, 0.3),
         late_cancel,
         Plan::new(70, 10, 1.0, 10.0),
--- a/tests/cluster/simulation/invalid_requests.rs
+++ b/tests/cluster/simulation/invalid_requests.rs
@@ -53,7 +53,7 @@
         }
         let again = Micros::millis(self.rng.random_range(100..600));
         self.schedule(self.now + again, SimEvent::InvalidRequest);
-        // Dependencies are invalid only in runs whose jobs have dependencies.
+        // Invalid dependencies are drawn only in runs whose jobs have dependencies.
         let has_dependencies = self.jobs.values().any(|j| !j.dependencies.is_empty());
         let kinds = if has_dependencies { KINDS_WITH_DEPENDENCIES } else { KINDS };
         let kind = self.rng.random_range(0..kinds);
--- a/tests/cluster/simulation/jobs.rs
+++ b/tests/cluster/simulation/jobs.rs
@@ -4,15 +4,18 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A job that a user submits; seconds count on the simulated clock.
+/// A job that a user submits. Times are in seconds of the simulated clock.
 #[derive(Debug, Clone)]
 pub struct Plan {
+    /// When it is submitted.
     pub at_s: u64,
     pub tasks: u32,
     pub cpus: f64,
+    /// How long its first task runs.
     pub run_s: f64,
     pub team: &'static str,
     pub urgency: &'static str,
+    /// When its user cancels it.
     pub cancel_at_s: Option<u64>,
     pub together: bool,
     pub apart: bool,
@@ -64,7 +67,7 @@
     /// Since when one of its tasks could start and does not, after the end of all faults, and the
     /// number of its starts by then.
     pub(super) startable_since: Option<(Micros, u64)>,
-    /// Tasks that completed on some worker; only these make `done` true.
+    /// Tasks that completed on some worker. An answer `done` is correct only if these are all.
     pub(super) completed: BTreeSet<u32>,
     /// Jobs that its submission names.
     pub(super) dependencies: Vec<String>,
--- a/tests/components/quota.rs
+++ b/tests/components/quota.rs
@@ -22,8 +22,8 @@
 #[test]
 fn target_grants_and_changes() {
     let demand = |rank, cpus| RankedDemand { rank, amount: cpus_only(cpus) };
-    // Limit, grants by shard, use of shard 0, its demand, unmet demand of other shards, target grant
-    // of shard 0.
+    // Limit, grants by shard, use of shard 0, its demand, unmet demand of other shards, target
+    // grant of shard 0.
     let table = [
         (30.0, vec![], 0.0, vec![demand(2, 50.0)], vec![], 30.0),
         (30.0, vec![(1, 20.0)], 0.0, vec![demand(2, 50.0)], vec![], 10.0),
--- a/tests/controller/main.rs
+++ b/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! Tests of one controller against fakes of all its peers and services, one file per subject.
+//! Tests of one controller against stand-ins for all its peers and services, one file per subject.
 //!
 //! Nothing is random: each test refuses, loses or holds exactly the calls that it is about.
 
--- a/tests/controller/stored_data.rs
+++ b/tests/controller/stored_data.rs
@@ -2,7 +2,8 @@
 //! reads all of them, writes the same values where jobs have no dependencies, and recovers the
 //! jobs.
 //!
-//! The code of those versions wrote the fixtures, with one controller and the fakes of `harness`.
+//! The code of those versions wrote the fixtures, with one controller and the stand-ins of
+//! `harness`.
 //! They contain jobs with keys of their own and in a batch, some of which are queued, running,
 //! done or cancelled, and one of each kind of frame sent meanwhile.
 
--- a/tests/stand_ins/cloud.rs
+++ b/tests/stand_ins/cloud.rs
@@ -1,4 +1,4 @@
-//! Fake of the cloud API. Its list of machines lags behind the actual state.
+//! Stand-in for the cloud API. Its list of machines lags behind the actual state.
 
 use millethold::cloud::{CloudCall, CloudReply};
 use millethold::time::Micros;
@@ -15,10 +15,11 @@
 #[derive(Default)]
 pub struct Cloud {
     machines: BTreeMap<String, RentedMachine>,
+    /// Names of the machines that each request has rented. A repeated request rents no others.
     requests: BTreeMap<String, Vec<String>>,
 }
 
-/// Delay after which rented and returned machines show up in the list.
+/// Delay until the list shows that a machine was rented or terminated.
 const LIST_LAG: Micros = Micros::secs(3);
 /// Upper bound on the number of machines rented at the same time.
 const MAX_MACHINES: usize = 8;
@@ -39,6 +40,7 @@
         self.machines[name].zone.clone()
     }
 
+    /// Ends the rental of a machine, at a controller's request or on the cloud's own decision.
     pub fn terminate(&mut self, now: Micros, name: &str) {
         if let Some(m) = self.machines.get_mut(name) {
             m.terminated_at.get_or_insert(now);
--- a/tests/stand_ins/store.rs
+++ b/tests/stand_ins/store.rs
@@ -1,4 +1,4 @@
-//! Fake of the key-value store.
+//! Stand-in for the key-value store.
 
 use millethold::controller::jobs::job::{
     StoredPlacement, decode_batch, is_batch, stored_placements,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Executes a call and returns its reply. Watches are rejected; see [`Store::events_after`].
+    /// Executes a call and returns its reply. Watches are rejected; callers answer them with
+    /// [`Store::events_after`].
     pub fn apply(&mut self, now: Micros, call: &KvRequest) -> KvResponse {
         self.expire_leases(now);
         match call {
@@ -182,7 +183,7 @@
         (current, ever.len())
     }
 
-    /// Number of writes to keys with this prefix since the start.
+    /// Number of writes to keys with this prefix since the start, including deletions.
     pub fn count_writes(&self, prefix: &str) -> usize {
         let keys = self.history.iter().filter_map(|c| c.put.as_ref().or(c.delete.as_ref()));
         keys.filter(|k| k.starts_with(prefix)).count()
@@ -289,7 +290,7 @@
     unfenced
 }
 
-/// Describes in what a transaction exceeds the limits of the key-value store, if it does.
+/// Describes how a transaction exceeds the limits of the key-value store, if it does.
 pub fn too_large(txn: &Txn, value_kb: f64, ops: usize) -> Option<String> {
     if txn.writes.len() > ops || txn.conditions.len() > 4 * ops {
         return Some(format!("{} writes, {} conditions", txn.writes.len(), txn.conditions.len()));
